--- a/cmd/madderwing/commands.go
+++ b/cmd/madderwing/commands.go
@@ -66,7 +66,7 @@
 		},
 	}
 	r.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	r.AddCommand(deskCommand(), archiveCommand(), checkCommand(), statusCommand(), resolveCommand(), configCommand(), evacuateCommand(), retireCommand(),
+	r.AddCommand(deskCommand(), archiveCommand(), checkCommand(), statusCommand(), resolveCommand(), configCommand(), evacuateCommand(), rolloutCommand(), retireCommand(),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "madderwing "+version)
 		}})
--- a/internal/accession/listing.go
+++ b/internal/accession/listing.go
@@ -25,6 +25,7 @@
 	Capacity int    `cbor:"5,keyasint" json:"capacity"`
 	Draining bool   `cbor:"6,keyasint,omitempty" json:"draining"`
 	WarmupMs int64  `cbor:"7,keyasint,omitempty" json:"warmupMs"`
+	Version  string `cbor:"8,keyasint,omitempty" json:"version"` // of its software
 }
 
 // Version orders listings: the term of the duty, then the number within it.
@@ -71,6 +72,7 @@
 		Zone        string  `json:"zone"`
 		Capacity    int     `json:"capacity"`
 		State       string  `json:"state"`
+		Generation  string  `json:"generation"`
 		WarmupLeftS float64 `json:"warmupLeftS"`
 	} `json:"instances"`
 	NextToken *string `json:"nextToken"`
@@ -122,7 +124,7 @@
 		}
 		for _, i := range p.Instances {
 			out = append(out, Instance{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone,
-				Capacity: max(1, i.Capacity), Draining: i.State != "ready", WarmupMs: int64(i.WarmupLeftS * 1000)})
+				Capacity: max(1, i.Capacity), Draining: i.State != "ready", Version: i.Generation, WarmupMs: int64(i.WarmupLeftS * 1000)})
 		}
 		if p.NextToken == nil || *p.NextToken == "" {
 			sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
@@ -160,7 +162,7 @@
 		seen[i.ID] = true
 		at := now + time.Duration(i.WarmupMs)*time.Millisecond
 		old, ok := s.items[i.ID]
-		same := ok && old.Address == i.Address && old.Draining == i.Draining && old.Capacity == i.Capacity && old.Service == i.Service
+		same := ok && old.Address == i.Address && old.Draining == i.Draining && old.Capacity == i.Capacity && old.Service == i.Service && old.Version == i.Version
 		shift := at - max(old.warmAt, now)
 		if !same || shift > warmSlack || shift < -warmSlack {
 			diff.Set = append(diff.Set, i)
@@ -260,5 +262,12 @@
 	return out
 }
 
+// Each calls fn for every instance, in no order, with how long it stays cold.
+func (s *Stand) Each(now time.Duration, fn func(i Instance, left time.Duration)) {
+	for _, it := range s.items {
+		fn(it.Instance, it.warmAt-now)
+	}
+}
+
 // Known says whether any listing has been taken.
 func (s *Stand) Known() bool { return s.items != nil }
--- a/internal/accession/stock.go
+++ b/internal/accession/stock.go
@@ -56,10 +56,11 @@
 	senders  int  // how many desks may send to it while it is cold, and whether this one
 	sender   bool // is one of them: as of the plan that few names; see few
 	few      uint64
-	home     bool   // this desk is the one of its zone that uses it first
-	zone     string // the zone that uses it as its own
-	rank     uint64 // for this desk
-	order    uint64 // for its service
+	pool     *service // of its service and version; the last one it was in
+	home     bool     // this desk is the one of its zone that uses it first
+	zone     string   // the zone that uses it as its own
+	rank     uint64   // for this desk
+	order    uint64   // for its service
 	limit    int
 	region   string
 	near     bool // of this desk's region
@@ -97,6 +98,7 @@
 // Claim is a request's wish for an upstream.
 type Claim struct {
 	Service  string
+	Version  string // a candidate; empty: the version that stands
 	Priority int
 	Avoid    []string // ids that have been tried
 	Retry    bool     // takes from the budget
@@ -120,6 +122,7 @@
 	Refused  Refusal
 	Abroad   bool // the upstream is in another region
 	Began    time.Duration
+	Cold     bool
 	Busy     int // how many requests of this desk the upstream had then, with this one
 }
 
@@ -134,8 +137,11 @@
 	NoBudget         // the budget for further tries is spent
 )
 
+// service is the pool of a service's upstreams: those of the version that stands, or
+// those of a candidate, which are a pool of their own.
 type service struct {
-	name    string
+	name    string // of the pool
+	of      string // of the service
 	info    ServiceInfo
 	ups     []*Upstream
 	homes   []*Upstream // those that this desk uses first
@@ -160,6 +166,8 @@
 	infos     map[string]ServiceInfo
 	desks     []register.Node
 	shards    map[string]int
+	versions  map[string]Versions
+	first     map[string]string      // service -> version first seen, while nobody has said what stands
 	bound     map[string]int         // service -> shard whose desks hold its slack
 	plan      uint64                 // counts the times that upstreams were shared out anew
 	zones     map[string][]string    // zone -> desks, as of that plan
@@ -187,7 +195,8 @@
 // NewStock makes an empty stock.
 func NewStock(cfg Config) *Stock {
 	return &Stock{cfg: cfg, ups: map[string]*Upstream{}, services: map[string]*service{},
-		evacuated: map[string]bool{}, infos: map[string]ServiceInfo{}, bound: map[string]int{}}
+		evacuated: map[string]bool{}, infos: map[string]ServiceInfo{}, bound: map[string]int{},
+		first: map[string]string{}}
 }
 
 func (s *Stock) region(zone string) string {
@@ -197,10 +206,17 @@
 	return s.cfg.Region(zone)
 }
 
-func (s *Stock) service(name string) *service {
+func (s *Stock) service(name string) *service { return s.poolOf(name, "") }
+
+// poolOf is the pool of a service's candidate, or of the version that stands.
+func (s *Stock) poolOf(of, candidate string) *service {
+	name := of
+	if candidate != "" {
+		name += "@" + candidate
+	}
 	v := s.services[name]
 	if v == nil {
-		v = &service{name: name, info: s.infos[name]}
+		v = &service{name: name, of: of, info: s.infos[of]}
 		s.services[name] = v
 	}
 	return v
@@ -268,8 +284,8 @@
 		return
 	}
 	s.infos, s.bound = infos, bound
-	for name, v := range s.services {
-		v.info = infos[name]
+	for _, v := range s.services {
+		v.info = infos[v.of]
 	}
 	s.assign(now)
 	s.serveAll(now)
@@ -304,7 +320,7 @@
 func (s *Stock) doubt(now time.Duration, u *Upstream) {
 	info := s.infos[u.Service]
 	u.coldTill = max(u.coldTill, now+time.Duration(info.WarmupS*float64(time.Second))+s.cfg.Lag)
-	if (u.home || s.sends(u)) && !u.asking && info.HealthPath != "" {
+	if (u.home || s.sends(u)) && !u.asking && s.poolFor(u) != nil && info.HealthPath != "" {
 		u.asking = true
 		s.Probes = append(s.Probes, Probe{u, u.ID, u.Address, info.HealthPath})
 	}
@@ -316,7 +332,7 @@
 	u.asking = false
 	if ok && !s.evacuated[u.Zone] {
 		u.coldTill = now + left
-		s.serve(now, s.service(u.Service))
+		s.serve(now, u.pool)
 	}
 }
 
@@ -344,10 +360,12 @@
 	for _, v := range s.services {
 		v.ups, v.slots = v.ups[:0], 0
 	}
+	s.pools()
 	for _, u := range s.ups {
 		u.home = false
-		if !u.gone && !s.evacuated[u.Zone] {
-			v := s.service(u.Service)
+		if v := s.poolFor(u); v == nil {
+			s.drop(u)
+		} else if u.pool = v; !u.gone && !s.evacuated[u.Zone] {
 			v.ups = append(v.ups, u)
 		}
 	}
@@ -686,7 +704,7 @@
 // The other half covers desks that are not known here.
 func (s *Stock) ceiling(v *service) float64 {
 	n := len(s.desks)
-	if shard, ok := s.bound[v.name]; ok {
+	if shard, ok := s.bound[v.of]; ok {
 		mine, of := false, 0
 		for _, d := range s.desks {
 			if s.shards[d.Address] == shard {
@@ -705,12 +723,13 @@
 
 // Claim asks for an upstream; the answer may come later.
 func (s *Stock) Claim(now time.Duration, c *Claim) {
-	v := s.service(c.Service)
+	v := s.claimed(c)
 	s.seq++
 	c.arrived, c.seq = now, s.seq
 	if c.Retry {
-		v.budget.Refill(now, s.ceiling(v)/2/max(s.cfg.Window.Seconds(), 1), s.ceiling(v))
-		if !v.budget.Spend() {
+		all := s.service(c.Service) // the budget is the service's, whatever the version
+		all.budget.Refill(now, s.ceiling(all)/2/max(s.cfg.Window.Seconds(), 1), s.ceiling(all))
+		if !all.budget.Spend() {
 			c.Give(Grant{Refused: NoBudget})
 			return
 		}
@@ -744,7 +763,7 @@
 
 func (s *Stock) refuse(v *service, c *Claim, why Refusal) {
 	if c.Retry {
-		v.budget.Back()
+		s.service(c.Service).budget.Back()
 	}
 	c.Give(Grant{Refused: why})
 }
@@ -764,7 +783,7 @@
 		s.sends(u)
 		u.pace.Pass(now, v.info.WarmupPerS/float64(u.senders))
 	}
-	g := Grant{Upstream: u, ID: u.ID, Address: u.Address, Hold: c.Hold, Abroad: !u.near, Began: now, Busy: u.Busy}
+	g := Grant{Upstream: u, ID: u.ID, Address: u.Address, Hold: c.Hold, Cold: u.Cold(now), Abroad: !u.near, Began: now, Busy: u.Busy}
 	u.began(now, c)
 	if c.Hold != nil {
 		if u.holds == nil {
@@ -787,7 +806,7 @@
 
 // Withdraw takes back a claim that still waits.
 func (s *Stock) Withdraw(c *Claim) {
-	v := s.service(c.Service)
+	v := s.claimed(c)
 	for i, w := range v.waiting {
 		if w == c {
 			v.waiting = append(v.waiting[:i], v.waiting[i+1:]...)
@@ -823,7 +842,7 @@
 		took = 0 // how long a large answer was on its way says nothing of the upstream
 	}
 	delete(u.holds, g.Hold)
-	v := s.service(u.Service)
+	v := u.pool
 	switch how {
 	case Served, Poor:
 		u.proven = true
@@ -859,7 +878,7 @@
 		s.assign(now)
 	}
 	if conn != nil {
-		if u.gone || s.evacuated[u.Zone] || now < u.until || conn.Expires <= now {
+		if u.gone || s.evacuated[u.Zone] || now < u.until || conn.Expires <= now || s.poolFor(u) == nil {
 			s.Closed = append(s.Closed, conn)
 		} else {
 			u.idle = append(u.idle, conn)
@@ -888,7 +907,7 @@
 		s.eject(now, u)
 		return
 	}
-	if u.gone || s.evacuated[u.Zone] {
+	if u.gone || s.evacuated[u.Zone] || s.poolFor(u) == nil {
 		s.Closed = append(s.Closed, conn)
 		return
 	}
@@ -897,7 +916,7 @@
 	}
 	u.proven = true
 	u.idle = append(u.idle, conn)
-	s.serve(now, s.service(u.Service))
+	s.serve(now, u.pool)
 }
 
 func (s *Stock) serve(now time.Duration, v *service) {
@@ -966,6 +985,7 @@
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
+	Version string `json:"version,omitempty"`
 	Home    bool   `json:"home"`
 	Cold    bool   `json:"cold"`
 	Ejected bool   `json:"ejected"`
@@ -978,7 +998,7 @@
 // States shows the upstreams.
 func (s *Stock) States(now time.Duration) (out []State) {
 	for _, u := range s.ups {
-		out = append(out, State{u.ID, u.Service, u.Address, u.Zone, u.home, u.Cold(now), now < u.until || u.trying,
+		out = append(out, State{u.ID, u.Service, u.Address, u.Zone, u.Version, u.home, u.Cold(now), now < u.until || u.trying,
 			u.Busy, len(u.idle), u.Served, u.Failed})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/archive/admin.go
+++ b/internal/archive/admin.go
@@ -100,6 +100,7 @@
 	Delivery    []Delivery           `json:"delivery"`
 	Tenants     []TenantState        `json:"tenants,omitempty"`
 	Quotas      *Quotas              `json:"quotas,omitempty"`
+	Rollouts    []RolloutState       `json:"rollouts"`
 	Counters    map[string]uint64    `json:"counters"`
 }
 
@@ -154,6 +155,7 @@
 		}
 	}
 	sort.Strings(o.Evacuations)
+	o.Rollouts = a.rolloutStates(now)
 	if a.lender != nil {
 		a.overviewTenants(o)
 	}
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -29,6 +29,7 @@
 	"madderwing/internal/readers"
 	"madderwing/internal/reference"
 	"madderwing/internal/register"
+	"madderwing/internal/rollout"
 	"madderwing/internal/rota"
 	"madderwing/internal/shelving"
 	"madderwing/internal/stacks"
@@ -82,8 +83,10 @@
 	life      uint64
 	asks      asks // evacuations and withdrawals ordered here
 	loads     accession.Loads
-	holds     map[string]uint64 // desk -> digest of the items that it has in force
-	told      map[string]toldAt // by other archives
+	holds     map[string]uint64   // desk -> digest of the items that it has in force
+	told      map[string]toldAt   // by other archives
+	rolls     *rollout.Controller // rollouts, as this archive sees them
+	adopting  bool                // standing versions are being kept
 
 	// Where clients ask a registry; nil elsewhere.
 	directory *reference.Directory
@@ -105,7 +108,7 @@
 	client  *http.Client
 
 	stats Stats
-	log   struct{ archive, stacks, ledger, rota, shelving, accession, register, control *log.Logger }
+	log   struct{ archive, stacks, ledger, rota, shelving, accession, register, control, rollout *log.Logger }
 }
 
 type toldAt struct {
@@ -128,10 +131,11 @@
 func Run(ctx context.Context, set *charter.Settings, opt Options, reload <-chan *charter.Settings) error {
 	a := &Archive{set: set, opt: opt, start: time.Now(), commands: make(chan func(time.Duration), 1024),
 		writes: newJobs(), shown: conservation.NewSet(), told: map[string]toldAt{},
-		asks: newAsks(charter.Seconds(set.Bounds.AckS))}
+		asks: newAsks(charter.Seconds(set.Bounds.AckS)), rolls: rollout.NewController()}
 	logger := func(part string) *log.Logger { return log.New(os.Stderr, part+": ", 0) }
 	a.log.archive, a.log.stacks, a.log.ledger, a.log.rota = logger("archive"), logger("stacks"), logger("ledger"), logger("rota")
 	a.log.shelving, a.log.accession, a.log.register, a.log.control = logger("shelving"), logger("accession"), logger("register"), logger("control")
+	a.log.rollout = logger("rollout")
 	beat := set.Beat()
 	vacant := charter.Seconds(set.Bounds.ContactS * vacantPart)
 
@@ -295,6 +299,7 @@
 					a.lend(now)
 					a.branch(now, beat)
 				}
+				a.gate(now, beat)
 				a.lookAgain = a.lookAgain || a.shelf.Due(now)
 			}
 		case <-stop:
@@ -389,6 +394,9 @@
 		if old, have := a.shown.Records[r.Name]; !have || r.Newer(old) {
 			a.shown.Put(r)
 			changed = true
+			if strings.HasPrefix(r.Name, rollout.Prefix) {
+				a.rolls.Saw(time.Since(a.start), r)
+			}
 			if strings.HasPrefix(r.Name, catalogue.EvacuationPrefix) {
 				a.asks.saw(time.Since(a.start), r)
 			}
@@ -439,7 +447,7 @@
 }
 
 func (a *Archive) issueTo(now time.Duration, to string, has feed.Watch, always, guessed bool) feed.Watch {
-	out := feed.Issue{Fresh: a.member.Owner(now, catalogue.Key) != ""}
+	out := feed.Issue{Fresh: a.member.Owner(now, catalogue.Key) != "", Led: a.rolls.Led()}
 	whole := has.Sums != nil
 	if has.Sums != nil {
 		if diff := conservation.Diff(*has.Sums, a.shown.Sums); len(diff) > 0 {
@@ -528,6 +536,12 @@
 			a.offer(func(now time.Duration) { a.drawFor(now, from, d) })
 		})
 	}
+	courier.On(a.post, feed.ScoreKind, func(from string, reports []rollout.Report) {
+		a.offer(func(now time.Duration) { a.rolls.Heard(now, from, reports) })
+	})
+	courier.On(a.post, feed.GatherKind, func(from string, all []rollout.Gathered) {
+		a.offer(func(now time.Duration) { a.rolls.Take(now, from, all) })
+	})
 	courier.On(a.post, feed.ToldKind, func(from string, t feed.Told) {
 		a.offer(func(now time.Duration) { a.told[from] = toldAt{now, t} })
 	})
@@ -682,6 +696,9 @@
 				a.log.accession.Printf("list %d.%d has %d upstreams.", a.stand.Version.Term, a.stand.Version.Seq, len(list))
 				a.issue(now)
 			}
+			if mine {
+				a.adopt(now)
+			}
 		})
 	}()
 }
--- a/internal/archive/control.go
+++ b/internal/archive/control.go
@@ -1,6 +1,7 @@
 package archive
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -15,6 +16,7 @@
 	"madderwing/internal/catalogue"
 	"madderwing/internal/charter"
 	"madderwing/internal/errata"
+	"madderwing/internal/rollout"
 	"madderwing/internal/shelving"
 	"madderwing/internal/stacks"
 )
@@ -29,10 +31,17 @@
 	Retire   string           `cbor:"6,keyasint,omitempty"`
 	Plan     []byte           `cbor:"7,keyasint,omitempty"`
 	Read     bool             `cbor:"5,keyasint,omitempty"`
+	Show     bool             `cbor:"14,keyasint,omitempty"` // all that the owner knows of a rollout
 	// ID is one call of an operator's, however often it is passed on, and Age how
 	// old that was when it was.
 	ID  uint64        `cbor:"8,keyasint,omitempty"`
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
+	// Rollout begins one, Abort reverses the one of the key; Adopt names versions that
+	// stand, each with the generation of the record that the caller saw.
+	Rollout *rollout.Ask                `cbor:"10,keyasint,omitempty"`
+	Abort   bool                        `cbor:"11,keyasint,omitempty"`
+	Adopt   map[string]rollout.Standing `cbor:"12,keyasint,omitempty"`
+	Saw     map[string]uint64           `cbor:"13,keyasint,omitempty"`
 }
 
 // verdict is the owner's answer.
@@ -87,6 +96,12 @@
 					all = append(all, changes...)
 				}
 				return all, nil
+			case o.Rollout != nil:
+				return rollout.Begin(have, *o.Rollout, a.serves(o.Rollout.Service))
+			case o.Abort:
+				return rollout.Abort(have, strings.TrimPrefix(o.Key, rollout.Prefix), a.rolls.Age(time.Since(a.start), strings.TrimPrefix(o.Key, rollout.Prefix)))
+			case o.Adopt != nil:
+				return rollout.Adopt(have, o.Adopt, o.Saw), nil
 			}
 			return nil, nil
 		}, func(err error) {
@@ -113,9 +128,12 @@
 			if o.Bind != nil {
 				v.Body, _ = cbor.Marshal(refused)
 			}
+			if o.Show {
+				v.Body = a.showRollout(time.Since(a.start), strings.TrimPrefix(o.Key, rollout.Prefix))
+			}
 			if o.Read {
 				records, _, _ := a.member.Committed(o.Key)
-				v.Body = catalogue.Render(records)
+				v.Body = render(o.Key, records)
 			}
 			done <- v
 		})
@@ -164,7 +182,9 @@
 	var v verdict
 	for {
 		owner := make(chan string, 1)
-		a.do(func(now time.Duration) { owner <- a.member.Owner(now, o.Key) })
+		a.do(func(now time.Duration) {
+			owner <- cmp.Or(a.member.Owner(now, o.Key), a.member.Founder(now, o.Key))
+		})
 		to := <-owner
 		o.Age = time.Since(begin)
 		switch {
@@ -269,6 +289,8 @@
 		}
 		a.log.control.Printf("evacuation of %s: %v.", zone, on)
 		return ok, nil
+	case path == "/v1/rollouts" || strings.HasPrefix(path, "/v1/rollouts/"):
+		return a.rollouts(r, strings.TrimPrefix(strings.TrimPrefix(path, "/v1/rollouts"), "/"))
 	case path == "/metrics" && r.Method == http.MethodGet:
 		return a.metrics(), nil
 	case path == "/v1/admin/plan" && r.Method == http.MethodPost:
@@ -277,6 +299,8 @@
 			return nil, err
 		}
 		return a.submit(order{Key: catalogue.Key, Plan: body})
+	case strings.HasPrefix(path, "/v1/admin/rollouts/") && r.Method == http.MethodGet:
+		return a.rolloutAtController(strings.TrimPrefix(path, "/v1/admin/rollouts/"))
 	case strings.HasPrefix(path, "/v1/admin/members/") && r.Method == http.MethodDelete:
 		return ok, a.retire(strings.TrimPrefix(path, "/v1/admin/members/"))
 	case path == "/v1/admin/resolve" && a.directory != nil && r.Method == http.MethodGet:
--- /dev/null
+++ b/internal/archive/rollout.go
@@ -0,0 +1,303 @@
+package archive
+
+import (
+	"encoding/json"
+	"net/http"
+	"sort"
+	"strings"
+	"time"
+
+	"madderwing/internal/accession"
+	"madderwing/internal/catalogue"
+	"madderwing/internal/errata"
+	"madderwing/internal/feed"
+	"madderwing/internal/register"
+	"madderwing/internal/rollout"
+	"madderwing/internal/stacks"
+)
+
+// gate looks at the rollouts under way, takes the steps of those that this archive
+// controls as their key's owner, and passes on what it has heard of the others.
+func (a *Archive) gate(now, beat time.Duration) {
+	moves, tell := a.rolls.Look(now, rollout.Services(a.shown.Records), rollout.Surroundings{
+		Self: a.post.Self(), Fresh: 2 * beat, Fill: a.fill,
+		Owner: func(key string) string { return a.member.Owner(now, key) }})
+	for to, all := range tell {
+		a.post.Send(to, feed.GatherKind, all)
+	}
+	for _, m := range moves {
+		a.member.Propose(now, rollout.Key(m.To.Service), func(have map[string]stacks.Record) ([]stacks.Record, error) {
+			return rollout.Advance(have, m.From.Gen, m.To)
+		}, func(err error) {
+			a.rolls.Moved(m)
+			if err != nil {
+				a.log.rollout.Printf("%s: step to %s not taken: %v.", m.To.Service, m.To.Stage, err)
+				return
+			}
+			a.log.rollout.Printf("%s %s -> %s: %s, %g %%, after %.1f s. %s", m.To.Service, m.To.Prior, m.To.Candidate, m.To.Stage,
+				rollout.Percent(m.To.Weight), m.To.Age.Seconds(), m.To.Reason)
+		})
+	}
+}
+
+// fill adds to what a controller looks at what this archive knows of desks, upstreams
+// and loads.
+func (a *Archive) fill(v *rollout.View, p *rollout.Plan, told map[string]int) {
+	for _, n := range a.reg.List().Live(register.Data) {
+		v.Live++
+		if busy, ok := told[n.Address]; ok {
+			v.Heard++
+			v.Busy += busy
+		}
+	}
+	a.stand.Each(time.Since(a.start), func(i accession.Instance, left time.Duration) {
+		if i.Service != p.Service || i.Draining {
+			return
+		}
+		if i.Version != p.Candidate {
+			v.Standing += float64(i.Capacity)
+			return
+		}
+		v.Slots += float64(i.Capacity)
+		if left <= 0 {
+			v.Warm += float64(i.Capacity)
+		}
+	})
+	for _, services := range a.loads {
+		for name, load := range services {
+			if of, _, _ := strings.Cut(name, "@"); of == p.Service {
+				v.Load += load
+			}
+		}
+	}
+}
+
+// serves is the version of a service that stands, as this archive knows it.
+func (a *Archive) serves(service string) string {
+	if v := rollout.Services(a.shown.Records)[service].Serves(); v != "" {
+		return v
+	}
+	return a.listed()[service].version
+}
+
+type listedVersions struct {
+	version string         // the most frequent
+	of      map[string]int // upstreams by version
+}
+
+// listed counts the versions that the platform lists.
+func (a *Archive) listed() map[string]listedVersions {
+	out := map[string]listedVersions{}
+	a.stand.Each(0, func(i accession.Instance, _ time.Duration) {
+		l := out[i.Service]
+		if l.of == nil {
+			l.of = map[string]int{}
+		}
+		l.of[i.Version]++
+		out[i.Service] = l
+	})
+	for s, l := range out {
+		l.version = accession.MostFrequent(l.of)
+		out[s] = l
+	}
+	return out
+}
+
+// adopt has the versions that stand without an order kept with the items: the first
+// that a service has, and another where the platform no longer lists any upstream of
+// the one that stands and no order is under way.
+func (a *Archive) adopt(now time.Duration) {
+	if a.adopting || !a.member.Voting() {
+		return
+	}
+	known := rollout.Services(a.shown.Records)
+	o := order{Key: catalogue.Key, Adopt: map[string]rollout.Standing{}, Saw: map[string]uint64{}}
+	for service, l := range a.listed() {
+		v := known[service]
+		if v.Active() != nil || l.of[v.Serves()] > 0 || !catalogue.HasService(a.shown.Records, service) {
+			continue
+		}
+		s := rollout.Standing{Version: l.version}
+		if v.Plan != nil {
+			s.After = v.Plan.Gen
+		}
+		o.Adopt[service], o.Saw[service] = s, a.shown.Records[rollout.StandingPrefix+service].Gen
+	}
+	if len(o.Adopt) == 0 {
+		return
+	}
+	a.adopting = true
+	go func() {
+		_, err := a.submit(o)
+		a.do(func(time.Duration) {
+			a.adopting = false
+			if err != nil {
+				a.log.rollout.Printf("standing versions not kept: %v.", err)
+			}
+		})
+	}()
+}
+
+// render lays out the records of a key for the operator.
+func render(key string, records map[string]stacks.Record) []byte {
+	if !strings.HasPrefix(key, rollout.Prefix) {
+		return catalogue.Render(records)
+	}
+	p, ok := rollout.Read(records[key])
+	if !ok {
+		return nil
+	}
+	b, _ := json.Marshal(map[string]string{"state": p.State(), "targetVersion": p.Candidate})
+	return b
+}
+
+// rollouts serves the calls for rollouts.
+func (a *Archive) rollouts(r *http.Request, service string) ([]byte, error) {
+	wrong := errata.New(errata.WrongMethod, "%s on %s", r.Method, r.URL.Path)
+	if service == "" {
+		if r.Method != http.MethodPost {
+			return nil, wrong
+		}
+		body, err := readCall(r)
+		if err != nil {
+			return nil, err
+		}
+		ask, err := rollout.ReadAsk(body)
+		if err != nil {
+			a.log.control.Printf("rollout refused: %v.", err)
+			return nil, err
+		}
+		if err := a.hasService(ask.Service); err != nil {
+			return nil, err
+		}
+		if _, err := a.submit(order{Key: rollout.Key(ask.Service), Rollout: &ask}); err != nil {
+			a.log.control.Printf("rollout of %s to %s not taken: %v.", ask.Service, ask.Version, err)
+			return nil, err
+		}
+		a.log.control.Printf("rollout of %s to %s taken.", ask.Service, ask.Version)
+		return []byte("{}\n"), nil
+	}
+	if err := a.hasService(service); err != nil {
+		return nil, err
+	}
+	switch r.Method {
+	case http.MethodGet:
+		body, err := a.submit(order{Key: rollout.Key(service), Read: true})
+		if err == nil && body == nil {
+			err = errata.New(errata.NoRollout, "%s", service)
+		}
+		return body, err
+	case http.MethodDelete:
+		_, err := a.submit(order{Key: rollout.Key(service), Abort: true})
+		return []byte("{}\n"), err
+	}
+	return nil, wrong
+}
+
+// hasService says whether a service stands; an archive that does not know it asks the
+// owner of the catalogue before it says no.
+func (a *Archive) hasService(name string) error {
+	has := make(chan bool, 1)
+	a.do(func(time.Duration) { has <- catalogue.HasService(a.shown.Records, name) })
+	if <-has {
+		return nil
+	}
+	text, err := a.submit(order{Key: catalogue.Key, Read: true})
+	if err != nil {
+		return err
+	}
+	var all struct {
+		Services []struct {
+			Name string `json:"name"`
+		} `json:"services"`
+	}
+	if err := json.Unmarshal(text, &all); err != nil {
+		return err
+	}
+	for _, s := range all.Services {
+		if s.Name == name {
+			return nil
+		}
+	}
+	return errata.New(errata.UnknownService, "%q", name)
+}
+
+// ArmState is one arm of a rollout as the administration API shows it.
+type ArmState struct {
+	Version  string  `json:"version"`
+	Answers  uint64  `json:"answers"` // scored, at the present weight
+	Failed   uint64  `json:"failed"`
+	P99AtMs  float64 `json:"p99AtMostMs"` // 0: too few answers
+	MeanTime float64 `json:"meanTimeScore"`
+}
+
+// RolloutState is a rollout as the administration API shows it.
+type RolloutState struct {
+	Service    string     `json:"service"`
+	State      string     `json:"state"`
+	Stage      string     `json:"stage"`
+	Weight     float64    `json:"weight"`
+	Controller string     `json:"controller"`
+	AgeS       float64    `json:"ageS"`
+	WithinS    float64    `json:"withinS"`
+	Reason     string     `json:"reason,omitempty"`
+	Heard      int        `json:"heard"` // nodes with this weight in force
+	Braked     int        `json:"braked"`
+	Arms       []ArmState `json:"arms"`
+}
+
+// rolloutStates shows all rollouts; figures of the arms are known at the controller.
+func (a *Archive) rolloutStates(now time.Duration) (out []RolloutState) {
+	out = []RolloutState{}
+	for service, v := range rollout.Services(a.shown.Records) {
+		p := v.Plan
+		if p == nil {
+			continue
+		}
+		sums := a.rolls.Gathered(service)
+		s := RolloutState{Service: service, State: p.State(), Stage: p.Stage.String(), Weight: p.Weight, AgeS: p.Age.Seconds(),
+			Controller: a.member.Owner(now, rollout.Key(service)), WithinS: p.Within.Seconds(), Reason: p.Reason,
+			Heard: len(sums.Nodes), Braked: sums.Braked}
+		if !p.Final() {
+			s.AgeS = a.rolls.Age(now, service).Seconds()
+		}
+		all := sums.Sums.All()
+		for arm, version := range []string{p.Prior, p.Candidate} {
+			s.Arms = append(s.Arms, armState(version, all[arm]))
+		}
+		out = append(out, s)
+	}
+	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
+	return out
+}
+
+// rolloutAtController shows a rollout as its controller knows it.
+func (a *Archive) rolloutAtController(service string) ([]byte, error) {
+	if err := a.hasService(service); err != nil {
+		return nil, err
+	}
+	body, err := a.submit(order{Key: rollout.Key(service), Show: true})
+	if err == nil && body == nil {
+		err = errata.New(errata.NoRollout, "%s", service)
+	}
+	return body, err
+}
+
+func (a *Archive) showRollout(now time.Duration, service string) []byte {
+	for _, s := range a.rolloutStates(now) {
+		if s.Service == service {
+			b, _ := json.MarshalIndent(s, "", "  ")
+			return append(b, '\n')
+		}
+	}
+	return nil
+}
+
+func armState(version string, c rollout.Cell) ArmState {
+	s := ArmState{Version: version, Answers: c.Ended, Failed: c.Failed()}
+	if c.N > 0 {
+		s.MeanTime = c.Sum / float64(c.N)
+		s.P99AtMs = float64(c.Tail()) / float64(time.Millisecond)
+	}
+	return s
+}
--- a/internal/archive/summary.go
+++ b/internal/archive/summary.go
@@ -122,7 +122,7 @@
 	}
 	views := map[string]any{
 		"overview": o, "keys": o.Keys, "duties": o.Duties, "bindings": o.Routes, "shards": o.Shards,
-		"evacuations": o.Evacuations, "counters": o.Counters,
+		"evacuations": o.Evacuations, "rollouts": o.Rollouts, "counters": o.Counters,
 	}
 	if o.Quotas != nil {
 		views["tenants"], views["quotas"] = o.Tenants, o.Quotas
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -176,6 +176,12 @@
 	removals []Record
 }
 
+// HasService says whether a service stands.
+func HasService(have map[string]Record, name string) bool {
+	r, ok := have[servicePrefix+name]
+	return ok && !r.Dropped
+}
+
 func decodeItem(r Record) (it Item) {
 	_ = cbor.Unmarshal(r.Data, &it)
 	return it
--- a/internal/catalogue/table.go
+++ b/internal/catalogue/table.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"madderwing/internal/readers"
+	"madderwing/internal/rollout"
 )
 
 // Table is what requests are looked up in. It is built anew for each change
@@ -19,6 +20,7 @@
 	Known     bool               // any item is known
 	Tenants   bool               // there are tenants, or were: requests need a key
 	Readers   map[string]*Tenant // by key
+	Versions  map[string]rollout.Service
 }
 
 // Builder builds tables and reads each version of an item once.
@@ -41,7 +43,7 @@
 		b.services = map[string]builtService{}
 	}
 	t := &Table{hosts: map[string][]*Route{}, Services: map[string]*Service{}, Limits: defaultLimits,
-		Evacuated: map[string]uint64{}, Readers: map[string]*Tenant{}}
+		Evacuated: map[string]uint64{}, Readers: map[string]*Tenant{}, Versions: rollout.Services(have)}
 	for n, rec := range have {
 		if strings.HasPrefix(n, EvacuationPrefix) {
 			zone := n[len(EvacuationPrefix):]
@@ -50,6 +52,9 @@
 			}
 			continue
 		}
+		if strings.HasPrefix(n, rollout.Prefix) || strings.HasPrefix(n, rollout.StandingPrefix) {
+			continue
+		}
 		t.Known = true
 		t.Tenants = t.Tenants || strings.HasPrefix(n, tenantPrefix)
 		if rec.Dropped {
--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -82,6 +82,10 @@
 	RetrySlack   float64 `toml:"retrySlack"`
 	EvacuateS    float64 `toml:"evacuateS"`
 
+	// Only where versions are rolled out.
+	ExposureShare float64 `toml:"exposureShare"`
+	RollbackS     float64 `toml:"rollbackS"`
+
 	// Only where there are tenants or a registry.
 	RevocationGlobal bool    `toml:"revocationGlobal"`
 	RevokeS          float64 `toml:"revokeS"`
@@ -105,6 +109,24 @@
 // time for which a calm machine must have been in touch.
 func (s *Settings) Beat() time.Duration { return Seconds(s.Bounds.ContactS / 6) }
 
+// Rollback is the time, in seconds, within which a bad version gets nothing more, and
+// Exposure the share of requests that it may have had; where the settings are silent,
+// ackS and a tenth.
+func (s *Settings) Rollback() float64 {
+	if s.Bounds.RollbackS > 0 {
+		return s.Bounds.RollbackS
+	}
+	return s.Bounds.AckS
+}
+
+// Exposure: see Rollback.
+func (s *Settings) Exposure() float64 {
+	if s.Bounds.ExposureShare > 0 {
+		return s.Bounds.ExposureShare
+	}
+	return 0.1
+}
+
 // Global says that clients ask a registry where to go, so that tenants, keys and
 // quotas count over all regions. Nothing that serves only this runs elsewhere.
 func (s *Settings) Global() bool { return s.Ingress == "registry" }
--- a/internal/circulation/circulation_test.go
+++ b/internal/circulation/circulation_test.go
@@ -17,6 +17,7 @@
 
 	"madderwing/internal/accession"
 	"madderwing/internal/catalogue"
+	"madderwing/internal/rollout"
 )
 
 // upstream is a stand-in that reads requests as they come off the wire and
@@ -118,7 +119,7 @@
 	stock := accession.NewStock(accession.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, Window: 10 * time.Second,
 		Eject: 50 * time.Millisecond, EjectMax: time.Second})
 	floor := NewFloor(stock, 5*time.Second, 50*time.Millisecond)
-	front := NewFront(floor, log.New(io.Discard, "", 0))
+	front := NewFront(floor, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }), log.New(io.Discard, "", 0))
 	body := `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50}],
 	 "limits":{"generation":1,"maxHeaderBytes":4096,"maxBodyBytes":1000000,"headerTimeoutS":0.2,"idleTimeoutS":15},
 	 "domains":[{"authority":"h.example","hostRoutes":[
--- a/internal/circulation/front.go
+++ b/internal/circulation/front.go
@@ -16,6 +16,7 @@
 	"madderwing/internal/catalogue"
 	"madderwing/internal/errata"
 	"madderwing/internal/readers"
+	"madderwing/internal/rollout"
 )
 
 // Stats are a front's counters.
@@ -33,6 +34,8 @@
 	log   *log.Logger
 	chain Handler
 	Stats Stats
+	// arms splits the requests of services whose version changes.
+	arms *rollout.Arms
 	// Pace is that of large answers; nil: none.
 	Pace *Pace
 	// lease is until when, on the floor's clock, keys may be relied on; nil where
@@ -55,11 +58,11 @@
 }
 
 // NewFront makes a front over a floor.
-func NewFront(floor *Floor, logger *log.Logger) *Front {
-	f := &Front{floor: floor, log: logger}
+func NewFront(floor *Floor, arms *rollout.Arms, logger *log.Logger) *Front {
+	f := &Front{floor: floor, arms: arms, log: logger}
 	f.shard.Store(-1)
 	f.table.Store((&catalogue.Builder{}).Build(nil))
-	f.chain = Chain(f.balance, f.limits, f.reader, f.route, f.deadline, f.quota, f.admit)
+	f.chain = Chain(f.balance, f.limits, f.reader, f.route, f.deadline, f.quota, f.admit, f.stratify)
 	return f
 }
 
@@ -92,6 +95,7 @@
 	regions  []string
 	bound    bool // to regions
 	service  string
+	stratum  string
 	attempt  string
 	body     io.Reader // what the limits let through
 	hasBody  bool
@@ -251,6 +255,19 @@
 	}
 }
 
+// stratify names the request's stratum: within each, the arms of a rollout get their
+// shares. Where there are tenants that is their tier, or else the route; requests of
+// different kinds are never of one stratum.
+func (f *Front) stratify(next Handler) Handler {
+	return func(x *Exchange) error {
+		x.stratum = x.route.Name + " " + x.route.RouteKind
+		if x.tenant != nil {
+			x.stratum += " " + strconv.Itoa(x.priority())
+		}
+		return next(x)
+	}
+}
+
 // readUpTo reads into buf until it holds most bytes (no error) or the reader
 // ends (io.EOF).
 func readUpTo(buf []byte, r io.Reader, most int) ([]byte, error) {
@@ -291,15 +308,22 @@
 	sent, dialled := 0, 0
 	var avoid []string
 	var last error
+	prior := false // the candidate of a rollout has had its try
 	for {
+		arm := f.arms.Begin(x.service, x.stratum, x.aim, prior)
+		prior = prior || arm.Candidate()
 		patience := min(x.aim/5, time.Until(x.deadline)/2)
-		claim := &accession.Claim{Service: x.service, Priority: x.priority(), Avoid: avoid, Retry: sent > 0,
+		claim := &accession.Claim{Service: x.service, Version: arm.Version(), Priority: x.priority(), Avoid: avoid, Retry: sent > 0,
 			Regions: x.regions, Bound: x.bound, Aim: x.aim}
 		if x.route.Repeatable() && x.begun == nil {
 			claim.Hold = &accession.Hold{}
 		}
 		g := f.floor.claim(claim, patience, x.r.Context().Done())
 		if g.Refused != accession.Granted {
+			arm.End(rollout.Unscored)
+			if arm.Candidate() && x.r.Context().Err() == nil && time.Until(x.deadline) > 0 && g.Refused != accession.NoBudget && !f.arms.Whole(x.service) {
+				continue // it has no room; the prior version is still there
+			}
 			if last != nil {
 				return last
 			}
@@ -313,11 +337,13 @@
 		}
 		if why := f.mayNotGo(x); why != errata.Internal {
 			f.floor.untouched(g)
+			arm.End(rollout.Unscored)
 			if last != nil {
 				return last
 			}
 			return f.later(x, why)
 		}
+		arm.Sent(g.Cold)
 		res := f.send(x, g)
 		f.Stats.Tries.Add(1)
 		if g.Abroad {
@@ -327,6 +353,7 @@
 			f.Stats.Repeats.Add(1)
 		}
 		avoid = append(avoid, g.ID)
+		arm.End(scored(res))
 		if res.untried {
 			how := accession.Failing
 			if res.late {
@@ -340,7 +367,7 @@
 			continue
 		}
 		sent++
-		again, err := f.judge(x, g, res)
+		again, err := f.judge(x, g, res, arm.Candidate())
 		if err == nil {
 			return nil
 		}
@@ -351,6 +378,25 @@
 	}
 }
 
+// scored is how a sending counts for the version that it went to.
+func scored(res result) rollout.Outcome {
+	switch r := res.response; {
+	case res.untried, res.client != nil:
+		return rollout.Unscored
+	case res.late:
+		return rollout.TooLate
+	case res.broke != nil:
+		return rollout.Broke
+	case r.Header.Get(hNotRun) != "" || r.StatusCode == http.StatusMisdirectedRequest:
+		return rollout.Unscored
+	case r.StatusCode >= http.StatusInternalServerError || promises(r.StatusCode):
+		return rollout.Errored
+	case r.StatusCode < 300 && r.Header.Get(hSeal) == "":
+		return rollout.Broke
+	}
+	return rollout.Passed
+}
+
 // mayNotGo says why a request that has got an upstream is not to be sent on all the
 // same, errata.Internal if it is: its key can no longer be relied on, or its client
 // has gone.
@@ -373,8 +419,9 @@
 }
 
 // judge passes an answer on, or says what became of the request and whether
-// another upstream may be asked.
-func (f *Front) judge(x *Exchange, g accession.Grant, res result) (again bool, err error) {
+// another upstream may be asked. An error of a candidate's own is no last word: the
+// prior version may do better.
+func (f *Front) judge(x *Exchange, g accession.Grant, res result, candidate bool) (again bool, err error) {
 	repeatable := x.route.Repeatable()
 	if res.broke != nil {
 		f.Stats.Broken.Add(1)
@@ -418,7 +465,7 @@
 		if r.StatusCode >= http.StatusInternalServerError {
 			how = accession.Poor
 		}
-		if odd := f.finish(g, res, how); odd && repeatable && x.poor == nil {
+		if odd := f.finish(g, res, how); (odd || candidate && how == accession.Poor) && repeatable && x.poor == nil {
 			x.poor = &res // passed on if no other upstream does better
 			return true, errata.New(errata.Broken, "%s answered %d", x.service, r.StatusCode)
 		}
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -20,6 +20,7 @@
 	"madderwing/internal/courier"
 	"madderwing/internal/feed"
 	"madderwing/internal/register"
+	"madderwing/internal/rollout"
 	"madderwing/internal/tally"
 )
 
@@ -42,6 +43,7 @@
 	reg   *register.Service
 	floor *circulation.Floor
 	front *circulation.Front
+	arms  *rollout.Arms
 	door  *circulation.Door
 	log   *log.Logger
 
@@ -57,6 +59,7 @@
 	nodes    *register.List // not yet acted on; nil: none
 	nodesAt  time.Duration  // when a list was last acted on
 	ready    *readiness
+	first    atomic.Value // the archive that is watched first
 
 	// Where clients ask a registry; see charter.Settings.Global.
 	lease atomic.Int64 // until when keys may be relied on
@@ -84,7 +87,8 @@
 		RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack, Window: charter.Seconds(set.Bounds.RetryWindowS),
 		Eject: patience, EjectMax: 8 * patience, Lag: lag, Calm: beat})
 	d.floor = circulation.NewFloorAt(d.start, stock, patience, patience/6)
-	d.front = circulation.NewFront(d.floor, logger("circulation"))
+	d.arms = rollout.NewArms(post.Self(), charter.Seconds(set.Rollback()*silencePart), func() time.Duration { return time.Since(d.start) })
+	d.front = circulation.NewFront(d.floor, d.arms, logger("circulation"))
 	if rate := opt.Pace * set.Limits.LinkMbps * 1e6 / 8; rate > 0 {
 		d.front.Pace = circulation.NewPace(rate)
 	}
@@ -111,6 +115,7 @@
 	go d.reg.Run()
 	stop := make(chan struct{})
 	go d.read(beat, stop)
+	go d.score(beat/scoresABeat, stop)
 
 	failed := make(chan error, 2)
 	ready := &http.Server{Addr: set.Bind.Readiness, Handler: d.pages(), ReadHeaderTimeout: charter.Seconds(set.Bounds.ContactS),
@@ -252,6 +257,10 @@
 
 func (d *Desk) take(now time.Duration, from string, i feed.Issue) {
 	d.sources.Heard(now, from, i.Fresh)
+	d.first.Store(d.sources.First())
+	if i.Led {
+		d.arms.Heard()
+	}
 	if d.items.Merge(i.Records) {
 		d.apply()
 	}
@@ -281,15 +290,51 @@
 		evacuated[z] = true
 	}
 	bound := t.Placements()
+	versions := map[string]accession.Versions{}
+	for name, v := range t.Versions {
+		w := accession.Versions{Stands: v.Serves()}
+		if p := v.Active(); p != nil {
+			w.Candidate = p.Candidate
+		}
+		versions[name] = w
+	}
 	d.floor.Do(func(now time.Duration, s *accession.Stock) {
 		s.SetServices(now, infos, bound)
+		s.SetVersions(now, versions)
 		s.SetEvacuated(now, evacuated)
 	})
+	d.arms.Set(t.Versions)
 	d.front.SetTable(t)
 	d.door.SetLimits(t.Limits)
 	d.ready.known.Store(t.Known)
 }
 
+// scoresABeat is how often in a beat a desk tells what it has seen of rollouts.
+const scoresABeat = 4
+
+// silencePart is the part of rollbackS after which a desk that hears of no controller
+// gives a candidate nothing.
+const silencePart = 0.5
+
+// score tells the archive that this desk watches first what it has seen of rollouts
+// under way; where there are none, nothing.
+func (d *Desk) score(every time.Duration, stop chan struct{}) {
+	tick := time.NewTicker(every)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			if reports := d.arms.Reports(); len(reports) > 0 {
+				if to, _ := d.first.Load().(string); to != "" {
+					d.post.Send(to, feed.ScoreKind, reports)
+				}
+			}
+		case <-stop:
+			return
+		}
+	}
+}
+
 // pages serves readiness and this desk's own counters.
 func (d *Desk) pages() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/errata/errata.go
+++ b/internal/errata/errata.go
@@ -42,6 +42,10 @@
 	NotYet               // an order that was carried out and may not be confirmed yet
 	BadQuestion          // a question to the registry that cannot be answered
 	ClientGone           // the client left before the request was sent on
+	BadOrder             // an order for a rollout that cannot be read
+	UnknownService       // an order for a service that does not exist
+	NoRollout            // no rollout was ever ordered for the service
+	UnderWay             // another rollout of the service is under way
 )
 
 // Answer is what a kind is answered with. NotRun says that the answer promises
@@ -78,6 +82,10 @@
 	NotYet:          {http.StatusServiceUnavailable, false, "not in force everywhere yet"},
 	BadQuestion:     {http.StatusBadRequest, true, "bad question"},
 	ClientGone:      {http.StatusServiceUnavailable, true, "client gone"},
+	BadOrder:        {http.StatusBadRequest, true, "bad order"},
+	UnknownService:  {http.StatusNotFound, true, "no such service"},
+	NoRollout:       {http.StatusNotFound, true, "no rollout"},
+	UnderWay:        {http.StatusConflict, true, "a rollout is under way"},
 	NotNow:          {http.StatusConflict, true, "not as things stand"},
 }
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -18,6 +18,9 @@
 const (
 	ToldKind = "told" // between archives
 
+	ScoreKind  = "score"  // a desk to the archive that it watches first
+	GatherKind = "gather" // and an archive to the controller of a rollout
+
 	WatchKind = "watch"
 	IssueKind = "issue"
 
@@ -61,6 +64,8 @@
 	// Sure answers Asked, if the items brought or named by the question's digests
 	// are all that the archive holds and it knows how old that is.
 	Sure *Sure `cbor:"5,keyasint,omitempty"`
+	// Led says that every rollout under way has a controller that the archive hears.
+	Led bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Sure says that what the desk has from now on was the newest, at the latest, Age
--- a/internal/stacks/member.go
+++ b/internal/stacks/member.go
@@ -84,7 +84,8 @@
 	spoke   time.Duration   // when this member last confirmed an epoch, as a follower or as owner
 	free    time.Duration   // until when at the latest another owner was sure of itself
 	frees   map[string]time.Duration
-	heir    bool // there were records when it did
+	heir    bool          // there were records when it did
+	born    time.Duration // when this member first heard of the key
 }
 
 // mark is a member's own clock as it came, and when.
@@ -197,7 +198,7 @@
 func (m *Member) key(name string) *key {
 	k := m.keys[name]
 	if k == nil {
-		k = &key{name: name, Set: conservation.NewSet()}
+		k = &key{name: name, Set: conservation.NewSet(), born: m.now}
 		m.keys[name] = k
 		m.names = append(m.names, name)
 		sort.Strings(m.names)
@@ -1179,6 +1180,12 @@
 				// Just started: give an owner that is there time to say so.
 				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.place(k.name))*m.cfg.Vacant/4
 				since = m.beganAt
+				if k.born > m.beganAt {
+					// A key that nobody had before: nobody can have owned it, unless
+					// this member missed that; then the owner will say so.
+					wait = time.Duration(m.place(k.name)) * m.cfg.Vacant / 4
+					since = k.born
+				}
 				if m.ownerless(name) {
 					wait = 0
 				}
@@ -1286,6 +1293,22 @@
 	return k.promised.Owner
 }
 
+// Founder is the member to turn to for a key that, as far as this one knows, nobody has
+// owned yet; empty: it has, or there is nobody to turn to.
+func (m *Member) Founder(now time.Duration, name string) string {
+	m.now = now
+	k := m.key(name)
+	if k.heardAny || k.role != follows || k.promised != (Epoch{}) {
+		return ""
+	}
+	for _, id := range m.Heirs(name) {
+		if id == m.cfg.Self || m.cfg.Alive(id) {
+			return id
+		}
+	}
+	return ""
+}
+
 // Current says at which time, on this member's clock, its committed copy of a key
 // was certainly the newest that anybody could have been told of.
 func (m *Member) Current(name string) (time.Duration, bool) {
