--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -83,10 +83,11 @@
 	life      uint64
 	asks      asks // evacuations and withdrawals ordered here
 	loads     accession.Loads
-	holds     map[string]uint64   // desk -> digest of the items that it has in force
-	told      map[string]toldAt   // by other archives
-	rolls     *rollout.Controller // rollouts, as this archive sees them
-	adopting  bool                // standing versions are being kept
+	holds     map[string]uint64          // desk -> digest of the items that it has in force
+	told      map[string]toldAt          // by other archives
+	rolls     *rollout.Controller        // rollouts, as this archive sees them
+	adopting  bool                       // standing versions are being kept
+	versions  map[string]rollout.Service // as shown
 
 	// Where clients ask a registry; nil elsewhere.
 	directory *reference.Directory
@@ -389,11 +390,12 @@
 	if !ok {
 		return false
 	}
-	changed := false
+	changed, versions := false, false
 	for _, r := range records {
 		if old, have := a.shown.Records[r.Name]; !have || r.Newer(old) {
 			a.shown.Put(r)
 			changed = true
+			versions = versions || rollout.Names(r.Name)
 			if strings.HasPrefix(r.Name, rollout.Prefix) {
 				a.rolls.Saw(time.Since(a.start), r)
 			}
@@ -402,6 +404,9 @@
 			}
 		}
 	}
+	if versions {
+		a.versions = rollout.Services(a.shown.Records)
+	}
 	return changed
 }
 
--- a/internal/archive/rollout.go
+++ b/internal/archive/rollout.go
@@ -19,7 +19,7 @@
 // gate looks at the rollouts under way, takes the steps of those that this archive
 // controls as their key's owner, and passes on what it has heard of the others.
 func (a *Archive) gate(now, beat time.Duration) {
-	moves, tell := a.rolls.Look(now, rollout.Services(a.shown.Records), rollout.Surroundings{
+	moves, tell := a.rolls.Look(now, a.versions, rollout.Surroundings{
 		Self: a.post.Self(), Fresh: 2 * beat, Fill: a.fill,
 		Owner: func(key string) string { return a.member.Owner(now, key) }})
 	for to, all := range tell {
@@ -74,7 +74,7 @@
 
 // serves is the version of a service that stands, as this archive knows it.
 func (a *Archive) serves(service string) string {
-	if v := rollout.Services(a.shown.Records)[service].Serves(); v != "" {
+	if v := a.versions[service].Serves(); v != "" {
 		return v
 	}
 	return a.listed()[service].version
@@ -110,7 +110,7 @@
 	if a.adopting || !a.member.Voting() {
 		return
 	}
-	known := rollout.Services(a.shown.Records)
+	known := a.versions
 	o := order{Key: catalogue.Key, Adopt: map[string]rollout.Standing{}, Saw: map[string]uint64{}}
 	for service, l := range a.listed() {
 		v := known[service]
@@ -249,7 +249,7 @@
 // rolloutStates shows all rollouts; figures of the arms are known at the controller.
 func (a *Archive) rolloutStates(now time.Duration) (out []RolloutState) {
 	out = []RolloutState{}
-	for service, v := range rollout.Services(a.shown.Records) {
+	for service, v := range a.versions {
 		p := v.Plan
 		if p == nil {
 			continue
--- /dev/null
+++ b/internal/archive/rollout_test.go
@@ -0,0 +1,141 @@
+package archive_test
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// outside plays the platform and the upstreams: two of version v1 from the start, two
+// of v2 when they are brought in.
+type outside struct {
+	mu   sync.Mutex
+	list []string
+	bad  atomic.Bool // v2 answers with errors
+	ran  [3]atomic.Int64
+}
+
+func (o *outside) add(t *testing.T, version int) {
+	for i := range 2 {
+		id := fmt.Sprintf("v%d-%d", version, i)
+		up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if r.URL.Path == "/health" {
+				w.Header().Set("Instance-Id", id)
+				return
+			}
+			o.ran[version].Add(1)
+			w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
+			w.Header().Set("Server-Seal", "s")
+			if version == 2 && o.bad.Load() {
+				w.WriteHeader(http.StatusInternalServerError)
+			}
+			fmt.Fprint(w, id)
+		}))
+		t.Cleanup(up.Close)
+		o.mu.Lock()
+		o.list = append(o.list, fmt.Sprintf(`{"id":%q,"target":"a","address":%q,"zone":"north","generation":"v%d","capacity":8,"state":"ready","warmupLeftS":0}`,
+			id, strings.TrimPrefix(up.URL, "http://"), version))
+		o.mu.Unlock()
+	}
+}
+
+func (o *outside) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	fmt.Fprintf(w, `{"instances":[%s],"nextToken":null}`, strings.Join(o.list, ","))
+}
+
+// load sends requests one after the other in the background until the test ends.
+func (s *system) load(t *testing.T, body string) {
+	done := make(chan struct{})
+	var all sync.WaitGroup
+	for i := range 4 {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			for n := 0; ; n++ {
+				select {
+				case <-done:
+					return
+				default:
+				}
+				s.call(t, "POST", s.front+"/p/x", body, "Attempt-Id", fmt.Sprint(i, "-", n))
+				time.Sleep(3 * time.Millisecond)
+			}
+		}()
+	}
+	t.Cleanup(func() { close(done); all.Wait() })
+}
+
+func TestARolloutOverTheWire(t *testing.T) {
+	for _, bad := range []bool{false, true} {
+		t.Run(fmt.Sprintf("bad %v", bad), func(t *testing.T) {
+			o := &outside{}
+			o.bad.Store(bad)
+			o.add(t, 1)
+			s := newSystemWith(t, o, "vip")
+			s.until(t, 200, "PATCH", s.control+"/v1/config", items)
+			s.until(t, 200, "GET", s.ready+"/v1/readiness", "")
+			s.load(t, "b")
+			o.add(t, 2)
+			const order = `{"target":"a","targetVersion":"v2","withinS":6}`
+			for _, c := range []struct {
+				want               int
+				method, path, body string
+			}{
+				{404, "GET", "/v1/rollouts/a", ""},
+				{404, "GET", "/v1/rollouts/nobody", ""},
+				{404, "POST", "/v1/rollouts", `{"target":"nobody","targetVersion":"v2","withinS":6}`},
+				{400, "POST", "/v1/rollouts", `{"target":"a","withinS":6}`},
+				{400, "POST", "/v1/rollouts", `{"target":"a"`},
+				{405, "PUT", "/v1/rollouts", order},
+				{405, "PUT", "/v1/rollouts/a", order},
+				{200, "POST", "/v1/rollouts", order},
+				{200, "POST", "/v1/rollouts", order},
+				{409, "POST", "/v1/rollouts", strings.Replace(order, "v2", "v3", 1)},
+			} {
+				if c.want == 200 {
+					s.until(t, 200, c.method, s.control+c.path, c.body)
+				} else if got, text := s.call(t, c.method, s.control+c.path, c.body); got != c.want {
+					t.Errorf("%s %s %s: %d %s, want %d", c.method, c.path, c.body, got, text, c.want)
+				}
+			}
+			if got := s.until(t, 200, "GET", s.control+"/v1/rollouts/a", ""); got != `{"state":"serving","targetVersion":"v2"}` {
+				t.Errorf("under way: %s", got)
+			}
+			want := "complete"
+			if bad {
+				want = "reverted"
+			}
+			text := ""
+			for i := 0; i < 600 && !strings.Contains(text, want); i++ {
+				text = s.until(t, 200, "GET", s.control+"/v1/rollouts/a", "")
+				time.Sleep(50 * time.Millisecond)
+			}
+			if !strings.Contains(text, want) {
+				t.Fatalf("at the end: %s", text)
+			}
+			time.Sleep(300 * time.Millisecond)
+			gone := 3 - 1 // the version that gets nothing more
+			if !bad {
+				gone = 1
+			}
+			before := o.ran[gone].Load()
+			time.Sleep(300 * time.Millisecond)
+			if after := o.ran[gone].Load(); after != before {
+				t.Errorf("v%d got %d requests after the end", gone, after-before)
+			}
+			if bad && o.ran[2].Load() > o.ran[1].Load()/5 {
+				t.Errorf("the bad version got %d, the other %d", o.ran[2].Load(), o.ran[1].Load())
+			}
+			if shown := s.until(t, 200, "GET", s.control+"/v1/admin/rollouts/a", ""); !strings.Contains(shown, `"stage": "`+want+`"`) {
+				t.Errorf("shown: %s", shown)
+			}
+		})
+	}
+}
--- a/internal/archive/whole_test.go
+++ b/internal/archive/whole_test.go
@@ -53,9 +53,15 @@
 
 func newSystemOf(t *testing.T, upstream, ingress string) *system {
 	t.Helper()
-	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	return newSystemWith(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"instances":[{"id":"i-1","target":"a","address":%q,"zone":"north","generation":"v1","capacity":4,"state":"ready","warmupLeftS":0}],"nextToken":null}`, upstream)
-	}))
+	}), ingress)
+}
+
+// newSystemWith runs them against any list.
+func newSystemWith(t *testing.T, list http.Handler, ingress string) *system {
+	t.Helper()
+	platform := httptest.NewServer(list)
 	t.Cleanup(platform.Close)
 	base := free(t, 6)
 	front, ready, control, registry := base+2, base+3, base+4, base+5
--- a/internal/catalogue/table.go
+++ b/internal/catalogue/table.go
@@ -52,7 +52,7 @@
 			}
 			continue
 		}
-		if strings.HasPrefix(n, rollout.Prefix) || strings.HasPrefix(n, rollout.StandingPrefix) {
+		if rollout.Names(n) {
 			continue
 		}
 		t.Known = true
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -60,6 +60,7 @@
 	nodesAt  time.Duration  // when a list was last acted on
 	ready    *readiness
 	first    atomic.Value // the archive that is watched first
+	scoring  atomic.Bool
 
 	// Where clients ask a registry; see charter.Settings.Global.
 	lease atomic.Int64 // until when keys may be relied on
@@ -115,7 +116,6 @@
 	go d.reg.Run()
 	stop := make(chan struct{})
 	go d.read(beat, stop)
-	go d.score(beat/scoresABeat, stop)
 
 	failed := make(chan error, 2)
 	ready := &http.Server{Addr: set.Bind.Readiness, Handler: d.pages(), ReadHeaderTimeout: charter.Seconds(set.Bounds.ContactS),
@@ -304,6 +304,7 @@
 		s.SetEvacuated(now, evacuated)
 	})
 	d.arms.Set(t.Versions)
+	d.score()
 	d.front.SetTable(t)
 	d.door.SetLimits(t.Limits)
 	d.ready.known.Store(t.Known)
@@ -316,23 +317,22 @@
 // gives a candidate nothing.
 const silencePart = 0.5
 
-// score tells the archive that this desk watches first what it has seen of rollouts
-// under way; where there are none, nothing.
-func (d *Desk) score(every time.Duration, stop chan struct{}) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
-	for {
-		select {
-		case <-tick.C:
-			if reports := d.arms.Reports(); len(reports) > 0 {
-				if to, _ := d.first.Load().(string); to != "" {
-					d.post.Send(to, feed.ScoreKind, reports)
-				}
+// score tells the archive that this desk watches first what it has seen of the rollouts
+// under way, again and again until there are none.
+func (d *Desk) score() {
+	if !d.arms.Active() || !d.scoring.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		for d.arms.Active() {
+			if to, _ := d.first.Load().(string); to != "" {
+				d.post.Send(to, feed.ScoreKind, d.arms.Reports())
 			}
-		case <-stop:
-			return
+			time.Sleep(d.set.Beat() / scoresABeat)
 		}
-	}
+		d.scoring.Store(false)
+		d.score() // one may have begun just now
+	}()
 }
 
 // pages serves readiness and this desk's own counters.
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -243,6 +243,18 @@
 	Brake string `cbor:"5,keyasint,omitempty"`
 }
 
+// Active says whether a rollout is under way.
+func (a *Arms) Active() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, s := range a.by {
+		if s.plan != nil && !s.plan.Final() {
+			return true
+		}
+	}
+	return false
+}
+
 // Reports are those of all rollouts under way.
 func (a *Arms) Reports() (out []Report) {
 	a.mu.Lock()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -241,6 +241,11 @@
 	return s.Plan
 }
 
+// Names says whether a record of this name says something of versions.
+func Names(record string) bool {
+	return strings.HasPrefix(record, Prefix) || strings.HasPrefix(record, StandingPrefix)
+}
+
 // Services reads what records say of versions.
 func Services(have map[string]Record) map[string]Service {
 	out := map[string]Service{}
--- a/internal/stacks/member.go
+++ b/internal/stacks/member.go
@@ -768,6 +768,9 @@
 	m.now = now
 	k := m.key(name)
 	if k.role != owns {
+		if m.founder(k) == m.cfg.Self {
+			m.takeOver(k) // whoever asks again will find an owner
+		}
 		done(ErrNotOwner)
 		return
 	}
@@ -1297,11 +1300,14 @@
 // owned yet; empty: it has, or there is nobody to turn to.
 func (m *Member) Founder(now time.Duration, name string) string {
 	m.now = now
-	k := m.key(name)
+	return m.founder(m.key(name))
+}
+
+func (m *Member) founder(k *key) string {
 	if k.heardAny || k.role != follows || k.promised != (Epoch{}) {
 		return ""
 	}
-	for _, id := range m.Heirs(name) {
+	for _, id := range m.Heirs(k.name) {
 		if id == m.cfg.Self || m.cfg.Alive(id) {
 			return id
 		}
