--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -63,7 +63,11 @@
 			x.base = x.sums.Sums
 		}
 	}
-	x.gen, x.at, x.aged, x.order, x.sums = p.Gen, now, age, p.Order, Gathered{}
+	x.gen, x.at, x.aged = p.Gen, now, age
+	if !p.Final() || p.Order != x.order {
+		x.sums = Gathered{} // what decided an order is kept to be shown
+	}
+	x.order = p.Order
 }
 
 func (x *watched) age(now time.Duration) time.Duration { return x.aged + now - x.at }
