--- a/internal/circulation/circulation_test.go
+++ b/internal/circulation/circulation_test.go
@@ -10,6 +10,7 @@
 	"log"
 	"net"
 	"net/http"
+	"runtime"
 	"strings"
 	"sync"
 	"testing"
@@ -562,3 +563,76 @@
 	}
 	<-down
 }
+
+// A request that is read while its desk closes what lies idle is answered: whatever the
+// moment, a client gets an answer or finds the connection closed unread.
+func TestLeavingAnswersWhatItHasRead(t *testing.T) {
+	for n := range 300 {
+		near, far := net.Pipe()
+		g := &guest{Conn: near}
+		g.rest(true)
+		read := make(chan int, 1)
+		go func() {
+			b := make([]byte, 4)
+			n, _ := g.Read(b)
+			_ = g.SetReadDeadline(time.Time{}) // as the server does once it has something
+			if n > 0 {
+				_, err := io.ReadFull(g, make([]byte, 4)) // and goes on reading
+				if err != nil {
+					n = -1
+				}
+			}
+			read <- n
+		}()
+		wrote := make(chan error, 1)
+		go func() {
+			_, err := io.WriteString(far, "12345678")
+			wrote <- err
+		}()
+		for range n % 7 {
+			runtime.Gosched()
+		}
+		g.retire(false)
+		got := <-read
+		near.Close()
+		if err := <-wrote; got < 0 || got > 0 && err != nil {
+			t.Fatalf("round %d: a request was begun to be read and then dropped", n)
+		}
+		far.Close()
+	}
+}
+
+// A connection that rests stays closed to what comes later, whatever deadline the server
+// sets; one whose request has begun does not.
+func TestRetire(t *testing.T) {
+	for _, c := range []struct {
+		name             string
+		old, begun, also bool
+		retired          bool
+	}{
+		{"rests after an answer", true, false, false, true},
+		{"has begun to be read", true, true, true, false},
+		{"new, and young", false, false, false, false},
+		{"new, and nothing comes", false, false, true, true},
+	} {
+		near, far := net.Pipe()
+		g := &guest{Conn: near}
+		g.rest(c.old)
+		if c.begun {
+			go func() { _, _ = io.WriteString(far, "1") }()
+			_, _ = g.Read(make([]byte, 1))
+		}
+		g.retire(c.also)
+		if g.retired != c.retired {
+			t.Errorf("%s: retired %v", c.name, g.retired)
+		}
+		if c.retired {
+			_ = g.SetReadDeadline(time.Now().Add(time.Hour))
+			if _, err := g.Read(make([]byte, 1)); err == nil {
+				t.Errorf("%s: read on", c.name)
+			}
+		}
+		near.Close()
+		far.Close()
+	}
+}
--- a/internal/circulation/front.go
+++ b/internal/circulation/front.go
@@ -82,6 +82,14 @@
 	f.floor.Do(func(_ time.Duration, s *accession.Stock) { s.Leave() })
 }
 
+// lastOne has a connection closed after the answer that is about to be given, if this
+// desk leaves.
+func (f *Front) lastOne(w http.ResponseWriter) {
+	if f.drain.Load() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
 // Exchange is one request on its way through the chain.
 type Exchange struct {
 	w        http.ResponseWriter
@@ -121,9 +129,6 @@
 
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.Stats.Requests.Add(1)
-	if f.drain.Load() {
-		w.Header().Set("Connection", "close")
-	}
 	x := &Exchange{w: w, r: r, arrived: time.Now(), table: f.table.Load(), attempt: r.Header.Get(hAttempt)}
 	if err := f.chain(x); err != nil {
 		switch a := errata.AnswerFor(errata.KindOf(err)); {
@@ -139,6 +144,7 @@
 		if x.attempt != "" {
 			w.Header().Set(hAttempt, x.attempt)
 		}
+		f.lastOne(w)
 		errata.Write(w, err)
 	}
 }
@@ -493,6 +499,7 @@
 			h[name] = values
 		}
 	}
+	f.lastOne(x.w)
 	if _, ok := r.Header["Content-Type"]; !ok {
 		h["Content-Type"] = nil
 	}
--- a/internal/circulation/server.go
+++ b/internal/circulation/server.go
@@ -21,6 +21,7 @@
 	listener net.Listener
 	most     int64
 	open     atomic.Int64
+	guests   sync.Map // *guest -> nothing: the connections that are open
 
 	mu      sync.Mutex
 	current *room
@@ -106,12 +107,12 @@
 	if t, ok := c.(*guest); ok {
 		switch s {
 		case http.StateIdle, http.StateNew:
-			t.read.Store(0)
-			t.headRead.Store(false)
+			t.rest(s == http.StateIdle)
 		case http.StateActive:
 			t.headRead.Store(true)
 		case http.StateClosed, http.StateHijacked:
 			d.open.Add(-1)
+			d.guests.Delete(t)
 		}
 	}
 }
@@ -133,24 +134,40 @@
 			continue
 		}
 		d.open.Add(1)
+		g := &guest{Conn: c}
+		d.guests.Store(g, nil)
 		d.mu.Lock()
-		d.current.conns <- &guest{Conn: c}
+		d.current.conns <- g
 		d.mu.Unlock()
 	}
 }
 
-// Shutdown takes no more connections and waits for the requests under way.
+// Shutdown takes no more connections, ends those that lie idle, and waits for the
+// requests under way. net/http's own Shutdown is not used: it may close a connection
+// whose next request has just been read.
 func (d *Door) Shutdown(ctx context.Context) {
 	d.mu.Lock()
 	d.closing = true
 	rooms := d.rooms
 	d.mu.Unlock()
 	d.listener.Close()
-	var all sync.WaitGroup
+	began := time.Now()
+	tick := time.NewTicker(d.front.floor.patience / 20)
+	defer tick.Stop()
+	for d.open.Load() > 0 && ctx.Err() == nil {
+		d.guests.Range(func(g, _ any) bool {
+			// One that has sent nothing yet is given the time that it needs to.
+			g.(*guest).retire(time.Since(began) > 2*d.front.floor.patience)
+			return true
+		})
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+		}
+	}
 	for _, r := range rooms {
-		all.Go(func() { _ = r.server.Shutdown(ctx) })
+		_ = r.server.Close()
 	}
-	all.Wait()
 }
 
 // Open is the number of connections.
@@ -160,8 +177,13 @@
 // time, which net/http closes without a word.
 type guest struct {
 	net.Conn
-	read     atomic.Int64
+	read     atomic.Int64 // bytes of the request that comes next or is under way
 	headRead atomic.Bool
+
+	mu      sync.Mutex
+	old     bool // it has had an answer
+	resting bool // nothing of the next request has been read
+	retired bool // nothing is to be read any more
 }
 
 const tooSlow = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -169,6 +191,9 @@
 func (g *guest) Read(b []byte) (int, error) {
 	n, err := g.Conn.Read(b)
 	if n > 0 {
+		g.mu.Lock()
+		g.resting = false
+		g.mu.Unlock()
 		g.read.Add(int64(n))
 	}
 	if err != nil && isTimeout(err) && !g.headRead.Load() && g.read.Load() > 0 {
@@ -177,3 +202,41 @@
 	}
 	return n, err
 }
+
+// rest notes that the connection waits for a request: its first, or another.
+func (g *guest) rest(old bool) {
+	g.read.Store(0)
+	g.headRead.Store(false)
+	g.mu.Lock()
+	g.old, g.resting = old, true
+	g.mu.Unlock()
+}
+
+// retire ends a connection that waits for a request of which nothing has been read.
+// What has been read is answered.
+func (g *guest) retire(also bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.resting && !g.retired && (g.old || also) {
+		g.retired = true
+		_ = g.Conn.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// SetReadDeadline sets no other deadline on a connection that nothing is to be read from.
+func (g *guest) SetReadDeadline(t time.Time) error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.retired && g.resting {
+		return nil
+	}
+	return g.Conn.SetReadDeadline(t)
+}
+
+// SetDeadline: see SetReadDeadline.
+func (g *guest) SetDeadline(t time.Time) error {
+	if err := g.SetReadDeadline(t); err != nil {
+		return err
+	}
+	return g.Conn.SetWriteDeadline(t)
+}
