--- a/internal/accession/stock.go
+++ b/internal/accession/stock.go
@@ -727,9 +727,7 @@
 	s.seq++
 	c.arrived, c.seq = now, s.seq
 	if c.Retry {
-		all := s.service(c.Service) // the budget is the service's, whatever the version
-		all.budget.Refill(now, s.ceiling(all)/2/max(s.cfg.Window.Seconds(), 1), s.ceiling(all))
-		if !all.budget.Spend() {
+		if !s.refill(now, s.service(c.Service)).Spend() { // the service's, whatever the version
 			c.Give(Grant{Refused: NoBudget})
 			return
 		}
@@ -743,6 +741,12 @@
 	}
 }
 
+// refill brings a service's budget up to date.
+func (s *Stock) refill(now time.Duration, v *service) *Budget {
+	v.budget.Refill(now, s.ceiling(v)/2/max(s.cfg.Window.Seconds(), 1), s.ceiling(v))
+	return &v.budget
+}
+
 // displace makes room for a claim by refusing the newest of lowest priority.
 func (s *Stock) displace(v *service, c *Claim) bool {
 	worst := -1
--- a/internal/circulation/front.go
+++ b/internal/circulation/front.go
@@ -321,7 +321,7 @@
 		patience := min(x.aim/5, time.Until(x.deadline)/2)
 		claim := &accession.Claim{Service: x.service, Version: arm.Version(), Priority: x.priority(), Avoid: avoid, Retry: sent > 0,
 			Regions: x.regions, Bound: x.bound, Aim: x.aim}
-		if x.route.Repeatable() && x.begun == nil {
+		if x.route.Repeatable() && x.begun == nil && sent+1 < tries { // or else its wait is not to be cut short
 			claim.Hold = &accession.Hold{}
 		}
 		g := f.floor.claim(claim, patience, x.r.Context().Done())
