--- a/internal/hollow/main.go
+++ b/internal/hollow/main.go
@@ -3,8 +3,8 @@
 // for the platform's list, a configuration of any size, and changes of it. docs/CAPACITY.md
 // says how it is run and what it showed.
 //
-// The desks are in one process and the archives in another, so that the system tells
-// what each kind uses; the first starts the second.
+// The archives are in one process and the desks in others, so that the system tells what
+// each kind uses.
 package main
 
 import (
@@ -50,12 +50,17 @@
 	flag.DurationVar(&p.span, "for", 20*time.Second, "time measured, after the nodes have settled")
 	role := flag.String("role", "", "for its own use")
 	data := flag.String("data", "", "for its own use")
+	from := flag.Int("from", 0, "for its own use")
 	flag.Parse()
 	p.zones = p.archives
 	log.SetFlags(0)
-	if *role == "archives" {
+	switch *role {
+	case "archives":
 		p.runArchives(*data)
 		return
+	case "desks":
+		p.runDesks(*from, min(*from+perProcess, p.desks))
+		return
 	}
 	if err := p.run(); err != nil {
 		log.Fatal(err)
@@ -133,6 +138,20 @@
 	}
 }
 
+// perProcess is how many desks a process holds: each needs some 25 descriptors.
+const perProcess = 350
+
+func (p *plan) runDesks(from, to int) {
+	for i := from; i < to; i++ {
+		set := p.settings(deskIP(i), p.zone(i), fmt.Sprintf("desk-%d", i), "")
+		go func() { log.Fatal(desk.Run(context.Background(), set, desk.Options{Shards: 2}, nil)) }()
+		if i%20 == 19 {
+			time.Sleep(100 * time.Millisecond)
+		}
+	}
+	select {}
+}
+
 // platform answers with the list of upstreams; those of a second version are listed
 // when they are asked for.
 func (p *plan) platform(second chan struct{}) {
@@ -196,14 +215,18 @@
 	return nil, last
 }
 
-// usage is what a process has used so far.
+// usage is what processes have used so far.
 type usage struct {
 	cpu    time.Duration
 	memory float64 // MB resident
 }
 
-func used(pid int) (u usage) {
-	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
+func used(pids ...int) (u usage) {
+	for _, pid := range pids {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+		if err != nil {
+			continue
+		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		f := strings.Fields(rest)
 		for _, ticks := range f[11:13] {
@@ -211,7 +234,7 @@
 			u.cpu += time.Duration(n) * 10 * time.Millisecond
 		}
 		pages, _ := strconv.Atoi(f[21])
-		u.memory = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
+		u.memory += float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 	}
 	return u
 }
@@ -254,23 +277,35 @@
 	if err != nil {
 		return err
 	}
-	control := exec.Command(self, append(append([]string{}, os.Args[1:]...), "-role", "archives", "-data", data)...)
-	if err := control.Start(); err != nil {
+	var children []*exec.Cmd
+	start := func(role ...string) (pid int, err error) {
+		c := exec.Command(self, append(append([]string{}, os.Args[1:]...), role...)...)
+		if err := c.Start(); err != nil {
+			return 0, err
+		}
+		children = append(children, c)
+		return c.Process.Pid, nil
+	}
+	defer func() {
+		for _, c := range children {
+			_ = c.Process.Kill()
+			_ = c.Wait()
+		}
+	}()
+	control, err := start("-role", "archives", "-data", data)
+	if err != nil {
 		return err
 	}
-	defer func() { _ = control.Process.Kill(); _ = control.Wait() }()
 	if _, err := call(http.MethodPatch, "/v1/config", p.config()); err != nil {
 		return err
 	}
-	if null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0); err == nil {
-		os.Stderr = null // hundreds of nodes say a lot
-	}
-	for i := range p.desks {
-		set := p.settings(deskIP(i), p.zone(i), fmt.Sprintf("desk-%d", i), "")
-		go func() { _ = desk.Run(context.Background(), set, desk.Options{Shards: 2}, nil) }()
-		if i%20 == 19 {
-			time.Sleep(100 * time.Millisecond)
+	var desks []int
+	for from := 0; from < p.desks; from += perProcess {
+		pid, err := start("-role", "desks", "-from", strconv.Itoa(from))
+		if err != nil {
+			return err
 		}
+		desks = append(desks, pid)
 	}
 	begin := time.Now()
 	for time.Since(begin) < 4*time.Minute {
@@ -297,7 +332,7 @@
 		}
 		time.Sleep(3 * time.Second)
 	}
-	d0, a0, l0, c0, at := used(os.Getpid()), used(control.Process.Pid), loopback(), get(), time.Now()
+	d0, a0, l0, c0, at := used(desks...), used(control), loopback(), get(), time.Now()
 	var slowest time.Duration
 	for n := range p.changes {
 		time.Sleep(p.span / time.Duration(p.changes+1))
@@ -310,7 +345,7 @@
 		slowest = max(slowest, time.Since(sent))
 	}
 	time.Sleep(time.Until(at.Add(p.span)))
-	d1, a1, l1, c1, span := used(os.Getpid()), used(control.Process.Pid), loopback(), get(), time.Since(at).Seconds()
+	d1, a1, l1, c1, span := used(desks...), used(control), loopback(), get(), time.Since(at).Seconds()
 	per := func(n float64, of int) float64 { return n / span / float64(of) }
 	fmt.Printf("desks %d archives %d upstreams %d services %d routes %d changes %d rollout %v\n", p.desks, p.archives, p.upstreams, p.services, p.routes, p.changes, p.rollout)
 	fmt.Printf("desk:    %.3f %% of a core, %.2f MB resident\n", 100*per((d1.cpu-d0.cpu).Seconds(), p.desks), d1.memory/float64(p.desks))
