--- a/internal/accession/scale_test.go
+++ b/internal/accession/scale_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"reflect"
+	"runtime"
 	"testing"
 	"time"
 
@@ -172,3 +173,64 @@
 		}
 	}
 }
+
+// BenchmarkSizes is what a change of the list, a change of desks, a tick and a request cost
+// as the deployment grows; docs/CAPACITY.md takes its slopes from it.
+func BenchmarkSizes(b *testing.B) {
+	for _, size := range []struct{ desks, ups, services, zones int }{
+		{300, 1000, 8, 6}, {900, 5000, 120, 12}, {1400, 13000, 300, 25}, {2800, 26000, 590, 25},
+	} {
+		var ds []register.Node
+		shards := map[string]int{}
+		for i := range size.desks {
+			n := register.Node{Address: fmt.Sprintf("10.%d.%d.%d:7660", i%size.zones, i/200, i%200), Zone: fmt.Sprintf("z%d", i%size.zones)}
+			ds = append(ds, n)
+			shards[n.Address] = i / size.zones % 2
+		}
+		infos := map[string]ServiceInfo{}
+		for i := range size.services {
+			infos[fmt.Sprintf("s%d", i)] = ServiceInfo{MaxConns: 1900}
+		}
+		var ups []Instance
+		for i := range size.ups {
+			ups = append(ups, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%size.services),
+				Address: fmt.Sprintf("10.128.%d.%d:80", i/200, i%200), Zone: fmt.Sprintf("z%d", i/size.services%size.zones), Capacity: 3, Version: "v1"})
+		}
+		s := NewStock(cfg(ds[0].Address, "z0"))
+		s.SetServices(0, infos, nil)
+		s.SetDesks(0, ds, shards)
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		s.SetList(0, ups)
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		name := fmt.Sprintf("desks=%d/upstreams=%d/", size.desks, size.ups)
+		b.Run(name+"list", func(b *testing.B) {
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
+			for i := range b.N {
+				s.SetList(time.Second, ups[:len(ups)-1-i%2])
+			}
+		})
+		b.Run(name+"desks", func(b *testing.B) {
+			for i := range b.N {
+				s.SetDesks(time.Second, ds[:len(ds)-1-i%2], shards)
+			}
+		})
+		b.Run(name+"tick", func(b *testing.B) {
+			for i := range b.N {
+				s.Tick(time.Duration(i) * 100 * time.Millisecond)
+				s.Trials = nil
+			}
+		})
+		b.Run(name+"request", func(b *testing.B) {
+			for range b.N {
+				s.Claim(time.Second, &Claim{Service: "s1", Give: func(g Grant) {
+					if g.Refused == Granted {
+						s.Release(time.Second, g, nil, Unused)
+					}
+				}})
+			}
+		})
+	}
+}
--- a/internal/catalogue/scale_test.go
+++ b/internal/catalogue/scale_test.go
@@ -52,7 +52,7 @@
 }
 
 func BenchmarkOneChange(b *testing.B) {
-	for _, n := range []int{100, 1000, 10000} {
+	for _, n := range []int{100, 1000, 5900, 10000} {
 		have := many(b, n)
 		c, err := Read([]byte(patch("", route("r1", "/p1/", "s1", 2), "")))
 		if err != nil {
--- a/internal/hollow/main.go
+++ b/internal/hollow/main.go
@@ -31,7 +31,7 @@
 
 type plan struct {
 	desks, archives, zones, upstreams, services, routes int
-	changes                                             int
+	changes, keys                                       int
 	span                                                time.Duration
 	rollout                                             bool
 }
@@ -46,6 +46,7 @@
 	flag.IntVar(&p.services, "services", 4, "services")
 	flag.IntVar(&p.routes, "routes", 100, "routes")
 	flag.IntVar(&p.changes, "changes", 0, "changes of a route during the measurement")
+	flag.IntVar(&p.keys, "keys", 0, "services that have had an order, and so a key of their own")
 	flag.BoolVar(&p.rollout, "rollout", false, "order a rollout before the measurement")
 	flag.DurationVar(&p.span, "for", 20*time.Second, "time measured, after the nodes have settled")
 	role := flag.String("role", "", "for its own use")
@@ -325,6 +326,12 @@
 		_ = json.Unmarshal(text, &c)
 		return c
 	}
+	for i := range p.keys {
+		body := fmt.Sprintf(`{"target":"s%03d","targetVersion":"v1","withinS":60}`, i)
+		if _, err := call(http.MethodPost, "/v1/rollouts", []byte(body)); err != nil {
+			return err
+		}
+	}
 	if p.rollout {
 		close(second)
 		if _, err := call(http.MethodPost, "/v1/rollouts", []byte(`{"target":"s000","targetVersion":"v2","withinS":600}`)); err != nil {
@@ -347,7 +354,7 @@
 	time.Sleep(time.Until(at.Add(p.span)))
 	d1, a1, l1, c1, span := used(desks...), used(control), loopback(), get(), time.Since(at).Seconds()
 	per := func(n float64, of int) float64 { return n / span / float64(of) }
-	fmt.Printf("desks %d archives %d upstreams %d services %d routes %d changes %d rollout %v\n", p.desks, p.archives, p.upstreams, p.services, p.routes, p.changes, p.rollout)
+	fmt.Printf("desks %d archives %d upstreams %d services %d routes %d changes %d keys %d rollout %v\n", p.desks, p.archives, p.upstreams, p.services, p.routes, p.changes, p.keys, p.rollout)
 	fmt.Printf("desk:    %.3f %% of a core, %.2f MB resident\n", 100*per((d1.cpu-d0.cpu).Seconds(), p.desks), d1.memory/float64(p.desks))
 	fmt.Printf("archive: %.3f %% of a core, %.1f MB resident; one sends %.2f kB/s in %.1f frames\n", 100*per((a1.cpu-a0.cpu).Seconds(), p.archives),
 		a1.memory/float64(p.archives), per(float64(c1.BytesSent-c0.BytesSent), 1)/1e3, per(float64(c1.FramesSent-c0.FramesSent), 1))
--- /dev/null
+++ b/internal/rollout/bench_test.go
@@ -0,0 +1,53 @@
+package rollout
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// BenchmarkRequest is what a rollout adds to one request on a desk: without one, and with.
+func BenchmarkRequest(b *testing.B) {
+	for _, under := range []bool{false, true} {
+		for _, routes := range []int{10, 100, 1000, 4000} {
+			b.Run(fmt.Sprintf("rollout=%v/routes=%d", under, routes), func(b *testing.B) {
+				now := time.Duration(0)
+				a := NewArms("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
+				if under {
+					a.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary, Weight: 0.05}}})
+				}
+				names := make([]string, routes)
+				for i := range names {
+					names[i] = fmt.Sprint("route", i, " idempotent")
+				}
+				b.ReportAllocs()
+				for i := 0; b.Loop(); i++ {
+					x := a.Begin("s", names[i%routes], time.Second, false)
+					x.Sent(false)
+					x.End(Passed)
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkGather is what an archive does with the reports of the desks that tell it, and
+// a controller with what all archives have gathered.
+func BenchmarkGather(b *testing.B) {
+	for _, desks := range []int{10, 100, 400, 1600} {
+		b.Run(fmt.Sprintf("desks=%d", desks), func(b *testing.B) {
+			reports := map[string]Report{}
+			for i := range desks {
+				s := Sums{}
+				for k := uint8(0); k < Buckets; k++ {
+					s[k] = Pair{cell(50, 1, 100*time.Millisecond), cell(10, 1, 200*time.Millisecond)}
+				}
+				reports[fmt.Sprint("desk", i)] = Report{Service: "s", Gen: 1, Sums: s}
+			}
+			for b.Loop() {
+				g := Gather("s", 1, reports)
+				_ = Overall.Judge(g.Sums, Sums{})
+			}
+		})
+	}
+}
