--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -161,6 +161,14 @@
 	p, _ := Read(first[0])
 	canary := *p
 	canary.Stage, canary.Weight = Canary, 0.03
+	taken, err := Advance(have, p.Gen, &canary)
+	if err != nil {
+		t.Fatal(err)
+	}
+	have[taken[0].Name] = taken[0]
+	if _, err := Advance(have, p.Gen, &canary); errata.KindOf(err) != errata.Conflict {
+		t.Errorf("a step taken twice: %v", err)
+	}
 	gone, err := Abort(have, "s", time.Second)
 	if err != nil {
 		t.Fatal(err)
