--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -144,6 +144,9 @@
 	if w.rng.IntN(100) == 0 {
 		took *= 3
 	}
+	if w.rng.IntN(400) == 0 {
+		took = 2400 * time.Millisecond
+	}
 	how := Passed
 	if w.rng.Float64() < 0.004+w.common {
 		how = Errored
