--- a/internal/hollow/main.go
+++ b/internal/hollow/main.go
@@ -309,12 +309,12 @@
 		desks = append(desks, pid)
 	}
 	begin := time.Now()
-	for time.Since(begin) < 4*time.Minute {
+	for calm := 0; calm < 5 && time.Since(begin) < 4*time.Minute; calm++ {
 		time.Sleep(time.Second)
 		if text, err := call(http.MethodGet, "/v1/admin/summary", nil); err == nil {
 			var s archive.Summary
-			if json.Unmarshal(text, &s) == nil && s.Desks == p.desks && s.Behind == 0 {
-				break
+			if json.Unmarshal(text, &s) != nil || s.Desks != p.desks || s.Behind > 0 {
+				calm = -1
 			}
 		}
 	}
