--- a/internal/accession/stock.go
+++ b/internal/accession/stock.go
@@ -167,11 +167,12 @@
 	desks     []register.Node
 	shards    map[string]int
 	versions  map[string]Versions
-	first     map[string]string      // service -> version first seen, while nobody has said what stands
-	bound     map[string]int         // service -> shard whose desks hold its slack
-	plan      uint64                 // counts the times that upstreams were shared out anew
-	zones     map[string][]string    // zone -> desks, as of that plan
-	nearOf    map[[2]string][]string // zone, service -> desks that may send to cold ones there
+	listed    map[string]map[string]int // service -> version -> upstreams
+	first     map[string]string         // service -> version first seen, while nobody has said what stands
+	bound     map[string]int            // service -> shard whose desks hold its slack
+	plan      uint64                    // counts the times that upstreams were shared out anew
+	zones     map[string][]string       // zone -> desks, as of that plan
+	nearOf    map[[2]string][]string    // zone, service -> desks that may send to cold ones there
 	loads     Loads
 	loadAt    time.Duration
 	seq       uint64
--- a/internal/accession/versions.go
+++ b/internal/accession/versions.go
@@ -9,6 +9,9 @@
 type Versions struct {
 	Stands    string // the version that stands; empty: whatever is not the candidate
 	Candidate string // has a pool of its own; empty: none
+	// Ordered says that an order is behind this. Where none is, and no upstream of the
+	// version that stands is listed, the most frequent of the others stands.
+	Ordered bool
 }
 
 // SetVersions takes the versions of the services, by service. Of a service that is not
@@ -26,7 +29,7 @@
 // given a weight.
 func (s *Stock) poolFor(u *Upstream) *service {
 	v, named := s.versions[u.Service]
-	if !named || v.Stands == "" && v.Candidate == "" {
+	if !named || v.Stands == "" && v.Candidate == "" || !v.Ordered && s.listed[u.Service][v.Stands] == 0 {
 		v.Stands = s.first[u.Service]
 	}
 	switch {
@@ -59,17 +62,17 @@
 // version does: the most frequent one when the first upstreams are listed, for as long
 // as there are any of it.
 func (s *Stock) firstVersions() {
-	counts := map[string]map[string]int{}
+	s.listed = map[string]map[string]int{}
 	for _, u := range s.ups {
 		if u.gone {
 			continue
 		}
-		if counts[u.Service] == nil {
-			counts[u.Service] = map[string]int{}
+		if s.listed[u.Service] == nil {
+			s.listed[u.Service] = map[string]int{}
 		}
-		counts[u.Service][u.Version]++
+		s.listed[u.Service][u.Version]++
 	}
-	for service, of := range counts {
+	for service, of := range s.listed {
 		if of[s.first[service]] == 0 {
 			s.first[service] = MostFrequent(of)
 		}
--- a/internal/accession/versions_test.go
+++ b/internal/accession/versions_test.go
@@ -39,7 +39,7 @@
 	v1, v2, v3 := versioned("v1", 6), versioned("v2", 6), versioned("v3", 9)
 	both := append(append([]Instance(nil), v1...), v2...)
 	stands := map[string]Versions{"a": {Stands: "v1"}}
-	moving := map[string]Versions{"a": {Stands: "v1", Candidate: "v2"}}
+	moving := map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}}
 	for _, c := range []struct {
 		name  string
 		steps func(s *Stock)
@@ -55,11 +55,16 @@
 		{"a candidate, with weight", func(s *Stock) { s.SetVersions(0, moving); s.SetList(0, both) }, "v2", "v2"},
 		{"order before list", func(s *Stock) { s.SetList(0, v1); s.SetVersions(0, moving) }, "v2", ""},
 		{"a third, beside the candidate", func(s *Stock) { s.SetVersions(0, moving); s.SetList(0, append(both, v3...)) }, "", "v1"},
+		{"what stood is gone without an order", func(s *Stock) { s.SetVersions(0, stands); s.SetList(0, v2) }, "", "v2"},
+		{"what an order says stands is gone", func(s *Stock) {
+			s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
+			s.SetList(0, v2)
+		}, "", ""},
 		{"reversed", func(s *Stock) { s.SetVersions(0, moving); s.SetList(0, both); s.SetVersions(0, stands) }, "v2", "v1"},
 		{"complete", func(s *Stock) {
 			s.SetVersions(0, moving)
 			s.SetList(0, both)
-			s.SetVersions(0, map[string]Versions{"a": {Stands: "v2"}})
+			s.SetVersions(0, map[string]Versions{"a": {Stands: "v2", Ordered: true}})
 		}, "", "v2"},
 		{"order when nothing was known to stand", func(s *Stock) {
 			s.SetVersions(0, map[string]Versions{"a": {Candidate: "v2"}})
@@ -97,7 +102,7 @@
 func TestAReversalLetsGoOfTheCandidate(t *testing.T) {
 	ds, sh := desks("z")
 	s := fresh("z-desk-0", "z", nil, ds[:1], sh, nil)
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2"}})
+	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
 	s.SetList(0, append(versioned("v1", 3), versioned("v2", 1)...))
 	prove(s, 0)
 	var held []Grant
@@ -117,7 +122,7 @@
 	if got != nil {
 		t.Fatal("a full candidate takes more")
 	}
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1"}})
+	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
 	if got == nil || !strings.HasPrefix(got.ID, "v1") {
 		t.Fatalf("what waited got %+v", got)
 	}
@@ -135,7 +140,7 @@
 func TestOneBudgetForBothArms(t *testing.T) {
 	ds, sh := desks("z")
 	s := fresh("z-desk-0", "z", nil, ds[:1], sh, nil)
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2"}})
+	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
 	s.SetList(0, append(versioned("v1", 6), versioned("v2", 6)...))
 	prove(s, 0)
 	for range 11 {
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -87,6 +87,7 @@
 	told      map[string]toldAt          // by other archives
 	rolls     *rollout.Controller        // rollouts, as this archive sees them
 	adopting  bool                       // standing versions are being kept
+	waitsAt   time.Duration              // when a rollout that waits may be logged again
 	versions  map[string]rollout.Service // as shown
 
 	// Where clients ask a registry; nil elsewhere.
@@ -206,9 +207,7 @@
 	go func() { a.pump(beat, stop); close(pumped) }()
 
 	a.do(func(time.Duration) {
-		for _, key := range append(keys, stacks.RosterKey) {
-			a.show(key)
-		}
+		a.showAll()
 		a.newItems()
 	})
 
@@ -377,6 +376,13 @@
 	}
 }
 
+// showAll takes over what the disk held, also of keys that were made as they were needed.
+func (a *Archive) showAll() {
+	for _, key := range a.member.Keys() {
+		a.show(key)
+	}
+}
+
 // show takes over a committed copy of a key into what the desks may see.
 func (a *Archive) show(key string) bool {
 	if key == stacks.RosterKey {
--- /dev/null
+++ b/internal/archive/restart_test.go
@@ -0,0 +1,55 @@
+package archive
+
+import (
+	"log"
+	"testing"
+
+	"madderwing/internal/catalogue"
+	"madderwing/internal/conservation"
+	"madderwing/internal/rollout"
+	"madderwing/internal/stacks"
+)
+
+// An archive that starts with a disk shows its desks the rollouts on it at once, though
+// their keys are none of those that every archive has.
+func TestARestartedArchiveShowsRollouts(t *testing.T) {
+	const id = "10.0.0.1:1"
+	config := stacks.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{catalogue.Key},
+		Beat: 1, Vacant: 10, Patience: 100, Alive: func(string) bool { return true }}
+	first, err := stacks.NewMember(config, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	disk := map[string][]byte{}
+	settle := func(m *stacks.Member) {
+		for fx := m.Take(); len(fx.Writes) > 0; fx = m.Take() {
+			for _, w := range fx.Writes {
+				for _, e := range w.Entries {
+					disk[e.Key] = e.Value
+				}
+				m.Durable(5, w.ID)
+			}
+		}
+	}
+	first.Tick(1)
+	settle(first)
+	order := func(have map[string]stacks.Record) ([]stacks.Record, error) {
+		return rollout.Begin(have, rollout.Ask{Service: "s", Version: "v2", WithinS: 9}, "v1")
+	}
+	for done := false; !done; settle(first) { // the first asking makes the key
+		first.Propose(5, rollout.Key("s"), order, func(err error) { done = done || err == nil })
+		settle(first)
+	}
+
+	config.Bootstrap, config.Empty, config.Life = false, false, 2
+	again, err := stacks.NewMember(config, disk)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &Archive{member: again, shown: conservation.NewSet(), rolls: rollout.NewController(), asks: newAsks(1)}
+	a.log.stacks = log.New(t.Output(), "", 0)
+	a.showAll()
+	if p := a.versions["s"].Active(); p == nil || p.Candidate != "v2" {
+		t.Errorf("shown after a restart: %+v", a.versions)
+	}
+}
--- a/internal/archive/rollout.go
+++ b/internal/archive/rollout.go
@@ -22,6 +22,16 @@
 	moves, tell := a.rolls.Look(now, a.versions, rollout.Surroundings{
 		Self: a.post.Self(), Fresh: 2 * beat, Fill: a.fill,
 		Owner: func(key string) string { return a.member.Owner(now, key) }})
+	for service, v := range a.versions {
+		if p := v.Active(); p != nil && p.Stage == rollout.Full && a.member.Owner(now, rollout.Key(service)) == a.post.Self() {
+			w := a.rolls.View(service)
+			if w.Stage > 2*beat && now >= a.waitsAt {
+				a.waitsAt = now + 2*beat
+				a.log.rollout.Printf("%s waits at full weight: %d of %d nodes heard, not %s; %d requests at another version.",
+					service, w.Heard, w.Live, strings.Join(a.unheard(a.rolls.Gathered(service).Nodes), ", "), w.Busy)
+			}
+		}
+	}
 	for to, all := range tell {
 		a.post.Send(to, feed.GatherKind, all)
 	}
@@ -40,6 +50,16 @@
 	}
 }
 
+// unheard names some of the live desks that have not told of a rollout.
+func (a *Archive) unheard(told map[string]int) (names []string) {
+	for _, n := range a.reg.List().Live(register.Data) {
+		if _, ok := told[n.Address]; !ok && len(names) < behindMost {
+			names = append(names, n.Name)
+		}
+	}
+	return names
+}
+
 // fill adds to what a controller looks at what this archive knows of desks, upstreams
 // and loads.
 func (a *Archive) fill(v *rollout.View, p *rollout.Plan, told map[string]int) {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -292,7 +292,7 @@
 	bound := t.Placements()
 	versions := map[string]accession.Versions{}
 	for name, v := range t.Versions {
-		w := accession.Versions{Stands: v.Serves()}
+		w := accession.Versions{Stands: v.Serves(), Ordered: v.Ordered()}
 		if p := v.Active(); p != nil {
 			w.Candidate = p.Candidate
 		}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -23,6 +23,7 @@
 	others  map[string]heard[Gathered] // what other archives have gathered
 	sums    Gathered                   // of the present record, as last put together
 	base    Sums                       // of a record before
+	view    View                       // as last looked at, by the controller
 	stepped uint64                     // the generation from which a step is under way
 }
 
@@ -80,6 +81,9 @@
 // Gathered is what was last put together of a service's rollout.
 func (c *Controller) Gathered(service string) Gathered { return c.of(service).sums }
 
+// View is what the controller of a service's rollout last saw.
+func (c *Controller) View(service string) View { return c.of(service).view }
+
 // Led says that every rollout under way has a controller that is heard here.
 func (c *Controller) Led() bool { return c.led }
 
@@ -146,6 +150,7 @@
 		}
 		view := View{Age: x.age(now), Stage: now - x.at, Sums: all.Sums, Base: x.base, Braked: all.Braked, Brake: all.Brake}
 		s.Fill(&view, p, all.Nodes)
+		x.view = view
 		if next := Next(p, view); next != nil {
 			x.stepped = p.Gen
 			moves = append(moves, Move{p, next})
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -227,12 +227,17 @@
 
 // Serves is the version that serves without a weight; empty: not known.
 func (s Service) Serves() string {
-	if s.Plan == nil || s.Plan.Final() && s.Standing.After >= s.Plan.Gen {
+	if !s.Ordered() {
 		return s.Standing.Version
 	}
 	return s.Plan.Standing()
 }
 
+// Ordered says that the version that serves is the outcome of an order.
+func (s Service) Ordered() bool {
+	return s.Plan != nil && !(s.Plan.Final() && s.Standing.After >= s.Plan.Gen)
+}
+
 // Active is the plan that is under way, or nil.
 func (s Service) Active() *Plan {
 	if s.Plan == nil || s.Plan.Final() {
--- a/internal/stacks/member.go
+++ b/internal/stacks/member.go
@@ -1350,6 +1350,9 @@
 	return k.Records, k.commit, k.commit == k.at && k.commit.Seq > 0
 }
 
+// Keys names all keys that this member has heard of.
+func (m *Member) Keys() []string { return append([]string(nil), m.names...) }
+
 // Voting says whether the member has its memory and a seat.
 func (m *Member) Voting() bool { return m.voting && m.inRoster() }
 
