--- a/internal/circulation/front.go
+++ b/internal/circulation/front.go
@@ -359,8 +359,9 @@
 			f.Stats.Repeats.Add(1)
 		}
 		avoid = append(avoid, g.ID)
-		arm.End(scored(res))
+		arm.Score(scored(res))
 		if res.untried {
+			arm.End(rollout.Unscored)
 			how := accession.Failing
 			if res.late {
 				how = accession.Served // no fault of the upstream's
@@ -373,7 +374,7 @@
 			continue
 		}
 		sent++
-		again, err := f.judge(x, g, res, arm.Candidate())
+		again, err := f.judge(x, g, res, arm)
 		if err == nil {
 			return nil
 		}
@@ -427,7 +428,8 @@
 // judge passes an answer on, or says what became of the request and whether
 // another upstream may be asked. An error of a candidate's own is no last word: the
 // prior version may do better.
-func (f *Front) judge(x *Exchange, g accession.Grant, res result, candidate bool) (again bool, err error) {
+func (f *Front) judge(x *Exchange, g accession.Grant, res result, arm *rollout.Sample) (again bool, err error) {
+	defer arm.End(rollout.Unscored) // only now has all of the answer left the upstream
 	repeatable := x.route.Repeatable()
 	if res.broke != nil {
 		f.Stats.Broken.Add(1)
@@ -471,7 +473,7 @@
 		if r.StatusCode >= http.StatusInternalServerError {
 			how = accession.Poor
 		}
-		if odd := f.finish(g, res, how); (odd || candidate && how == accession.Poor) && repeatable && x.poor == nil {
+		if odd := f.finish(g, res, how); (odd || arm.Candidate() && how == accession.Poor) && repeatable && x.poor == nil {
 			x.poor = &res // passed on if no other upstream does better
 			return true, errata.New(errata.Broken, "%s answered %d", x.service, r.StatusCode)
 		}
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -102,6 +102,7 @@
 	aim     time.Duration
 	sent    time.Duration // 0: not yet
 	cold    bool
+	scored  bool
 }
 
 // Begin chooses an arm for a request and notes it as under way. The choice is
@@ -181,15 +182,29 @@
 	x.a.mu.Unlock()
 }
 
-// End notes how the sending went. It counts once.
+// Score notes how the sending went, though a large answer may still be on its way. It
+// counts once.
+func (x *Sample) Score(how Outcome) {
+	x.a.mu.Lock()
+	defer x.a.mu.Unlock()
+	x.score(how)
+}
+
+// End notes that nothing of the sending is under way any more, and how it went, if that
+// has not been said.
 func (x *Sample) End(how Outcome) {
+	x.a.mu.Lock()
+	defer x.a.mu.Unlock()
+	delete(x.s.open, x)
+	x.score(how)
+}
+
+func (x *Sample) score(how Outcome) {
 	a, s := x.a, x.s
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if _, open := s.open[x]; !open {
+	if x.scored {
 		return
 	}
-	delete(s.open, x)
+	x.scored = true
 	p := s.plan
 	if p == nil || p.Final() || x.order != s.order || x.order == 0 {
 		return
@@ -216,7 +231,7 @@
 	out := Sums{}
 	out.Add(s.sums)
 	for x := range s.open {
-		if x.order != s.order || x.order == 0 || x.sent == 0 || x.cold || now-x.sent < x.aim/2 {
+		if x.scored || x.order != s.order || x.order == 0 || x.sent == 0 || x.cold || now-x.sent < x.aim/2 {
 			continue
 		}
 		pair := out[x.bucket]
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -494,6 +494,23 @@
 	}
 }
 
+// A large answer is scored when it begins, and its upstream is in use until it ends.
+func TestALargeAnswerIsUnderWayToItsEnd(t *testing.T) {
+	a := NewArms("n", time.Hour, func() time.Duration { return time.Second })
+	a.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary}}})
+	x := a.Begin("s", "r download", time.Second, false)
+	x.Sent(false)
+	x.Score(Passed)
+	if r := a.Reports()[0]; r.Busy != 1 || r.Sums.All()[Prior].Ended != 1 {
+		t.Errorf("begun: %+v", r)
+	}
+	x.End(Broke)
+	r := a.Reports()[0]
+	if all := r.Sums.All(); r.Busy != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
+		t.Errorf("ended: %+v", r)
+	}
+}
+
 // Every stratum gives the candidate its share on every node, none all of it.
 func TestStrataAreSplitEvenly(t *testing.T) {
 	now := time.Duration(0)
