--- a/internal/accession/stock.go
+++ b/internal/accession/stock.go
@@ -135,6 +135,7 @@
 	NoneLeft         // no upstream may be sent to
 	Crowded          // too many wait already, or have waited too long
 	NoBudget         // the budget for further tries is spent
+	Unlisted         // no list of upstreams has been taken yet
 )
 
 // service is the pool of a service's upstreams: those of the version that stands, or
@@ -777,6 +778,10 @@
 func (s *Stock) grant(now time.Duration, v *service, c *Claim) bool {
 	u, any := s.pick(now, v, c)
 	if u == nil {
+		if !any && !s.known {
+			s.refuse(v, c, Unlisted)
+			return true
+		}
 		if !any {
 			s.refuse(v, c, NoneLeft)
 			return true
--- a/internal/circulation/circulation_test.go
+++ b/internal/circulation/circulation_test.go
@@ -10,7 +10,9 @@
 	"log"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"runtime"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -636,3 +638,35 @@
 		far.Close()
 	}
 }
+
+// A node that knows no list yet, or no items, sends clients back no sooner than it will.
+func TestANodeThatStartsSendsClientsBackLater(t *testing.T) {
+	r := newRig(t)
+	listed := accession.NewStock(accession.Config{Self: "d", Zone: "z"})
+	bare := NewFloor(accession.NewStock(accession.Config{Self: "d", Zone: "z"}), 5*time.Second, time.Hour)
+	none := NewFloor(listed, 5*time.Second, time.Hour)
+	listed.SetList(0, nil)
+	go bare.Run()
+	go none.Run()
+	for _, c := range []struct {
+		name  string
+		floor *Floor
+		table *catalogue.Table
+		later bool
+	}{
+		{"no list", bare, r.front.Table(), true},
+		{"no items", none, (&catalogue.Builder{}).Build(nil), true},
+		{"a list without upstreams", none, r.front.Table(), false},
+	} {
+		f := NewFront(c.floor, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }), log.New(io.Discard, "", 0))
+		f.SetTable(c.table)
+		req := httptest.NewRequest("GET", "/get/x", nil)
+		req.Host = "h.example"
+		w := httptest.NewRecorder()
+		f.ServeHTTP(w, req)
+		after, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
+		if w.Code != 503 || err != nil || (after == 10) != c.later {
+			t.Errorf("%s: %d, Retry-After %q", c.name, w.Code, w.Header().Get("Retry-After"))
+		}
+	}
+}
--- a/internal/circulation/front.go
+++ b/internal/circulation/front.go
@@ -149,6 +149,10 @@
 	}
 }
 
+// soon is the time within which a node that starts knows items and upstreams. Clients that
+// came back sooner would only spend their tries.
+func (f *Front) soon() time.Duration { return 2 * f.floor.patience }
+
 // limits holds the body to what the operator allows.
 func (f *Front) limits(next Handler) Handler {
 	return func(x *Exchange) error {
@@ -168,7 +172,7 @@
 func (f *Front) reader(next Handler) Handler {
 	return func(x *Exchange) error {
 		if !x.table.Known {
-			return errata.Later(errata.NoConfiguration, f.floor.patience, "this node knows no items yet")
+			return errata.Later(errata.NoConfiguration, f.soon(), "this node knows no items yet")
 		}
 		path, _, _ := strings.Cut(x.target(), "?")
 		x.route = x.table.Lookup(x.r.Host, path)
@@ -336,6 +340,9 @@
 			if x.r.Context().Err() != nil {
 				return errata.New(errata.ClientGone, "%s", x.service)
 			}
+			if g.Refused == accession.Unlisted {
+				return errata.Later(errata.NoConfiguration, f.soon(), "this node knows no upstreams yet")
+			}
 			if g.Refused == accession.NoneLeft {
 				return f.later(x, errata.NoUpstream)
 			}
