--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -8,6 +8,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"strings"
@@ -79,7 +80,7 @@
 			inside[pkg] = inside[pkg] || e.Action == "fail"
 		}
 	}
-	for _, name := range sorted(results) {
+	for _, name := range slices.Sorted(maps.Keys(results)) {
 		if results[name] != "fail" {
 			continue
 		}
@@ -99,7 +100,7 @@
 			faults = append(faults, e.test+" is listed as red but does not fail ("+results[e.test]+")")
 		}
 	}
-	for _, pkg := range sorted(failed) {
+	for _, pkg := range slices.Sorted(maps.Keys(failed)) {
 		if !inside[pkg] {
 			faults = append(faults, pkg+" fails outside its tests")
 		}
@@ -110,14 +111,6 @@
 	return faults, nil
 }
 
-func sorted[T any](m map[string]T) (keys []string) {
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
 func main() {
 	if len(os.Args) != 3 {
 		fmt.Fprintln(os.Stderr, "knownred MODULE LIST, with the events of go test -json on standard input")
