--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement places routes on shards of gateways, after "Router Sharding
-// (OpenShift Origin design proposal)": a scheduler watches for routes that are
-// not scheduled and relists them, hands each to a strategy, and creates a
-// binding; the binding's create path is the only writer of a route's status.
+// Package placement assigns routes to shards of gateways, after "Router Sharding
+// (OpenShift Origin design proposal)": a scheduler watches for unscheduled routes,
+// and lists all routes at intervals. For each it asks a strategy for a shard and
+// creates a binding. Only the creation of a binding writes a route's status.
 package placement
 
 import (
@@ -14,22 +14,22 @@
 	"madderwing/internal/config"
 )
 
-// Shard is a label on gateways.
+// Shard is a set of gateways that carry the same label.
 type Shard struct {
 	Label    int
-	Gateways int // how many gateways that carry it are working
+	Gateways int // number of working gateways
 	Zones    int
 }
 
-// Strategy picks a shard for a route. Any error is taken to be transient.
+// Strategy picks a shard for a route. Every error counts as transient.
 type Strategy interface {
 	Schedule(route *config.Route, shards []Shard) (Shard, error)
 }
 
-// ErrNoShard says that no shard has a working gateway.
+// ErrNoShard is returned when no shard has a working gateway.
 var ErrNoShard = errors.New("no shard with a working gateway")
 
-// RoundRobin gives the shards their turn.
+// RoundRobin is a Strategy that picks the shards in turn.
 type RoundRobin struct{ next int }
 
 // Schedule picks the next shard that has working gateways.
@@ -44,57 +44,58 @@
 	return Shard{}, ErrNoShard
 }
 
-// Order is a binding that is to be created, on the condition that the route is
-// still at the revision that the scheduler saw.
+// Order asks for a binding to be created, on the condition that the route is still at
+// the revision that the scheduler saw.
 type Order struct {
 	Binding config.RouteBinding `cbor:"1,keyasint"`
 	SawRev  uint64              `cbor:"2,keyasint"`
 }
 
-// Create carries orders to the owner of the catalogue. done gets an error for
-// each of them, on the scheduler's goroutine.
+// Create sends orders to the node that owns the catalogue of routes. It calls done on the
+// scheduler's goroutine, with an error (nil for success) for each order.
 type Create func(orders []Order, done func(errs []error))
 
-// Batch is how many bindings are created in one step.
+// Batch is the maximum of bindings that are created in one call of Create.
 const Batch = 256
 
-// Scheduler is the reconciler. One goroutine owns it.
+// Scheduler binds unscheduled routes to shards by reconciliation. It is not safe for
+// concurrent use: one goroutine owns it.
 type Scheduler struct {
 	Strategy Strategy
-	Relist   time.Duration // between full lists
-	Pause    time.Duration // before a route is tried again
+	Relist   time.Duration // interval between full lists
+	Pause    time.Duration // delay before a failed route is tried again
 	Create   Create
 
-	relistAt time.Duration
-	seen     map[string]uint64 // route -> revision that a binding has given it
-	trying   bool              // a batch is on its way
-	more     bool              // routes were left over for the next batch
-	tenure   int               // counts how often the duty changed hands
-	notUntil map[string]time.Duration
-	Bound    uint64
-	Errors   uint64
+	nextRelist     time.Duration
+	boundRev       map[string]uint64 // route -> revision after its binding was created
+	inFlight       bool              // a batch has been sent to Create and not been answered
+	batchRemaining bool              // routes are left for another batch
+	resets         int               // counts the calls of Reset
+	retryAt        map[string]time.Duration
+	Bound          uint64
+	Errors         uint64
 }
 
-// Unscheduled says whether a route needs a binding: it is new, or its shard
-// has lost its gateways while another has some.
-func Unscheduled(r *config.Route, shards []Shard) bool {
-	if r.Status.Phase != config.PhaseScheduled {
+// Unscheduled says whether a route needs a binding: it has none yet, or its shard has no
+// working gateways while another shard has some.
+func Unscheduled(route *config.Route, shards []Shard) bool {
+	if route.Status.Phase != config.PhaseScheduled {
 		return true
 	}
-	others := false
-	for _, s := range shards {
-		if s.Label == r.Status.Shard {
-			if s.Gateways > 0 {
+	otherServed := false
+	for _, shard := range shards {
+		if shard.Label == route.Status.Shard {
+			if shard.Gateways > 0 {
 				return false
 			}
-		} else if s.Gateways > 0 {
-			others = true
+		} else if shard.Gateways > 0 {
+			otherServed = true
 		}
 	}
-	return others
+	return otherServed
 }
 
-// Waiting says whether any route needs a binding and there is a shard for it.
+// Waiting says whether any route needs a binding and any shard has a working gateway.
 func Waiting(routes []*config.Route, shards []Shard) bool {
 	if !slices.ContainsFunc(shards, func(s Shard) bool { return s.Gateways > 0 }) {
 		return false
@@ -102,90 +103,92 @@
 	return slices.ContainsFunc(routes, func(r *config.Route) bool { return Unscheduled(r, shards) })
 }
 
-// Reconcile looks at the routes after a change, or at all of them when a
-// relist is due. again is called when it should be called once more.
-func (s *Scheduler) Reconcile(now time.Duration, routes []*config.Route, shards []Shard, again func()) {
-	if s.notUntil == nil {
-		s.notUntil, s.seen = map[string]time.Duration{}, map[string]uint64{}
+// Reconcile sends a batch of bindings for unscheduled routes to Create, unless a batch is in
+// flight. Once a relist is due, it also considers again the routes whose binding it has
+// created but that don't show it. reconcileAgain is called when Reconcile should be called
+// for another batch.
+func (s *Scheduler) Reconcile(now time.Duration, routes []*config.Route, shards []Shard, reconcileAgain func()) {
+	if s.retryAt == nil {
+		s.retryAt, s.boundRev = map[string]time.Duration{}, map[string]uint64{}
 	}
-	if now >= s.relistAt {
-		s.relistAt = now + s.Relist
-		s.seen = map[string]uint64{}
+	if now >= s.nextRelist {
+		s.nextRelist = now + s.Relist
+		s.boundRev = map[string]uint64{}
 	}
-	if s.trying {
-		s.more = true
+	if s.inFlight {
+		s.batchRemaining = true
 		return
 	}
-	s.more = false
-	standing := map[string]bool{}
+	s.batchRemaining = false
+	current := map[string]bool{}
 	var batch []Order
-	for _, r := range routes {
-		standing[r.Name] = true
-		if !Unscheduled(r, shards) {
-			delete(s.notUntil, r.Name)
-			delete(s.seen, r.Name)
+	for _, route := range routes {
+		current[route.Name] = true
+		if !Unscheduled(route, shards) {
+			delete(s.retryAt, route.Name)
+			delete(s.boundRev, route.Name)
 			continue
 		}
-		if now < s.notUntil[r.Name] {
+		if now < s.retryAt[route.Name] {
 			continue
 		}
-		if rev, ok := s.seen[r.Name]; ok && rev > r.Rev {
-			continue // bound; the copy here has yet to show it
+		if rev, ok := s.boundRev[route.Name]; ok && rev > route.Rev {
+			continue // the binding was created, but the route given here is older
 		}
 		if len(batch) == Batch {
-			s.more = true
+			s.batchRemaining = true
 			break
 		}
-		shard, err := s.Strategy.Schedule(r, shards)
+		shard, err := s.Strategy.Schedule(route, shards)
 		if err != nil {
 			s.Errors++
-			s.notUntil[r.Name] = now + s.Pause
+			s.retryAt[route.Name] = now + s.Pause
 			continue
 		}
-		batch = append(batch, Order{config.RouteBinding{Route: r.Name, Shard: shard.Label}, r.Rev})
+		batch = append(batch, Order{config.RouteBinding{Route: route.Name, Shard: shard.Label}, route.Rev})
 	}
-	if !s.more {
-		for name := range s.notUntil {
-			if !standing[name] {
-				delete(s.notUntil, name)
+	if !s.batchRemaining {
+		for name := range s.retryAt {
+			if !current[name] {
+				delete(s.retryAt, name)
 			}
 		}
 	}
 	if len(batch) == 0 {
 		return
 	}
-	s.trying = true
-	tenure := s.tenure
+	s.inFlight = true
+	resets := s.resets
 	s.Create(batch, func(errs []error) {
-		if tenure != s.tenure {
-			return // the duty was lost, and maybe won again, in between
+		if resets != s.resets {
+			return // the scheduler was reset after the batch was sent
 		}
-		s.trying = false
-		for i, o := range batch {
-			switch name := o.Binding.Route; {
+		s.inFlight = false
+		for i, order := range batch {
+			switch name := order.Binding.Route; {
 			case errs[i] == nil:
 				s.Bound++
-				s.seen[name] = o.SawRev + 1
+				s.boundRev[name] = order.SawRev + 1
 			case apierror.KindOf(errs[i]) == apierror.Conflict:
-				s.Errors++ // another has bound or changed it; the watch will tell
+				s.Errors++ // the route was bound or changed by others; a later Reconcile gets it
 			default:
 				s.Errors++
-				s.notUntil[name] = now + s.Pause
+				s.retryAt[name] = now + s.Pause
 			}
 		}
-		if s.more {
-			again()
+		if s.batchRemaining {
+			reconcileAgain()
 		}
 	})
 }
 
-// Due says whether something is to be looked at again though nothing changed: a
-// relist, or a route whose pause is over.
+// Due says whether Reconcile should be called though nothing has changed: a relist is due,
+// or a failed route is to be tried again.
 func (s *Scheduler) Due(now time.Duration) bool {
-	if now >= s.relistAt {
+	if now >= s.nextRelist {
 		return true
 	}
-	for _, t := range s.notUntil {
+	for _, t := range s.retryAt {
 		if now >= t {
 			return true
 		}
@@ -193,14 +196,15 @@
 	return false
 }
 
-// Reset forgets what was under way, as when the duty changes hands.
+// Reset drops all state; the answer to a batch in flight will be ignored. It is called when
+// this control node gains or loses the duty of scheduling.
 func (s *Scheduler) Reset() {
-	s.notUntil, s.seen, s.relistAt, s.trying, s.more = nil, nil, 0, false, false
-	s.tenure++
+	s.retryAt, s.boundRev, s.nextRelist, s.inFlight, s.batchRemaining = nil, nil, 0, false, false
+	s.resets++
 }
 
-// Shards counts the working gateways of each label. gateways maps a gateway's label to
-// the zones of those that work.
+// Shards returns the shards with labels 0 to count-1. zones maps a label to the zones of the
+// working gateways that carry it, one entry for each gateway.
 func Shards(count int, zones map[int][]string) []Shard {
 	out := make([]Shard, count)
 	for i := range out {
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -1,320 +1,321 @@
 package upstream
 
-// This file holds the queue: how a request asks for an upstream, waits for one, and gives it back.
+// This file holds the request queue: requests acquire an upstream, wait for one in the queue and release it.
 
 import (
 	"sync/atomic"
 	"time"
 )
 
-// WaitHandle is a request's hold on the connection that it waits on. If the upstream
-// falls silent for others, the wait is cut short, so that a request that may run
-// again goes elsewhere while there is time.
+// WaitHandle refers to the connection on which a retryable request waits for its answer.
+// When the upstream becomes unresponsive to other requests, the balancer expires the read
+// deadline of that connection, so that the request can be retried elsewhere in time.
 type WaitHandle struct{ conn atomic.Pointer[Conn] }
 
-// On says which connection the request waits on.
-func (h *WaitHandle) On(c *Conn) {
-	if h != nil {
-		h.conn.Store(c)
+// On sets the connection that the request waits on.
+func (handle *WaitHandle) On(c *Conn) {
+	if handle != nil {
+		handle.conn.Store(c)
 	}
 }
 
-func (h *WaitHandle) cut() {
-	if c := h.conn.Load(); c != nil {
+func (handle *WaitHandle) interrupt() {
+	if c := handle.conn.Load(); c != nil {
 		_ = c.SetReadDeadline(time.Now())
 	}
 }
 
-// AcquireRequest is a request's wish for an upstream.
+// AcquireRequest asks for an upstream on behalf of one request (or one retry of it).
 type AcquireRequest struct {
 	Service  string
-	Version  string // a candidate; empty: the version that stands
+	Version  string // the candidate version; empty: the stable version
 	Priority int
-	Avoid    []string    // ids that have been tried
-	Retry    bool        // takes from the budget
-	Hold     *WaitHandle // nil if the request must not run again
-	Bound    bool        // it may run in Regions only
+	Avoid    []string    // IDs of upstreams that have been tried
+	Retry    bool        // takes a token from the retry budget
+	Hold     *WaitHandle // nil if the request must not be retried
+	Bound    bool        // only upstreams in Regions are eligible
 	Regions  []string
-	Aim      time.Duration
-	Give     func(SlotLease)
+	Aim      time.Duration   // latency target of the request
+	Give     func(SlotLease) // receives the answer
 
 	arrived time.Duration
 	seq     uint64
 }
 
-// SlotLease answers a claim.
+// SlotLease is the answer to an AcquireRequest: an upstream to use, or the reason for a refusal.
 type SlotLease struct {
 	Upstream *Upstream
 	ID       string
 	Address  string
 	Conn     *Conn
-	Hold     *WaitHandle
+	Hold     *WaitHandle // as in the request
 	Refused  Refusal
-	Abroad   bool // the upstream is in another region
-	Began    time.Duration
+	Abroad   bool          // the upstream is in another region than this gateway
+	Began    time.Duration // when the upstream was granted
 	Cold     bool
-	Retry    bool // it took from the budget
-	Busy     int  // how many requests of this gateway the upstream had then, with this one
+	Retry    bool // it took a token from the retry budget
+	Busy     int  // requests of this gateway at the upstream when this one was granted, including it
 }
 
-// Refusal says why a claim was not granted.
+// Refusal is the reason why no upstream was granted.
 type Refusal int
 
-// The refusals.
+// Reasons for a refusal.
 const (
 	Granted  Refusal = iota
-	NoneLeft         // no upstream may be sent to
-	Crowded          // too many wait already, or have waited too long
-	NoBudget         // the budget for further tries is spent
-	Unlisted         // no list of upstreams has been taken yet
+	NoneLeft         // no upstream is eligible
+	Crowded          // the queue is full, or the request was withdrawn from it
+	NoBudget         // the retry budget is used up
+	Unlisted         // no list of upstreams has been received yet
 )
 
-// Leave says that this gateway goes. From now on every request that has been sent on
-// is waited for: to cut its wait short could end it with an error of our own while
-// its upstream is at work.
-func (s *Balancer) Leave() { s.leaving = true }
+// Leave tells the balancer that this gateway is shutting down. From then on it interrupts no
+// request that has been forwarded: the client could get an error from this gateway while
+// the upstream is still processing the request.
+func (b *Balancer) Leave() { b.shuttingDown = true }
 
-// cut cuts a request's wait short.
-func (s *Balancer) cut(h *WaitHandle) {
-	if !s.leaving {
-		h.cut()
+// interrupt ends a request's wait for its answer early, unless the gateway is shutting down.
+func (b *Balancer) interrupt(handle *WaitHandle) {
+	if !b.shuttingDown {
+		handle.interrupt()
 	}
 }
 
-// Request notes a request for a service: it earns its share of the budget.
-func (s *Balancer) Request(name string) {
-	v := s.service(name)
-	v.budget.Earn(s.cfg.RetryRatio, s.ceiling(v))
+// Request records a request for a service, which adds its share to the retry budget.
+func (b *Balancer) Request(serviceName string) {
+	pool := b.stablePool(serviceName)
+	pool.budget.Earn(b.cfg.RetryRatio, b.retryTokenCap(pool))
 }
 
-// ceiling is how many tokens this gateway may save up: an even share of half the
-// slack for the gateways of the shard that has the service, a token for the rest.
-// The other half covers gateways that are not known here.
-func (s *Balancer) ceiling(v *service) float64 {
-	n := len(s.gateways)
-	if shard, ok := s.bound[v.of]; ok {
-		mine, of := false, 0
-		for _, d := range s.gateways {
-			if s.shards[d.Address] == shard {
-				of++
-				mine = mine || d.Address == s.cfg.Self
+// retryTokenCap returns the maximum of retry tokens that this gateway may accumulate: the
+// gateways of the service's shard share half of the slack evenly, all others may have one
+// token each. The other half covers gateways that are not known here.
+func (b *Balancer) retryTokenCap(pool *servicePool) float64 {
+	total := len(b.gateways)
+	if shard, ok := b.serviceShard[pool.serviceName]; ok {
+		inShard, shardGateways := false, 0
+		for _, gateway := range b.gateways {
+			if b.gatewayShards[gateway.Address] == shard {
+				shardGateways++
+				inShard = inShard || gateway.Address == b.cfg.Self
 			}
 		}
-		rest := float64(n - of)
-		if !mine || of == 0 {
+		otherGateways := float64(total - shardGateways)
+		if !inShard || shardGateways == 0 {
 			return 1
 		}
-		return max(1, (s.cfg.RetrySlack/2-rest)/float64(of))
+		return max(1, (b.cfg.RetrySlack/2-otherGateways)/float64(shardGateways))
 	}
-	return max(1, s.cfg.RetrySlack/2/float64(max(n, 1)))
+	return max(1, b.cfg.RetrySlack/2/float64(max(total, 1)))
 }
 
-// Acquire asks for an upstream; the answer may come later.
-func (s *Balancer) Acquire(now time.Duration, c *AcquireRequest) {
-	v := s.claimed(c)
-	s.seq++
-	c.arrived, c.seq = now, s.seq
-	if c.Retry {
-		if !s.refill(now, s.service(c.Service)).Spend() { // the service's, whatever the version
-			c.Give(SlotLease{Refused: NoBudget})
+// Acquire asks for an upstream. It calls req.Give at once, or later if the request has to queue.
+func (b *Balancer) Acquire(now time.Duration, req *AcquireRequest) {
+	pool := b.poolForRequest(req)
+	b.requestSeq++
+	req.arrived, req.seq = now, b.requestSeq
+	if req.Retry {
+		if !b.refillBudget(now, b.stablePool(req.Service)).Spend() { // all versions of the service share one budget
+			req.Give(SlotLease{Refused: NoBudget})
 			return
 		}
 	}
-	if !s.grant(now, v, c) {
-		if len(v.waiting) >= max(4, v.slots*2) && !s.displace(v, c) {
-			s.refuse(v, c, Crowded)
+	if !b.grant(now, pool, req) {
+		if len(pool.queue) >= max(4, pool.primarySlots*2) && !b.displaceQueued(pool, req) {
+			b.refuse(pool, req, Crowded)
 			return
 		}
-		v.waiting = append(v.waiting, c)
+		pool.queue = append(pool.queue, req)
 	}
 }
 
-// refill brings a service's budget up to date.
-func (s *Balancer) refill(now time.Duration, v *service) *Budget {
-	v.budget.Refill(now, s.ceiling(v)/2/max(s.cfg.Window.Seconds(), 1), s.ceiling(v))
-	return &v.budget
+// refillBudget brings the retry budget of a service up to date.
+func (b *Balancer) refillBudget(now time.Duration, pool *servicePool) *Budget {
+	pool.budget.Refill(now, b.retryTokenCap(pool)/2/max(b.cfg.Window.Seconds(), 1), b.retryTokenCap(pool))
+	return &pool.budget
 }
 
-// displace makes room for a claim by refusing the newest of lowest priority.
-func (s *Balancer) displace(v *service, c *AcquireRequest) bool {
-	worst := -1
-	for i, w := range v.waiting {
-		if w.Priority > c.Priority && (worst < 0 || w.Priority > v.waiting[worst].Priority ||
-			w.Priority == v.waiting[worst].Priority && w.seq > v.waiting[worst].seq) {
-			worst = i
+// displaceQueued makes room for req by refusing the newest of the queued requests of lowest
+// priority, if that priority is lower than that of req.
+func (b *Balancer) displaceQueued(pool *servicePool, req *AcquireRequest) bool {
+	victim := -1
+	for i, queued := range pool.queue {
+		if queued.Priority > req.Priority && (victim < 0 || queued.Priority > pool.queue[victim].Priority ||
+			queued.Priority == pool.queue[victim].Priority && queued.seq > pool.queue[victim].seq) {
+			victim = i
 		}
 	}
-	if worst < 0 {
+	if victim < 0 {
 		return false
 	}
-	w := v.waiting[worst]
-	v.waiting = append(v.waiting[:worst], v.waiting[worst+1:]...)
-	s.refuse(v, w, Crowded)
+	queued := pool.queue[victim]
+	pool.queue = append(pool.queue[:victim], pool.queue[victim+1:]...)
+	b.refuse(pool, queued, Crowded)
 	return true
 }
 
-func (s *Balancer) refuse(v *service, c *AcquireRequest, why Refusal) {
-	if c.Retry {
-		s.service(c.Service).budget.Back()
+func (b *Balancer) refuse(pool *servicePool, req *AcquireRequest, reason Refusal) {
+	if req.Retry {
+		b.stablePool(req.Service).budget.Back()
 	}
-	c.Give(SlotLease{Refused: why})
+	req.Give(SlotLease{Refused: reason})
 }
 
-// grant gives a claim an upstream; false: it has to wait.
-func (s *Balancer) grant(now time.Duration, v *service, c *AcquireRequest) bool {
-	u, any := s.pick(now, v, c)
+// grant answers req with an upstream or a refusal. It returns false if the request has to wait.
+func (b *Balancer) grant(now time.Duration, pool *servicePool, req *AcquireRequest) bool {
+	u, eligible := b.pick(now, pool, req)
 	if u == nil {
-		if !any && !s.known {
-			s.refuse(v, c, Unlisted)
+		if !eligible && !b.hasList {
+			b.refuse(pool, req, Unlisted)
 			return true
 		}
-		if !any {
-			s.refuse(v, c, NoneLeft)
+		if !eligible {
+			b.refuse(pool, req, NoneLeft)
 			return true
 		}
 		return false
 	}
 	u.Busy++
 	if u.Cold(now) {
-		s.sends(u)
-		u.pace.Pass(now, v.info.WarmupPerS/float64(u.senders))
+		b.isColdSender(u)
+		u.pacer.Pass(now, pool.info.WarmupPerS/float64(u.senderCount))
 	}
-	g := SlotLease{Upstream: u, ID: u.ID, Address: u.Address, Hold: c.Hold, Cold: u.Cold(now), Retry: c.Retry, Abroad: !u.near, Began: now, Busy: u.Busy}
-	u.began(now, c)
-	if c.Hold != nil {
-		if u.holds == nil {
-			u.holds = map[*WaitHandle]struct{}{}
+	lease := SlotLease{Upstream: u, ID: u.ID, Address: u.Address, Hold: req.Hold, Cold: u.Cold(now), Retry: req.Retry, Abroad: !u.sameRegion, Began: now, Busy: u.Busy}
+	u.requestStarted(now, req)
+	if req.Hold != nil {
+		if u.waitHandles == nil {
+			u.waitHandles = map[*WaitHandle]struct{}{}
 		}
-		u.holds[c.Hold] = struct{}{}
+		u.waitHandles[req.Hold] = struct{}{}
 	}
-	for n := len(u.idle); n > 0 && g.Conn == nil; n-- {
+	for n := len(u.idle); n > 0 && lease.Conn == nil; n-- {
 		conn := u.idle[n-1]
 		u.idle = u.idle[:n-1]
 		if conn.Expires > now {
-			g.Conn = conn
+			lease.Conn = conn
 		} else {
-			s.Closed = append(s.Closed, conn)
+			b.Closed = append(b.Closed, conn)
 		}
 	}
-	c.Give(g)
+	req.Give(lease)
 	return true
 }
 
-// Withdraw takes back a claim that still waits.
-func (s *Balancer) Withdraw(c *AcquireRequest) {
-	v := s.claimed(c)
-	for i, w := range v.waiting {
-		if w == c {
-			v.waiting = append(v.waiting[:i], v.waiting[i+1:]...)
-			s.refuse(v, c, Crowded)
+// Withdraw takes a request that still waits out of the queue.
+func (b *Balancer) Withdraw(req *AcquireRequest) {
+	pool := b.poolForRequest(req)
+	for i, queued := range pool.queue {
+		if queued == req {
+			pool.queue = append(pool.queue[:i], pool.queue[i+1:]...)
+			b.refuse(pool, req, Crowded)
 			return
 		}
 	}
 }
 
-// Outcome tells how a request went at its upstream.
+// Outcome is the result of a request at its upstream.
 type Outcome int
 
-// The outcomes.
+// Results of a request.
 const (
-	Served    Outcome = iota // it answered
-	Full                     // it turned the request away
-	Failing                  // it broke off or could not be reached
-	Other                    // another upstream has the address
-	Silent                   // it no longer so much as acknowledges what it is sent
-	Poor                     // it answered with an error of its own
-	Unused                   // it was not sent anything
-	Reset                    // it reset the connection, as some do when they are full
-	Abandoned                // its work was ended as nobody waits for it; that tells nothing of it
+	Served    Outcome = iota // the upstream answered
+	Full                     // the upstream rejected the request as overloaded
+	Failing                  // the upstream could not be reached or closed the connection early
+	Other                    // the address now belongs to another upstream
+	Silent                   // the upstream no longer acknowledges what it is sent
+	Poor                     // the upstream answered with an error of its own
+	Unused                   // nothing was sent to the upstream
+	Reset                    // the upstream reset the connection, as some do under overload
+	Abandoned                // the request was cancelled as nobody waits for its answer; no sign of the upstream's health
 )
 
-// Release returns an upstream after a request, with the connection if that can
-// be used again.
-// It says whether the upstream stands out by bad answers.
-func (s *Balancer) Release(now time.Duration, g SlotLease, conn *Conn, how Outcome) (odd bool) {
-	u := g.Upstream
+// Release returns an upstream after a request; conn is its connection if that can be used
+// again, otherwise nil. The result says whether the upstream's error rate stands out from
+// that of its service.
+func (b *Balancer) Release(now time.Duration, lease SlotLease, conn *Conn, outcome Outcome) (outlier bool) {
+	u := lease.Upstream
 	u.Busy--
-	took := now - g.Began
-	if !u.ended(g.Began) {
-		took = 0 // how long a large answer was on its way says nothing of the upstream
+	latency := now - lease.Began
+	if !u.requestAnswered(lease.Began) {
+		latency = 0 // Answering has been called; the transfer time of the rest of the answer is not the upstream's latency
 	}
-	delete(u.holds, g.Hold)
-	v := u.pool
-	switch how {
+	delete(u.waitHandles, lease.Hold)
+	pool := u.pool
+	switch outcome {
 	case Served, Poor:
-		u.proven = true
+		u.verified = true
 		u.Served++
-		odd = s.answered(now, v, u, took, how == Poor)
-		if how == Served {
-			v.packed.note(now, u, g.Busy, took)
+		outlier = b.recordAnswer(now, pool, u, latency, outcome == Poor)
+		if outcome == Served {
+			pool.saturation.record(now, u, lease.Busy, latency)
 		}
-		if u.bad < badUsual {
+		if u.errorRate < errorRateCommon {
 			u.failures = 0
 		}
 	case Unused:
-		if g.Retry {
-			s.service(u.Service).budget.Back()
+		if lease.Retry {
+			b.stablePool(u.Service).budget.Back()
 		}
 	case Full:
 		u.Served++
 	case Reset:
 		u.Failed++
 		if u.failures > 0 {
-			s.eject(now, u)
+			b.eject(now, u)
 			break
 		}
 		u.failures++
-		u.rest = now + s.cfg.Eject/3
+		u.pausedUntil = now + b.cfg.Eject/3
 	case Failing, Silent:
 		u.Failed++
-		s.eject(now, u)
-		if how == Silent {
-			for h := range u.holds {
-				s.cut(h)
+		b.eject(now, u)
+		if outcome == Silent {
+			for handle := range u.waitHandles {
+				b.interrupt(handle)
 			}
 		}
 	case Other:
-		u.gone = true
-		s.drop(u)
-		s.assign(now)
+		u.retired = true
+		b.closeIdle(u)
+		b.assign(now)
 	}
 	if conn != nil {
-		if u.gone || s.evacuated[u.Zone] || now < u.until || conn.Expires <= now || s.poolFor(u) == nil {
-			s.Closed = append(s.Closed, conn)
+		if u.retired || b.evacuated[u.Zone] || now < u.ejectedUntil || conn.Expires <= now || b.poolOf(u) == nil {
+			b.Closed = append(b.Closed, conn)
 		} else {
 			u.idle = append(u.idle, conn)
 		}
 	}
-	s.serve(now, v)
-	return odd
+	b.dispatch(now, pool)
+	return outlier
 }
 
-func (s *Balancer) serve(now time.Duration, v *service) {
-	var stuck []*AcquireRequest // what waits for the upstreams of some regions only
-	defer func() { v.waiting = append(v.waiting, stuck...) }()
-	for len(v.waiting) > 0 {
+func (b *Balancer) dispatch(now time.Duration, pool *servicePool) {
+	var blocked []*AcquireRequest // requests restricted to regions that have no free upstream now
+	defer func() { pool.queue = append(pool.queue, blocked...) }()
+	for len(pool.queue) > 0 {
 		best := 0
-		for i, w := range v.waiting {
-			b := v.waiting[best]
-			if w.Priority < b.Priority || w.Priority == b.Priority && w.seq < b.seq {
+		for i, queued := range pool.queue {
+			current := pool.queue[best]
+			if queued.Priority < current.Priority || queued.Priority == current.Priority && queued.seq < current.seq {
 				best = i
 			}
 		}
-		c := v.waiting[best]
-		v.waiting = append(v.waiting[:best], v.waiting[best+1:]...)
-		if !s.grant(now, v, c) {
-			if c.Bound {
-				stuck = append(stuck, c)
+		req := pool.queue[best]
+		pool.queue = append(pool.queue[:best], pool.queue[best+1:]...)
+		if !b.grant(now, pool, req) {
+			if req.Bound {
+				blocked = append(blocked, req)
 				continue
 			}
-			v.waiting = append(v.waiting, c)
+			pool.queue = append(pool.queue, req)
 			return
 		}
 	}
 }
 
-func (s *Balancer) serveAll(now time.Duration) {
-	for _, v := range s.services {
-		s.serve(now, v)
+func (b *Balancer) dispatchAll(now time.Duration) {
+	for _, pool := range b.pools {
+		b.dispatch(now, pool)
 	}
 }
--- a/internal/upstream/assignment.go
+++ b/internal/upstream/assignment.go
@@ -1,6 +1,7 @@
 package upstream
 
-// This file shares upstreams out among the gateways: which of them a gateway uses first, which it uses at all, and how much it may send to each.
+// This file divides the upstreams among the gateways: the primary upstreams of this gateway, which it uses first,
+// the subset that it uses at all, and how many requests it may have at each.
 
 import (
 	"cmp"
@@ -11,190 +12,191 @@
 	"madderwing/internal/rendezvous"
 )
 
-// ColdSenders is how many gateways may send to an upstream while it is cold.
+// ColdSenders is the number of gateways that may send requests to an upstream while it is cold.
 const ColdSenders = 2
 
-// assign works out which upstreams this gateway uses first.
-func (s *Balancer) assign(now time.Duration) {
-	s.plan++
-	s.zones, s.nearOf = map[string][]string{}, map[[2]string][]string{}
-	for _, d := range s.gateways {
-		s.zones[d.Zone] = append(s.zones[d.Zone], d.Address)
-	}
-	for _, v := range s.services {
-		v.ups, v.slots = v.ups[:0], 0
-	}
-	s.pools()
-	for _, u := range s.ups {
-		u.home = false
-		if v := s.poolFor(u); v == nil {
-			s.drop(u)
-		} else if u.pool = v; !u.gone && !s.evacuated[u.Zone] {
-			v.ups = append(v.ups, u)
+// assign recomputes the pools, and for each of them the primary upstreams, the subset and the limits.
+func (b *Balancer) assign(now time.Duration) {
+	b.assignmentSeq++
+	b.gatewaysByZone, b.senderCandidates = map[string][]string{}, map[[2]string][]string{}
+	for _, gateway := range b.gateways {
+		b.gatewaysByZone[gateway.Zone] = append(b.gatewaysByZone[gateway.Zone], gateway.Address)
+	}
+	for _, pool := range b.pools {
+		pool.upstreams, pool.primarySlots = pool.upstreams[:0], 0
+	}
+	b.reconcilePools()
+	for _, u := range b.upstreams {
+		u.primary = false
+		if pool := b.poolOf(u); pool == nil {
+			b.closeIdle(u)
+		} else if u.pool = pool; !u.retired && !b.evacuated[u.Zone] {
+			pool.upstreams = append(pool.upstreams, u)
 		}
 	}
-	gateways := s.zones[s.cfg.Zone]
-	if len(gateways) == 0 {
-		gateways = []string{s.cfg.Self}
+	zoneGateways := b.gatewaysByZone[b.cfg.Zone]
+	if len(zoneGateways) == 0 {
+		zoneGateways = []string{b.cfg.Self}
 	}
-	for _, v := range s.services {
-		slices.SortFunc(v.ups, byOrder)
-		s.nameHomes(v, gateways)
-		s.setLimits(v, len(s.gateways))
-		s.nameReach(v, len(gateways))
+	for _, pool := range b.pools {
+		slices.SortFunc(pool.upstreams, byServiceWeight)
+		b.assignPrimaries(pool, zoneGateways)
+		b.setLimits(pool, len(b.gateways))
+		b.selectSubset(pool, len(zoneGateways))
 	}
-	s.prove(now)
+	b.verifyPrimaries(now)
 }
 
-// byOrder puts upstreams into the order of weight for their service.
-func byOrder(a, b *Upstream) int {
-	if c := cmp.Compare(b.order, a.order); c != 0 {
+// byServiceWeight sorts upstreams by descending rendezvous weight for their service, then by ID.
+func byServiceWeight(a, b *Upstream) int {
+	if c := cmp.Compare(b.serviceWeight, a.serviceWeight); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// sends says whether this gateway is one of the few that may send to an upstream while
-// it is cold. That is worked out when it is asked for: few upstreams are cold.
-func (s *Balancer) sends(u *Upstream) bool {
-	if u.few != s.plan {
-		few := rendezvous.Pick(u.ID, s.near(u.Zone, u.Service), ColdSenders)
-		u.few, u.senders = s.plan, max(1, len(few))
-		u.sender = slices.Contains(few, s.cfg.Self)
-	}
-	return u.sender
+// isColdSender says whether this gateway is one of the few that may send to an upstream while
+// it is cold. It is computed on demand, since few upstreams are cold.
+func (b *Balancer) isColdSender(u *Upstream) bool {
+	if u.sendersSeq != b.assignmentSeq {
+		senders := rendezvous.Pick(u.ID, b.coldSenderCandidates(u.Zone, u.Service), ColdSenders)
+		u.sendersSeq, u.senderCount = b.assignmentSeq, max(1, len(senders))
+		u.isSender = slices.Contains(senders, b.cfg.Self)
+	}
+	return u.isSender
 }
 
-// near lists the gateways of which a few may send to cold upstreams of a service in a
-// zone: those of the zone, or all where it has none, and of these the ones of the
-// shard that has the service, if there are any.
-func (s *Balancer) near(zone, service string) []string {
-	at := [2]string{zone, service}
-	if near, ok := s.nearOf[at]; ok {
-		return near
-	}
-	near := s.zones[zone]
-	if len(near) == 0 {
-		for _, d := range s.gateways {
-			near = append(near, d.Address)
+// coldSenderCandidates lists the gateways from which the senders for cold upstreams of a
+// service in a zone are picked: the gateways of the zone, or all if it has none; of these,
+// those of the service's shard if there are any.
+func (b *Balancer) coldSenderCandidates(zone, service string) []string {
+	key := [2]string{zone, service}
+	if candidates, ok := b.senderCandidates[key]; ok {
+		return candidates
+	}
+	candidates := b.gatewaysByZone[zone]
+	if len(candidates) == 0 {
+		for _, gateway := range b.gateways {
+			candidates = append(candidates, gateway.Address)
 		}
 	}
-	if shard, ok := s.bound[service]; ok {
-		var of []string
-		for _, d := range near {
-			if s.shards[d] == shard {
-				of = append(of, d)
+	if shard, ok := b.serviceShard[service]; ok {
+		var inShard []string
+		for _, address := range candidates {
+			if b.gatewayShards[address] == shard {
+				inShard = append(inShard, address)
 			}
 		}
-		if len(of) > 0 {
-			near = of
+		if len(inShard) > 0 {
+			candidates = inShard
 		}
 	}
-	s.nearOf[at] = near
-	return near
+	b.senderCandidates[key] = candidates
+	return candidates
 }
 
-// nameHomes shares the upstreams that the zone uses as its own out among its
-// gateways: each goes to the gateway of highest weight that has not yet got its even
-// share.
-func (s *Balancer) nameHomes(v *service, gateways []string) {
+// assignPrimaries divides the upstreams that serve this gateway's zone among the gateways of
+// the zone: each upstream becomes a primary of the gateway of highest rendezvous weight that
+// does not have its even share yet.
+func (b *Balancer) assignPrimaries(pool *servicePool, zoneGateways []string) {
 	var local []*Upstream
-	v.lent = s.lend(v)
-	for _, u := range v.ups {
-		u.zone = u.Zone
-		if z, ok := v.lent[u.ID]; ok {
-			u.zone = z
+	pool.reassigned = b.planZones(pool)
+	for _, u := range pool.upstreams {
+		u.servingZone = u.Zone
+		if zone, ok := pool.reassigned[u.ID]; ok {
+			u.servingZone = zone
 		}
-		if u.zone == s.cfg.Zone {
+		if u.servingZone == b.cfg.Zone {
 			local = append(local, u)
 		}
 	}
-	v.homes = v.homes[:0]
-	most := (len(local) + len(gateways) - 1) / len(gateways)
-	have := map[string]int{}
-	for _, u := range local { // in the order of weight, as v.ups are
-		for _, d := range rendezvous.Order(u.ID, gateways) {
-			if have[d] == most {
+	pool.primaries = pool.primaries[:0]
+	maxEach := (len(local) + len(zoneGateways) - 1) / len(zoneGateways)
+	assigned := map[string]int{}
+	for _, u := range local { // in the order of pool.upstreams, by weight
+		for _, gateway := range rendezvous.Order(u.ID, zoneGateways) {
+			if assigned[gateway] == maxEach {
 				continue
 			}
-			have[d]++
-			if d == s.cfg.Self {
-				u.home = true
-				v.homes = append(v.homes, u)
-				v.slots += u.Capacity
+			assigned[gateway]++
+			if gateway == b.cfg.Self {
+				u.primary = true
+				pool.primaries = append(pool.primaries, u)
+				pool.primarySlots += u.Capacity
 			}
 			break
 		}
 	}
 }
 
-// Each upstream is in reach of so many gateways of the zone that uses it, beside the one
-// that uses it first, and of so many of all other zones; and each gateway reaches so many
-// of its zone at least.
+// Expected sizes of the subsets. Each upstream is used by about gatewaysPerUpstreamNear gateways
+// of its serving zone, besides the one whose primary it is, and by gatewaysPerUpstreamFar of
+// all other zones together. Each gateway has at least about minSubset upstreams that serve
+// its zone, and as many others.
 const (
-	reachedNear = 4
-	reachedFar  = 4
-	reachMin    = 8
+	gatewaysPerUpstreamNear = 4
+	gatewaysPerUpstreamFar  = 4
+	minSubset               = 8
 )
 
-// nameReach names the upstreams that this gateway uses at all. With few gateways that is
-// all of them. With hundreds, each with little to send elsewhere, an upstream would
-// get a request from many at once and be full without any of them knowing.
-func (s *Balancer) nameReach(v *service, near int) {
-	local := 0
-	for _, u := range v.ups {
-		if u.zone == s.cfg.Zone {
-			local++
+// selectSubset selects the upstreams that this gateway uses at all. With few gateways these
+// are all. With hundreds of gateways, each of which sends little beyond its primaries, an
+// upstream could get requests from many at once and be full without any of them knowing.
+func (b *Balancer) selectSubset(pool *servicePool, zoneGatewayCount int) {
+	localUpstreams := 0
+	for _, u := range pool.upstreams {
+		if u.servingZone == b.cfg.Zone {
+			localUpstreams++
 		}
 	}
-	shareNear := max(reachedNear/float64(near), reachMin/float64(max(1, local)))
-	shareFar := max(reachedFar/float64(max(1, len(s.gateways)-near)), reachMin/float64(max(1, len(v.ups)-local)))
-	v.reach = v.reach[:0]
-	for _, u := range v.ups {
-		share := shareFar
-		if u.zone == s.cfg.Zone {
-			share = shareNear
+	nearFraction := max(gatewaysPerUpstreamNear/float64(zoneGatewayCount), minSubset/float64(max(1, localUpstreams)))
+	farFraction := max(gatewaysPerUpstreamFar/float64(max(1, len(b.gateways)-zoneGatewayCount)), minSubset/float64(max(1, len(pool.upstreams)-localUpstreams)))
+	pool.subset = pool.subset[:0]
+	for _, u := range pool.upstreams {
+		fraction := farFraction
+		if u.servingZone == b.cfg.Zone {
+			fraction = nearFraction
 		}
-		if u.home || float64(u.rank)/math.MaxUint64 < share {
-			v.reach = append(v.reach, u)
+		if u.primary || float64(u.gatewayWeight)/math.MaxUint64 < fraction {
+			pool.subset = append(pool.subset, u)
 		}
 	}
 }
 
-// setLimits bounds what this gateway may have under way at each upstream. The gateway
-// that uses one first may fill its slots; the others together may make it queue
-// a little. Connections are shared out evenly, with room for two gateways that are
-// not known here.
-func (s *Balancer) setLimits(v *service, gateways int) {
-	conns := v.info.MaxConns
-	if conns == 0 {
-		conns = 64
-	}
-	for _, u := range v.ups {
-		u.limit = max(1, u.Capacity/6)
-		if u.home {
-			u.limit = u.Capacity
+// setLimits limits the requests that this gateway may have in flight at each upstream. The
+// gateway whose primary it is may use all of its capacity; the others together may make it
+// queue a little. Connections are divided evenly, with room for two gateways that are not
+// known here.
+func (b *Balancer) setLimits(pool *servicePool, gatewayCount int) {
+	maxConns := pool.info.MaxConns
+	if maxConns == 0 {
+		maxConns = 64
+	}
+	for _, u := range pool.upstreams {
+		u.maxInFlight = max(1, u.Capacity/6)
+		if u.primary {
+			u.maxInFlight = u.Capacity
 		}
-		u.limit = max(1, min(u.limit, conns/(gateways+2)))
+		u.maxInFlight = max(1, min(u.maxInFlight, maxConns/(gatewayCount+2)))
 	}
 }
 
-// lend plans among the zones of this gateway's region only.
-func (s *Balancer) lend(v *service) map[string]string {
-	zones := map[string]bool{s.cfg.Zone: true}
-	for _, d := range s.gateways {
-		if s.region(d.Zone) == s.region(s.cfg.Zone) {
-			zones[d.Zone] = true
+// planZones reassigns upstreams of a pool among the zones of this gateway's region only.
+func (b *Balancer) planZones(pool *servicePool) map[string]string {
+	zones := map[string]bool{b.cfg.Zone: true}
+	for _, gateway := range b.gateways {
+		if b.regionOf(gateway.Zone) == b.regionOf(b.cfg.Zone) {
+			zones[gateway.Zone] = true
 		}
 	}
-	ups := v.ups
-	if s.cfg.Region != nil {
-		ups = nil
-		for _, u := range v.ups {
-			if u.near {
-				ups = append(ups, u)
+	candidates := pool.upstreams
+	if b.cfg.Region != nil {
+		candidates = nil
+		for _, u := range pool.upstreams {
+			if u.sameRegion {
+				candidates = append(candidates, u)
 			}
 		}
 	}
-	return lend(v.name, ups, s.loads, zones)
+	return reassignZones(pool.key, candidates, b.zoneLoads, zones)
 }
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -9,176 +9,175 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Config holds the figures that a balancer works by.
+// Config configures a Balancer.
 type Config struct {
 	Self       string // this gateway's address
 	Zone       string
 	RetryRatio float64
 	RetrySlack float64
-	Window     time.Duration // retryWindowS
-	Eject      time.Duration // first pause after a failure; a third of it after a first reset
+	Window     time.Duration // the window of the retry budget (setting retryWindowS)
+	Eject      time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
 	EjectMax   time.Duration
-	Calm       time.Duration // how long gateways must be the same before pools are opened
-	Lag        time.Duration // how old the platform's word may be when it is here
-	// Region tells the region of a zone; nil: there is but one.
+	Calm       time.Duration // how long the set of gateways must be unchanged before first connections are opened
+	Lag        time.Duration // how old the platform's list may be when it arrives here
+	// Region returns the region of a zone; nil: there is only one region.
 	Region func(zone string) string
 }
 
-// Balancer is the table of upstreams on one gateway. One goroutine owns it.
+// Balancer is one gateway's load balancer over all upstreams. It is not safe for concurrent
+// use: one goroutine owns it.
 type Balancer struct {
-	cfg       Config
-	ups       map[string]*Upstream
-	services  map[string]*service
-	evacuated map[string]bool
-	infos     map[string]ServiceInfo
-	gateways  []membership.Node
-	shards    map[string]int
-	versions  map[string]Versions
-	listed    map[string]map[string]int // service -> version -> upstreams
-	first     map[string]string         // service -> version first seen, while nobody has said what stands
-	bound     map[string]int            // service -> shard whose gateways hold its slack
-	plan      uint64                    // counts the times that upstreams were shared out anew
-	zones     map[string][]string       // zone -> gateways, as of that plan
-	nearOf    map[[2]string][]string    // zone, service -> gateways that may send to cold ones there
-	loads     Loads
-	loadAt    time.Duration
-	seq       uint64
-	known     bool
-	unproven  bool          // there may be upstreams to be proven
-	calmAt    time.Duration // when gateways will have been the same for long enough
-	leaving   bool
+	cfg              Config
+	upstreams        map[string]*Upstream
+	pools            map[string]*servicePool
+	evacuated        map[string]bool
+	serviceInfos     map[string]ServiceInfo
+	gateways         []membership.Node
+	gatewayShards    map[string]int
+	versions         map[string]Versions
+	versionCounts    map[string]map[string]int // service -> version -> number of listed upstreams
+	inferredStable   map[string]string         // service -> stable version where none has been set; see inferStableVersions
+	serviceShard     map[string]int            // service -> shard whose gateways share its retry slack
+	assignmentSeq    uint64                    // counts the calls of assign
+	gatewaysByZone   map[string][]string       // zone -> gateways, as of the last assign
+	senderCandidates map[[2]string][]string    // cache of coldSenderCandidates, by zone and service, since the last assign
+	zoneLoads        Loads
+	loadsUpdatedAt   time.Duration
+	requestSeq       uint64
+	hasList          bool
+	verifyPending    bool          // verifyPrimaries is to be called again
+	stableAt         time.Duration // when the set of gateways will have been unchanged for Config.Calm
+	shuttingDown     bool
 
-	Trials []*Upstream // connections to be opened to see whether an upstream is back
-	Probes []Probe     // questions for an upstream's warmth
-	Closed []*Conn     // connections to be closed
+	Trials []*Upstream // upstreams to open a trial connection to; the caller reports to Tried
+	Probes []Probe     // health requests to be sent; the caller reports to Probed
+	Closed []*Conn     // connections for the caller to close
 }
 
-// NewBalancer makes an empty stock.
+// NewBalancer returns a balancer without upstreams.
 func NewBalancer(cfg Config) *Balancer {
-	return &Balancer{cfg: cfg, ups: map[string]*Upstream{}, services: map[string]*service{},
-		evacuated: map[string]bool{}, infos: map[string]ServiceInfo{}, bound: map[string]int{},
-		first: map[string]string{}}
+	return &Balancer{cfg: cfg, upstreams: map[string]*Upstream{}, pools: map[string]*servicePool{},
+		evacuated: map[string]bool{}, serviceInfos: map[string]ServiceInfo{}, serviceShard: map[string]int{},
+		inferredStable: map[string]string{}}
 }
 
-func (s *Balancer) region(zone string) string {
-	if s.cfg.Region == nil {
+func (b *Balancer) regionOf(zone string) string {
+	if b.cfg.Region == nil {
 		return ""
 	}
-	return s.cfg.Region(zone)
+	return b.cfg.Region(zone)
 }
 
-// SetList takes the instances that stand now.
-func (s *Balancer) SetList(now time.Duration, list []Instance) {
+// SetList replaces the list of instances.
+func (b *Balancer) SetList(now time.Duration, instances []Instance) {
 	seen := map[string]bool{}
-	for _, i := range list {
-		seen[i.ID] = true
-		u := s.ups[i.ID]
-		cold := time.Duration(i.WarmupMs) * time.Millisecond
+	for _, instance := range instances {
+		seen[instance.ID] = true
+		u := b.upstreams[instance.ID]
+		warmup := time.Duration(instance.WarmupMs) * time.Millisecond
 		if u == nil {
-			u = &Upstream{Instance: i, rank: rendezvous.Weight(s.cfg.Self, i.ID), order: rendezvous.Weight(i.Service, i.ID), fresh: s.known,
-				region: s.region(i.Zone), near: s.region(i.Zone) == s.region(s.cfg.Zone)}
-			s.ups[i.ID] = u
-		} else if u.Address != i.Address {
-			s.drop(u)
+			u = &Upstream{Instance: instance, gatewayWeight: rendezvous.Weight(b.cfg.Self, instance.ID), serviceWeight: rendezvous.Weight(instance.Service, instance.ID), newlyListed: b.hasList,
+				region: b.regionOf(instance.Zone), sameRegion: b.regionOf(instance.Zone) == b.regionOf(b.cfg.Zone)}
+			b.upstreams[instance.ID] = u
+		} else if u.Address != instance.Address {
+			b.closeIdle(u)
 		}
-		u.Instance = i
-		if cold > 0 {
-			u.coldTill = max(u.coldTill, now+cold)
+		u.Instance = instance
+		if warmup > 0 {
+			u.coldUntil = max(u.coldUntil, now+warmup)
 		}
-		u.gone = i.Draining
-		if u.gone {
-			s.drop(u)
+		u.retired = instance.Draining
+		if u.retired {
+			b.closeIdle(u)
 		}
 	}
-	for id, u := range s.ups {
+	for id, u := range b.upstreams {
 		if !seen[id] {
-			u.gone = true
-			s.drop(u)
-			delete(s.ups, id)
+			u.retired = true
+			b.closeIdle(u)
+			delete(b.upstreams, id)
 		}
 	}
-	s.known = true
-	s.assign(now)
-	s.serveAll(now)
+	b.hasList = true
+	b.assign(now)
+	b.dispatchAll(now)
 }
 
-// Known says whether a list has been taken.
-func (s *Balancer) Known() bool { return s.known }
+// Known says whether a list of instances has been set.
+func (b *Balancer) Known() bool { return b.hasList }
 
-// SetServices takes what the operator says of the services.
-func (s *Balancer) SetServices(now time.Duration, infos map[string]ServiceInfo, bound map[string]int) {
-	if maps.Equal(infos, s.infos) && maps.Equal(bound, s.bound) {
+// SetServices sets the configuration of the services, and for services that are bound to a shard, the shard.
+func (b *Balancer) SetServices(now time.Duration, serviceInfos map[string]ServiceInfo, serviceShard map[string]int) {
+	if maps.Equal(serviceInfos, b.serviceInfos) && maps.Equal(serviceShard, b.serviceShard) {
 		return
 	}
-	s.infos, s.bound = infos, bound
-	for _, v := range s.services {
-		v.info = infos[v.of]
+	b.serviceInfos, b.serviceShard = serviceInfos, serviceShard
+	for _, pool := range b.pools {
+		pool.info = serviceInfos[pool.serviceName]
 	}
-	s.assign(now)
-	s.serveAll(now)
+	b.assign(now)
+	b.dispatchAll(now)
 }
 
-// SetEvacuated takes the zones that nothing may be sent to. Upstreams of a zone
-// that is taken back count as cold until the platform's word, with its lag, can
-// be trusted again.
-func (s *Balancer) SetEvacuated(now time.Duration, zones map[string]bool) {
-	if maps.Equal(zones, s.evacuated) {
+// SetEvacuated sets the zones that no requests may be sent to. Upstreams of a zone that is no
+// longer evacuated count as cold at first, since the list that is here may be out of date.
+func (b *Balancer) SetEvacuated(now time.Duration, zones map[string]bool) {
+	if maps.Equal(zones, b.evacuated) {
 		return
 	}
-	var back []*Upstream
-	for _, u := range s.ups {
-		if s.evacuated[u.Zone] && !zones[u.Zone] {
-			back = append(back, u)
+	var restored []*Upstream
+	for _, u := range b.upstreams {
+		if b.evacuated[u.Zone] && !zones[u.Zone] {
+			restored = append(restored, u)
 		}
 		if zones[u.Zone] {
-			s.drop(u)
+			b.closeIdle(u)
 		}
 	}
-	s.evacuated = zones
-	s.assign(now)
-	for _, u := range back {
-		s.doubt(now, u)
+	b.evacuated = zones
+	b.assign(now)
+	for _, u := range restored {
+		b.assumeCold(now, u)
 	}
-	s.serveAll(now)
+	b.dispatchAll(now)
 }
 
-// SetGateways takes the gateways that work now, and their shards.
-func (s *Balancer) SetGateways(now time.Duration, gateways []membership.Node, shards map[string]int) {
+// SetGateways sets the gateways that are working now, and their shards by address.
+func (b *Balancer) SetGateways(now time.Duration, gateways []membership.Node, shards map[string]int) {
 	same := func(a, b membership.Node) bool { return a.Address == b.Address && a.Zone == b.Zone }
-	if slices.EqualFunc(gateways, s.gateways, same) && maps.Equal(shards, s.shards) {
+	if slices.EqualFunc(gateways, b.gateways, same) && maps.Equal(shards, b.gatewayShards) {
 		return
 	}
-	s.gateways, s.shards, s.calmAt = gateways, shards, now+s.cfg.Calm
-	s.assign(now)
-	s.serveAll(now)
+	b.gateways, b.gatewayShards, b.stableAt = gateways, shards, now+b.cfg.Calm
+	b.assign(now)
+	b.dispatchAll(now)
 }
 
-// Tick lets time pass: trials of ejected upstreams, and claims that wait for
-// the pace of cold ones. It says when it wants to be called again; 0: when
-// something happens.
-func (s *Balancer) Tick(now time.Duration) {
-	s.average(now)
-	if s.unproven {
-		s.prove(now)
+// Tick does what is due by time: trials of ejected upstreams, detection of stalled requests,
+// closing of expired idle connections, and requests that wait for the pace of cold upstreams.
+func (b *Balancer) Tick(now time.Duration) {
+	b.updateLoads(now)
+	if b.verifyPending {
+		b.verifyPrimaries(now)
 	}
-	for _, v := range s.services {
-		for _, u := range v.ups {
-			if u.until > 0 && now >= u.until && !u.trying && !u.gone {
-				u.until = 0
-				u.trying = true
-				s.Trials = append(s.Trials, u)
+	for _, pool := range b.pools {
+		for _, u := range pool.upstreams {
+			if u.ejectedUntil > 0 && now >= u.ejectedUntil && !u.trialPending && !u.retired {
+				u.ejectedUntil = 0
+				u.trialPending = true
+				b.Trials = append(b.Trials, u)
 			}
-			s.watch(now, v, u)
-			kept := u.idle[:0]
+			b.detectStalls(now, pool, u)
+			stillOpen := u.idle[:0]
 			for _, c := range u.idle {
 				if c.Expires > now {
-					kept = append(kept, c)
+					stillOpen = append(stillOpen, c)
 				} else {
-					s.Closed = append(s.Closed, c)
+					b.Closed = append(b.Closed, c)
 				}
 			}
-			u.idle = kept
+			u.idle = stillOpen
 		}
-		s.serve(now, v)
+		b.dispatch(now, pool)
 	}
 }
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// Budget is a gateway's own part in what all gateways may send beyond the first of
-// each request to a service. It starts empty, so that a process that starts
-// anew adds nothing to what its former life has spent.
+// Budget is one gateway's share of the retry budget of a service, a token bucket. It starts
+// empty, so that a restarted process adds nothing to what it spent before the restart.
 type Budget struct {
-	tokens float64
-	at     time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// Earn adds the share that one request brings, up to a ceiling.
-func (b *Budget) Earn(ratio, ceiling float64) {
-	b.tokens = min(b.tokens+ratio, max(ceiling, 1))
+// Earn adds the fraction of a token that one request brings, up to a maximum.
+func (b *Budget) Earn(earned, maxTokens float64) {
+	b.tokens = min(b.tokens+earned, max(maxTokens, 1))
 }
 
-// Refill adds what the slack allots to this gateway for the time that has passed.
-func (b *Budget) Refill(now time.Duration, perS, ceiling float64) {
-	if now > b.at {
-		if b.at > 0 {
-			b.tokens = min(b.tokens+perS*(now-b.at).Seconds(), max(ceiling, 1))
+// Refill adds this gateway's share of the retry slack for the time since the last refill.
+func (b *Budget) Refill(now time.Duration, perSecond, maxTokens float64) {
+	if now > b.refilledAt {
+		if b.refilledAt > 0 {
+			b.tokens = min(b.tokens+perSecond*(now-b.refilledAt).Seconds(), max(maxTokens, 1))
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 }
 
-// Spend takes one token.
+// Spend takes one token; false: there is none.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
@@ -34,18 +33,18 @@
 	return true
 }
 
-// Back returns a token that was not needed.
+// Back returns a token that was not used.
 func (b *Budget) Back() { b.tokens++ }
 
-// Pace lets requests through to a cold upstream one at a time.
+// Pace limits the rate of requests to a cold upstream, without bursts.
 type Pace struct {
-	next time.Duration
+	nextAt time.Duration
 }
 
-// Ready says whether one may pass now.
-func (p *Pace) Ready(now time.Duration) bool { return now >= p.next }
+// Ready says whether a request may be sent now.
+func (p *Pace) Ready(now time.Duration) bool { return now >= p.nextAt }
 
-// Pass notes that one has passed, at a rate of perS.
-func (p *Pace) Pass(now time.Duration, perS float64) {
-	p.next = now + time.Duration(float64(time.Second)/max(perS, 0.01))
+// Pass records that a request was sent; the next may follow after 1/perSecond seconds.
+func (p *Pace) Pass(now time.Duration, perSecond float64) {
+	p.nextAt = now + time.Duration(float64(time.Second)/max(perSecond, 0.01))
 }
--- a/internal/upstream/choice.go
+++ b/internal/upstream/choice.go
@@ -1,6 +1,6 @@
 package upstream
 
-// This file chooses the upstream of a request.
+// This file picks the upstream for a request.
 
 import (
 	"math"
@@ -8,88 +8,89 @@
 	"time"
 )
 
-// othersFrom is the start, in slots, that an upstream has over one of the zone that
-// another gateway uses first.
-const othersFrom = 0.84
+// nonPrimaryPenalty is added to the score of an upstream that serves this zone but is the
+// primary of another gateway. It is the smallest penalty of any upstream that is not a primary
+// of this gateway.
+const nonPrimaryPenalty = 0.84
 
-// score is how far an upstream is from being the one to send to: its load in
-// units of its slots, with a start for the upstreams that other gateways use
-// first. Infinite: not at present.
-func (s *Balancer) score(now time.Duration, v *service, u *Upstream) float64 {
-	if u.gone || now < u.until || now < u.rest || u.trying || u.Busy >= s.most(now, v, u) || u.trial && u.Busy > 0 {
+// score rates an upstream: its load relative to its capacity, plus penalties; the lowest is
+// the best. It is infinite if nothing may be sent to the upstream at present.
+func (b *Balancer) score(now time.Duration, pool *servicePool, u *Upstream) float64 {
+	if u.retired || now < u.ejectedUntil || now < u.pausedUntil || u.trialPending || u.Busy >= b.concurrencyLimit(now, pool, u) || u.probation && u.Busy > 0 {
 		return math.Inf(1)
 	}
 	slots := float64(u.Capacity)
-	load := (float64(u.Busy) + s.crowd(now, v, u) + 0.5) * s.slowness(now, v, u)
+	load := (float64(u.Busy) + b.otherGatewaysLoad(now, pool, u) + 0.5) * b.relativeLatency(now, pool, u)
 	switch {
-	case u.home:
-	case u.zone == s.cfg.Zone:
-		load += slots * othersFrom
-	case !u.near:
-		load += slots * 1.3 // the way there is long and dear
+	case u.primary:
+	case u.servingZone == b.cfg.Zone:
+		load += slots * nonPrimaryPenalty
+	case !u.sameRegion:
+		load += slots * 1.3 // traffic to another region is slow and expensive
 	default:
 		load += slots * 0.93
 	}
 	if u.Cold(now) {
-		if !s.sends(u) || v.info.WarmupPerS > 0 && !u.pace.Ready(now) {
+		if !b.isColdSender(u) || pool.info.WarmupPerS > 0 && !u.pacer.Ready(now) {
 			return math.Inf(1)
 		}
 		load += slots * 0.75
 	}
-	if u.failures > 0 || !u.proven {
+	if u.failures > 0 || !u.verified {
 		load += 0.3 * slots
 	}
 	if len(u.idle) == 0 {
-		load += 0.1 * slots // a connection would have to be opened
+		load += 0.1 * slots // a connection has to be opened first
 	}
 	return load / slots
 }
 
-// pick finds the upstream to send to.
-func (s *Balancer) pick(now time.Duration, v *service, c *AcquireRequest) (best *Upstream, any bool) {
-	// Nearly always one of the few that this gateway uses first will do, and then no
-	// other can be better.
-	best, score, any := s.pickFrom(now, v, c, v.homes)
-	if score < othersFrom {
-		return best, any
+// pick finds the upstream to send to, nil if there is none now. eligible says whether any
+// could take the request later.
+func (b *Balancer) pick(now time.Duration, pool *servicePool, req *AcquireRequest) (best *Upstream, eligible bool) {
+	// Nearly always a primary upstream has a score below nonPrimaryPenalty, and then no other
+	// upstream can be better.
+	best, score, eligible := b.pickFrom(now, pool, req, pool.primaries)
+	if score < nonPrimaryPenalty {
+		return best, eligible
 	}
-	best, _, any = s.pickFrom(now, v, c, v.reach)
-	if best == nil && len(v.reach) < len(v.ups) && (!any || s.reachFails(now, v)) {
-		best, _, any = s.pickFrom(now, v, c, v.ups)
+	best, _, eligible = b.pickFrom(now, pool, req, pool.subset)
+	if best == nil && len(pool.subset) < len(pool.upstreams) && (!eligible || b.subsetUnavailable(now, pool)) {
+		best, _, eligible = b.pickFrom(now, pool, req, pool.upstreams)
 	}
-	return best, any
+	return best, eligible
 }
 
-// reachFails says whether half or more of the upstreams in reach cannot be sent to
-// whatever their load, as when a zone is lost.
-func (s *Balancer) reachFails(now time.Duration, v *service) bool {
-	out := 0
-	for _, u := range v.reach {
-		if u.gone || now < u.until || u.trying || u.Cold(now) && !s.sends(u) {
-			out++
+// subsetUnavailable says whether half or more of the subset cannot be used whatever their
+// load, for example after the loss of a zone.
+func (b *Balancer) subsetUnavailable(now time.Duration, pool *servicePool) bool {
+	unavailable := 0
+	for _, u := range pool.subset {
+		if u.retired || now < u.ejectedUntil || u.trialPending || u.Cold(now) && !b.isColdSender(u) {
+			unavailable++
 		}
 	}
-	return out*2 >= len(v.reach)
+	return unavailable*2 >= len(pool.subset)
 }
 
-// pickFrom finds the best of some upstreams and its score.
-func (s *Balancer) pickFrom(now time.Duration, v *service, c *AcquireRequest, ups []*Upstream) (best *Upstream, bestScore float64, any bool) {
+// pickFrom finds the best of the given upstreams and its score.
+func (b *Balancer) pickFrom(now time.Duration, pool *servicePool, req *AcquireRequest, upstreams []*Upstream) (best *Upstream, bestScore float64, eligible bool) {
 	bestScore = math.Inf(1)
 next:
-	for _, u := range ups {
-		if u.gone || c.Bound && !slices.Contains(c.Regions, u.region) {
+	for _, u := range upstreams {
+		if u.retired || req.Bound && !slices.Contains(req.Regions, u.region) {
 			continue
 		}
-		for _, id := range c.Avoid {
+		for _, id := range req.Avoid {
 			if id == u.ID {
 				continue next
 			}
 		}
-		any = true
-		sc := s.score(now, v, u)
-		if sc < bestScore || sc == bestScore && best != nil && u.rank > best.rank {
-			best, bestScore = u, sc
+		eligible = true
+		score := b.score(now, pool, u)
+		if score < bestScore || score == bestScore && best != nil && u.gatewayWeight > best.gatewayWeight {
+			best, bestScore = u, score
 		}
 	}
-	return best, bestScore, any
+	return best, bestScore, eligible
 }
--- a/internal/upstream/judge.go
+++ b/internal/upstream/judge.go
@@ -5,194 +5,197 @@
 	"time"
 )
 
-// A gateway judges upstreams by how they answer its own requests, since their word
-// on their own health may be wrong. Three signs count: errors of their own, the
-// time they take, and requests that they sit on. All are compared with the other
-// upstreams of the service, so what goes wrong everywhere is held against nobody.
+// This file detects outliers. A gateway rates upstreams by how they answer its own requests,
+// since what they report of their own health may be wrong. Three signs count: error rate,
+// latency, and stalled requests. All are compared with the rest of the service, so that a
+// fault of the whole service does not count against single upstreams.
 
 const (
-	badPart   = 0.25 // weight of one more answer in an upstream's share of bad ones
-	badMost   = 0.42 // share above which an upstream is left alone
-	badUsual  = 0.2  // share of a service above which none of its upstreams is
-	slowPart  = 0.2  // weight of one more answer in an upstream's time
-	slowSpan  = 4.0  // seconds for which a time that is not renewed counts
-	slowMost  = 6.0
-	fastMost  = 0.6
-	satLong   = 2.5 // times the usual time: an upstream sits on what waits longer
-	satMany   = 2   // requests that it sits on at once mean that it hangs
-	satMin    = 150 * time.Millisecond
-	satAim    = 0.5  // of the request's aim, and more than that in any case
-	knownFrom = 30   // answers from which on it is known what is usual
-	outMost   = 0.34 // of a service's upstreams that may be left alone for answers
+	errorRateWeight    = 0.25 // weight of one answer in the moving average of an upstream's error rate
+	errorRateEject     = 0.42 // error rate above which an outlier is ejected
+	errorRateCommon    = 0.2  // error rate of a service from which on none of its upstreams is an outlier
+	latencyWeight      = 0.2  // weight of one answer in the moving average of an upstream's latency
+	latencyDecayS      = 4.0  // time constant in seconds by which a latency without new answers fades
+	maxRelativeLatency = 6.0
+	minRelativeLatency = 0.6
+	stallLatencies     = 2.5 // a request is stalled after this multiple of the usual latency
+	stallMinRequests   = 2   // stalled requests at once from which on an upstream counts as hanging
+	stallMinTime       = 150 * time.Millisecond
+	stallAimFraction   = 0.5  // fraction of its latency target that a stalled request must have waited in any case
+	minAnswers         = 30   // answers of a service from which on its usual latency is known
+	maxEjectedFraction = 0.34 // fraction of a pool's upstreams in one serving zone that may be ejected as outliers
 )
 
-// judged is what is known of an upstream by its answers.
-type judged struct {
-	bad    float64 // share of bad answers lately
-	took   float64 // seconds an answer took lately; 0: not known
-	at     time.Duration
-	since  []wait  // its requests that are under way and not yet answered
-	others float64 // requests of other gateways that it has told of
-	toldAt time.Duration
-	tells  bool
-	roomy  float64 // seconds an answer took lately when it had room
-	trial  bool    // back after it was left alone: one request at a time
+// outlierStats holds what this gateway has observed of an upstream's answers.
+type outlierStats struct {
+	errorRate        float64 // moving average
+	latencyS         float64 // moving average of the latency in seconds; 0: not known
+	latencyAt        time.Duration
+	pending          []pendingRequest // requests without an answer yet
+	otherLoad        float64          // requests of other gateways, by the upstream's last report
+	loadReportedAt   time.Duration
+	reportsLoad      bool
+	unloadedLatencyS float64 // moving average of the latency in seconds while the upstream has room; 0: not known
+	probation        bool    // it was ejected as an outlier: after its return it gets one request at a time
 }
 
-type wait struct {
-	began, aim time.Duration
-	hold       *WaitHandle
+type pendingRequest struct {
+	startedAt, latencyTarget time.Duration
+	handle                   *WaitHandle
 }
 
-// sits says whether it has waited longer than limit and a good part of its aim.
-func (w wait) sits(now, limit time.Duration) bool {
-	return now-w.began > max(limit, time.Duration(satAim*float64(w.aim)))
+// stalled says whether the request has waited longer than limit and than stallAimFraction of its latency target.
+func (r pendingRequest) stalled(now, limit time.Duration) bool {
+	return now-r.startedAt > max(limit, time.Duration(stallAimFraction*float64(r.latencyTarget)))
 }
 
-// began notes a request that begins.
-func (j *judged) began(now time.Duration, c *AcquireRequest) {
-	j.since = append(j.since, wait{now, c.Aim, c.Hold})
+// requestStarted records a request that was granted this upstream.
+func (stats *outlierStats) requestStarted(now time.Duration, req *AcquireRequest) {
+	stats.pending = append(stats.pending, pendingRequest{now, req.Aim, req.Hold})
 }
 
-// ended notes that the request that began then has ended; false: that was known.
-func (j *judged) ended(began time.Duration) (open bool) {
-	for i, t := range j.since {
-		if t.began == began {
-			j.since = append(j.since[:i], j.since[i+1:]...)
+// requestAnswered records that the request that began at the given time has an answer or has
+// ended. It returns false if that had been recorded before.
+func (stats *outlierStats) requestAnswered(began time.Duration) (pending bool) {
+	for i, r := range stats.pending {
+		if r.startedAt == began {
+			stats.pending = append(stats.pending[:i], stats.pending[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// sat counts requests that an upstream sits on.
-func (j *judged) sat(now, limit time.Duration) (n int) {
-	for _, w := range j.since {
-		if w.sits(now, limit) {
-			n++
+// countStalled counts the stalled requests.
+func (stats *outlierStats) countStalled(now, limit time.Duration) (stalled int) {
+	for _, r := range stats.pending {
+		if r.stalled(now, limit) {
+			stalled++
 		}
 	}
-	return n
+	return stalled
 }
 
-// slowness is how an upstream's time compares with what is usual: 1 is average.
-func (s *Balancer) slowness(now time.Duration, v *service, u *Upstream) float64 {
-	r := 1.0
-	if u.took > 0 && v.took > 0 {
-		r += (u.took/v.took - 1) * math.Exp(-(now-u.at).Seconds()/slowSpan)
+// relativeLatency returns the latency of an upstream relative to that of its pool: 1 is average.
+func (b *Balancer) relativeLatency(now time.Duration, pool *servicePool, u *Upstream) float64 {
+	ratio := 1.0
+	if u.latencyS > 0 && pool.latencyS > 0 {
+		ratio += (u.latencyS/pool.latencyS - 1) * math.Exp(-(now-u.latencyAt).Seconds()/latencyDecayS)
 	}
-	return min(max(r, fastMost), slowMost)
+	return min(max(ratio, minRelativeLatency), maxRelativeLatency)
 }
 
-// answered takes an answer into account: how long it took, and whether it was an
-// error of the upstream's own. It says whether the upstream stands out.
-func (s *Balancer) answered(now time.Duration, v *service, u *Upstream, took time.Duration, poor bool) (odd bool) {
+// recordAnswer records an answer: its latency (0: not known), and whether it was an error of
+// the upstream's own. The result says whether the upstream's error rate is an outlier.
+func (b *Balancer) recordAnswer(now time.Duration, pool *servicePool, u *Upstream, latency time.Duration, serverError bool) (outlier bool) {
 	sample := 0.0
-	if poor {
+	if serverError {
 		sample = 1
 	}
-	u.bad += (sample - u.bad) * badPart
-	v.known++
-	v.bad += (sample - v.bad) * badPart / float64(max(4, len(v.ups)/4))
-	if !poor && took > 0 {
-		if u.took == 0 {
-			u.took = took.Seconds()
+	u.errorRate += (sample - u.errorRate) * errorRateWeight
+	pool.answers++
+	pool.errorRate += (sample - pool.errorRate) * errorRateWeight / float64(max(4, len(pool.upstreams)/4))
+	if !serverError && latency > 0 {
+		if u.latencyS == 0 {
+			u.latencyS = latency.Seconds()
 		}
-		u.took += (took.Seconds() - u.took) * slowPart
-		u.at = now
-		if v.took == 0 {
-			v.took = took.Seconds()
+		u.latencyS += (latency.Seconds() - u.latencyS) * latencyWeight
+		u.latencyAt = now
+		if pool.latencyS == 0 {
+			pool.latencyS = latency.Seconds()
 		}
-		v.took += (took.Seconds() - v.took) * slowPart / float64(max(2, len(v.ups)/8))
-		if u.trial && took < v.usual(satLong) {
-			u.trial = false
+		pool.latencyS += (latency.Seconds() - pool.latencyS) * latencyWeight / float64(max(2, len(pool.upstreams)/8))
+		if u.probation && latency < pool.stallLimit(stallLatencies) {
+			u.probation = false
 		}
 	}
-	odd = u.bad > badUsual && v.bad < badUsual
-	if odd && u.bad > badMost {
-		s.leaveAlone(now, v, u)
+	outlier = u.errorRate > errorRateCommon && pool.errorRate < errorRateCommon
+	if outlier && u.errorRate > errorRateEject {
+		b.ejectOutlier(now, pool, u)
 	}
-	return odd
+	return outlier
 }
 
-// Answering notes that an upstream answers, though the rest of the answer may take
-// as long as the way there needs.
-func (s *Balancer) Answering(now time.Duration, g SlotLease) {
-	g.Upstream.ended(g.Began)
+// Answering records that the answer has begun to arrive: from then on the request can't be
+// stalled, however long the transfer of the rest takes.
+func (b *Balancer) Answering(now time.Duration, lease SlotLease) {
+	lease.Upstream.requestAnswered(lease.Began)
 }
 
-// Told is what an upstream says of its load in an answer.
+// Told is the load that an upstream reports in an answer.
 type Told struct {
 	Known            bool
 	Running, Waiting int
 }
 
-// toldSpan is about how long an upstream's word on its load counts, in times that
-// an answer takes: by then the requests that it spoke of have ended.
-const toldSpan = 1.5
+// reportDecayLatencies is the time constant by which a reported load fades, in multiples of
+// the pool's latency: by then the requests that it counted have ended.
+const reportDecayLatencies = 1.5
 
-// Tell takes an upstream's word on its load. What is beyond this gateway's own
-// requests is the others'.
-func (s *Balancer) Tell(now time.Duration, u *Upstream, t Told) {
-	if !t.Known {
+// Tell takes the load that an upstream reports. What exceeds this gateway's own requests
+// comes from other gateways.
+func (b *Balancer) Tell(now time.Duration, u *Upstream, load Told) {
+	if !load.Known {
 		return
 	}
-	u.others, u.toldAt, u.tells = max(0, float64(t.Running+t.Waiting-u.Busy)), now, true
+	u.otherLoad, u.loadReportedAt, u.reportsLoad = max(0, float64(load.Running+load.Waiting-u.Busy)), now, true
 }
 
-// crowd is how many requests of other gateways an upstream probably has.
-func (s *Balancer) crowd(now time.Duration, v *service, u *Upstream) float64 {
-	if !u.tells {
+// otherGatewaysLoad estimates how many requests of other gateways an upstream has.
+func (b *Balancer) otherGatewaysLoad(now time.Duration, pool *servicePool, u *Upstream) float64 {
+	if !u.reportsLoad {
 		return 0
 	}
-	return u.others * math.Exp(-(now-u.toldAt).Seconds()/max(0.05, v.took*toldSpan))
+	return u.otherLoad * math.Exp(-(now-u.loadReportedAt).Seconds()/max(0.05, pool.latencyS*reportDecayLatencies))
 }
 
-// usual is some times the time that the service's answers take.
-func (v *service) usual(times float64) time.Duration {
-	return max(satMin, time.Duration(v.took*times*float64(time.Second)))
+// stallLimit returns the given multiple of the pool's latency, at least stallMinTime.
+func (pool *servicePool) stallLimit(factor float64) time.Duration {
+	return max(stallMinTime, time.Duration(pool.latencyS*factor*float64(time.Second)))
 }
 
-// leaveAlone ejects an upstream for its answers, unless too many are out already.
-func (s *Balancer) leaveAlone(now time.Duration, v *service, u *Upstream) bool {
-	out, all := 0, 0
-	for _, o := range v.ups {
-		if o.zone == u.zone {
-			all++
-			if now < o.until || o.trying || o.trial {
-				out++
+// ejectOutlier ejects an upstream, unless too many of its serving zone are ejected already;
+// one may always be, and one that is on probation may be ejected again.
+func (b *Balancer) ejectOutlier(now time.Duration, pool *servicePool, u *Upstream) bool {
+	ejected, total := 0, 0
+	for _, other := range pool.upstreams {
+		if other.servingZone == u.servingZone {
+			total++
+			if now < other.ejectedUntil || other.trialPending || other.probation {
+				ejected++
 			}
 		}
 	}
-	if !u.trial && float64(out+1) > max(1, outMost*float64(all)) {
+	if !u.probation && float64(ejected+1) > max(1, maxEjectedFraction*float64(total)) {
 		return false
 	}
-	u.trial = true
-	s.eject(now, u)
+	u.probation = true
+	b.eject(now, u)
 	return true
 }
 
-// watch looks for upstreams that sit on requests. Those that may run again are
-// sent elsewhere.
-func (s *Balancer) watch(now time.Duration, v *service, u *Upstream) {
-	if len(u.since) == 0 || v.known < knownFrom || u.gone || now < u.until {
+// detectStalls ejects an upstream that has stallMinRequests stalled requests, or a single one
+// while on probation. In the first case it also interrupts those that may be retried, so that
+// they are sent elsewhere.
+func (b *Balancer) detectStalls(now time.Duration, pool *servicePool, u *Upstream) {
+	if len(u.pending) == 0 || pool.answers < minAnswers || u.retired || now < u.ejectedUntil {
 		return
 	}
-	// A slow upstream gets less, but it is not left alone for being slow.
-	limit := time.Duration(max(1, u.took/v.took) * float64(v.usual(satLong)))
-	n := u.sat(now, limit)
-	if n < satMany && !(n > 0 && u.trial) {
+	// A slow upstream gets fewer requests (see score), but isn't ejected for being slow.
+	limit := time.Duration(max(1, u.latencyS/pool.latencyS) * float64(pool.stallLimit(stallLatencies)))
+	stalled := u.countStalled(now, limit)
+	if stalled < stallMinRequests && !(stalled > 0 && u.probation) {
 		return
 	}
-	// One request that takes long may be a long one; it would be so elsewhere.
-	if s.leaveAlone(now, v, u) && n >= satMany {
-		// Only as many as may be sent elsewhere: the others would be given up while
-		// the upstream may still answer them.
-		may := s.refill(now, s.service(u.Service)).tokens
-		for _, w := range u.since {
-			if w.hold != nil && w.sits(now, limit) && may >= 1 {
-				may--
-				s.cut(w.hold)
+	// A single stalled request may just be an expensive one, which would take as long elsewhere.
+	if b.ejectOutlier(now, pool, u) && stalled >= stallMinRequests {
+		// Interrupts only as many as the retry budget allows to be sent elsewhere: any other would
+		// fail although the upstream may still answer it.
+		tokens := b.refillBudget(now, b.stablePool(u.Service)).tokens
+		for _, r := range u.pending {
+			if r.handle != nil && r.stalled(now, limit) && tokens >= 1 {
+				tokens--
+				b.interrupt(r.handle)
 			}
 		}
 	}
--- a/internal/upstream/lending.go
+++ b/internal/upstream/lending.go
@@ -6,63 +6,63 @@
 	"sort"
 )
 
-// Loads is how many requests of each service the gateways of each zone have under
-// way or waiting, on average of the last moments: zone -> service -> requests.
+// Loads is the number of requests that the gateways of each zone have in flight or queued,
+// as a moving average: zone -> pool (the service's name, with "@version" for a candidate) -> requests.
 type Loads map[string]map[string]float64
 
-// Add adds other loads.
-func (l Loads) Add(o Loads) {
-	for zone, services := range o {
-		if l[zone] == nil {
-			l[zone] = map[string]float64{}
+// Add adds the other loads to these.
+func (loads Loads) Add(other Loads) {
+	for zone, services := range other {
+		if loads[zone] == nil {
+			loads[zone] = map[string]float64{}
 		}
 		for name, n := range services {
-			l[zone][name] += n
+			loads[zone][name] += n
 		}
 	}
 }
 
 const (
-	lendAbove = 0.55 // a zone whose slots are busier than this borrows
-	lendGain  = 0.95 // and only if its lot gets better by this factor
+	reassignAboveLoad = 0.55 // load per slot above which a zone gets upstreams of other zones
+	reassignMaxRatio  = 0.95 // the higher load of the two zones must fall below this fraction of what it was
 )
 
-// lend works out which upstreams of a service other zones use as their own: a
-// zone with more requests than its own upstreams can well bear borrows from the
-// zone that has most to spare, one upstream at a time. All gateways come to the
-// same plan from the same loads; where their views differ for a moment, an
-// upstream is used first by two gateways or by none, which does no harm.
-func lend(service string, ups []*Upstream, loads Loads, gatewayZones map[string]bool) map[string]string {
+// reassignZones returns the upstreams that serve another zone than their own, with that zone:
+// the most loaded zone with gateways gets upstreams of the least loaded zone, one at a time,
+// as long as that lowers the load enough. A zone keeps at least one of its own upstreams.
+// All gateways compute the same plan from the same loads. While their views differ, an
+// upstream may be the primary of two gateways or of none, which does no harm.
+func reassignZones(service string, upstreams []*Upstream, loads Loads, gatewayZones map[string]bool) map[string]string {
 	slots := map[string]float64{}
-	for _, u := range ups {
+	for _, u := range upstreams {
 		slots[u.Zone] += float64(u.Capacity)
 	}
 	plan := map[string]string{}
 	needed := false
-	for z := range gatewayZones {
-		needed = needed || loads[z][service] > lendAbove*slots[z]
+	for zone := range gatewayZones {
+		needed = needed || loads[zone][service] > reassignAboveLoad*slots[zone]
 	}
 	if !needed {
 		return plan
 	}
-	spare := map[string][]*Upstream{}
-	for _, u := range ups {
-		spare[u.Zone] = append(spare[u.Zone], u)
+	remaining := map[string][]*Upstream{}
+	for _, u := range upstreams {
+		remaining[u.Zone] = append(remaining[u.Zone], u)
 	}
 	var zones []string
-	for z := range gatewayZones {
-		zones = append(zones, z)
+	for zone := range gatewayZones {
+		zones = append(zones, zone)
 	}
-	for z := range slots {
-		if !gatewayZones[z] {
-			zones = append(zones, z)
+	for zone := range slots {
+		if !gatewayZones[zone] {
+			zones = append(zones, zone)
 		}
 	}
 	sort.Strings(zones)
-	for _, list := range spare {
-		slices.SortFunc(list, byOrder)
+	for _, upstreams := range remaining {
+		slices.SortFunc(upstreams, byServiceWeight)
 	}
-	factor := func(zone string, slots float64) float64 {
+	loadFactor := func(zone string, slots float64) float64 {
 		load := loads[zone][service]
 		switch {
 		case load == 0:
@@ -72,29 +72,29 @@
 		}
 		return load / slots
 	}
-	for range ups {
-		hi, lo := "", ""
-		for _, z := range zones {
-			if gatewayZones[z] && (hi == "" || factor(z, slots[z]) > factor(hi, slots[hi])) {
-				hi = z
+	for range upstreams {
+		mostLoaded, leastLoaded := "", ""
+		for _, zone := range zones {
+			if gatewayZones[zone] && (mostLoaded == "" || loadFactor(zone, slots[zone]) > loadFactor(mostLoaded, slots[mostLoaded])) {
+				mostLoaded = zone
 			}
-			if len(spare[z]) > 1 && (lo == "" || factor(z, slots[z]) < factor(lo, slots[lo])) {
-				lo = z
+			if len(remaining[zone]) > 1 && (leastLoaded == "" || loadFactor(zone, slots[zone]) < loadFactor(leastLoaded, slots[leastLoaded])) {
+				leastLoaded = zone
 			}
 		}
-		if hi == "" || lo == "" || hi == lo {
+		if mostLoaded == "" || leastLoaded == "" || mostLoaded == leastLoaded {
 			break
 		}
-		u := spare[lo][len(spare[lo])-1]
-		c := float64(u.Capacity)
-		now := factor(hi, slots[hi])
-		if now <= lendAbove || max(factor(lo, slots[lo]-c), factor(hi, slots[hi]+c)) >= now*lendGain {
+		u := remaining[leastLoaded][len(remaining[leastLoaded])-1]
+		capacity := float64(u.Capacity)
+		current := loadFactor(mostLoaded, slots[mostLoaded])
+		if current <= reassignAboveLoad || max(loadFactor(leastLoaded, slots[leastLoaded]-capacity), loadFactor(mostLoaded, slots[mostLoaded]+capacity)) >= current*reassignMaxRatio {
 			break
 		}
-		spare[lo] = spare[lo][:len(spare[lo])-1]
-		slots[lo] -= c
-		slots[hi] += c
-		plan[u.ID] = hi
+		remaining[leastLoaded] = remaining[leastLoaded][:len(remaining[leastLoaded])-1]
+		slots[leastLoaded] -= capacity
+		slots[mostLoaded] += capacity
+		plan[u.ID] = mostLoaded
 	}
 	return plan
 }
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -1,6 +1,6 @@
-// Package upstream knows the upstreams: the platform's list of them as one
-// control node reads it for all, and on each gateway the balancer of upstreams that
-// requests are sent to, with what this gateway has learnt of each.
+// Package upstream holds the list of upstreams (the servers that requests are forwarded to),
+// which one control node reads from the platform that runs them and distributes, and the
+// load balancer of each gateway, with what the gateway has observed of each upstream.
 package upstream
 
 import (
@@ -17,54 +17,54 @@
 	"time"
 )
 
-// Instance is one life of an upstream as the platform lists it.
+// Instance is one running instance of a server as the platform lists it. After a restart it has another ID.
 type Instance struct {
 	ID       string `cbor:"1,keyasint" json:"id"`
 	Service  string `cbor:"2,keyasint" json:"target"`
 	Address  string `cbor:"3,keyasint" json:"address"`
 	Zone     string `cbor:"4,keyasint" json:"zone"`
-	Capacity int    `cbor:"5,keyasint" json:"capacity"`
+	Capacity int    `cbor:"5,keyasint" json:"capacity"` // requests that it can process at once (its slots)
 	Draining bool   `cbor:"6,keyasint,omitempty" json:"draining"`
 	WarmupMs int64  `cbor:"7,keyasint,omitempty" json:"warmupMs"`
-	Version  string `cbor:"8,keyasint,omitempty" json:"version"` // of its software
+	Version  string `cbor:"8,keyasint,omitempty" json:"version"` // of the software that it runs
 }
 
-// Version orders listings: the term of the duty, then the number within it.
-// Life tells apart two holders under one term, which there may be when all
-// control nodes have lost their memory in between.
+// Version orders lists by age. The control node that reads the list (its owner) is elected for
+// a term; Seq counts its lists. Life identifies the owner's process and tells apart two
+// owners in one term, which is possible after all control nodes have lost their state.
 type Version struct {
 	Term uint64 `cbor:"1,keyasint,omitempty" json:"term"`
 	Seq  uint64 `cbor:"2,keyasint,omitempty" json:"seq"`
 	Life uint64 `cbor:"3,keyasint,omitempty" json:"life"`
 }
 
-// Less orders versions.
-func (v Version) Less(o Version) bool {
-	if v.Term != o.Term {
-		return v.Term < o.Term
+// Less says whether v is older than other.
+func (v Version) Less(other Version) bool {
+	if v.Term != other.Term {
+		return v.Term < other.Term
 	}
-	if v.Life != o.Life {
-		return v.Life < o.Life
+	if v.Life != other.Life {
+		return v.Life < other.Life
 	}
-	return v.Seq < o.Seq
+	return v.Seq < other.Seq
 }
 
-// Foreign says that o comes from a holder that the one of v knows nothing of
-// and whose lists would hide its own.
-func (v Version) Foreign(o Version) bool {
-	return o.Term > v.Term || o.Term == v.Term && o.Life > v.Life
+// Foreign says whether other comes from another owner, unknown to the owner of v, whose lists
+// would supersede any list that the owner of v issues.
+func (v Version) Foreign(other Version) bool {
+	return other.Term > v.Term || other.Term == v.Term && other.Life > v.Life
 }
 
-// List is the platform's list at one version, whole or as a difference to
-// an older version.
+// List is the platform's list at one version, either complete or as a difference from an
+// older version.
 type List struct {
 	Version Version    `cbor:"1,keyasint"`
-	Base    Version    `cbor:"2,keyasint"` // zero: whole
+	Base    Version    `cbor:"2,keyasint"` // the older version; zero: the list is complete
 	Set     []Instance `cbor:"3,keyasint,omitempty"`
 	Gone    []string   `cbor:"4,keyasint,omitempty"`
 }
 
-// Page is one answer of the platform.
+// page is one page of the platform's answer.
 type page struct {
 	Instances []struct {
 		ID          string  `json:"id"`
@@ -79,76 +79,77 @@
 	NextToken *string `json:"nextToken"`
 }
 
-// ErrThrottled says that the platform takes no more calls at present.
-var ErrThrottled = errors.New("platform throttles")
+// ErrThrottled is returned when the platform rejects a call because of its rate limit.
+var ErrThrottled = errors.New("platform rejected the call: rate limit exceeded")
 
-// maxPages bounds one reading of the list.
+// maxPages limits the calls of one ReadAll, in case the platform's pages never end.
 const maxPages = 1000
 
-// CallPace is how fast a list of many pages is read.
+// CallPace is the pace at which the pages of a list are read.
 type CallPace struct {
-	burst float64       // calls without a pause
-	rest  time.Duration // before the call after them
-	pause time.Duration // before each further one
+	burst      float64       // number of first calls without a pause
+	burstPause time.Duration // pause before the first call after the burst
+	pause      time.Duration // pause before each further call
 }
 
-// SteadyPace is that of one who reads again and again: no more than half of what the platform bears, perS calls a
-// second from all together; 0: any number.
-func SteadyPace(perS float64) CallPace {
-	if perS <= 0 {
+// SteadyPace is the pace for a node that reads the list regularly: half of the platform's rate limit, which is
+// perSecond calls a second from all callers together; 0: no limit.
+func SteadyPace(perSecond float64) CallPace {
+	if perSecond <= 0 {
 		return CallPace{burst: math.Inf(1)}
 	}
-	pause := time.Duration(2 * float64(time.Second) / perS)
-	return CallPace{burst: perS / 8, rest: pause, pause: pause}
+	pause := time.Duration(2 * float64(time.Second) / perSecond)
+	return CallPace{burst: perSecond / 8, burstPause: pause, pause: pause}
 }
 
-// HastyPace is that of one who reads in place of another: as many calls as it may make in a second come at once.
-func HastyPace(perS float64) CallPace {
-	pace := SteadyPace(perS)
-	if perS > 0 {
-		pace.burst, pace.rest = perS/2, time.Second
+// HastyPace is the pace for a node that reads the list in place of another: it makes the calls of the first
+// second (half of the rate limit) at once.
+func HastyPace(perSecond float64) CallPace {
+	pace := SteadyPace(perSecond)
+	if perSecond > 0 {
+		pace.burst, pace.burstPause = perSecond/2, time.Second
 	}
 	return pace
 }
 
-// before is the pause before a call, after so many others.
-func (p CallPace) before(calls int) time.Duration {
-	switch n := float64(calls); {
-	case n < p.burst:
+// pauseBefore returns the pause before the next call, after the given number of calls.
+func (p CallPace) pauseBefore(calls int) time.Duration {
+	switch done := float64(calls); {
+	case done < p.burst:
 		return 0
-	case n < p.burst+1:
-		return p.rest
+	case done < p.burst+1:
+		return p.burstPause
 	}
 	return p.pause
 }
 
-// Pauses is how long the pauses of a reading of so many calls are together.
+// Pauses returns the sum of the pauses of a ReadAll that takes the given number of calls.
 func (p CallPace) Pauses(calls int) (sum time.Duration) {
 	for n := range calls {
-		sum += p.before(n)
+		sum += p.pauseBefore(n)
 	}
 	return sum
 }
 
-// ReadAll reads the platform's whole list and says how many calls that took; a
-// list that is cut off in the middle is no list.
+// ReadAll reads the platform's complete list, sorted by ID, and returns it with the number of
+// calls made. If any page can't be read, it returns an error and no list.
 func ReadAll(ctx context.Context, client *http.Client, address string, pace CallPace) (list []Instance, calls int, err error) {
-	out := []Instance{}
+	instances := []Instance{}
 	token := ""
-	for n := 0; n < maxPages; n++ {
-		calls = n + 1
-		if pause := pace.before(n); pause > 0 {
+	for call := 0; call < maxPages; call++ {
+		calls = call + 1
+		if pause := pace.pauseBefore(call); pause > 0 {
 			select {
 			case <-time.After(pause):
 			case <-ctx.Done():
 				return nil, calls, ctx.Err()
 			}
 		}
-		u := "http://" + address + "/instances"
+		pageURL := "http://" + address + "/instances"
 		if token != "" {
-			u += "?pageToken=" + url.QueryEscape(token)
+			pageURL += "?pageToken=" + url.QueryEscape(token)
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, pageURL, nil)
 		if err != nil {
 			return nil, calls, err
 		}
@@ -156,61 +157,62 @@
 		if err != nil {
 			return nil, calls, err
 		}
-		var p page
-		err = json.NewDecoder(res.Body).Decode(&p)
+		var answer page
+		err = json.NewDecoder(res.Body).Decode(&answer)
 		res.Body.Close()
 		switch {
 		case res.StatusCode == http.StatusTooManyRequests:
 			return nil, calls, ErrThrottled
 		case res.StatusCode != http.StatusOK:
-			return nil, calls, fmt.Errorf("platform answered %d", res.StatusCode)
+			return nil, calls, fmt.Errorf("platform answered with status %d", res.StatusCode)
 		case err != nil:
 			return nil, calls, err
 		}
-		for _, i := range p.Instances {
-			out = append(out, Instance{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone,
-				Capacity: max(1, i.Capacity), Draining: i.State != "ready", Version: i.Generation, WarmupMs: int64(i.WarmupLeftS * 1000)})
+		for _, item := range answer.Instances {
+			instances = append(instances, Instance{ID: item.ID, Service: item.Target, Address: item.Address, Zone: item.Zone,
+				Capacity: max(1, item.Capacity), Draining: item.State != "ready", Version: item.Generation, WarmupMs: int64(item.WarmupLeftS * 1000)})
 		}
-		if p.NextToken == nil || *p.NextToken == "" {
-			sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
-			return out, calls, nil
+		if answer.NextToken == nil || *answer.NextToken == "" {
+			sort.Slice(instances, func(a, b int) bool { return instances[a].ID < instances[b].ID })
+			return instances, calls, nil
 		}
-		token = *p.NextToken
+		token = *answer.NextToken
 	}
-	return nil, calls, errors.New("platform's list has no end")
+	return nil, calls, errors.New("platform's list has too many pages")
 }
 
-// warmSlack is the difference in the end of a warm-up that counts as news.
-const warmSlack = 500 * time.Millisecond
+// warmupTolerance is the shift of the end of a warm-up up to which an instance counts as unchanged.
+const warmupTolerance = 500 * time.Millisecond
 
-// ListSnapshot is a listing as it stands at one node, which can be passed on as a
-// whole or as a difference.
+// ListSnapshot is one node's copy of the list, which it can pass on completely or as a
+// difference.
 type ListSnapshot struct {
 	Version Version
-	items   map[string]standing
-	past    []List // the last differences, oldest first
+	items   map[string]snapshotItem
+	diffs   []List // the last maxDiffs differences, oldest first
 }
 
-type standing struct {
+type snapshotItem struct {
 	Instance
 	warmAt time.Duration
 }
 
-const pastMax = 8
+const maxDiffs = 8
 
-// Update takes a fresh reading of the platform's list, and says whether it
-// differs from what stood.
-func (s *ListSnapshot) Update(now time.Duration, term, life uint64, fresh []Instance) bool {
+// Update takes a list newly read from the platform by the owner with the given term and life.
+// It returns false, and keeps the version, if that is the owner of the present version too
+// and nothing has changed.
+func (s *ListSnapshot) Update(now time.Duration, term, life uint64, listing []Instance) bool {
 	diff := List{Base: s.Version}
 	seen := map[string]bool{}
-	for _, i := range fresh {
-		seen[i.ID] = true
-		at := now + time.Duration(i.WarmupMs)*time.Millisecond
-		old, ok := s.items[i.ID]
-		same := ok && old.Address == i.Address && old.Draining == i.Draining && old.Capacity == i.Capacity && old.Service == i.Service && old.Version == i.Version
-		shift := at - max(old.warmAt, now)
-		if !same || shift > warmSlack || shift < -warmSlack {
-			diff.Set = append(diff.Set, i)
+	for _, instance := range listing {
+		seen[instance.ID] = true
+		warmAt := now + time.Duration(instance.WarmupMs)*time.Millisecond
+		old, ok := s.items[instance.ID]
+		same := ok && old.Address == instance.Address && old.Draining == instance.Draining && old.Capacity == instance.Capacity && old.Service == instance.Service && old.Version == instance.Version
+		shift := warmAt - max(old.warmAt, now)
+		if !same || shift > warmupTolerance || shift < -warmupTolerance {
+			diff.Set = append(diff.Set, instance)
 		}
 	}
 	for id := range s.items {
@@ -227,63 +229,63 @@
 	return true
 }
 
-// Take takes a listing from another node. It says whether it was newer and
-// fitted.
-func (s *ListSnapshot) Take(now time.Duration, l List) bool {
-	if !s.Version.Less(l.Version) || l.Base != (Version{}) && l.Base != s.Version {
+// Take applies a list from another node. It returns false if the list isn't newer or is a
+// difference from another version than the present one.
+func (s *ListSnapshot) Take(now time.Duration, update List) bool {
+	if !s.Version.Less(update.Version) || update.Base != (Version{}) && update.Base != s.Version {
 		return false
 	}
-	s.apply(now, l)
+	s.apply(now, update)
 	return true
 }
 
-func (s *ListSnapshot) apply(now time.Duration, l List) {
-	if l.Base == (Version{}) || s.items == nil {
-		s.items, s.past = map[string]standing{}, nil
+func (s *ListSnapshot) apply(now time.Duration, update List) {
+	if update.Base == (Version{}) || s.items == nil {
+		s.items, s.diffs = map[string]snapshotItem{}, nil
 	} else {
-		s.past = append(s.past, l)
-		if len(s.past) > pastMax {
-			s.past = s.past[1:]
+		s.diffs = append(s.diffs, update)
+		if len(s.diffs) > maxDiffs {
+			s.diffs = s.diffs[1:]
 		}
 	}
-	for _, i := range l.Set {
-		s.items[i.ID] = standing{i, now + time.Duration(i.WarmupMs)*time.Millisecond}
+	for _, instance := range update.Set {
+		s.items[instance.ID] = snapshotItem{instance, now + time.Duration(instance.WarmupMs)*time.Millisecond}
 	}
-	for _, id := range l.Gone {
+	for _, id := range update.Gone {
 		delete(s.items, id)
 	}
-	s.Version = l.Version
+	s.Version = update.Version
 }
 
-// Since gives what brings a holder of version have up to date, or nil.
+// Since returns the list that brings a node with version have up to date, nil if it needs none.
 func (s *ListSnapshot) Since(now time.Duration, have Version) *List {
 	if s.items == nil || !have.Less(s.Version) {
 		return nil
 	}
-	for i := len(s.past) - 1; i >= 0; i-- {
-		if s.past[i].Base == have {
-			return s.since(now, s.past[i:])
+	for i := len(s.diffs) - 1; i >= 0; i-- {
+		if s.diffs[i].Base == have {
+			return s.mergeDiffs(now, s.diffs[i:])
 		}
 	}
 	return &List{Version: s.Version, Set: s.All(now)}
 }
 
-// since puts the last differences together into one.
-func (s *ListSnapshot) since(now time.Duration, past []List) *List {
-	out := &List{Version: s.Version, Base: past[0].Base}
+// mergeDiffs merges the given last differences into one.
+func (s *ListSnapshot) mergeDiffs(now time.Duration, diffs []List) *List {
+	out := &List{Version: s.Version, Base: diffs[0].Base}
 	touched := map[string]bool{}
-	for _, l := range past {
-		for _, i := range l.Set {
-			touched[i.ID] = true
+	for _, diff := range diffs {
+		for _, instance := range diff.Set {
+			touched[instance.ID] = true
 		}
-		for _, id := range l.Gone {
+		for _, id := range diff.Gone {
 			touched[id] = true
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
-		if it, ok := s.items[id]; ok {
-			it.WarmupMs = s.left(now, id)
-			out.Set = append(out.Set, it.Instance)
+		if item, ok := s.items[id]; ok {
+			item.WarmupMs = s.warmupLeftMs(now, id)
+			out.Set = append(out.Set, item.Instance)
 		} else {
 			out.Gone = append(out.Gone, id)
 		}
@@ -291,28 +293,28 @@
 	return out
 }
 
-func (s *ListSnapshot) left(now time.Duration, id string) int64 {
+func (s *ListSnapshot) warmupLeftMs(now time.Duration, id string) int64 {
 	return max(0, int64((s.items[id].warmAt-now)/time.Millisecond))
 }
 
-// All lists the instances that stand, by id.
+// All lists the instances, by ID, with the warm-up time that they have left.
 func (s *ListSnapshot) All(now time.Duration) []Instance {
 	out := make([]Instance, 0, len(s.items))
-	for id, it := range s.items {
-		i := it.Instance
-		i.WarmupMs = s.left(now, id)
-		out = append(out, i)
+	for id, item := range s.items {
+		instance := item.Instance
+		instance.WarmupMs = s.warmupLeftMs(now, id)
+		out = append(out, instance)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
 	return out
 }
 
-// Each calls fn for every instance, in no order, with how long it stays cold.
-func (s *ListSnapshot) Each(now time.Duration, fn func(i Instance, left time.Duration)) {
-	for _, it := range s.items {
-		fn(it.Instance, it.warmAt-now)
+// Each calls fn for every instance, in no particular order, with the time that it stays cold.
+func (s *ListSnapshot) Each(now time.Duration, fn func(instance Instance, left time.Duration)) {
+	for _, item := range s.items {
+		fn(item.Instance, item.warmAt-now)
 	}
 }
 
-// Known says whether any listing has been taken.
+// Known says whether the snapshot holds any list yet.
 func (s *ListSnapshot) Known() bool { return s.items != nil }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -1,6 +1,6 @@
 package upstream
 
-// This file averages the load of each service, which gateways tell each other by zone.
+// This file averages the load of each pool, which gateways tell each other by zone.
 
 import (
 	"maps"
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// SetLoads takes the loads of all zones.
-func (s *Balancer) SetLoads(now time.Duration, loads Loads) {
-	s.loads = loads
-	for _, v := range s.services {
-		if !maps.Equal(s.lend(v), v.lent) {
-			s.assign(now)
-			s.serveAll(now)
+// SetLoads sets the loads of all zones, and assigns upstreams anew if that changes which zones they serve.
+func (b *Balancer) SetLoads(now time.Duration, loads Loads) {
+	b.zoneLoads = loads
+	for _, pool := range b.pools {
+		if !maps.Equal(b.planZones(pool), pool.reassigned) {
+			b.assign(now)
+			b.dispatchAll(now)
 			return
 		}
 	}
 }
 
-// Loads are this gateway's own.
-func (s *Balancer) Loads() map[string]float64 {
+// Loads returns this gateway's own load, by pool.
+func (b *Balancer) Loads() map[string]float64 {
 	out := map[string]float64{}
-	for name, v := range s.services {
-		if v.load > 0.05 {
-			out[name] = math.Round(v.load*10) / 10
+	for name, pool := range b.pools {
+		if pool.load > 0.05 {
+			out[name] = math.Round(pool.load*10) / 10
 		}
 	}
 	return out
 }
 
-// average brings the services' loads up to date.
-func (s *Balancer) average(now time.Duration) {
-	part := 1 - math.Exp(-(now-s.loadAt).Seconds()/loadSpan.Seconds())
-	s.loadAt = now
-	for _, v := range s.services {
-		busy := len(v.waiting)
-		for _, u := range v.ups {
-			busy += u.Busy
+// updateLoads brings the moving averages of the pools' loads up to date.
+func (b *Balancer) updateLoads(now time.Duration) {
+	weight := 1 - math.Exp(-(now-b.loadsUpdatedAt).Seconds()/loadAveragingTime.Seconds())
+	b.loadsUpdatedAt = now
+	for _, pool := range b.pools {
+		requests := len(pool.queue)
+		for _, u := range pool.upstreams {
+			requests += u.Busy
 		}
-		v.load += (float64(busy) - v.load) * part
+		pool.load += (float64(requests) - pool.load) * weight
 	}
 }
 
-// loadSpan is the time over which loads are averaged: some requests long.
-const loadSpan = 1500 * time.Millisecond
+// loadAveragingTime is the time constant of the averages, a few times the duration of a request.
+const loadAveragingTime = 1500 * time.Millisecond
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
 package upstream
 
-// This file holds the pools: the upstreams of one version of one service, and the connections to them.
+// This file holds the pools (the upstreams of one version of one service) and the connections to them.
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ServiceInfo is what the operator says of a service.
+// ServiceInfo is the configuration of a service.
 type ServiceInfo struct {
 	MaxConns   int
 	HealthPath string
@@ -16,91 +16,93 @@
 	WarmupPerS float64
 }
 
-// Conn is an open connection to an upstream that is not in use.
+// Conn is a connection to an upstream.
 type Conn struct {
 	net.Conn
-	Reader  any // the reader that belongs to the connection
-	Expires time.Duration
+	Reader  any           // the buffered reader of the connection
+	Expires time.Duration // not used for another request after this time
 }
 
-// Upstream is one life of an upstream as this gateway knows it.
+// Upstream is one instance of a server as this gateway knows it. After a restart the server is another instance.
 type Upstream struct {
 	Instance
-	Busy int // requests of this gateway that it has
-	// Nameless says that it refuses without naming the request: what it sends over a
-	// connection that has been used before cannot be told from what is left over.
+	Busy int // requests of this gateway that it has at present
+	// Nameless says that its refusals don't carry the request's Attempt-Id: on a reused connection
+	// they can't be told from the remains of an earlier answer.
 	Nameless atomic.Bool
 
-	idle     []*Conn
-	holds    map[*WaitHandle]struct{} // requests under way that may be sent elsewhere
-	coldTill time.Duration
-	pace     Pace
-	senders  int  // how many gateways may send to it while it is cold, and whether this one
-	sender   bool // is one of them: as of the plan that few names; see few
-	few      uint64
-	pool     *service // of its service and version; the last one it was in
-	home     bool     // this gateway is the one of its zone that uses it first
-	zone     string   // the zone that uses it as its own
-	rank     uint64   // for this gateway
-	order    uint64   // for its service
-	limit    int
-	region   string
-	near     bool // of this gateway's region
-	gone     bool
-	failures int
-	until    time.Duration // ejected till then
-	rest     time.Duration // not sent to till then: it has reset a request and may be full
-	trying   bool          // a trial connection is being opened
-	proven   bool          // a connection to it has once come up
-	fresh    bool          // it appeared after the first list
-	asking   bool          // a probe for its warmth is under way
-	outdated bool          // that was asked before its warmth came into doubt again
-	judged
+	idle          []*Conn
+	waitHandles   map[*WaitHandle]struct{} // of the requests in flight that may be retried elsewhere
+	coldUntil     time.Duration
+	pacer         Pace
+	senderCount   int  // gateways that may send to it while it is cold; see isColdSender
+	isSender      bool // whether this gateway is one of them
+	sendersSeq    uint64
+	pool          *servicePool // its current pool, or the last one that it was in
+	primary       bool         // this gateway is the one of the serving zone that uses it first
+	servingZone   string       // the zone whose gateways use it as local; see reassignZones
+	gatewayWeight uint64       // rendezvous weight for this gateway
+	serviceWeight uint64       // rendezvous weight for its service
+	maxInFlight   int
+	region        string
+	sameRegion    bool // it is in this gateway's region
+	retired       bool // draining, no longer listed, or another upstream has its address
+	failures      int
+	ejectedUntil  time.Duration // no requests until a trial connection after this time; 0: not ejected
+	pausedUntil   time.Duration // no requests until then: it has reset a connection and may be overloaded
+	trialPending  bool          // a trial connection has been requested or is being opened
+	verified      bool          // a connection to it has been established, or it has answered
+	newlyListed   bool          // it was not in the first list
+	probing       bool          // a probe of its remaining warm-up time is in flight
+	probeStale    bool          // that probe was sent before the warm-up state became unknown once more
+	outlierStats
 	Served uint64
 	Failed uint64
 }
 
-// service is the pool of a service's upstreams: those of the version that stands, or
-// those of a candidate, which are a pool of their own.
-type service struct {
-	name    string // of the pool
-	of      string // of the service
-	info    ServiceInfo
-	ups     []*Upstream
-	homes   []*Upstream // those that this gateway uses first
-	reach   []*Upstream // those that it uses at all, as long as enough of them work
-	budget  Budget
-	waiting []*AcquireRequest
-	slots   int     // of the upstreams that this gateway uses first
-	bad     float64 // share of bad answers lately
-	took    float64 // seconds that its answers take
-	known   int     // answers so far
-	packed  saturation
-	load    float64
-	lent    map[string]string // upstream -> the zone that uses it as its own
+// servicePool holds the upstreams of one version of a service: the stable version or the candidate.
+type servicePool struct {
+	key          string // the service's name, followed by "@version" for a candidate
+	serviceName  string
+	info         ServiceInfo
+	upstreams    []*Upstream
+	primaries    []*Upstream // upstreams that this gateway uses first
+	subset       []*Upstream // upstreams that it uses at all, as long as enough of them are available
+	budget       Budget
+	queue        []*AcquireRequest
+	primarySlots int     // total capacity of the primaries
+	errorRate    float64 // moving average
+	latencyS     float64 // moving average of the latency in seconds
+	answers      int     // number of answers so far
+	saturation   saturation
+	load         float64           // moving average of the requests in flight and queued
+	reassigned   map[string]string // upstream ID -> serving zone, where that isn't its own zone
 }
 
-func (s *Balancer) service(name string) *service { return s.poolOf(name, "") }
+func (b *Balancer) stablePool(serviceName string) *servicePool {
+	return b.poolForVersion(serviceName, "")
+}
 
-// poolOf is the pool of a service's candidate, or of the version that stands.
-func (s *Balancer) poolOf(of, candidate string) *service {
-	name := of
+// poolForVersion returns the pool of a service's candidate, or of its stable version if
+// candidate is empty.
+func (b *Balancer) poolForVersion(serviceName, candidate string) *servicePool {
+	key := serviceName
 	if candidate != "" {
-		name += "@" + candidate
+		key += "@" + candidate
 	}
-	v := s.services[name]
-	if v == nil {
-		v = &service{name: name, of: of, info: s.infos[of]}
-		s.services[name] = v
+	pool := b.pools[key]
+	if pool == nil {
+		pool = &servicePool{key: key, serviceName: serviceName, info: b.serviceInfos[serviceName]}
+		b.pools[key] = pool
 	}
-	return v
+	return pool
 }
 
-// drop closes the idle connections of an upstream.
-func (s *Balancer) drop(u *Upstream) {
-	s.Closed = append(s.Closed, u.idle...)
+// closeIdle closes the idle connections of an upstream.
+func (b *Balancer) closeIdle(u *Upstream) {
+	b.Closed = append(b.Closed, u.idle...)
 	u.idle = nil
 }
 
-// Cold says whether an upstream counts as cold.
-func (u *Upstream) Cold(now time.Duration) bool { return now < u.coldTill }
+// Cold says whether an upstream is still warming up, or must be assumed to be.
+func (u *Upstream) Cold(now time.Duration) bool { return now < u.coldUntil }
--- a/internal/upstream/saturation.go
+++ b/internal/upstream/saturation.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Some upstreams slow down so much when they are nearly full that they get less
-// done than with a few requests fewer. A gateway sees that at the upstreams that it uses
-// first, whose load it knows: how much longer they take when packed than when they
-// have room. Where keeping to keepPart of the slots would get more done, it does.
+// Some upstreams slow down so much near their capacity that their throughput falls. A gateway
+// sees that at its primary upstreams, whose load it knows, from how much longer they take
+// when saturated than when they have room. Where the throughput is higher at
+// saturatedFraction of the capacity, it sends no more than that.
 
 const (
-	roomPart   = 0.5  // of its slots busy at most: an upstream has room
-	keepPart   = 0.75 // more than that: it is packed
-	packedPart = 0.05 // weight of one more answer in how much longer packed ones take
-	packedFrom = 20   // answers of packed ones from which on that counts
-	packedSpan = 15 * time.Second
+	unloadedFraction     = 0.5  // up to this fraction of its capacity, an upstream has room
+	saturatedFraction    = 0.75 // above this fraction it is saturated; also the reduced limit
+	saturationWeight     = 0.05 // weight of one answer in the moving average of the slowdown
+	saturationMinAnswers = 20   // answers of saturated upstreams from which on the slowdown counts
+	saturationDecay      = 15 * time.Second
 )
 
-// saturation is how much longer a service's upstreams take when they are packed.
+// saturation records how much longer the upstreams of a pool take when they are saturated.
 type saturation struct {
-	ratio float64
-	known int
-	at    time.Duration // of the last answer of a packed one
+	slowdown float64
+	answers  int
+	lastAt   time.Duration // time of the last answer of a saturated upstream
 }
 
-// note takes an answer into account. Each upstream is compared with itself, since
-// the slower ones are the ones more often packed.
-func (p *saturation) note(now time.Duration, u *Upstream, busy int, took time.Duration) {
-	if !u.home || took <= 0 {
+// record takes an answer into account. Each upstream is compared with itself, since slower
+// upstreams are saturated more often.
+func (s *saturation) record(now time.Duration, u *Upstream, inFlight int, latency time.Duration) {
+	if !u.primary || latency <= 0 {
 		return
 	}
-	full := float64(busy) / float64(u.Capacity)
+	usedFraction := float64(inFlight) / float64(u.Capacity)
 	switch {
-	case full <= roomPart:
-		if u.roomy == 0 {
-			u.roomy = took.Seconds()
+	case usedFraction <= unloadedFraction:
+		if u.unloadedLatencyS == 0 {
+			u.unloadedLatencyS = latency.Seconds()
 		}
-		u.roomy += (took.Seconds() - u.roomy) * slowPart
-	case full > keepPart && u.roomy > 0:
-		if p.known++; p.known == 1 {
-			p.ratio = 1
+		u.unloadedLatencyS += (latency.Seconds() - u.unloadedLatencyS) * latencyWeight
+	case usedFraction > saturatedFraction && u.unloadedLatencyS > 0:
+		if s.answers++; s.answers == 1 {
+			s.slowdown = 1
 		}
-		p.ratio += (took.Seconds()/u.roomy - p.ratio) * max(packedPart, 1/float64(p.known+1))
-		p.at = now
+		s.slowdown += (latency.Seconds()/u.unloadedLatencyS - s.slowdown) * max(saturationWeight, 1/float64(s.answers+1))
+		s.lastAt = now
 	}
 }
 
-// most is how many requests this gateway may have under way at an upstream.
-func (s *Balancer) most(now time.Duration, v *service, u *Upstream) int {
-	if !u.home || v.packed.known < packedFrom {
-		return u.limit
+// concurrencyLimit returns how many requests this gateway may have in flight at an upstream.
+func (b *Balancer) concurrencyLimit(now time.Duration, pool *servicePool, u *Upstream) int {
+	if !u.primary || pool.saturation.answers < saturationMinAnswers {
+		return u.maxInFlight
 	}
-	// What is known fades, so that it is found out again.
-	ratio := 1 + (v.packed.ratio-1)*math.Exp(-float64(now-v.packed.at)/float64(packedSpan))
-	keep := max(1, int(keepPart*float64(u.Capacity)))
-	if ratio*float64(keep) <= float64(u.Capacity) {
-		return u.limit
+	// The observed slowdown fades, so that it is measured again.
+	ratio := 1 + (pool.saturation.slowdown-1)*math.Exp(-float64(now-pool.saturation.lastAt)/float64(saturationDecay))
+	reduced := max(1, int(saturatedFraction*float64(u.Capacity)))
+	if ratio*float64(reduced) <= float64(u.Capacity) {
+		return u.maxInFlight
 	}
-	return min(u.limit, keep)
+	return min(u.maxInFlight, reduced)
 }
--- a/internal/upstream/saturation_test.go
+++ b/internal/upstream/saturation_test.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-func TestUpstreamsThatSlowDownWhenPackedAreKeptBelow(t *testing.T) {
+func TestConcurrencyLimitOfSaturatedUpstreams(t *testing.T) {
 	cases := []struct {
 		name  string
-		knee  float64 // times as long when packed
+		knee  float64 // ratio of the latency when saturated to that with room
 		slots int
 		most  int
 	}{
-		{"not at all", 1, 6, 6},
-		{"a little", 1.2, 6, 6},
-		{"much", 2.2, 6, 4},
-		{"much, three slots", 2.2, 3, 2},
-		{"one slot", 2.2, 1, 1},
+		{"no slowdown", 1, 6, 6},
+		{"small slowdown", 1.2, 6, 6},
+		{"large slowdown", 2.2, 6, 4},
+		{"large slowdown, three slots", 2.2, 3, 2},
+		{"large slowdown, one slot", 2.2, 1, 1},
 	}
 	for _, c := range cases {
-		ds, sh := gateways("z")
-		ups := list(4, "z", 0)
+		nodes, shards := makeGateways("z")
+		ups := makeInstances(4, "z", 0)
 		for i := range ups {
 			ups[i].Capacity = c.slots
 		}
-		s := fresh("z-gateway-0", "z", ups, ds[:1], sh, nil)
+		balancer := newReadyBalancer("z-gateway-0", "z", ups, nodes[:1], shards, nil)
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Second
-			var under []SlotLease
+			var inFlight []SlotLease
 			for {
-				g, ok := claim(s, now, &AcquireRequest{Aim: time.Second})
+				lease, ok := acquire(balancer, now, &AcquireRequest{Aim: time.Second})
 				if !ok {
-					s.Withdraw(s.service("a").waiting[0])
+					balancer.Withdraw(balancer.stablePool("a").queue[0])
 					break
 				}
-				under = append(under, g)
+				inFlight = append(inFlight, lease)
 			}
-			// The slower ones are no sign of it: each is compared with itself.
-			for i, g := range under {
+			// Different latencies of the upstreams are no sign of saturation: each is compared with itself.
+			for i, lease := range inFlight {
 				took := time.Duration(50+i%4*25) * ms
-				if float64(g.Busy) > 0.8*float64(c.slots) {
+				if float64(lease.Busy) > 0.8*float64(c.slots) {
 					took = time.Duration(c.knee * float64(took))
 				}
-				s.Release(now+took, g, &Conn{Expires: time.Hour}, Served)
+				balancer.Release(now+took, lease, &Conn{Expires: time.Hour}, Served)
 			}
 		}
-		u := s.service("a").homes[0]
-		if got := s.most(now, s.service("a"), u); got != c.most {
-			t.Errorf("%s: up to %d of %d, not %d", c.name, got, c.slots, c.most)
+		u := balancer.stablePool("a").primaries[0]
+		if got := balancer.concurrencyLimit(now, balancer.stablePool("a"), u); got != c.most {
+			t.Errorf("%s: limit is %d of %d slots, want %d", c.name, got, c.slots, c.most)
 		}
-		if got := s.most(now+10*packedSpan, s.service("a"), u); got != c.slots {
-			t.Errorf("%s: still %d of %d long after", c.name, got, c.slots)
+		if got := balancer.concurrencyLimit(now+10*saturationDecay, balancer.stablePool("a"), u); got != c.slots {
+			t.Errorf("%s: limit is still %d of %d slots long after the last measurement", c.name, got, c.slots)
 		}
 	}
 }
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -1,20 +1,20 @@
 package upstream
 
-// This file shows upstreams to operators.
+// This file reports the state of the upstreams to operators.
 
 import (
 	"sort"
 	"time"
 )
 
-// State is an upstream as status shows it.
+// State is the state of an upstream as shown in the gateway's status.
 type State struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Version string `json:"version,omitempty"`
-	Home    bool   `json:"home"`
+	Home    bool   `json:"home"` // a primary upstream of this gateway
 	Cold    bool   `json:"cold"`
 	Ejected bool   `json:"ejected"`
 	Busy    int    `json:"busy"`
@@ -23,10 +23,10 @@
 	Failed  uint64 `json:"failed"`
 }
 
-// States shows the upstreams.
-func (s *Balancer) States(now time.Duration) (out []State) {
-	for _, u := range s.ups {
-		out = append(out, State{u.ID, u.Service, u.Address, u.Zone, u.Version, u.home, u.Cold(now), now < u.until || u.trying,
+// States returns the state of all upstreams, by ID.
+func (b *Balancer) States(now time.Duration) (out []State) {
+	for _, u := range b.upstreams {
+		out = append(out, State{u.ID, u.Service, u.Address, u.Zone, u.Version, u.primary, u.Cold(now), now < u.ejectedUntil || u.trialPending,
 			u.Busy, len(u.idle), u.Served, u.Failed})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -5,95 +5,96 @@
 	"time"
 )
 
-// Versions says which versions of a service are served.
+// Versions names the versions of a service that get requests.
 type Versions struct {
-	Stands    string // the version that stands; empty: whatever is not the candidate
-	Candidate string // has a pool of its own; empty: none
-	// Ordered says that an order is behind this. Where none is, and no upstream of the
-	// version that stands is listed, the most frequent of the others stands.
+	Stands    string // the stable version; empty: every version but the candidate
+	Candidate string // the version that is being rolled out, with a pool of its own; empty: none
+	// Ordered says that an operator's rollout order set these versions. Without one, if no
+	// upstream of the stable version is listed, the inferred version takes its place.
 	Ordered bool
 }
 
-// SetVersions takes the versions of the services, by service. Of a service that is not
-// named, the version that most upstreams have when the first are listed stands.
-func (s *Balancer) SetVersions(now time.Duration, versions map[string]Versions) {
-	if maps.Equal(versions, s.versions) {
+// SetVersions sets the versions of the services, by service. The stable version of a service
+// that isn't named is inferred from the list; see inferStableVersions.
+func (b *Balancer) SetVersions(now time.Duration, versions map[string]Versions) {
+	if maps.Equal(versions, b.versions) {
 		return
 	}
-	s.versions = versions
-	s.assign(now)
-	s.serveAll(now)
+	b.versions = versions
+	b.assign(now)
+	b.dispatchAll(now)
 }
 
-// poolFor is the pool that an upstream belongs to: nil for one whose version nobody has
-// given a weight.
-func (s *Balancer) poolFor(u *Upstream) *service {
-	v, named := s.versions[u.Service]
-	if !named || v.Stands == "" && v.Candidate == "" || !v.Ordered && s.listed[u.Service][v.Stands] == 0 {
-		v.Stands = s.first[u.Service]
+// poolOf returns the pool that an upstream belongs to: nil if its version is neither the
+// stable version nor the candidate.
+func (b *Balancer) poolOf(u *Upstream) *servicePool {
+	served, known := b.versions[u.Service]
+	if !known || served.Stands == "" && served.Candidate == "" || !served.Ordered && b.versionCounts[u.Service][served.Stands] == 0 {
+		served.Stands = b.inferredStable[u.Service]
 	}
 	switch {
-	case v.Candidate != "" && u.Version == v.Candidate:
-		return s.poolOf(u.Service, v.Candidate)
-	case v.Stands == "" || u.Version == v.Stands:
-		return s.service(u.Service)
+	case served.Candidate != "" && u.Version == served.Candidate:
+		return b.poolForVersion(u.Service, served.Candidate)
+	case served.Stands == "" || u.Version == served.Stands:
+		return b.stablePool(u.Service)
 	}
 	return nil
 }
 
-// pools brings the pools in line with the versions: what waits for a candidate that is
-// one no longer waits for the version that stands.
-func (s *Balancer) pools() {
-	s.firstVersions()
-	for name, v := range s.services {
-		if name == v.of || v.name == v.of+"@"+s.versions[v.of].Candidate {
+// reconcilePools adapts the pools to the versions: requests queued for a version that is no
+// longer the candidate move to the queue of the stable version.
+func (b *Balancer) reconcilePools() {
+	b.inferStableVersions()
+	for key, pool := range b.pools {
+		if key == pool.serviceName || pool.key == pool.serviceName+"@"+b.versions[pool.serviceName].Candidate {
 			continue
 		}
-		all := s.service(v.of)
-		for _, c := range v.waiting {
-			c.Version = ""
-			all.waiting = append(all.waiting, c)
+		stable := b.stablePool(pool.serviceName)
+		for _, req := range pool.queue {
+			req.Version = ""
+			stable.queue = append(stable.queue, req)
 		}
-		v.waiting = nil
+		pool.queue = nil
 	}
 }
 
-// firstVersions settles, for services of which nobody has said what stands, which
-// version does: the most frequent one when the first upstreams are listed, for as long
-// as there are any of it.
-func (s *Balancer) firstVersions() {
-	s.listed = map[string]map[string]int{}
-	for _, u := range s.ups {
-		if u.gone {
+// inferStableVersions chooses a stable version for each service, for use where none has been
+// set: the most frequent one in the first list with upstreams of the service. It stays as
+// long as any upstream of that version is listed and not draining; then it is chosen anew.
+func (b *Balancer) inferStableVersions() {
+	b.versionCounts = map[string]map[string]int{}
+	for _, u := range b.upstreams {
+		if u.retired {
 			continue
 		}
-		if s.listed[u.Service] == nil {
-			s.listed[u.Service] = map[string]int{}
+		if b.versionCounts[u.Service] == nil {
+			b.versionCounts[u.Service] = map[string]int{}
 		}
-		s.listed[u.Service][u.Version]++
+		b.versionCounts[u.Service][u.Version]++
 	}
-	for service, of := range s.listed {
-		if of[s.first[service]] == 0 {
-			s.first[service] = MostFrequent(of)
+	for service, counts := range b.versionCounts {
+		if counts[b.inferredStable[service]] == 0 {
+			b.inferredStable[service] = MostFrequent(counts)
 		}
 	}
 }
 
-// MostFrequent is the version with the highest count, of several the first by name.
+// MostFrequent returns the version with the highest count, of several the first in string order.
 func MostFrequent(counts map[string]int) (version string) {
 	most := -1
-	for v, n := range counts {
-		if n > most || n == most && v < version {
-			version, most = v, n
+	for name, n := range counts {
+		if n > most || n == most && name < version {
+			version, most = name, n
 		}
 	}
 	return version
 }
 
-// claimed is the pool that a claim is for.
-func (s *Balancer) claimed(c *AcquireRequest) *service {
-	if c.Version != "" && s.versions[c.Service].Candidate != c.Version {
-		c.Version = ""
+// poolForRequest returns the pool that a request is for. A request for a version that isn't
+// the candidate is changed to one for the stable version.
+func (b *Balancer) poolForRequest(req *AcquireRequest) *servicePool {
+	if req.Version != "" && b.versions[req.Service].Candidate != req.Version {
+		req.Version = ""
 	}
-	return s.poolOf(c.Service, c.Version)
+	return b.poolForVersion(req.Service, req.Version)
 }
--- a/internal/upstream/versions_test.go
+++ b/internal/upstream/versions_test.go
@@ -6,145 +6,152 @@
 	"time"
 )
 
-func versioned(version string, n int) []Instance {
-	out := list(n, "z", 0)
+func instancesOfVersion(version string, n int) []Instance {
+	out := makeInstances(n, "z", 0)
 	for i := range out {
 		out[i].ID, out[i].Version = version+"-"+out[i].ID, version
 	}
 	return out
 }
 
-// reached says which versions answer claims for a version, over many claims.
-func reached(s *Balancer, now time.Duration, version string) (of map[string]int) {
-	of = map[string]int{}
-	var got []SlotLease
+// versionsReached acquires many upstreams for a version and counts the versions of those granted.
+func versionsReached(balancer *Balancer, now time.Duration, version string) (counts map[string]int) {
+	counts = map[string]int{}
+	var leases []SlotLease
 	for range 60 {
-		c := &AcquireRequest{Version: version}
-		g, answered := claim(s, now, c)
+		req := &AcquireRequest{Version: version}
+		lease, answered := acquire(balancer, now, req)
 		switch {
 		case !answered:
-			s.Withdraw(c)
-		case g.Refused == Granted:
-			of[strings.SplitN(g.ID, "-", 2)[0]]++
-			got = append(got, g)
+			balancer.Withdraw(req)
+		case lease.Refused == Granted:
+			counts[strings.SplitN(lease.ID, "-", 2)[0]]++
+			leases = append(leases, lease)
 		}
 	}
-	for _, g := range got {
-		s.Release(now, g, nil, Unused)
+	for _, lease := range leases {
+		balancer.Release(now, lease, nil, Unused)
 	}
-	return of
+	return counts
 }
 
-func TestWhichVersionsGetRequests(t *testing.T) {
-	v1, v2, v3 := versioned("v1", 6), versioned("v2", 6), versioned("v3", 9)
+func TestVersionThatReceivesRequests(t *testing.T) {
+	v1, v2, v3 := instancesOfVersion("v1", 6), instancesOfVersion("v2", 6), instancesOfVersion("v3", 9)
 	both := append(append([]Instance(nil), v1...), v2...)
-	stands := map[string]Versions{"a": {Stands: "v1"}}
-	moving := map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}}
+	stable := map[string]Versions{"a": {Stands: "v1"}}
+	rollingOut := map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}}
 	for _, c := range []struct {
 		name  string
-		steps func(s *Balancer)
+		steps func(balancer *Balancer)
 		claim string
-		only  string // the version that answers; empty: none does
+		only  string // the only version that may be granted; empty: none
 	}{
-		{"first start", func(s *Balancer) { s.SetList(0, v1) }, "", "v1"},
-		{"another is listed, nobody has said a word", func(s *Balancer) { s.SetList(0, v1); s.SetList(0, append(both, v3...)) }, "", "v1"},
-		{"all are replaced, nobody has said a word", func(s *Balancer) { s.SetList(0, v1); s.SetList(0, v2) }, "", "v2"},
-		{"a restart with both listed", func(s *Balancer) { s.SetVersions(0, stands); s.SetList(0, append(both, v3...)) }, "", "v1"},
-		{"list, then versions", func(s *Balancer) { s.SetList(0, append(both, v3...)); s.SetVersions(0, stands) }, "", "v1"},
-		{"a candidate, without weight", func(s *Balancer) { s.SetVersions(0, moving); s.SetList(0, both) }, "", "v1"},
-		{"a candidate, with weight", func(s *Balancer) { s.SetVersions(0, moving); s.SetList(0, both) }, "v2", "v2"},
-		{"order before list", func(s *Balancer) { s.SetList(0, v1); s.SetVersions(0, moving) }, "v2", ""},
-		{"a third, beside the candidate", func(s *Balancer) { s.SetVersions(0, moving); s.SetList(0, append(both, v3...)) }, "", "v1"},
-		{"what stood is gone without an order", func(s *Balancer) { s.SetVersions(0, stands); s.SetList(0, v2) }, "", "v2"},
-		{"what an order says stands is gone", func(s *Balancer) {
-			s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
-			s.SetList(0, v2)
+		{"first list", func(balancer *Balancer) { balancer.SetList(0, v1) }, "", "v1"},
+		{"another version is listed later, no versions set", func(balancer *Balancer) { balancer.SetList(0, v1); balancer.SetList(0, append(both, v3...)) }, "", "v1"},
+		{"all upstreams are replaced, no versions set", func(balancer *Balancer) { balancer.SetList(0, v1); balancer.SetList(0, v2) }, "", "v2"},
+		{"versions before a list of several", func(balancer *Balancer) { balancer.SetVersions(0, stable); balancer.SetList(0, append(both, v3...)) }, "", "v1"},
+		{"versions after a list of several", func(balancer *Balancer) { balancer.SetList(0, append(both, v3...)); balancer.SetVersions(0, stable) }, "", "v1"},
+		{"request for the stable version beside a candidate", func(balancer *Balancer) { balancer.SetVersions(0, rollingOut); balancer.SetList(0, both) }, "", "v1"},
+		{"request for the candidate", func(balancer *Balancer) { balancer.SetVersions(0, rollingOut); balancer.SetList(0, both) }, "v2", "v2"},
+		{"request for a candidate that is not listed", func(balancer *Balancer) { balancer.SetList(0, v1); balancer.SetVersions(0, rollingOut) }, "v2", ""},
+		{"a third version beside the candidate", func(balancer *Balancer) {
+			balancer.SetVersions(0, rollingOut)
+			balancer.SetList(0, append(both, v3...))
+		}, "", "v1"},
+		{"stable version is gone, without an order", func(balancer *Balancer) { balancer.SetVersions(0, stable); balancer.SetList(0, v2) }, "", "v2"},
+		{"stable version set by an order is gone", func(balancer *Balancer) {
+			balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
+			balancer.SetList(0, v2)
 		}, "", ""},
-		{"reversed", func(s *Balancer) { s.SetVersions(0, moving); s.SetList(0, both); s.SetVersions(0, stands) }, "v2", "v1"},
-		{"complete", func(s *Balancer) {
-			s.SetVersions(0, moving)
-			s.SetList(0, both)
-			s.SetVersions(0, map[string]Versions{"a": {Stands: "v2", Ordered: true}})
+		{"candidate is reverted", func(balancer *Balancer) {
+			balancer.SetVersions(0, rollingOut)
+			balancer.SetList(0, both)
+			balancer.SetVersions(0, stable)
+		}, "v2", "v1"},
+		{"candidate becomes stable", func(balancer *Balancer) {
+			balancer.SetVersions(0, rollingOut)
+			balancer.SetList(0, both)
+			balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v2", Ordered: true}})
 		}, "", "v2"},
-		{"order when nothing was known to stand", func(s *Balancer) {
-			s.SetVersions(0, map[string]Versions{"a": {Candidate: "v2"}})
-			s.SetList(0, both)
+		{"candidate is set, stable version is not", func(balancer *Balancer) {
+			balancer.SetVersions(0, map[string]Versions{"a": {Candidate: "v2"}})
+			balancer.SetList(0, both)
 		}, "", "v1"},
-		{"no versions at all", func(s *Balancer) { s.SetList(0, versioned("", 4)) }, "", ""},
+		{"upstreams without a version", func(balancer *Balancer) { balancer.SetList(0, instancesOfVersion("", 4)) }, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ds, sh := gateways("z")
-			s := fresh("z-gateway-0", "z", nil, ds[:1], sh, nil)
-			s.known = false
-			c.steps(s)
-			prove(s, 0)
-			of := reached(s, 0, c.claim)
-			if c.name == "no versions at all" {
-				if of[""] == 0 {
-					t.Errorf("got %v", of)
+			nodes, shards := makeGateways("z")
+			balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
+			balancer.hasList = false
+			c.steps(balancer)
+			completeTrials(balancer, 0)
+			counts := versionsReached(balancer, 0, c.claim)
+			if c.name == "upstreams without a version" {
+				if counts[""] == 0 {
+					t.Errorf("no request granted: %v", counts)
 				}
 				return
 			}
-			for v, n := range of {
+			for v, n := range counts {
 				if v != c.only {
-					t.Errorf("%d requests to %s", n, v)
+					t.Errorf("%d requests to version %s", n, v)
 				}
 			}
-			if c.only != "" && of[c.only] == 0 {
-				t.Errorf("none to %s: %v", c.only, of)
+			if c.only != "" && counts[c.only] == 0 {
+				t.Errorf("no request to version %s: %v", c.only, counts)
 			}
 		})
 	}
 }
 
-// What waits for a candidate is not lost when that is reversed, and connections to
-// what gets nothing more are closed.
-func TestAReversalLetsGoOfTheCandidate(t *testing.T) {
-	ds, sh := gateways("z")
-	s := fresh("z-gateway-0", "z", nil, ds[:1], sh, nil)
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
-	s.SetList(0, append(versioned("v1", 3), versioned("v2", 1)...))
-	prove(s, 0)
+// When a candidate is reverted, the requests queued for it go to the stable version, and
+// connections to its upstreams are closed.
+func TestRevertedCandidateReleasesQueueAndConnections(t *testing.T) {
+	nodes, shards := makeGateways("z")
+	balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
+	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
+	balancer.SetList(0, append(instancesOfVersion("v1", 3), instancesOfVersion("v2", 1)...))
+	completeTrials(balancer, 0)
 	var held []SlotLease
-	for { // fill the candidate
-		c := &AcquireRequest{Version: "v2"}
-		g, answered := claim(s, 0, c)
+	for { // use the full capacity of the candidate
+		req := &AcquireRequest{Version: "v2"}
+		lease, answered := acquire(balancer, 0, req)
 		if !answered {
-			s.Withdraw(c)
+			balancer.Withdraw(req)
 			break
 		}
-		held = append(held, g)
+		held = append(held, lease)
 	}
-	waits := &AcquireRequest{Version: "v2"}
+	queued := &AcquireRequest{Version: "v2"}
 	var got *SlotLease
-	waits.Service, waits.Give = "a", func(g SlotLease) { got = &g }
-	s.Acquire(0, waits)
+	queued.Service, queued.Give = "a", func(lease SlotLease) { got = &lease }
+	balancer.Acquire(0, queued)
 	if got != nil {
-		t.Fatal("a full candidate takes more")
+		t.Fatal("a candidate at its capacity was granted again")
 	}
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
+	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
 	if got == nil || !strings.HasPrefix(got.ID, "v1") {
-		t.Fatalf("what waited got %+v", got)
+		t.Fatalf("the queued request got %+v", got)
 	}
-	closed := len(s.Closed)
-	s.Release(0, held[0], &Conn{Expires: time.Hour}, Served)
-	if len(s.Closed) != closed+1 {
-		t.Error("a connection to a reversed version is kept")
+	closed := len(balancer.Closed)
+	balancer.Release(0, held[0], &Conn{Expires: time.Hour}, Served)
+	if len(balancer.Closed) != closed+1 {
+		t.Error("a connection to a reverted version is kept")
 	}
-	if of := reached(s, 0, "v2"); of["v2"] > 0 {
-		t.Errorf("a reversed version gets %v", of)
+	if counts := versionsReached(balancer, 0, "v2"); counts["v2"] > 0 {
+		t.Errorf("a reverted version gets requests: %v", counts)
 	}
 }
 
-// Further tries draw on one budget, whatever the version.
-func TestOneBudgetForBothArms(t *testing.T) {
-	ds, sh := gateways("z")
-	s := fresh("z-gateway-0", "z", nil, ds[:1], sh, nil)
-	s.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
-	s.SetList(0, append(versioned("v1", 6), versioned("v2", 6)...))
-	prove(s, 0)
+// Retries of all versions of a service draw on one budget.
+func TestVersionsShareOneRetryBudget(t *testing.T) {
+	nodes, shards := makeGateways("z")
+	balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
+	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
+	balancer.SetList(0, append(instancesOfVersion("v1", 6), instancesOfVersion("v2", 6)...))
+	completeTrials(balancer, 0)
 	for range 11 {
-		s.Request("a") // earns a little over 2 in all
+		balancer.Request("a") // earns a little over 2 in all
 	}
 	granted := 0
 	for i := range 20 {
@@ -152,11 +159,11 @@
 		if i%2 == 0 {
 			version = "v2"
 		}
-		if g, ok := claim(s, 0, &AcquireRequest{Version: version, Retry: true}); ok && g.Refused == Granted {
+		if lease, ok := acquire(balancer, 0, &AcquireRequest{Version: version, Retry: true}); ok && lease.Refused == Granted {
 			granted++
 		}
 	}
 	if granted != 2 {
-		t.Errorf("%d further tries on a budget of 2", granted)
+		t.Errorf("%d retries on a budget of 2", granted)
 	}
 }
--- a/internal/upstream/warmup.go
+++ b/internal/upstream/warmup.go
@@ -1,111 +1,111 @@
 package upstream
 
-// This file finds out which upstreams are there and how warm they are: first connections, trials after a failure, probes.
+// This file finds out which upstreams can be reached and whether they have warmed up: first connections,
+// trial connections after a failure, and probes.
 
 import (
 	"time"
 )
 
-// Probe is a question for an upstream's warmth.
+// Probe is a health request that asks an upstream for its remaining warm-up time.
 type Probe struct {
 	Upstream    *Upstream
 	ID, Address string
 	Path        string
 }
 
-// doubt treats an upstream whose warmth is not known as cold, until the
-// platform's word on it must have arrived or the upstream itself has been asked.
-func (s *Balancer) doubt(now time.Duration, u *Upstream) {
-	info := s.infos[u.Service]
-	u.coldTill = max(u.coldTill, now+time.Duration(info.WarmupS*float64(time.Second))+s.cfg.Lag)
-	s.ask(u)
+// assumeCold treats an upstream whose warm-up state is unknown as cold, until it must have
+// warmed up and a list that says otherwise must have arrived, or until it answers a probe.
+func (b *Balancer) assumeCold(now time.Duration, u *Upstream) {
+	info := b.serviceInfos[u.Service]
+	u.coldUntil = max(u.coldUntil, now+time.Duration(info.WarmupS*float64(time.Second))+b.cfg.Lag)
+	b.probeWarmup(u)
 }
 
-// ask asks an upstream how long it stays cold, if that is this gateway's to do.
-func (s *Balancer) ask(u *Upstream) {
-	path := s.infos[u.Service].HealthPath
-	u.outdated = u.asking
-	if (u.home || s.sends(u)) && !u.asking && s.poolFor(u) != nil && path != "" {
-		u.asking = true
-		s.Probes = append(s.Probes, Probe{u, u.ID, u.Address, path})
+// probeWarmup asks an upstream how long it stays cold, if this gateway is one of those that
+// send to it. While a probe is in flight, its answer is marked stale instead.
+func (b *Balancer) probeWarmup(u *Upstream) {
+	healthPath := b.serviceInfos[u.Service].HealthPath
+	u.probeStale = u.probing
+	if (u.primary || b.isColdSender(u)) && !u.probing && b.poolOf(u) != nil && healthPath != "" {
+		u.probing = true
+		b.Probes = append(b.Probes, Probe{u, u.ID, u.Address, healthPath})
 	}
 }
 
-// Probed takes the answer to a probe: how much longer the upstream stays cold.
-// Without one (ok is false) it goes on counting as cold. One to a question asked before
-// its warmth came into doubt again tells nothing, and it is asked anew.
-func (s *Balancer) Probed(now time.Duration, u *Upstream, left time.Duration, ok bool) {
-	u.asking = false
-	if u.outdated {
-		u.outdated = false
-		if !u.gone && !s.evacuated[u.Zone] {
-			s.ask(u)
+// Probed takes the answer to a probe: how much longer the upstream stays cold. Without an
+// answer (ok is false) it still counts as cold. The answer to a stale probe is ignored, and
+// the upstream is probed again.
+func (b *Balancer) Probed(now time.Duration, u *Upstream, warmupLeft time.Duration, ok bool) {
+	u.probing = false
+	if u.probeStale {
+		u.probeStale = false
+		if !u.retired && !b.evacuated[u.Zone] {
+			b.probeWarmup(u)
 		}
 		return
 	}
-	if ok && !s.evacuated[u.Zone] {
-		u.coldTill = now + left
-		s.serve(now, u.pool)
+	if ok && !b.evacuated[u.Zone] {
+		u.coldUntil = now + warmupLeft
+		b.dispatch(now, u.pool)
 	}
 }
 
-// prove opens a first connection to upstreams that this gateway uses first: the
-// warm pools of the services whose routes are bound to its shard, and, whatever
-// the shard, to those that have newly appeared, so that no request has to find
-// out whether they are there yet. While gateways come and go, who uses what first
-// changes too often: it waits for a calm.
-func (s *Balancer) prove(now time.Duration) {
-	s.unproven = now < s.calmAt || len(s.gateways) == 0
-	if s.unproven {
+// verifyPrimaries opens a first connection to primary upstreams of services whose routes are
+// bound to this gateway's shard or to none, and to all newly listed primaries, so that no
+// request has to find out whether they can be reached yet. It waits until the set of gateways
+// is stable, since the primaries change too often while gateways come and go.
+func (b *Balancer) verifyPrimaries(now time.Duration) {
+	b.verifyPending = now < b.stableAt || len(b.gateways) == 0
+	if b.verifyPending {
 		return
 	}
-	for _, v := range s.services {
-		for _, u := range v.homes {
-			if !u.fresh && !s.holds(u.Service) {
+	for _, pool := range b.pools {
+		for _, u := range pool.primaries {
+			if !u.newlyListed && !b.shardServes(u.Service) {
 				continue
 			}
-			if !u.proven && !u.trying && u.until == 0 {
-				u.trying = true
-				s.Trials = append(s.Trials, u)
+			if !u.verified && !u.trialPending && u.ejectedUntil == 0 {
+				u.trialPending = true
+				b.Trials = append(b.Trials, u)
 			}
 		}
 	}
 }
 
-// holds says whether this gateway is of the shard that has a service's routes, or
-// no shard has them yet.
-func (s *Balancer) holds(service string) bool {
-	shard, bound := s.bound[service]
-	return !bound || s.shards[s.cfg.Self] == shard
+// shardServes says whether the routes of a service are bound to this gateway's shard, or to no shard yet.
+func (b *Balancer) shardServes(service string) bool {
+	shard, bound := b.serviceShard[service]
+	return !bound || b.gatewayShards[b.cfg.Self] == shard
 }
 
-// eject keeps requests from an upstream for a while that grows.
-func (s *Balancer) eject(now time.Duration, u *Upstream) {
-	if now < u.until || u.trying {
+// eject keeps requests from an upstream, for a time that doubles with each failure up to a maximum.
+func (b *Balancer) eject(now time.Duration, u *Upstream) {
+	if now < u.ejectedUntil || u.trialPending {
 		return
 	}
-	pause := s.cfg.Eject << min(u.failures, 6)
+	duration := b.cfg.Eject << min(u.failures, 6)
 	u.failures++
-	u.until = now + min(pause, s.cfg.EjectMax)
-	s.drop(u)
+	u.ejectedUntil = now + min(duration, b.cfg.EjectMax)
+	b.closeIdle(u)
 }
 
-// Tried tells how a trial connection went.
-func (s *Balancer) Tried(now time.Duration, u *Upstream, conn *Conn) {
-	u.trying = false
+// Tried takes the result of a trial connection; nil: it failed.
+func (b *Balancer) Tried(now time.Duration, u *Upstream, conn *Conn) {
+	u.trialPending = false
 	if conn == nil {
-		u.until = 0
-		s.eject(now, u)
+		u.ejectedUntil = 0
+		b.eject(now, u)
 		return
 	}
-	if u.gone || s.evacuated[u.Zone] || s.poolFor(u) == nil {
-		s.Closed = append(s.Closed, conn)
+	if u.retired || b.evacuated[u.Zone] || b.poolOf(u) == nil {
+		b.Closed = append(b.Closed, conn)
 		return
 	}
-	if u.failures > 0 && u.proven {
-		s.doubt(now, u) // it was silent; it may have gone cold meanwhile
+	if u.failures > 0 && u.verified {
+		b.assumeCold(now, u) // it may have restarted meanwhile and be cold
 	}
-	u.proven = true
+	u.verified = true
 	u.idle = append(u.idle, conn)
-	s.serve(now, u.pool)
+	b.dispatch(now, u.pool)
 }
