--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -28,8 +28,8 @@
 // AcquireRequest asks for an upstream on behalf of one request (or one retry of it).
 type AcquireRequest struct {
 	Service  string
-	Version  string // the candidate version; empty: the stable version
-	Priority int
+	Version  string      // the candidate version; empty: the stable version
+	Priority int         // lower is more urgent
 	Avoid    []string    // IDs of upstreams that have been tried
 	Retry    bool        // takes a token from the retry budget
 	Hold     *WaitHandle // nil if the request must not be retried
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -13,11 +13,11 @@
 type Config struct {
 	Self       string // this gateway's address
 	Zone       string
-	RetryRatio float64
-	RetrySlack float64
+	RetryRatio float64       // retry tokens that each request earns
+	RetrySlack float64       // retries that all gateways together may send to a service in a Window beyond the earned ones
 	Window     time.Duration // the window of the retry budget (setting retryWindowS)
 	Eject      time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
-	EjectMax   time.Duration
+	EjectMax   time.Duration // maximum duration of an ejection
 	Calm       time.Duration // how long the set of gateways must be unchanged before first connections are opened
 	Lag        time.Duration // how old the platform's list may be when it arrives here
 	// Region returns the region of a zone; nil: there is only one region.
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -87,13 +87,13 @@
 
 // CallPace is the pace at which the pages of a list are read.
 type CallPace struct {
-	burst      float64       // number of first calls without a pause
+	burst      float64       // calls at the start without a pause
 	burstPause time.Duration // pause before the first call after the burst
 	pause      time.Duration // pause before each further call
 }
 
-// SteadyPace is the pace for a node that reads the list regularly: half of the platform's rate limit, which is
-// perSecond calls a second from all callers together; 0: no limit.
+// SteadyPace is the pace for a node that reads the list regularly: after a burst of perSecond/8 calls, half of
+// the platform's rate limit. perSecond is that limit, for all callers together; 0: no limit.
 func SteadyPace(perSecond float64) CallPace {
 	if perSecond <= 0 {
 		return CallPace{burst: math.Inf(1)}
@@ -102,8 +102,8 @@
 	return CallPace{burst: perSecond / 8, burstPause: pause, pause: pause}
 }
 
-// HastyPace is the pace for a node that reads the list in place of another: it makes the calls of the first
-// second (half of the rate limit) at once.
+// HastyPace is the pace for a node that reads the list in place of another. It is half of the rate limit too, but
+// the calls of the first second are made at once.
 func HastyPace(perSecond float64) CallPace {
 	pace := SteadyPace(perSecond)
 	if perSecond > 0 {
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -22,13 +22,13 @@
 
 // Loads returns this gateway's own load, by pool.
 func (b *Balancer) Loads() map[string]float64 {
-	out := map[string]float64{}
-	for name, pool := range b.pools {
+	loads := map[string]float64{}
+	for key, pool := range b.pools {
 		if pool.load > 0.05 {
-			out[name] = math.Round(pool.load*10) / 10
+			loads[key] = math.Round(pool.load*10) / 10
 		}
 	}
-	return out
+	return loads
 }
 
 // updateLoads brings the moving averages of the pools' loads up to date.
--- a/internal/upstream/judge_test.go
+++ b/internal/upstream/outlier_test.go
@@ -11,14 +11,14 @@
 )
 
 // sendOne sends one request to the upstream that the balancer picks, and releases it with the given outcome and latency.
-func sendOne(t *testing.T, balancer *Balancer, now time.Duration, how func(id string) (Outcome, time.Duration)) string {
+func sendOne(t *testing.T, balancer *Balancer, now time.Duration, outcomeOf func(id string) (Outcome, time.Duration)) string {
 	t.Helper()
 	lease, ok := acquire(balancer, now, &AcquireRequest{Aim: 400 * ms})
 	if !ok || lease.Refused != Granted {
 		t.Fatalf("at %v: no upstream granted", now)
 	}
-	out, took := how(lease.ID)
-	balancer.Release(now+took, lease, &Conn{Expires: time.Hour}, out)
+	outcome, latency := outcomeOf(lease.ID)
+	balancer.Release(now+latency, lease, &Conn{Expires: time.Hour}, outcome)
 	return lease.ID
 }
 
@@ -85,11 +85,11 @@
 			inFlight = append(inFlight, lease)
 		}
 		for _, lease := range inFlight {
-			took := 50 * ms
+			latency := 50 * ms
 			if lease.ID == slow {
-				took = 500 * ms
+				latency = 500 * ms
 			}
-			balancer.Release(now+took, lease, &Conn{Expires: time.Hour}, Served)
+			balancer.Release(now+latency, lease, &Conn{Expires: time.Hour}, Served)
 		}
 	}
 	if slowRequests > 30 {
@@ -99,10 +99,10 @@
 
 func TestStalledRequestsEjectUpstream(t *testing.T) {
 	cases := []struct {
-		name  string
-		stuck int
-		wait  time.Duration
-		out   bool
+		name     string
+		requests int
+		wait     time.Duration
+		ejected  bool
 	}{
 		{"one stalled request", 1, 3 * time.Second, false},
 		{"two requests, not long enough", 2, 100 * ms, false},
@@ -116,7 +116,7 @@
 		}
 		now := 200 * ms
 		var u *Upstream
-		for n := 0; n < c.stuck; {
+		for n := 0; n < c.requests; {
 			lease, ok := acquire(balancer, now, &AcquireRequest{Aim: 400 * ms, Hold: &WaitHandle{}})
 			if !ok {
 				t.Fatal("no upstream granted")
@@ -127,7 +127,7 @@
 			}
 		}
 		balancer.Tick(now + c.wait)
-		if got := u.ejectedUntil > now+c.wait; got != c.out {
+		if got := u.ejectedUntil > now+c.wait; got != c.ejected {
 			t.Errorf("%s: ejected is %v", c.name, got)
 		}
 	}
@@ -144,7 +144,7 @@
 	completeTrials(balancer, 0)
 	cases := []struct {
 		name    string
-		claim   AcquireRequest
+		req     AcquireRequest
 		zone    string
 		refused Refusal
 	}{
@@ -156,7 +156,7 @@
 	}
 	for _, c := range cases {
 		for i := 0; i < 8; i++ {
-			lease, ok := acquire(balancer, 0, &c.claim)
+			lease, ok := acquire(balancer, 0, &c.req)
 			if !ok {
 				break // the in-flight limit is reached
 			}
@@ -184,10 +184,10 @@
 // budget allows: any more would fail although the upstream may still answer them.
 func TestShuttingDownGatewayInterruptsNoRequest(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		leaving, silent bool
-		requests        int // each earns a fifth of a retry token
-		cut             int // interrupted requests
+		name                       string
+		shuttingDown, unresponsive bool
+		requests                   int // each earns a fifth of a retry token
+		interrupted                int // interrupted requests
 	}{
 		{"requests stall", false, false, 30, 3},
 		{"requests stall, budget for one retry", false, false, 6, 1},
@@ -218,11 +218,11 @@
 		for range c.requests {
 			balancer.Request("a")
 		}
-		if c.leaving {
+		if c.shuttingDown {
 			balancer.Leave()
 		}
 		interrupted := 0
-		if c.silent {
+		if c.unresponsive {
 			balancer.Release(300*ms, leases[0], nil, Silent)
 			handles = handles[1:]
 		} else {
@@ -238,8 +238,8 @@
 			}
 			remoteEnds[handle].Close()
 		}
-		if interrupted != c.cut {
-			t.Errorf("%s: %d requests interrupted, want %d", c.name, interrupted, c.cut)
+		if interrupted != c.interrupted {
+			t.Errorf("%s: %d requests interrupted, want %d", c.name, interrupted, c.interrupted)
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,10 +10,10 @@
 
 // ServiceInfo is the configuration of a service.
 type ServiceInfo struct {
-	MaxConns   int
-	HealthPath string
-	WarmupS    float64
-	WarmupPerS float64
+	MaxConns   int     // connections that each upstream accepts from all gateways together; 0: 64
+	HealthPath string  // path for probes; empty: none
+	WarmupS    float64 // duration of a warm-up
+	WarmupPerS float64 // requests a second that a cold upstream may get from all gateways; 0: no limit
 }
 
 // Conn is a connection to an upstream.
--- a/internal/upstream/saturation_test.go
+++ b/internal/upstream/saturation_test.go
@@ -7,10 +7,10 @@
 
 func TestConcurrencyLimitOfSaturatedUpstreams(t *testing.T) {
 	cases := []struct {
-		name  string
-		knee  float64 // ratio of the latency when saturated to that with room
-		slots int
-		most  int
+		name     string
+		slowdown float64 // ratio of the latency when saturated to that with room
+		slots    int
+		limit    int
 	}{
 		{"no slowdown", 1, 6, 6},
 		{"small slowdown", 1.2, 6, 6},
@@ -20,11 +20,11 @@
 	}
 	for _, c := range cases {
 		nodes, shards := makeGateways("z")
-		ups := makeInstances(4, "z", 0)
-		for i := range ups {
-			ups[i].Capacity = c.slots
+		instances := makeInstances(4, "z", 0)
+		for i := range instances {
+			instances[i].Capacity = c.slots
 		}
-		balancer := newReadyBalancer("z-gateway-0", "z", ups, nodes[:1], shards, nil)
+		balancer := newReadyBalancer("z-gateway-0", "z", instances, nodes[:1], shards, nil)
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Second
@@ -39,16 +39,16 @@
 			}
 			// Different latencies of the upstreams are no sign of saturation: each is compared with itself.
 			for i, lease := range inFlight {
-				took := time.Duration(50+i%4*25) * ms
+				latency := time.Duration(50+i%4*25) * ms
 				if float64(lease.Busy) > 0.8*float64(c.slots) {
-					took = time.Duration(c.knee * float64(took))
+					latency = time.Duration(c.slowdown * float64(latency))
 				}
-				balancer.Release(now+took, lease, &Conn{Expires: time.Hour}, Served)
+				balancer.Release(now+latency, lease, &Conn{Expires: time.Hour}, Served)
 			}
 		}
 		u := balancer.stablePool("a").primaries[0]
-		if got := balancer.concurrencyLimit(now, balancer.stablePool("a"), u); got != c.most {
-			t.Errorf("%s: limit is %d of %d slots, want %d", c.name, got, c.slots, c.most)
+		if got := balancer.concurrencyLimit(now, balancer.stablePool("a"), u); got != c.limit {
+			t.Errorf("%s: limit is %d of %d slots, want %d", c.name, got, c.slots, c.limit)
 		}
 		if got := balancer.concurrencyLimit(now+10*saturationDecay, balancer.stablePool("a"), u); got != c.slots {
 			t.Errorf("%s: limit is still %d of %d slots long after the last measurement", c.name, got, c.slots)
--- a/internal/upstream/scale_test.go
+++ b/internal/upstream/scale_test.go
@@ -11,26 +11,26 @@
 )
 
 // largeFleet returns a deployment of hundreds of gateways and about a thousand upstreams.
-func largeFleet() (gateways []membership.Node, shards map[string]int, ups []Instance) {
+func largeFleet() (gateways []membership.Node, shards map[string]int, instances []Instance) {
 	shards = map[string]int{}
 	for i := range 300 {
-		n := membership.Node{Address: fmt.Sprintf("10.%d.0.%d:7660", i%6, i), Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%6)}
-		gateways = append(gateways, n)
-		shards[n.Address] = i / 6 % 2
+		node := membership.Node{Address: fmt.Sprintf("10.%d.0.%d:7660", i%6, i), Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%6)}
+		gateways = append(gateways, node)
+		shards[node.Address] = i / 6 % 2
 	}
 	for i := range 990 {
-		ups = append(ups, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%8/7), Address: fmt.Sprintf("10.128.%d.%d:80", i/200, i%200), Zone: fmt.Sprintf("z%d", i%6), Capacity: 3})
+		instances = append(instances, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%8/7), Address: fmt.Sprintf("10.128.%d.%d:80", i/200, i%200), Zone: fmt.Sprintf("z%d", i%6), Capacity: 3})
 	}
-	return gateways, shards, ups
+	return gateways, shards, instances
 }
 
 func newLargeBalancer() (*Balancer, []membership.Node, map[string]int, []Instance) {
-	nodes, shards, ups := largeFleet()
+	nodes, shards, instances := largeFleet()
 	balancer := NewBalancer(testConfig(nodes[0].Address, "z0"))
 	balancer.SetServices(0, map[string]ServiceInfo{"s0": {MaxConns: 1900}, "s1": {MaxConns: 1900}}, map[string]int{"s0": 0, "s1": 1})
-	balancer.SetList(0, ups)
+	balancer.SetList(0, instances)
 	balancer.SetGateways(0, nodes, shards)
-	return balancer, nodes, shards, ups
+	return balancer, nodes, shards, instances
 }
 
 func BenchmarkGatewaysChange(b *testing.B) {
@@ -41,20 +41,20 @@
 }
 
 func BenchmarkListChange(b *testing.B) {
-	balancer, _, _, ups := newLargeBalancer()
+	balancer, _, _, instances := newLargeBalancer()
 	for i := range b.N {
-		balancer.SetList(time.Second, ups[:len(ups)-1-i%2])
+		balancer.SetList(time.Second, instances[:len(instances)-1-i%2])
 	}
 }
 
 func BenchmarkLoads(b *testing.B) {
 	balancer, _, _, _ := newLargeBalancer()
-	l := Loads{}
+	loads := Loads{}
 	for z := range 6 {
-		l[fmt.Sprintf("z%d", z)] = map[string]float64{"s0": 200 + float64(z), "s1": 30}
+		loads[fmt.Sprintf("z%d", z)] = map[string]float64{"s0": 200 + float64(z), "s1": 30}
 	}
 	for range b.N {
-		balancer.SetLoads(time.Second, l)
+		balancer.SetLoads(time.Second, loads)
 	}
 }
 
@@ -69,9 +69,9 @@
 func BenchmarkAcquireWithBusyPrimaries(b *testing.B) {
 	balancer, _, _, _ := newLargeBalancer()
 	completeTrials(balancer, 0)
-	var held []SlotLease
+	var leases []SlotLease
 	for range 40 {
-		balancer.Acquire(0, &AcquireRequest{Service: "s0", Give: func(lease SlotLease) { held = append(held, lease) }})
+		balancer.Acquire(0, &AcquireRequest{Service: "s0", Give: func(lease SlotLease) { leases = append(leases, lease) }})
 	}
 	b.ResetTimer()
 	for range b.N {
@@ -82,18 +82,18 @@
 // When gateways start, each knows only itself at first. It must not open a connection to
 // every upstream of its zone then.
 func TestConnectionsAreOpenedOnceGatewaysAreStable(t *testing.T) {
-	nodes, shards, ups := largeFleet()
-	c := testConfig(nodes[0].Address, "z0")
-	c.Calm = time.Second
-	balancer := NewBalancer(c)
+	nodes, shards, instances := largeFleet()
+	config := testConfig(nodes[0].Address, "z0")
+	config.Calm = time.Second
+	balancer := NewBalancer(config)
 	balancer.SetServices(0, map[string]ServiceInfo{"s0": {MaxConns: 1900}, "s1": {MaxConns: 1900}}, map[string]int{"s0": 0, "s1": 0})
 	opened := 0
 	steps := []struct {
-		at   time.Duration
-		do   func(now time.Duration)
-		most int // maximum of trials up to this step
+		at        time.Duration
+		do        func(now time.Duration)
+		maxOpened int // maximum of trials up to this step
 	}{
-		{100 * ms, func(now time.Duration) { balancer.SetList(now, ups) }, 0},
+		{100 * ms, func(now time.Duration) { balancer.SetList(now, instances) }, 0},
 		{200 * ms, func(now time.Duration) { balancer.SetGateways(now, nodes[:1], shards) }, 0},
 		{900 * ms, func(now time.Duration) { balancer.SetGateways(now, nodes[:40], shards) }, 0},
 		{1500 * ms, balancer.Tick, 0},
@@ -101,12 +101,12 @@
 		{2700 * ms, balancer.Tick, 0},
 		{2900 * ms, balancer.Tick, 5}, // 165 upstreams of its zone for 50 gateways
 	}
-	for _, st := range steps {
-		st.do(st.at)
+	for _, step := range steps {
+		step.do(step.at)
 		opened += len(balancer.Trials)
 		balancer.Trials = nil
-		if opened > st.most {
-			t.Fatalf("at %v: %d connections opened", st.at, opened)
+		if opened > step.maxOpened {
+			t.Fatalf("at %v: %d connections opened", step.at, opened)
 		}
 	}
 	if opened == 0 {
@@ -117,24 +117,24 @@
 // The senders of an upstream are computed only while it is cold. With hundreds of gateways and
 // upstreams, some come or go all the time, so that each change must cost little.
 func TestColdSendersAreComputedOnDemand(t *testing.T) {
-	balancer, _, _, ups := newLargeBalancer()
-	asked := 0
+	balancer, _, _, instances := newLargeBalancer()
+	computed := 0
 	for _, u := range balancer.upstreams {
 		if u.sendersSeq == balancer.assignmentSeq {
-			asked++
+			computed++
 		}
 	}
-	if asked > 0 {
-		t.Errorf("senders of %d upstreams were computed though none is cold", asked)
+	if computed > 0 {
+		t.Errorf("senders of %d upstreams were computed though none is cold", computed)
 	}
-	ups[0].WarmupMs = 3000
+	instances[0].WarmupMs = 3000
 	nodes, shards, _ := largeFleet()
 	senders := 0
 	for _, self := range nodes {
 		other := NewBalancer(testConfig(self.Address, self.Zone))
 		other.SetGateways(0, nodes, shards)
-		other.SetList(0, ups[:1])
-		if other.isColdSender(other.upstreams[ups[0].ID]) {
+		other.SetList(0, instances[:1])
+		if other.isColdSender(other.upstreams[instances[0].ID]) {
 			senders++
 		}
 	}
@@ -145,18 +145,18 @@
 
 // A gateway that has missed up to maxDiffs differences gets one merged difference instead of the complete list.
 func TestMissedDiffsAreMerged(t *testing.T) {
-	_, _, ups := largeFleet()
+	_, _, instances := largeFleet()
 	var owner ListSnapshot
-	owner.Update(0, 1, 1, ups)
+	owner.Update(0, 1, 1, instances)
 	versions := []Version{owner.Version}
 	followers := []*ListSnapshot{{}}
 	followers[0].Take(0, *owner.Since(0, Version{}))
 	for i := range maxDiffs + 2 { // in each list, one instance is gone, one is new and one is draining
-		next := append([]Instance(nil), ups[1:]...)
+		next := append([]Instance(nil), instances[1:]...)
 		next[i].Draining = true
-		ups = append(next, Instance{ID: fmt.Sprintf("new-%d", i), Service: "s0", Zone: "z0", Capacity: 3})
+		instances = append(next, Instance{ID: fmt.Sprintf("new-%d", i), Service: "s0", Zone: "z0", Capacity: 3})
 		now := time.Duration(i+1) * time.Second
-		owner.Update(now, 1, 1, ups)
+		owner.Update(now, 1, 1, instances)
 		follower := &ListSnapshot{}
 		follower.Take(now, *owner.Since(now, Version{}))
 		followers, versions = append(followers, follower), append(versions, owner.Version)
@@ -165,8 +165,8 @@
 	for i, v := range versions[:len(versions)-1] {
 		update := owner.Since(now, v)
 		missed := len(versions) - 1 - i
-		if whole := update.Base == (Version{}); whole != (missed > maxDiffs) || !whole && len(update.Set)+len(update.Gone) > 4*missed {
-			t.Errorf("%d missed: complete list is %v, %d entries", missed, whole, len(update.Set)+len(update.Gone))
+		if complete := update.Base == (Version{}); complete != (missed > maxDiffs) || !complete && len(update.Set)+len(update.Gone) > 4*missed {
+			t.Errorf("%d missed: complete list is %v, %d entries", missed, complete, len(update.Set)+len(update.Gone))
 		}
 		if !followers[i].Take(now, *update) || !reflect.DeepEqual(followers[i].All(now), owner.All(now)) {
 			t.Errorf("%d missed: the lists differ", missed)
@@ -183,17 +183,17 @@
 		var nodes []membership.Node
 		shards := map[string]int{}
 		for i := range size.gateways {
-			n := membership.Node{Address: fmt.Sprintf("10.%d.%d.%d:7660", i%size.zones, i/200, i%200), Zone: fmt.Sprintf("z%d", i%size.zones)}
-			nodes = append(nodes, n)
-			shards[n.Address] = i / size.zones % 2
+			node := membership.Node{Address: fmt.Sprintf("10.%d.%d.%d:7660", i%size.zones, i/200, i%200), Zone: fmt.Sprintf("z%d", i%size.zones)}
+			nodes = append(nodes, node)
+			shards[node.Address] = i / size.zones % 2
 		}
 		infos := map[string]ServiceInfo{}
 		for i := range size.services {
 			infos[fmt.Sprintf("s%d", i)] = ServiceInfo{MaxConns: 1900}
 		}
-		var ups []Instance
+		var instances []Instance
 		for i := range size.ups {
-			ups = append(ups, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%size.services),
+			instances = append(instances, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%size.services),
 				Address: fmt.Sprintf("10.128.%d.%d:80", i/200, i%200), Zone: fmt.Sprintf("z%d", i/size.services%size.zones), Capacity: 3, Version: "v1"})
 		}
 		balancer := NewBalancer(testConfig(nodes[0].Address, "z0"))
@@ -202,14 +202,14 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		balancer.SetList(0, ups)
+		balancer.SetList(0, instances)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		name := fmt.Sprintf("gateways=%d/upstreams=%d/", size.gateways, size.ups)
 		b.Run(name+"list", func(b *testing.B) {
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
 			for i := range b.N {
-				balancer.SetList(time.Second, ups[:len(ups)-1-i%2])
+				balancer.SetList(time.Second, instances[:len(instances)-1-i%2])
 			}
 		})
 		b.Run(name+"gateways", func(b *testing.B) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,31 +22,31 @@
 		Eject: 100 * ms, EjectMax: time.Second, Lag: 500 * ms}
 }
 
-func makeInstances(n int, zone string, warmMs int64) (out []Instance) {
+func makeInstances(n int, zone string, warmupMs int64) (out []Instance) {
 	for i := 0; i < n; i++ {
 		id := fmt.Sprintf("%s-%02d", zone, i)
-		out = append(out, Instance{ID: id, Service: "a", Address: "10.0.0.1:" + fmt.Sprint(1000+i), Zone: zone, Capacity: 3, WarmupMs: warmMs})
+		out = append(out, Instance{ID: id, Service: "a", Address: "10.0.0.1:" + fmt.Sprint(1000+i), Zone: zone, Capacity: 3, WarmupMs: warmupMs})
 	}
 	return out
 }
 
-func makeGateways(zones ...string) (out []membership.Node, shards map[string]int) {
+func makeGateways(zones ...string) (nodes []membership.Node, shards map[string]int) {
 	shards = map[string]int{}
-	for _, z := range zones {
+	for _, zone := range zones {
 		for i := 0; i < 3; i++ {
-			n := membership.Node{Address: fmt.Sprintf("%s-gateway-%d", z, i), Name: fmt.Sprintf("%s-%d", z, i), Zone: z}
-			out = append(out, n)
-			shards[n.Address] = i % 2
+			node := membership.Node{Address: fmt.Sprintf("%s-gateway-%d", zone, i), Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone}
+			nodes = append(nodes, node)
+			shards[node.Address] = i % 2
 		}
 	}
-	return out, shards
+	return nodes, shards
 }
 
 // newReadyBalancer makes a balancer with gateways, services and a list; its first connections succeed at once.
-func newReadyBalancer(self, zone string, instances []Instance, nodes []membership.Node, shards map[string]int, bound map[string]int) *Balancer {
+func newReadyBalancer(self, zone string, instances []Instance, nodes []membership.Node, shards map[string]int, serviceShard map[string]int) *Balancer {
 	balancer := NewBalancer(testConfig(self, zone))
 	balancer.SetGateways(0, nodes, shards)
-	balancer.SetServices(0, map[string]ServiceInfo{"a": {MaxConns: 200, WarmupS: 3, WarmupPerS: 8}}, bound)
+	balancer.SetServices(0, map[string]ServiceInfo{"a": {MaxConns: 200, WarmupS: 3, WarmupPerS: 8}}, serviceShard)
 	balancer.SetList(0, instances)
 	completeTrials(balancer, 0)
 	return balancer
@@ -63,7 +63,7 @@
 // acquire asks for an upstream and returns the answer, if there is one at once.
 func acquire(balancer *Balancer, now time.Duration, req *AcquireRequest) (lease SlotLease, answered bool) {
 	req.Service = "a"
-	req.Give = func(x SlotLease) { lease, answered = x, true }
+	req.Give = func(answer SlotLease) { lease, answered = answer, true }
 	balancer.Acquire(now, req)
 	return lease, answered
 }
@@ -71,17 +71,17 @@
 func TestLocalZonePreferenceAndInFlightLimits(t *testing.T) {
 	nodes, shards := makeGateways("z", "y")
 	balancer := newReadyBalancer("z-gateway-0", "z", append(makeInstances(6, "z", 0), makeInstances(6, "y", 0)...), nodes, shards, nil)
-	home := 0
-	for _, st := range balancer.States(0) {
-		if st.Home {
-			home++
-			if st.Zone != "z" {
-				t.Fatalf("%s of another zone is a primary", st.ID)
+	primaries := 0
+	for _, state := range balancer.States(0) {
+		if state.Home {
+			primaries++
+			if state.Zone != "z" {
+				t.Fatalf("%s of another zone is a primary", state.ID)
 			}
 		}
 	}
-	if home != 2 {
-		t.Fatalf("%d of 6 upstreams of a zone with 3 gateways are primaries of this gateway", home)
+	if primaries != 2 {
+		t.Fatalf("%d of 6 upstreams of a zone with 3 gateways are primaries of this gateway", primaries)
 	}
 	counts := map[string]int{}
 	for i := 0; ; i++ {
@@ -90,7 +90,7 @@
 			break
 		}
 		counts[lease.ID]++
-		if i < home*3-1 && lease.Upstream.Zone != "z" {
+		if i < primaries*3-1 && lease.Upstream.Zone != "z" {
 			t.Fatalf("request %d was sent to another zone", i)
 		}
 	}
@@ -104,10 +104,10 @@
 func TestZoneReassignmentByLoad(t *testing.T) {
 	zones := map[string]bool{"n": true, "s": true, "e": true}
 	cases := []struct {
-		name  string
-		ups   map[string]int // zone -> upstreams of 3 slots
-		loads map[string]float64
-		want  map[string]int // zone -> upstreams that serve it
+		name      string
+		upstreams map[string]int // zone -> upstreams of 3 slots
+		loads     map[string]float64
+		want      map[string]int // zone -> upstreams that serve it
 	}{
 		{"low load: none is reassigned", map[string]int{"n": 4, "s": 4, "e": 2}, map[string]float64{"n": 3, "s": 3, "e": 3}, map[string]int{"n": 4, "s": 4, "e": 2}},
 		{"a loaded zone gets upstreams of the least loaded", map[string]int{"n": 6, "s": 6, "e": 2}, map[string]float64{"n": 9, "s": 3, "e": 6}, map[string]int{"n": 6, "s": 4, "e": 4}},
@@ -118,21 +118,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var ups []*Upstream
-			for zone, n := range c.ups {
-				for _, i := range makeInstances(n, zone, 0) {
-					ups = append(ups, &Upstream{Instance: i})
+			var upstreams []*Upstream
+			for zone, n := range c.upstreams {
+				for _, instance := range makeInstances(n, zone, 0) {
+					upstreams = append(upstreams, &Upstream{Instance: instance})
 				}
 			}
 			loads := Loads{}
 			for zone, n := range c.loads {
 				loads[zone] = map[string]float64{"a": n}
 			}
-			plan := reassignZones("a", ups, loads, zones)
+			plan := reassignZones("a", upstreams, loads, zones)
 			got := map[string]int{}
-			for _, u := range ups {
-				if z, ok := plan[u.ID]; ok {
-					got[z]++
+			for _, u := range upstreams {
+				if zone, ok := plan[u.ID]; ok {
+					got[zone]++
 				} else {
 					got[u.Zone]++
 				}
@@ -140,9 +140,9 @@
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Fatalf("upstreams that serve each zone: %v, want %v", got, c.want)
 			}
-			for i := 0; i < 5; i++ { // the plan does not depend on the order of the upstreams
-				rand.New(rand.NewSource(int64(i))).Shuffle(len(ups), func(a, b int) { ups[a], ups[b] = ups[b], ups[a] })
-				if again := reassignZones("a", ups, loads, zones); fmt.Sprint(again) != fmt.Sprint(plan) {
+			for instance := 0; instance < 5; instance++ { // the plan does not depend on the order of the upstreams
+				rand.New(rand.NewSource(int64(instance))).Shuffle(len(upstreams), func(a, b int) { upstreams[a], upstreams[b] = upstreams[b], upstreams[a] })
+				if again := reassignZones("a", upstreams, loads, zones); fmt.Sprint(again) != fmt.Sprint(plan) {
 					t.Fatalf("plans differ: %v and %v", again, plan)
 				}
 			}
@@ -153,17 +153,17 @@
 func TestEachUpstreamIsPrimaryOfOneGateway(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	owners := map[string]int{}
-	for _, d := range nodes {
-		balancer := newReadyBalancer(d.Address, "z", makeInstances(7, "z", 0), nodes, shards, nil)
-		for _, st := range balancer.States(0) {
-			if st.Home {
-				owners[st.ID]++
+	for _, node := range nodes {
+		balancer := newReadyBalancer(node.Address, "z", makeInstances(7, "z", 0), nodes, shards, nil)
+		for _, state := range balancer.States(0) {
+			if state.Home {
+				owners[state.ID]++
 			}
 		}
 	}
-	for _, i := range makeInstances(7, "z", 0) {
-		if owners[i.ID] != 1 {
-			t.Errorf("%s is the primary of %d gateways", i.ID, owners[i.ID])
+	for _, instance := range makeInstances(7, "z", 0) {
+		if owners[instance.ID] != 1 {
+			t.Errorf("%s is the primary of %d gateways", instance.ID, owners[instance.ID])
 		}
 	}
 }
@@ -260,8 +260,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var balancers []*Balancer
-			for i, d := range nodes {
-				balancer := newReadyBalancer(d.Address, d.Zone, makeInstances(1, "z", 20000), views(i), shards, map[string]int{"a": 0})
+			for i, node := range nodes {
+				balancer := newReadyBalancer(node.Address, node.Zone, makeInstances(1, "z", 20000), views(i), shards, map[string]int{"a": 0})
 				balancers = append(balancers, balancer)
 			}
 			var sent []time.Duration
@@ -300,14 +300,14 @@
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(2, "z", 0), nodes, shards, nil)
 	balancer.SetEvacuated(ms, map[string]bool{"z": true})
 	balancer.SetEvacuated(time.Second, map[string]bool{})
-	for _, st := range balancer.States(time.Second + ms) {
-		if !st.Cold {
-			t.Errorf("%s is not cold", st.ID)
+	for _, state := range balancer.States(time.Second + ms) {
+		if !state.Cold {
+			t.Errorf("%s is not cold", state.ID)
 		}
 	}
-	for _, st := range balancer.States(6 * time.Second) {
-		if st.Cold {
-			t.Errorf("%s is still cold", st.ID)
+	for _, state := range balancer.States(6 * time.Second) {
+		if state.Cold {
+			t.Errorf("%s is still cold", state.ID)
 		}
 	}
 }
@@ -316,22 +316,22 @@
 // cold upstream, and by the one whose primary it is.
 func TestOnlyColdSendersProbeWarmup(t *testing.T) {
 	nodes, shards := makeGateways("z", "y")
-	asked := 0
-	for _, d := range nodes {
-		balancer := newReadyBalancer(d.Address, d.Zone, makeInstances(1, "z", 0), nodes, shards, nil)
+	probes := 0
+	for _, node := range nodes {
+		balancer := newReadyBalancer(node.Address, node.Zone, makeInstances(1, "z", 0), nodes, shards, nil)
 		balancer.serviceInfos["a"] = ServiceInfo{MaxConns: 200, HealthPath: "/h", WarmupS: 3, WarmupPerS: 8}
 		balancer.SetEvacuated(ms, map[string]bool{"z": true})
 		balancer.SetEvacuated(time.Second, map[string]bool{})
-		asked += len(balancer.Probes)
-		for _, p := range balancer.Probes {
-			balancer.Probed(2*time.Second, p.Upstream, 500*ms, true)
-			if p.Upstream.Cold(2600*ms) || !p.Upstream.Cold(2400*ms) {
+		probes += len(balancer.Probes)
+		for _, probe := range balancer.Probes {
+			balancer.Probed(2*time.Second, probe.Upstream, 500*ms, true)
+			if probe.Upstream.Cold(2600*ms) || !probe.Upstream.Cold(2400*ms) {
 				t.Error("the upstream's answer to the probe is not used")
 			}
 		}
 	}
-	if asked == 0 || asked > ColdSenders+1 {
-		t.Errorf("%d probes of one upstream", asked)
+	if probes == 0 || probes > ColdSenders+1 {
+		t.Errorf("%d probes of one upstream", probes)
 	}
 }
 
@@ -377,11 +377,11 @@
 	for i := range nodes {
 		balancers = append(balancers, newBalancer(i))
 	}
-	type mark struct {
+	type attempt struct {
 		at    time.Duration
 		retry bool
 	}
-	var attempts []mark
+	var attempts []attempt
 	for now := time.Duration(0); now < 60*time.Second; now += 10 * ms {
 		i := rng.Intn(len(balancers))
 		balancer := balancers[i]
@@ -393,12 +393,12 @@
 		failing := now/(15*time.Second)%2 == 1
 		if !failing || rng.Intn(20) == 0 {
 			balancer.Request("a")
-			attempts = append(attempts, mark{now, false})
+			attempts = append(attempts, attempt{now, false})
 		}
 		for k := 0; failing && k < 3; k++ { // three retries are tried for every request
 			lease, ok := acquire(balancer, now, &AcquireRequest{Retry: true})
 			if ok && lease.Refused == Granted {
-				attempts = append(attempts, mark{now, true})
+				attempts = append(attempts, attempt{now, true})
 				balancer.Release(now, lease, nil, Served)
 			}
 		}
@@ -450,7 +450,7 @@
 }
 
 func TestSnapshotPassesOnDiffsAndFullLists(t *testing.T) {
-	var owner, follower, late ListSnapshot
+	var owner, follower, newcomer ListSnapshot
 	steps := [][]Instance{makeInstances(3, "z", 0), makeInstances(4, "z", 0), makeInstances(4, "z", 9000), makeInstances(2, "z", 0), nil}
 	for i, step := range steps {
 		now := time.Duration(i) * time.Second
@@ -463,7 +463,7 @@
 			t.Fatalf("step %d: list is %s, want %s", i, got, want)
 		}
 		if i == 2 {
-			if update := owner.Since(now, late.Version); update == nil || !late.Take(now, *update) || idsAndWarmups(late.All(now)) != idsAndWarmups(owner.All(now)) {
+			if update := owner.Since(now, newcomer.Version); update == nil || !newcomer.Take(now, *update) || idsAndWarmups(newcomer.All(now)) != idsAndWarmups(owner.All(now)) {
 				t.Fatal("a node without a list does not get the complete one")
 			}
 		}
@@ -490,30 +490,30 @@
 	}
 }
 
-func idsAndWarmups(l []Instance) string {
+func idsAndWarmups(instances []Instance) string {
 	var out []string
-	for _, i := range l {
-		out = append(out, fmt.Sprint(i.ID, i.WarmupMs))
+	for _, instance := range instances {
+		out = append(out, fmt.Sprint(instance.ID, instance.WarmupMs))
 	}
 	return strings.Join(out, " ")
 }
 
 func TestReadAllRejectsIncompleteLists(t *testing.T) {
 	pages := 3
-	fail := 0
+	failingPage := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n := 0
-		_, _ = fmt.Sscanf(r.URL.Query().Get("pageToken"), "p-%d", &n)
-		if fail > 0 && n+1 == fail {
+		number := 0
+		_, _ = fmt.Sscanf(r.URL.Query().Get("pageToken"), "p-%d", &number)
+		if failingPage > 0 && number+1 == failingPage {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		p := map[string]any{"instances": []any{map[string]any{"id": fmt.Sprint(n), "target": "a", "address": "h:1", "zone": "z",
-			"capacity": 3, "state": map[bool]string{true: "draining", false: "ready"}[n == 1], "warmupLeftS": 0.5}}, "nextToken": nil}
-		if n+1 < pages {
-			p["nextToken"] = fmt.Sprintf("p-%d", n+1)
+		page := map[string]any{"instances": []any{map[string]any{"id": fmt.Sprint(number), "target": "a", "address": "h:1", "zone": "z",
+			"capacity": 3, "state": map[bool]string{true: "draining", false: "ready"}[number == 1], "warmupLeftS": 0.5}}, "nextToken": nil}
+		if number+1 < pages {
+			page["nextToken"] = fmt.Sprintf("p-%d", number+1)
 		}
-		_ = json.NewEncoder(w).Encode(p)
+		_ = json.NewEncoder(w).Encode(page)
 	}))
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
@@ -521,7 +521,7 @@
 	if err != nil || calls != 3 || len(got) != 3 || !got[1].Draining || got[0].Draining || got[2].WarmupMs != 500 {
 		t.Fatalf("%v %+v", err, got)
 	}
-	fail = 2
+	failingPage = 2
 	if got, _, err := ReadAll(context.Background(), srv.Client(), address, SteadyPace(40)); err == nil {
 		t.Fatalf("an incomplete list was accepted: %+v", got)
 	}
@@ -537,9 +537,9 @@
 		if !ok || lease.Refused != Granted {
 			t.Fatal("no upstream granted")
 		}
-		d := &deadlineRecorder{}
-		lease.Hold.On(&Conn{Conn: d})
-		return lease, d
+		recorder := &deadlineRecorder{}
+		lease.Hold.On(&Conn{Conn: recorder})
+		return lease, recorder
 	}
 	_, retryable := start(&WaitHandle{})
 	_, notRetryable := start(nil)
@@ -560,7 +560,7 @@
 	set bool
 }
 
-func (d *deadlineRecorder) SetReadDeadline(time.Time) error { d.set = true; return nil }
+func (r *deadlineRecorder) SetReadDeadline(time.Time) error { r.set = true; return nil }
 
 // A retry that was never sent takes nothing from the retry budget.
 func TestUnsentRetryIsRefunded(t *testing.T) {
@@ -570,15 +570,15 @@
 	budget := &balancer.stablePool("a").budget
 	budget.tokens = 1
 	for _, c := range []struct {
-		how  Outcome
-		want Refusal
+		outcome Outcome
+		want    Refusal
 	}{{Unused, Granted}, {Unused, Granted}, {Served, Granted}, {Served, NoBudget}} {
 		lease, answered := acquire(balancer, 0, &AcquireRequest{Retry: true})
 		if !answered || lease.Refused != c.want {
 			t.Fatalf("refusal is %v, want %v", lease.Refused, c.want)
 		}
 		if lease.Refused == Granted {
-			balancer.Release(0, lease, nil, c.how)
+			balancer.Release(0, lease, nil, c.outcome)
 		}
 	}
 }
@@ -586,17 +586,17 @@
 // The steady pace is half of the platform's rate limit. The hasty pace makes no more calls in any second, but those of
 // the first second at once.
 func TestCallPacePauses(t *testing.T) {
-	const perS = 44
+	const perSecond = 44
 	for name, c := range map[string]struct {
 		pace  CallPace
 		calls int
 		takes time.Duration
 	}{
-		"steady, a short list": {SteadyPace(perS), 6, 0},
-		"steady, 20 pages":     {SteadyPace(perS), 20, 14 * time.Second / 22},
-		"hasty, 20 pages":      {HastyPace(perS), 20, 0},
-		"hasty, 22 pages":      {HastyPace(perS), 22, 0},
-		"hasty, 44 pages":      {HastyPace(perS), 44, time.Second + 21*time.Second/22},
+		"steady, a short list": {SteadyPace(perSecond), 6, 0},
+		"steady, 20 pages":     {SteadyPace(perSecond), 20, 14 * time.Second / 22},
+		"hasty, 20 pages":      {HastyPace(perSecond), 20, 0},
+		"hasty, 22 pages":      {HastyPace(perSecond), 22, 0},
+		"hasty, 44 pages":      {HastyPace(perSecond), 44, time.Second + 21*time.Second/22},
 		"no limit":             {HastyPace(0), 1000, 0},
 	} {
 		if takes := c.pace.Pauses(c.calls); takes < c.takes-time.Microsecond || takes > c.takes+time.Microsecond {
@@ -605,11 +605,11 @@
 	}
 	for from := range 100 { // count the calls in the second that starts with each call
 		calls := 0
-		for at, n := HastyPace(perS).pauseBefore(from), from; at-HastyPace(perS).pauseBefore(from) < time.Second-time.Microsecond; n++ {
+		for at, n := HastyPace(perSecond).pauseBefore(from), from; at-HastyPace(perSecond).pauseBefore(from) < time.Second-time.Microsecond; n++ {
 			calls++
-			at += HastyPace(perS).pauseBefore(n + 1)
+			at += HastyPace(perSecond).pauseBefore(n + 1)
 		}
-		if calls > perS/2 {
+		if calls > perSecond/2 {
 			t.Errorf("%d calls in the second that starts with the call after %d others", calls, from)
 		}
 	}
--- a/internal/upstream/versions_test.go
+++ b/internal/upstream/versions_test.go
@@ -41,10 +41,10 @@
 	stable := map[string]Versions{"a": {Stands: "v1"}}
 	rollingOut := map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}}
 	for _, c := range []struct {
-		name  string
-		steps func(balancer *Balancer)
-		claim string
-		only  string // the only version that may be granted; empty: none
+		name      string
+		steps     func(balancer *Balancer)
+		requested string
+		want      string // the only version that may be granted; empty: none
 	}{
 		{"first list", func(balancer *Balancer) { balancer.SetList(0, v1) }, "", "v1"},
 		{"another version is listed later, no versions set", func(balancer *Balancer) { balancer.SetList(0, v1); balancer.SetList(0, append(both, v3...)) }, "", "v1"},
@@ -85,7 +85,7 @@
 			balancer.hasList = false
 			c.steps(balancer)
 			completeTrials(balancer, 0)
-			counts := versionsReached(balancer, 0, c.claim)
+			counts := versionsReached(balancer, 0, c.requested)
 			if c.name == "upstreams without a version" {
 				if counts[""] == 0 {
 					t.Errorf("no request granted: %v", counts)
@@ -93,12 +93,12 @@
 				return
 			}
 			for v, n := range counts {
-				if v != c.only {
+				if v != c.want {
 					t.Errorf("%d requests to version %s", n, v)
 				}
 			}
-			if c.only != "" && counts[c.only] == 0 {
-				t.Errorf("no request to version %s: %v", c.only, counts)
+			if c.want != "" && counts[c.want] == 0 {
+				t.Errorf("no request to version %s: %v", c.want, counts)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
 	balancer.SetList(0, append(instancesOfVersion("v1", 3), instancesOfVersion("v2", 1)...))
 	completeTrials(balancer, 0)
-	var held []SlotLease
+	var leases []SlotLease
 	for { // use the full capacity of the candidate
 		req := &AcquireRequest{Version: "v2"}
 		lease, answered := acquire(balancer, 0, req)
@@ -120,21 +120,21 @@
 			balancer.Withdraw(req)
 			break
 		}
-		held = append(held, lease)
+		leases = append(leases, lease)
 	}
 	queued := &AcquireRequest{Version: "v2"}
-	var got *SlotLease
-	queued.Service, queued.Give = "a", func(lease SlotLease) { got = &lease }
+	var granted *SlotLease
+	queued.Service, queued.Give = "a", func(lease SlotLease) { granted = &lease }
 	balancer.Acquire(0, queued)
-	if got != nil {
+	if granted != nil {
 		t.Fatal("a candidate at its capacity was granted again")
 	}
 	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
-	if got == nil || !strings.HasPrefix(got.ID, "v1") {
-		t.Fatalf("the queued request got %+v", got)
+	if granted == nil || !strings.HasPrefix(granted.ID, "v1") {
+		t.Fatalf("the queued request got %+v", granted)
 	}
 	closed := len(balancer.Closed)
-	balancer.Release(0, held[0], &Conn{Expires: time.Hour}, Served)
+	balancer.Release(0, leases[0], &Conn{Expires: time.Hour}, Served)
 	if len(balancer.Closed) != closed+1 {
 		t.Error("a connection to a reverted version is kept")
 	}
--- a/internal/upstream/lending.go
+++ b/internal/upstream/zone_reassignment.go
@@ -12,12 +12,12 @@
 
 // Add adds the other loads to these.
 func (loads Loads) Add(other Loads) {
-	for zone, services := range other {
+	for zone, pools := range other {
 		if loads[zone] == nil {
 			loads[zone] = map[string]float64{}
 		}
-		for name, n := range services {
-			loads[zone][name] += n
+		for key, n := range pools {
+			loads[zone][key] += n
 		}
 	}
 }
@@ -32,7 +32,7 @@
 // as long as that lowers the load enough. A zone keeps at least one of its own upstreams.
 // All gateways compute the same plan from the same loads. While their views differ, an
 // upstream may be the primary of two gateways or of none, which does no harm.
-func reassignZones(service string, upstreams []*Upstream, loads Loads, gatewayZones map[string]bool) map[string]string {
+func reassignZones(poolKey string, upstreams []*Upstream, loads Loads, gatewayZones map[string]bool) map[string]string {
 	slots := map[string]float64{}
 	for _, u := range upstreams {
 		slots[u.Zone] += float64(u.Capacity)
@@ -40,7 +40,7 @@
 	plan := map[string]string{}
 	needed := false
 	for zone := range gatewayZones {
-		needed = needed || loads[zone][service] > reassignAboveLoad*slots[zone]
+		needed = needed || loads[zone][poolKey] > reassignAboveLoad*slots[zone]
 	}
 	if !needed {
 		return plan
@@ -63,7 +63,7 @@
 		slices.SortFunc(upstreams, byServiceWeight)
 	}
 	loadFactor := func(zone string, slots float64) float64 {
-		load := loads[zone][service]
+		load := loads[zone][poolKey]
 		switch {
 		case load == 0:
 			return 0
