--- a/internal/config/binding.go
+++ b/internal/config/binding.go
@@ -16,22 +16,22 @@
 // status. It is refused if the route's status is not the one that the caller
 // saw, so that two schedulers cannot bind one route twice. A binding that comes again
 // after it was made is acknowledged, and changes nothing, as long as it stands.
-func Bind(have map[string]Record, b RouteBinding, sawRev uint64) ([]Record, error) {
-	rec, ok := have[routePrefix+b.Route]
-	if !ok || rec.Dropped {
-		return nil, apierror.New(apierror.Conflict, "route %s is gone", b.Route)
+func Bind(records map[string]Record, binding RouteBinding, seenRev uint64) ([]Record, error) {
+	route, ok := records[routePrefix+binding.Route]
+	if !ok || route.Dropped {
+		return nil, apierror.New(apierror.Conflict, "route %s is gone", binding.Route)
 	}
-	it := decodeItem(rec)
-	bound := Status{PhaseScheduled, b.Shard}
-	if rec.Rev == sawRev+1 && it.Status == bound {
+	item := decodeItem(route)
+	scheduled := Status{PhaseScheduled, binding.Shard}
+	if route.Rev == seenRev+1 && item.Status == scheduled {
 		return nil, nil
 	}
-	if rec.Rev != sawRev {
-		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", b.Route, rec.Rev, sawRev)
+	if route.Rev != seenRev {
+		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", binding.Route, route.Rev, seenRev)
 	}
-	it.Status = bound
-	rec.Rev++
-	rec.Data = encode(it)
-	binding := Record{Name: bindingPrefix + b.Route, Gen: have[bindingPrefix+b.Route].Gen + 1, Data: encode(b)}
-	return []Record{binding, rec}, nil
+	item.Status = scheduled
+	route.Rev++
+	route.Data = encode(item)
+	bindingRecord := Record{Name: bindingPrefix + binding.Route, Gen: records[bindingPrefix+binding.Route].Gen + 1, Data: encode(binding)}
+	return []Record{bindingRecord, route}, nil
 }
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -15,22 +15,22 @@
 }
 
 // Revokes says whether changes take a key from a tenant that has it in have.
-func Revokes(have map[string]Record, changes []Record, x *Reader) bool {
-	for _, c := range changes {
-		old, ok := have[c.Name]
-		if !ok || old.Dropped || !strings.HasPrefix(c.Name, tenantPrefix) {
+func Revokes(records map[string]Record, changes []Record, reader *Reader) bool {
+	for _, change := range changes {
+		old, ok := records[change.Name]
+		if !ok || old.Dropped || !strings.HasPrefix(change.Name, tenantPrefix) {
 			continue
 		}
-		was, err := x.Tenant(old)
+		before, err := reader.Tenant(old)
 		if err != nil {
 			return true
 		}
-		var now Tenant
-		if !c.Dropped && json.Unmarshal(decodeItem(c).Raw, &now) != nil {
+		var after Tenant
+		if !change.Dropped && json.Unmarshal(decodeItem(change).Raw, &after) != nil {
 			return true
 		}
-		for _, k := range was.APIKeys {
-			if !slices.Contains(now.APIKeys, k) {
+		for _, key := range before.APIKeys {
+			if !slices.Contains(after.APIKeys, key) {
 				return true
 			}
 		}
@@ -40,8 +40,8 @@
 
 // NamesTenants says whether a call sets or removes tenants.
 func (c *Change) NamesTenants() bool {
-	for _, r := range append(append([]Record(nil), c.upserts...), c.removals...) {
-		if strings.HasPrefix(r.Name, tenantPrefix) {
+	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
+		if strings.HasPrefix(record.Name, tenantPrefix) {
 			return true
 		}
 	}
@@ -52,54 +52,54 @@
 // checks the whole that would result. It runs at the owner of the catalogue. A
 // generation that is not above the one that stands changes nothing; one that is known
 // to have been taken with another content refuses the call with a Conflict.
-func (c *Change) Apply(have map[string]Record, reader *Reader) ([]Record, error) {
+func (c *Change) Apply(records map[string]Record, reader *Reader) ([]Record, error) {
 	var changes []Record
-	at := map[string]int{} // where this call's own changes are
-	generations := forgotten(have)
-	for _, r := range append(append([]Record(nil), c.upserts...), c.removals...) {
-		old, ok := have[r.Name]
-		if i, again := at[r.Name]; again {
+	changeIndex := map[string]int{} // where this call's own changes are
+	purged := purgedGenerations(records)
+	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
+		old, ok := records[record.Name]
+		if i, repeated := changeIndex[record.Name]; repeated {
 			old, ok = changes[i], true
 		}
-		if ok && r.Gen <= old.Gen {
-			if err := confirms(old, r); err != nil {
+		if ok && record.Gen <= old.Gen {
+			if err := checkResend(old, record); err != nil {
 				return nil, err
 			}
 			continue // also a removal that is named twice
 		}
 		if !ok {
-			if late, err := tooLate(generations, r); err != nil {
+			if older, err := mayPredatePurge(purged, record); err != nil {
 				return nil, err
-			} else if late {
+			} else if older {
 				continue
 			}
 		}
 		if ok {
-			r = succeeds(old, r)
+			record = withHistory(old, record)
 		}
-		if ok && !old.Dropped && !r.Dropped && strings.HasPrefix(r.Name, routePrefix) {
+		if ok && !old.Dropped && !record.Dropped && strings.HasPrefix(record.Name, routePrefix) {
 			// A route keeps its place when the operator changes it.
-			it := decodeItem(r)
-			it.Status = decodeItem(old).Status
-			r.Data, r.Rev = encode(it), old.Rev
+			item := decodeItem(record)
+			item.Status = decodeItem(old).Status
+			record.Data, record.Rev = encode(item), old.Rev
 		}
-		if ok && r.Dropped && strings.HasPrefix(r.Name, routePrefix) {
-			if b, bound := have[bindingPrefix+r.Name[len(routePrefix):]]; bound && !b.Dropped {
-				changes = append(changes, Record{Name: b.Name, Gen: b.Gen + 1, Dropped: true})
+		if ok && record.Dropped && strings.HasPrefix(record.Name, routePrefix) {
+			if binding, bound := records[bindingPrefix+record.Name[len(routePrefix):]]; bound && !binding.Dropped {
+				changes = append(changes, Record{Name: binding.Name, Gen: binding.Gen + 1, Dropped: true})
 			}
 		}
-		at[r.Name] = len(changes)
-		changes = append(changes, r)
+		changeIndex[record.Name] = len(changes)
+		changes = append(changes, record)
 	}
 	if len(changes) == 0 {
 		return nil, nil
 	}
-	numberRemovals(have, changes)
-	changes = append(changes, forget(have, changes)...)
-	if err := check(have, changes, reader); err != nil {
+	numberTombstones(records, changes)
+	changes = append(changes, purgeTombstones(records, changes)...)
+	if err := check(records, changes, reader); err != nil {
 		return nil, err
 	}
-	reader.prune(have)
+	reader.prune(records)
 	return changes, nil
 }
 
@@ -112,29 +112,29 @@
 }
 
 // Plan works out what a call would do, item by item, without doing it.
-func (c *Change) Plan(have map[string]Record, reader *Reader) ([]Step, error) {
-	changes, err := c.Apply(have, reader)
+func (c *Change) Plan(records map[string]Record, reader *Reader) ([]Step, error) {
+	changes, err := c.Apply(records, reader)
 	if err != nil {
 		return nil, err
 	}
-	taken := map[string]bool{}
-	for _, r := range changes {
-		taken[r.Name] = !r.Erased
+	applied := map[string]bool{}
+	for _, record := range changes {
+		applied[record.Name] = !record.Erased
 	}
 	steps := []Step{}
-	for _, r := range append(append([]Record(nil), c.upserts...), c.removals...) {
-		old, ok := have[r.Name]
-		s := Step{r.Name, "nothing", old.Gen, r.Gen}
+	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
+		old, ok := records[record.Name]
+		step := Step{record.Name, "nothing", old.Gen, record.Gen}
 		switch {
-		case !taken[r.Name] || r.Dropped && (!ok || old.Dropped):
-		case r.Dropped:
-			s.Effect = "drop"
+		case !applied[record.Name] || record.Dropped && (!ok || old.Dropped):
+		case record.Dropped:
+			step.Effect = "drop"
 		case !ok || old.Dropped:
-			s.Effect = "add"
+			step.Effect = "add"
 		default:
-			s.Effect = "change"
+			step.Effect = "change"
 		}
-		steps = append(steps, s)
+		steps = append(steps, step)
 	}
 	return steps, nil
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -18,74 +18,74 @@
 
 // check checks the whole that results from changes. Of several faults it names
 // the first by name.
-func check(have map[string]Record, changes []Record, reader *Reader) error {
+func check(records map[string]Record, changes []Record, reader *Reader) error {
 	changed := make(map[string]Record, len(changes))
-	for _, r := range changes {
-		changed[r.Name] = r
+	for _, route := range changes {
+		changed[route.Name] = route
 	}
-	stands := func(name string) bool {
-		r, ok := changed[name]
+	exists := func(name string) bool {
+		route, ok := changed[name]
 		if !ok {
-			r, ok = have[name]
+			route, ok = records[name]
 		}
-		return ok && !r.Dropped
+		return ok && !route.Dropped
 	}
 	type place struct{ host, prefix string }
-	places := map[place]string{}
-	holders := map[string]string{} // key -> tenant
-	bytes := 0
-	var first error
-	fault := func(format string, args ...any) {
-		if err := invalid(format, args...); first == nil || err.Error() < first.Error() {
-			first = err
+	routeAt := map[place]string{}
+	tenantWithKey := map[string]string{} // key -> tenant
+	totalBytes := 0
+	var firstErr error
+	report := func(format string, args ...any) {
+		if err := invalid(format, args...); firstErr == nil || err.Error() < firstErr.Error() {
+			firstErr = err
 		}
 	}
-	look := func(rec Record) {
-		bytes += size(rec)
+	checkRecord := func(rec Record) {
+		totalBytes += size(rec)
 		if !rec.Dropped && strings.HasPrefix(rec.Name, tenantPrefix) {
-			t, err := reader.Tenant(rec)
+			tenant, err := reader.Tenant(rec)
 			if err != nil {
-				fault("%s: %v", rec.Name, err)
+				report("%s: %v", rec.Name, err)
 				return
 			}
-			for _, k := range t.APIKeys {
-				if other, ok := holders[k]; ok && other != t.Name {
-					fault("tenants %s and %s: apiKeys: they share a key", min(other, t.Name), max(other, t.Name))
+			for _, k := range tenant.APIKeys {
+				if other, ok := tenantWithKey[k]; ok && other != tenant.Name {
+					report("tenants %s and %s: apiKeys: they share a key", min(other, tenant.Name), max(other, tenant.Name))
 				}
-				holders[k] = t.Name
+				tenantWithKey[k] = tenant.Name
 			}
 		}
 		if rec.Dropped || !strings.HasPrefix(rec.Name, routePrefix) {
 			return
 		}
-		r, err := reader.Route(rec)
+		route, err := reader.Route(rec)
 		if err != nil {
-			fault("%s: %v", rec.Name, err)
+			report("%s: %v", rec.Name, err)
 			return
 		}
-		for _, t := range r.Targets() {
-			if !stands(servicePrefix + t) {
-				fault("route %s: target: unknown service %q", r.Name, t)
+		for _, tenant := range route.Targets() {
+			if !exists(servicePrefix + tenant) {
+				report("route %s: target: unknown service %q", route.Name, tenant)
 			}
 		}
-		at := place{r.Host, r.PathPrefix}
-		if other, ok := places[at]; ok {
-			fault("routes %s and %s: pathPrefix: same host and prefix", min(other, r.Name), max(other, r.Name))
+		key := place{route.Host, route.PathPrefix}
+		if other, ok := routeAt[key]; ok {
+			report("routes %s and %s: pathPrefix: same host and prefix", min(other, route.Name), max(other, route.Name))
 		}
-		places[at] = r.Name
+		routeAt[key] = route.Name
 	}
-	for name, rec := range have {
+	for name, rec := range records {
 		if _, ok := changed[name]; !ok {
-			look(rec)
+			checkRecord(rec)
 		}
 	}
 	for _, rec := range changes {
 		if !rec.Erased {
-			look(rec)
+			checkRecord(rec)
 		}
 	}
-	if first == nil && bytes > MaxBytes {
-		return apierror.New(apierror.BodyTooLarge, "the configuration would hold %d bytes, more than %d", bytes, MaxBytes)
+	if firstErr == nil && totalBytes > MaxBytes {
+		return apierror.New(apierror.BodyTooLarge, "the configuration would hold %d bytes, more than %d", totalBytes, MaxBytes)
 	}
-	return first
+	return firstErr
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"madderwing/internal/apierror"
 )
 
-const svc = `{"name":"a","generation":%d,"healthPath":"/h","maxConns":9,"warmupS":3,"warmupPerS":2,"extra":{"x":[1,2]}}`
+const serviceJSON = `{"name":"a","generation":%d,"healthPath":"/h","maxConns":9,"warmupS":3,"warmupPerS":2,"extra":{"x":[1,2]}}`
 
 func route(name, prefix, target string, gen int) string {
 	return fmt.Sprintf(`{"name":%q,"pathPrefix":%q,"routeKind":"idempotent","deadlineS":1,"target":%q,"maxTries":2,"generation":%d}`, name, prefix, target, gen)
@@ -21,29 +21,29 @@
 	return fmt.Sprintf(`{"upsert":{"services":[%s],"domains":[{"authority":"h.example","hostRoutes":[%s]}]},"remove":{"routes":[%s]}}`, services, routes, remove)
 }
 
-func apply(t *testing.T, have map[string]Record, body string) error {
+func apply(t *testing.T, records map[string]Record, body string) error {
 	t.Helper()
 	c, err := Read([]byte(body))
 	if err != nil {
 		return err
 	}
-	changes, err := c.Apply(have, &Reader{})
+	changes, err := c.Apply(records, &Reader{})
 	for _, r := range changes {
-		have[r.Name] = r
+		records[r.Name] = r
 	}
 	return err
 }
 
-func start(t *testing.T) map[string]Record {
+func newRecords(t *testing.T) map[string]Record {
 	t.Helper()
-	have := map[string]Record{}
-	if err := apply(t, have, patch(fmt.Sprintf(svc, 7), route("r", "/p/", "a", 7), "")); err != nil {
+	records := map[string]Record{}
+	if err := apply(t, records, patch(fmt.Sprintf(serviceJSON, 7), route("r", "/p/", "a", 7), "")); err != nil {
 		t.Fatal(err)
 	}
-	return have
+	return records
 }
 
-func TestInvalidCallsAreRefusedWhole(t *testing.T) {
+func TestInvalidRequestsChangeNothing(t *testing.T) {
 	whole := patch("", route("n", "/n/", "a", 9), "")
 	cases := map[string]string{
 		"cut short":         whole[:len(whole)-7],
@@ -68,9 +68,9 @@
 		"same place": "routes n and r: pathPrefix", "no weight": "route n: split", "no time-out": "route n.deadlineS", "named twice": "route/n"}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			have := start(t)
-			before := fmt.Sprint(have)
-			err := apply(t, have, body)
+			records := newRecords(t)
+			before := fmt.Sprint(records)
+			err := apply(t, records, body)
 			var e *apierror.Error
 			if !errors.As(err, &e) || e.Kind != apierror.InvalidConfig || e.Detail == "" {
 				t.Fatalf("got %v", err)
@@ -78,14 +78,14 @@
 			if want := naming[name]; !strings.Contains(e.Detail, want) {
 				t.Fatalf("%q does not name %q", e.Detail, want)
 			}
-			if fmt.Sprint(have) != before {
+			if fmt.Sprint(records) != before {
 				t.Fatal("part of an invalid call took effect")
 			}
 		})
 	}
 }
 
-func TestTheHighestGenerationHolds(t *testing.T) {
+func TestHighestGenerationWins(t *testing.T) {
 	steps := []struct {
 		body   string
 		prefix string // of route r afterwards, "" if dropped
@@ -100,14 +100,14 @@
 		{patch("", route("r", "/late/", "a", 11), ""), "", ""},
 		{patch("", route("r", "/back/", "a", 13), ""), "/back/", ""},
 	}
-	have := start(t)
+	records := newRecords(t)
 	for i, s := range steps {
-		err := apply(t, have, s.body)
+		err := apply(t, records, s.body)
 		if s.says == "" && err != nil || s.says != "" && (apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), s.says)) {
 			t.Fatalf("step %d: %v", i, err)
 		}
 		got := ""
-		if routes := (&Reader{}).List(have); len(routes) > 0 {
+		if routes := (&Reader{}).List(records); len(routes) > 0 {
 			got = routes[0].PathPrefix
 		}
 		if got != s.prefix {
@@ -116,8 +116,8 @@
 	}
 }
 
-func TestRenderGivesBackWhatWasSent(t *testing.T) {
-	have := start(t)
+func TestRenderReturnsItemsAsSent(t *testing.T) {
+	records := newRecords(t)
 	var got struct {
 		Services []any
 		Domains  []struct {
@@ -125,11 +125,11 @@
 			HostRoutes []any
 		}
 	}
-	if err := json.Unmarshal(Render(have), &got); err != nil {
+	if err := json.Unmarshal(Render(records), &got); err != nil {
 		t.Fatal(err)
 	}
 	var want any
-	_ = json.Unmarshal([]byte(fmt.Sprintf(svc, 7)), &want)
+	_ = json.Unmarshal([]byte(fmt.Sprintf(serviceJSON, 7)), &want)
 	if len(got.Services) != 1 || !reflect.DeepEqual(got.Services[0], want) {
 		t.Fatalf("got %v", got.Services)
 	}
@@ -139,57 +139,57 @@
 }
 
 func TestBindingIsConditionalAndTheOnlyWriterOfStatus(t *testing.T) {
-	have := start(t)
+	records := newRecords(t)
 	put := func(changes []Record) {
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 	}
-	first, err := Bind(have, RouteBinding{"r", 1}, 0)
+	first, err := Bind(records, RouteBinding{"r", 1}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	put(first)
-	if _, err := Bind(have, RouteBinding{"r", 0}, 0); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Bind(records, RouteBinding{"r", 0}, 0); apierror.KindOf(err) != apierror.Conflict {
 		t.Fatalf("a second binding of one revision: %v", err)
 	}
 	for i := range 2 { // once more, and also after the operator's next change
-		if again, err := Bind(have, RouteBinding{"r", 1}, 0); err != nil || len(again) != 0 {
+		if again, err := Bind(records, RouteBinding{"r", 1}, 0); err != nil || len(again) != 0 {
 			t.Fatalf("the binding that stands, sent again: %v, %v", again, err)
 		}
-		if err := apply(t, have, patch("", route("r", "/q/", "a", 19+i), "")); err != nil {
+		if err := apply(t, records, patch("", route("r", "/q/", "a", 19+i), "")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Bind(have, RouteBinding{"r", 1}, 1); err != nil {
+	if _, err := Bind(records, RouteBinding{"r", 1}, 1); err != nil {
 		t.Fatalf("a new binding of the next revision: %v", err)
 	}
-	if s := (&Reader{}).List(have)[0].Status; s != (Status{PhaseScheduled, 1}) {
+	if s := (&Reader{}).List(records)[0].Status; s != (Status{PhaseScheduled, 1}) {
 		t.Fatalf("a change of the route moved it: %+v", s)
 	}
-	if err := apply(t, have, patch("", "", `{"name":"r","generation":21}`)); err != nil {
+	if err := apply(t, records, patch("", "", `{"name":"r","generation":21}`)); err != nil {
 		t.Fatal(err)
 	}
-	if !have["binding/r"].Dropped {
+	if !records["binding/r"].Dropped {
 		t.Fatal("binding outlives its route")
 	}
-	if _, err := Bind(have, RouteBinding{"r", 1}, 0); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Bind(records, RouteBinding{"r", 1}, 0); apierror.KindOf(err) != apierror.Conflict {
 		t.Fatalf("a binding of a route that is gone, sent again: %v", err)
 	}
-	if err := apply(t, have, patch("", route("r", "/q/", "a", 22), "")); err != nil {
+	if err := apply(t, records, patch("", route("r", "/q/", "a", 22), "")); err != nil {
 		t.Fatal(err)
 	}
-	if s := (&Reader{}).List(have)[0].Status; s.Phase != PhaseNew {
+	if s := (&Reader{}).List(records)[0].Status; s.Phase != PhaseNew {
 		t.Fatalf("a new route begins as %+v", s)
 	}
 }
 
-func TestLookupTakesTheLongestPrefix(t *testing.T) {
-	have := start(t)
-	if err := apply(t, have, patch("", route("long", "/p/q/", "a", 9)+","+route("s", "/s/", "a", 9), "")); err != nil {
+func TestLookupTakesLongestPrefix(t *testing.T) {
+	records := newRecords(t)
+	if err := apply(t, records, patch("", route("long", "/p/q/", "a", 9)+","+route("s", "/s/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
-	table := (&Builder{}).Build(have)
+	table := (&Builder{}).Build(records)
 	for _, c := range []struct{ host, path, want string }{
 		{"h.example", "/p/x", "r"}, {"h.example", "/p/q/x", "long"}, {"h.example:80", "/p/q", "r"},
 		{"H.Example", "/s/", "s"}, {"h.example", "/p", ""}, {"other", "/p/x", ""},
@@ -206,17 +206,17 @@
 
 // What was refused must leave no trace, even where the next call uses the same
 // generation.
-func TestARefusedItemIsForgotten(t *testing.T) {
-	have := start(t)
+func TestRefusedItemIsNotCached(t *testing.T) {
+	records := newRecords(t)
 	reader := &Reader{}
 	apply := func(body string) error {
 		c, err := Read([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes, err := c.Apply(have, reader)
+		changes, err := c.Apply(records, reader)
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 		return err
 	}
@@ -226,25 +226,25 @@
 	if err := apply(patch("", route("n", "/n/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
-	if routes := reader.List(have); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
+	if routes := reader.List(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
 		t.Fatalf("%+v", routes[0])
 	}
 }
 
-func TestPlanTellsWhatACallWouldDoAndDoesNothing(t *testing.T) {
-	have := start(t)
-	before := fmt.Sprint(have)
-	body := patch(fmt.Sprintf(svc, 7), route("r", "/new/", "a", 9)+","+route("n", "/n/", "a", 1), `{"name":"gone","generation":3}`)
+func TestPlanReportsEffectsWithoutApplying(t *testing.T) {
+	records := newRecords(t)
+	before := fmt.Sprint(records)
+	body := patch(fmt.Sprintf(serviceJSON, 7), route("r", "/new/", "a", 9)+","+route("n", "/n/", "a", 1), `{"name":"gone","generation":3}`)
 	c, err := Read([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := c.Plan(have, &Reader{})
+	got, err := c.Plan(records, &Reader{})
 	want := []Step{{"service/a", "nothing", 7, 7}, {"route/r", "change", 7, 9}, {"route/n", "add", 0, 1}, {"route/gone", "nothing", 0, 3}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v %+v", err, got)
 	}
-	if fmt.Sprint(have) != before {
+	if fmt.Sprint(records) != before {
 		t.Fatal("the plan was carried out")
 	}
 }
@@ -265,22 +265,22 @@
 		"withdrawn again after a later asking": {{evacuate, false, 1, 1}, {withdraw, false, 0, 0}, {evacuate, true, 1, 1}, {withdraw, true, 0, 1}},
 		"withdrawn without being evacuated":    {{withdraw, false, 0, 0}, {withdraw, true, 0, 0}, {evacuate, true, 1, 1}},
 	} {
-		have := map[string]Record{}
+		records := map[string]Record{}
 		for i, s := range steps {
 			id := EvacuationOrderID(uint64(i+1)<<2, s.evacuate)
 			o := EvacuationOrder{Zone: "z", Evacuate: s.evacuate, ID: id, Recent: func(uint64) bool { return s.recent }}
-			changes, err := Evacuation(have, o)
+			changes, err := Evacuation(records, o)
 			if err != nil || len(changes) != 1 {
 				t.Fatalf("%s, step %d: %v, %v", name, i, changes, err)
 			}
 			r := changes[0]
-			have[r.Name] = r
-			e := readEvacuation(r)
-			if e.certain != s.certain || e.possible != s.possible || r.Dropped != (s.possible == 0) || InDoubt(r) != (s.certain == 0 && s.possible > 0) {
+			records[r.Name] = r
+			e := decodeEvacuation(r)
+			if e.minActive != s.certain || e.maxActive != s.possible || r.Dropped != (s.possible == 0) || InDoubt(r) != (s.certain == 0 && s.possible > 0) {
 				t.Errorf("%s, step %d: %+v", name, i, e)
 			}
 			// Another owner that is passed the same call knows it from the record.
-			if again, err := Evacuation(have, o); len(again) > 0 || err != nil {
+			if again, err := Evacuation(records, o); len(again) > 0 || err != nil {
 				t.Fatalf("%s, step %d was carried out twice: %+v", name, i, again)
 			}
 		}
@@ -288,8 +288,8 @@
 }
 
 // A zone's doubt ends on the generation that it was seen on, and no other.
-func TestADoubtEndsOnItsGeneration(t *testing.T) {
-	doubtful := evacuation{possible: 2, orders: []uint64{5, 7}}.record("evacuation/z", 3)
+func TestDoubtEndsOnlyOnSeenGeneration(t *testing.T) {
+	doubtful := evacuation{maxActive: 2, orders: []uint64{5, 7}}.encodeRecord("evacuation/z", 3)
 	for name, c := range map[string]struct {
 		record     Record
 		generation uint64
@@ -297,8 +297,8 @@
 	}{
 		"as it was seen":      {doubtful, 3, true},
 		"changed since":       {doubtful, 2, false},
-		"certain":             {evacuation{possible: 2, certain: 1}.record("evacuation/z", 3), 3, false},
-		"taken back":          {evacuation{}.record("evacuation/z", 3), 3, false},
+		"certain":             {evacuation{maxActive: 2, minActive: 1}.encodeRecord("evacuation/z", 3), 3, false},
+		"taken back":          {evacuation{}.encodeRecord("evacuation/z", 3), 3, false},
 		"an earlier release":  {Record{Name: "evacuation/z", Gen: 3, Data: []byte{2, 1, 2, 3, 4, 5, 6, 7, 8}}, 3, false},
 		"one without content": {Record{Name: "evacuation/z", Gen: 3}, 3, false},
 	} {
@@ -311,8 +311,8 @@
 	}
 }
 
-func TestAnOrderOnAnOlderStateIsRefused(t *testing.T) {
-	have := map[string]Record{}
+func TestOrderOnOutdatedGenerationIsRefused(t *testing.T) {
+	records := map[string]Record{}
 	basis := func(generation uint64) *uint64 { return &generation }
 	for i, c := range []struct {
 		order     EvacuationOrder
@@ -330,15 +330,15 @@
 		{EvacuationOrder{Evacuate: true, ID: 7}, false, true},                  // an earlier release tells no basis
 	} {
 		c.order.Zone = "z"
-		changes, err := Evacuation(have, c.order)
+		changes, err := Evacuation(records, c.order)
 		if refused := apierror.KindOf(err) == apierror.Outdated && err != nil; refused != c.refused {
 			t.Fatalf("step %d: %v", i, err)
 		}
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
-		if have["evacuation/z"].Dropped == c.evacuated {
-			t.Fatalf("step %d: %+v", i, have)
+		if records["evacuation/z"].Dropped == c.evacuated {
+			t.Fatalf("step %d: %+v", i, records)
 		}
 	}
 }
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -13,50 +13,50 @@
 
 // remembered is how many generations below the one that stands an item keeps the
 // digests of.
-const remembered = 4
+const maxRemembered = 4
 
 // digest tells contents apart: 64 bits of a hash over the canonical form of an item
 // as the operator sent it, and its host. 0 stands for a removal and for nothing else.
 // Digests are kept on disk, so the canonical form has to stay as it is.
 type digest uint64
 
-func (it Item) digest() digest {
-	h := sha256.New()
-	h.Write([]byte(it.Host))
-	h.Write([]byte{0})
-	h.Write(canonical(it.Raw))
-	return max(1, digest(binary.BigEndian.Uint64(h.Sum(nil))))
+func (item Item) digest() digest {
+	hash := sha256.New()
+	hash.Write([]byte(item.Host))
+	hash.Write([]byte{0})
+	hash.Write(canonical(item.Raw))
+	return max(1, digest(binary.BigEndian.Uint64(hash.Sum(nil))))
 }
 
 // canonical writes a JSON document in a form that is the same for all that say the
 // same: keys sorted, numbers by value, letters unescaped the same way. What cannot
 // be read stays as it is.
 func canonical(raw []byte) []byte {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
-	var v any
-	if d.Decode(&v) != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
+	var document any
+	if decoder.Decode(&document) != nil {
 		return raw
 	}
-	b, err := json.Marshal(sameNumbers(v))
+	body, err := json.Marshal(normalizeNumbers(document))
 	if err != nil {
 		return raw
 	}
-	return b
+	return body
 }
 
 // sameNumbers puts all numbers in a document, which it alters, in the form of number.
-func sameNumbers(v any) any {
+func normalizeNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
-		return number(v)
+		return normalizeNumber(v)
 	case []any:
 		for i := range v {
-			v[i] = sameNumbers(v[i])
+			v[i] = normalizeNumbers(v[i])
 		}
 	case map[string]any:
 		for k := range v {
-			v[k] = sameNumbers(v[k])
+			v[k] = normalizeNumbers(v[k])
 		}
 	}
 	return v
@@ -64,7 +64,7 @@
 
 // number writes a number as its digits, without zeros at either end, and a power of
 // ten: 2, 2.0 and 0.2e1 are all 2e0. No digit is lost, however many there are.
-func number(n json.Number) json.Number {
+func normalizeNumber(n json.Number) json.Number {
 	text, minus := strings.CutPrefix(strings.ToLower(string(n)), "-")
 	mantissa, power, _ := strings.Cut(text, "e")
 	whole, fraction, _ := strings.Cut(mantissa, ".")
@@ -74,25 +74,25 @@
 	}
 	exponent := new(big.Int)
 	exponent.SetString(power, 10) // stays 0 where there is none
-	short := strings.TrimRight(digits, "0")
-	exponent.Add(exponent, big.NewInt(int64(len(digits)-len(short)-len(fraction))))
+	significant := strings.TrimRight(digits, "0")
+	exponent.Add(exponent, big.NewInt(int64(len(digits)-len(significant)-len(fraction))))
 	if minus {
-		short = "-" + short
+		significant = "-" + significant
 	}
-	return json.Number(short + "e" + exponent.String())
+	return json.Number(significant + "e" + exponent.String())
 }
 
 // same says whether two records of one name have one content.
-func same(a, b Record) bool {
+func sameContent(a, b Record) bool {
 	if a.Dropped || b.Dropped {
 		return a.Dropped == b.Dropped
 	}
-	x, y := decodeItem(a), decodeItem(b)
-	return x.Host == y.Host && bytes.Equal(x.Raw, y.Raw) || x.digest() == y.digest()
+	itemA, itemB := decodeItem(a), decodeItem(b)
+	return itemA.Host == itemB.Host && bytes.Equal(itemA.Raw, itemB.Raw) || itemA.digest() == itemB.digest()
 }
 
 // content is the digest of what a record holds.
-func content(r Record) digest {
+func contentDigest(r Record) digest {
 	if r.Dropped {
 		return 0
 	}
@@ -100,61 +100,61 @@
 }
 
 // grave is the data of a dropped record: the memory that it has in common with an Item.
-type grave struct {
+type tombstoneData struct {
 	Taken []byte `cbor:"4,keyasint,omitempty"`
 }
 
 // takenBytes are those of one digest beside its generation.
-const takenBytes = 8
+const digestBytes = 8
 
 // succeeds puts a record in the place of another: what stood joins the memory.
-func succeeds(old, r Record) Record {
-	memory := binary.AppendUvarint(nil, old.Gen)
-	memory = binary.BigEndian.AppendUint64(memory, uint64(content(old)))
+func withHistory(old, record Record) Record {
+	history := binary.AppendUvarint(nil, old.Gen)
+	history = binary.BigEndian.AppendUint64(history, uint64(contentDigest(old)))
 	rest := decodeItem(old).Taken
-	for n := 1; n < remembered; n++ {
+	for n := 1; n < maxRemembered; n++ {
 		_, size := binary.Uvarint(rest)
-		if size <= 0 || len(rest) < size+takenBytes {
+		if size <= 0 || len(rest) < size+digestBytes {
 			break
 		}
-		memory = append(memory, rest[:size+takenBytes]...)
-		rest = rest[size+takenBytes:]
+		history = append(history, rest[:size+digestBytes]...)
+		rest = rest[size+digestBytes:]
 	}
-	if r.Dropped {
-		r.Data = encode(grave{memory})
-		return r
+	if record.Dropped {
+		record.Data = encode(tombstoneData{history})
+		return record
 	}
-	it := decodeItem(r)
-	it.Taken = memory
-	r.Data = encode(it)
-	return r
+	item := decodeItem(record)
+	item.Taken = history
+	record.Data = encode(item)
+	return record
 }
 
 // recall looks in an item's memory for what was taken under a generation.
-func recall(r Record, gen uint64) (d digest, ok bool) {
-	for rest := decodeItem(r).Taken; ; {
-		g, size := binary.Uvarint(rest)
-		if size <= 0 || len(rest) < size+takenBytes {
+func findDigest(record Record, generation uint64) (d digest, ok bool) {
+	for rest := decodeItem(record).Taken; ; {
+		entry, size := binary.Uvarint(rest)
+		if size <= 0 || len(rest) < size+digestBytes {
 			return 0, false
 		}
-		if g == gen {
+		if entry == generation {
 			return digest(binary.BigEndian.Uint64(rest[size:])), true
 		}
-		rest = rest[size+takenBytes:]
+		rest = rest[size+digestBytes:]
 	}
 }
 
 // confirms says whether what was sent under a generation that is not above the one
 // that stands may be acknowledged: not if it is known that something else was taken
 // under that number. The error is of the kind Conflict.
-func confirms(stands, sent Record) error {
-	ok := true
-	if sent.Gen == stands.Gen {
-		ok = same(stands, sent)
-	} else if d, known := recall(stands, sent.Gen); known {
-		ok = d == content(sent)
+func checkResend(current, sent Record) error {
+	matches := true
+	if sent.Gen == current.Gen {
+		matches = sameContent(current, sent)
+	} else if accepted, known := findDigest(current, sent.Gen); known {
+		matches = accepted == contentDigest(sent)
 	}
-	if ok {
+	if matches {
 		return nil
 	}
 	return apierror.New(apierror.Conflict, "%s: generation %d has been taken with another content",
--- a/internal/config/numbers_test.go
+++ b/internal/config/generations_test.go
@@ -12,7 +12,7 @@
 
 // Bodies of calls on items of each kind, with a generation and something that
 // differs between contents.
-var kinds = map[string]struct{ set, drop, named string }{
+var itemKinds = map[string]struct{ set, drop, named string }{
 	"route":   {patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":%[2]d,"target":"a","generation":%[1]d}`, ""), `{"remove":{"routes":[{"name":"n","generation":%d}]}}`, "route n"},
 	"service": {`{"upsert":{"services":[{"name":"n","maxConns":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"services":[{"name":"n","generation":%d}]}}`, "service n"},
 	"tenant":  {`{"upsert":{"tenants":[{"name":"n","apiKeys":["k"],"ratePerS":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"tenants":[{"name":"n","generation":%d}]}}`, "tenant n"},
@@ -21,7 +21,7 @@
 
 // One number has one content: whatever was taken under it is acknowledged as often
 // as it comes, and nothing else is.
-func TestOneNumberOneContent(t *testing.T) {
+func TestGenerationIdentifiesOneContent(t *testing.T) {
 	const drop = 0 // in the place of a content
 	type step struct {
 		gen, content int
@@ -40,9 +40,9 @@
 		"older numbers of what is dropped": {{9, 1, false}, {11, 2, false}, {13, drop, false}, {9, 2, true}, {11, 1, true}, {11, drop, true}, {9, 1, false}},
 		"numbers beyond the memory":        {{1, 1, false}, {2, 1, false}, {3, 1, false}, {4, 1, false}, {5, 1, false}, {6, 1, false}, {2, 2, true}, {1, 2, false}},
 	}
-	for kind, k := range kinds {
+	for kind, k := range itemKinds {
 		for name, steps := range cases {
-			have := start(t)
+			records := newRecords(t)
 			for i, s := range steps {
 				body := fmt.Sprintf(k.set, s.gen, max(s.content, 1))
 				if s.content == drop {
@@ -51,8 +51,8 @@
 					}
 					body = fmt.Sprintf(k.drop, s.gen)
 				}
-				before := maps.Clone(have)
-				err := apply(t, have, body)
+				before := maps.Clone(records)
+				err := apply(t, records, body)
 				if !s.refused {
 					if err != nil {
 						t.Errorf("%s, %s, step %d: %v", kind, name, i, err)
@@ -62,7 +62,7 @@
 				if apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), k.named+": ") || !strings.Contains(err.Error(), fmt.Sprintf("generation %d ", s.gen)) {
 					t.Errorf("%s, %s, step %d: got %v", kind, name, i, err)
 				}
-				if !reflect.DeepEqual(have, before) {
+				if !reflect.DeepEqual(records, before) {
 					t.Errorf("%s, %s, step %d: took effect", kind, name, i)
 				}
 			}
@@ -71,7 +71,7 @@
 }
 
 // What is the same content, and what is not.
-func TestContentsAreComparedByWhatTheySay(t *testing.T) {
+func TestContentComparisonIgnoresJSONFormatting(t *testing.T) {
 	const first = `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":2,"split":[{"target":"a","share":10},{"target":"b","share":90}],"note":{"x":[1,0.50],"y":"A<"},"generation":9}`
 	at := func(host, item string) string {
 		return fmt.Sprintf(`{"upsert":{"domains":[{"authority":%q,"hostRoutes":[%s]}]}}`, host, item)
@@ -106,14 +106,14 @@
 		"order of a list":      {at("h.example", swap(`{"target":"a","share":10},{"target":"b","share":90}`, `{"target":"b","share":90},{"target":"a","share":10}`)), false},
 		"limits by a name":     {`{"upsert":{"limits":{"name":"x","maxHeaderBytes":2,"generation":1}}}`, false},
 	} {
-		have := start(t)
-		if err := apply(t, have, `{"upsert":{"services":[{"name":"b","generation":1}],"limits":{"maxHeaderBytes":1,"generation":1}}}`); err != nil {
+		records := newRecords(t)
+		if err := apply(t, records, `{"upsert":{"services":[{"name":"b","generation":1}],"limits":{"maxHeaderBytes":1,"generation":1}}}`); err != nil {
 			t.Fatal(err)
 		}
-		if err := apply(t, have, at("h.example", first)); err != nil {
+		if err := apply(t, records, at("h.example", first)); err != nil {
 			t.Fatal(err)
 		}
-		if err := apply(t, have, c.body); c.same && err != nil || !c.same && apierror.KindOf(err) != apierror.Conflict {
+		if err := apply(t, records, c.body); c.same && err != nil || !c.same && apierror.KindOf(err) != apierror.Conflict {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -121,21 +121,21 @@
 
 // What the system writes into a route is no part of its content, and doesn't make it
 // forget; a record of an earlier release has its content and no memory.
-func TestPlacingARouteChangesNoContent(t *testing.T) {
-	have := start(t)
+func TestBindingDoesNotChangeContent(t *testing.T) {
+	records := newRecords(t)
 	put := func(body string, refused bool) {
 		t.Helper()
-		if err := apply(t, have, body); refused != (apierror.KindOf(err) == apierror.Conflict) || !refused && err != nil {
+		if err := apply(t, records, body); refused != (apierror.KindOf(err) == apierror.Conflict) || !refused && err != nil {
 			t.Errorf("%s: %v", body, err)
 		}
 	}
 	bind := func() {
-		changes, err := Bind(have, RouteBinding{"r", 1}, have["route/r"].Rev)
+		changes, err := Bind(records, RouteBinding{"r", 1}, records["route/r"].Rev)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 	}
 	bind()
@@ -145,7 +145,7 @@
 	bind()
 	put(patch("", route("r", "/p/", "a", 7), ""), false)
 	put(patch("", route("r", "/q/", "a", 7), ""), true)
-	if s := (&Reader{}).List(have)[0].Status; s.Shard != 1 {
+	if s := (&Reader{}).List(records)[0].Status; s.Shard != 1 {
 		t.Errorf("the route lost its place: %+v", s)
 	}
 
@@ -155,8 +155,8 @@
 		Raw    []byte `cbor:"2,keyasint,omitempty"`
 		Status Status `cbor:"3,keyasint"`
 	}
-	have["route/r"] = Record{Name: "route/r", Gen: 9, Data: encode(oldItem{"h.example", []byte(route("r", "/q/", "a", 9)), Status{PhaseNew, -1}})}
-	have["route/gone"] = Record{Name: "route/gone", Gen: 9, Dropped: true}
+	records["route/r"] = Record{Name: "route/r", Gen: 9, Data: encode(oldItem{"h.example", []byte(route("r", "/q/", "a", 9)), Status{PhaseNew, -1}})}
+	records["route/gone"] = Record{Name: "route/gone", Gen: 9, Dropped: true}
 	put(patch("", route("r", "/q/", "a", 9), ""), false)
 	put(patch("", route("r", "/z/", "a", 9), ""), true)
 	put(patch("", route("r", "/z/", "a", 7), ""), false) // not known any more
@@ -166,7 +166,7 @@
 
 // In one call: a removal may be named twice, also under two numbers; all else that is
 // named twice is no valid call. One item at fault refuses the whole.
-func TestOneNumberWithinOneCall(t *testing.T) {
+func TestGenerationsWithinOneRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		body string
 		kind apierror.Kind
@@ -182,29 +182,29 @@
 		"the last of two is taken":        {patch("", route("n", "/n/", "a", 9)+","+route("r", "/x/", "a", 7), ""), apierror.Conflict, false},
 		"a removal of what stands beside": {patch("", route("n", "/n/", "a", 9), `{"name":"r","generation":7}`), apierror.Conflict, false},
 	} {
-		have := start(t)
-		bound, err := Bind(have, RouteBinding{"r", 1}, 0)
+		records := newRecords(t)
+		bound, err := Bind(records, RouteBinding{"r", 1}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range bound {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
-		before := maps.Clone(have)
-		err = apply(t, have, c.body)
+		before := maps.Clone(records)
+		err = apply(t, records, c.body)
 		if c.ok && err != nil || !c.ok && apierror.KindOf(err) != c.kind {
 			t.Errorf("%s: %v", name, err)
 		}
-		if !c.ok && !reflect.DeepEqual(have, before) {
+		if !c.ok && !reflect.DeepEqual(records, before) {
 			t.Errorf("%s: took effect", name)
 		}
 		if c.ok {
 			for _, gen := range []uint64{9, 12} {
-				if strings.Contains(c.body, fmt.Sprint(gen)) && have["route/r"].Gen < gen {
-					t.Errorf("%s: generation %d holds", name, have["route/r"].Gen)
+				if strings.Contains(c.body, fmt.Sprint(gen)) && records["route/r"].Gen < gen {
+					t.Errorf("%s: generation %d holds", name, records["route/r"].Gen)
 				}
 			}
-			if err := apply(t, have, c.body); err != nil {
+			if err := apply(t, records, c.body); err != nil {
 				t.Errorf("%s, sent again: %v", name, err)
 			}
 		}
@@ -212,10 +212,10 @@
 }
 
 // A name that is changed for ever takes no more room than one that is changed a few times.
-func TestTheMemoryOfNumbersIsBounded(t *testing.T) {
-	have := start(t)
+func TestGenerationHistoryIsBounded(t *testing.T) {
+	records := newRecords(t)
 	size := func() (n int) {
-		for _, r := range have {
+		for _, r := range records {
 			n += len(r.Data) + len(r.Name) + recordBytes
 		}
 		return n
@@ -226,12 +226,12 @@
 		if gen%3 == 2 {
 			body = patch("", "", fmt.Sprintf(`{"name":"n","generation":%d}`, gen))
 		}
-		if err := apply(t, have, body); err != nil {
+		if err := apply(t, records, body); err != nil {
 			t.Fatal(err)
 		}
 		if gen < 130 {
 			most = max(most, size())
-		} else if size() > most+remembered { // the numbers themselves grow by a byte
+		} else if size() > most+maxRemembered { // the numbers themselves grow by a byte
 			t.Fatalf("generation %d: %d bytes, at first %d", gen, size(), most)
 		}
 	}
@@ -239,69 +239,69 @@
 
 // Eight orders may be under way at once: one that is passed on again after seven others
 // of its zone is still known.
-func TestAnEvacuationPassedOnAfterSevenOthers(t *testing.T) {
-	have := map[string]Record{}
+func TestEvacuationOrderResentAfterSevenOthers(t *testing.T) {
+	records := map[string]Record{}
 	ask := func(on bool, id uint64) (changed bool) {
-		changes, err := Evacuation(have, EvacuationOrder{Zone: "z", Evacuate: on, ID: id})
+		changes, err := Evacuation(records, EvacuationOrder{Zone: "z", Evacuate: on, ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 		return len(changes) > 0
 	}
 	for id := uint64(1); id <= 8; id++ {
 		ask(id%2 == 1, id)
 	}
-	if ask(true, 1) || !have["evacuation/z"].Dropped {
+	if ask(true, 1) || !records["evacuation/z"].Dropped {
 		t.Error("the first of eight orders was carried out twice")
 	}
 }
 
 // Thousands of names that come and go: none of them comes back by an old change, and
 // each leaves a bounded trace, all of which counts against MaxBytes.
-func TestNamesThatComeAndGo(t *testing.T) {
+func TestRemovedNamesLeaveSmallTombstones(t *testing.T) {
 	const names, trace = 2000, 32 // bytes of a dropped route's memory, at most
-	have, reader := start(t), &Reader{}
+	records, reader := newRecords(t), &Reader{}
 	take := func(body string) {
 		t.Helper()
 		c, err := Read([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes, err := c.Apply(have, reader)
+		changes, err := c.Apply(records, reader)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 	}
 	set := func(i int) string { return patch("", route(fmt.Sprintf("n%d", i), "/n/", "a", 100), "") }
 	for i := range names {
 		take(set(i))
-		changes, err := Bind(have, RouteBinding{fmt.Sprintf("n%d", i), 0}, 0)
+		changes, err := Bind(records, RouteBinding{fmt.Sprintf("n%d", i), 0}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range changes {
-			have[r.Name] = r
+			records[r.Name] = r
 		}
 		take(patch("", "", fmt.Sprintf(`{"name":"n%d","generation":200}`, i)))
 	}
 	for i := 0; i < names; i += 7 {
 		take(set(i))
 	}
-	if routes := reader.List(have); len(routes) != 1 {
+	if routes := reader.List(records); len(routes) != 1 {
 		t.Errorf("%d routes stand, not 1", len(routes))
 	}
-	for name, r := range have {
+	for name, r := range records {
 		if r.Dropped && len(r.Data) > trace {
 			t.Fatalf("%s leaves %d bytes", name, len(r.Data))
 		}
 	}
-	if want := 2 + 2*names; len(have) != want { // a route and its binding each
-		t.Errorf("%d records, not %d", len(have), want)
+	if want := 2 + 2*names; len(records) != want { // a route and its binding each
+		t.Errorf("%d records, not %d", len(records), want)
 	}
 }
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -84,33 +84,33 @@
 	if r.Target != "" {
 		return []string{r.Target}
 	}
-	var out []string
-	for _, s := range r.Split {
-		out = append(out, s.Target)
+	var targets []string
+	for _, share := range r.Split {
+		targets = append(targets, share.Target)
 	}
-	return out
+	return targets
 }
 
 // Choose picks a service by a number from 0 up to 1.
-func (r *Route) Choose(x float64) string {
+func (r *Route) Choose(point float64) string {
 	if r.Target != "" {
 		return r.Target
 	}
-	sum := 0.0
-	for _, s := range r.Split {
-		sum += s.Share
+	shareSum := 0.0
+	for _, share := range r.Split {
+		shareSum += share.Share
 	}
-	x *= sum
+	point *= shareSum
 	last := ""
-	for _, s := range r.Split {
-		if s.Share <= 0 {
+	for _, share := range r.Split {
+		if share.Share <= 0 {
 			continue
 		}
-		last = s.Target
-		if x < s.Share {
+		last = share.Target
+		if point < share.Share {
 			break
 		}
-		x -= s.Share
+		point -= share.Share
 	}
 	return last
 }
@@ -145,20 +145,20 @@
 }
 
 // HasService says whether a service stands.
-func HasService(have map[string]Record, name string) bool {
-	r, ok := have[servicePrefix+name]
-	return ok && !r.Dropped
+func HasService(records map[string]Record, name string) bool {
+	record, ok := records[servicePrefix+name]
+	return ok && !record.Dropped
 }
 
-func decodeItem(r Record) (it Item) {
-	_ = cbor.Unmarshal(r.Data, &it)
-	return it
+func decodeItem(record Record) (item Item) {
+	_ = cbor.Unmarshal(record.Data, &item)
+	return item
 }
 
 func encode(v any) []byte {
-	b, err := cbor.Marshal(v)
+	data, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return b
+	return data
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -11,97 +11,97 @@
 // This file holds how items are read from their records, each version once.
 
 // ReadRoute reads a route from its record.
-func ReadRoute(rec Record) (*Route, error) {
-	it := decodeItem(rec)
-	r := &Route{}
-	if err := json.Unmarshal(it.Raw, r); err != nil {
+func ReadRoute(record Record) (*Route, error) {
+	item := decodeItem(record)
+	route := &Route{}
+	if err := json.Unmarshal(item.Raw, route); err != nil {
 		return nil, err
 	}
-	r.Host, r.Status, r.Rev = it.Host, it.Status, rec.Rev
-	return r, nil
+	route.Host, route.Status, route.Rev = item.Host, item.Status, record.Rev
+	return route, nil
 }
 
 // Reader reads each version of a route or a tenant once. One goroutine owns it.
 type Reader struct {
-	routes  map[string]read
-	tenants map[string]readTenant
+	routes  map[string]cachedRoute
+	tenants map[string]cachedTenant
 	pruneAt int // versions held at which prune looks again
 }
 
-type readTenant struct {
+type cachedTenant struct {
 	data   []byte
 	tenant *Tenant
 }
 
 // Tenant gives the tenant of a record.
-func (x *Reader) Tenant(rec Record) (*Tenant, error) {
-	if r, ok := x.tenants[rec.Name]; ok && bytes.Equal(r.data, rec.Data) {
-		return r.tenant, nil
+func (reader *Reader) Tenant(record Record) (*Tenant, error) {
+	if cached, ok := reader.tenants[record.Name]; ok && bytes.Equal(cached.data, record.Data) {
+		return cached.tenant, nil
 	}
-	t := &Tenant{}
-	if err := json.Unmarshal(decodeItem(rec).Raw, t); err != nil {
+	tenant := &Tenant{}
+	if err := json.Unmarshal(decodeItem(record).Raw, tenant); err != nil {
 		return nil, err
 	}
-	if x.tenants == nil {
-		x.tenants = map[string]readTenant{}
+	if reader.tenants == nil {
+		reader.tenants = map[string]cachedTenant{}
 	}
-	x.tenants[rec.Name] = readTenant{rec.Data, t}
-	return t, nil
+	reader.tenants[record.Name] = cachedTenant{record.Data, tenant}
+	return tenant, nil
 }
 
-type read struct {
+type cachedRoute struct {
 	data  []byte
 	route *Route
 }
 
 // Route gives the route of a record.
-func (x *Reader) Route(rec Record) (*Route, error) {
+func (reader *Reader) Route(record Record) (*Route, error) {
 	// Generations do not do as a mark: what was refused may have carried the
 	// same one.
-	if r, ok := x.routes[rec.Name]; ok && bytes.Equal(r.data, rec.Data) && r.route.Rev == rec.Rev {
-		return r.route, nil
+	if cached, ok := reader.routes[record.Name]; ok && bytes.Equal(cached.data, record.Data) && cached.route.Rev == record.Rev {
+		return cached.route, nil
 	}
-	r, err := ReadRoute(rec)
+	route, err := ReadRoute(record)
 	if err != nil {
 		return nil, err
 	}
-	if x.routes == nil {
-		x.routes = map[string]read{}
+	if reader.routes == nil {
+		reader.routes = map[string]cachedRoute{}
 	}
-	x.routes[rec.Name] = read{rec.Data, r}
-	return r, nil
+	reader.routes[record.Name] = cachedRoute{record.Data, route}
+	return route, nil
 }
 
 // prune forgets versions of items that don't stand, each time that as many have been read
 // again as there were.
-func (x *Reader) prune(have map[string]Record) {
-	if len(x.routes)+len(x.tenants) < x.pruneAt {
+func (reader *Reader) prune(records map[string]Record) {
+	if len(reader.routes)+len(reader.tenants) < reader.pruneAt {
 		return
 	}
-	gone := func(name string) bool {
-		r, ok := have[name]
-		return !ok || r.Dropped
+	deleted := func(name string) bool {
+		record, ok := records[name]
+		return !ok || record.Dropped
 	}
-	maps.DeleteFunc(x.routes, func(name string, _ read) bool { return gone(name) })
-	maps.DeleteFunc(x.tenants, func(name string, _ readTenant) bool { return gone(name) })
-	x.pruneAt = 2*(len(x.routes)+len(x.tenants)) + pruneFrom
+	maps.DeleteFunc(reader.routes, func(name string, _ cachedRoute) bool { return deleted(name) })
+	maps.DeleteFunc(reader.tenants, func(name string, _ cachedTenant) bool { return deleted(name) })
+	reader.pruneAt = 2*(len(reader.routes)+len(reader.tenants)) + pruneThreshold
 }
 
 // pruneFrom is how many versions of items a Reader holds before it looks for those that
 // don't stand.
-const pruneFrom = 1 << 10
+const pruneThreshold = 1 << 10
 
 // List lists the routes that stand, by name, and forgets the others.
-func (x *Reader) List(have map[string]Record) (out []*Route) {
-	for n, rec := range have {
-		if rec.Dropped {
-			delete(x.routes, n)
-		} else if strings.HasPrefix(n, routePrefix) {
-			if r, err := x.Route(rec); err == nil {
-				out = append(out, r)
+func (reader *Reader) List(records map[string]Record) (routes []*Route) {
+	for name, record := range records {
+		if record.Dropped {
+			delete(reader.routes, name)
+		} else if strings.HasPrefix(name, routePrefix) {
+			if route, err := reader.Route(record); err == nil {
+				routes = append(routes, route)
 			}
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	sort.Slice(routes, func(i, j int) bool { return routes[i].Name < routes[j].Name })
+	return routes
 }
--- a/internal/config/render.go
+++ b/internal/config/render.go
@@ -10,32 +10,32 @@
 // This file holds how the items that stand are laid out for operators.
 
 // Render lays out the items that stand as the operator's first call did.
-func Render(have map[string]Record) []byte {
-	names := make([]string, 0, len(have))
-	for n, r := range have {
-		if !r.Dropped {
-			names = append(names, n)
+func Render(records map[string]Record) []byte {
+	names := make([]string, 0, len(records))
+	for name, record := range records {
+		if !record.Dropped {
+			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
 	var services, tenants []json.RawMessage
 	var limits json.RawMessage
 	hosts := map[string][]json.RawMessage{}
-	var order []string
-	for _, n := range names {
-		it := decodeItem(have[n])
+	var hostOrder []string
+	for _, name := range names {
+		item := decodeItem(records[name])
 		switch {
-		case strings.HasPrefix(n, servicePrefix):
-			services = append(services, it.Raw)
-		case strings.HasPrefix(n, tenantPrefix):
-			tenants = append(tenants, it.Raw)
-		case n == limitsName:
-			limits = it.Raw
-		case strings.HasPrefix(n, routePrefix):
-			if _, ok := hosts[it.Host]; !ok {
-				order = append(order, it.Host)
+		case strings.HasPrefix(name, servicePrefix):
+			services = append(services, item.Raw)
+		case strings.HasPrefix(name, tenantPrefix):
+			tenants = append(tenants, item.Raw)
+		case name == limitsName:
+			limits = item.Raw
+		case strings.HasPrefix(name, routePrefix):
+			if _, ok := hosts[item.Host]; !ok {
+				hostOrder = append(hostOrder, item.Host)
 			}
-			hosts[it.Host] = append(hosts[it.Host], it.Raw)
+			hosts[item.Host] = append(hosts[item.Host], item.Raw)
 		}
 	}
 	type domain struct {
@@ -51,12 +51,12 @@
 	if services == nil {
 		out.Services = []json.RawMessage{}
 	}
-	for _, h := range order {
-		out.Domains = append(out.Domains, domain{h, hosts[h]})
+	for _, host := range hostOrder {
+		out.Domains = append(out.Domains, domain{host, hosts[host]})
 	}
-	b, err := json.Marshal(out)
+	body, err := json.Marshal(out)
 	if err != nil {
 		return []byte(fmt.Sprintf("{%q:%q}", "error", err))
 	}
-	return b
+	return body
 }
--- a/internal/config/call.go
+++ b/internal/config/request.go
@@ -22,7 +22,7 @@
 
 var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompile("catalogue.json", schemaText) })
 
-type call struct {
+type request struct {
 	Upsert struct {
 		Services []json.RawMessage `json:"services"`
 		Tenants  []json.RawMessage `json:"tenants"`
@@ -45,17 +45,17 @@
 }
 
 // inCall finds the places of items in a call that a check has named.
-var inCall = regexp.MustCompile(`upsert\.(services|tenants|domains)\.(\d+)(?:\.hostRoutes\.(\d+))?`)
+var itemPath = regexp.MustCompile(`upsert\.(services|tenants|domains)\.(\d+)(?:\.hostRoutes\.(\d+))?`)
 
 // named puts the names of the items at fault in the place of their numbers.
-func named(body []byte, text string) string {
-	var c call
-	if json.Unmarshal(body, &c) != nil {
+func nameItems(body []byte, text string) string {
+	var parsed request
+	if json.Unmarshal(body, &parsed) != nil {
 		return text
 	}
-	pick := func(list []json.RawMessage, n string, kind, place string) string {
+	pick := func(list []json.RawMessage, index string, kind, place string) string {
 		var item removal
-		if i, err := strconv.Atoi(n); err == nil && i < len(list) {
+		if i, err := strconv.Atoi(index); err == nil && i < len(list) {
 			_ = json.Unmarshal(list[i], &item)
 		}
 		if item.Name == "" {
@@ -63,16 +63,16 @@
 		}
 		return kind + " " + item.Name
 	}
-	return inCall.ReplaceAllStringFunc(text, func(place string) string {
-		m := inCall.FindStringSubmatch(place)
-		if m[1] == "services" {
-			return pick(c.Upsert.Services, m[2], "service", place)
+	return itemPath.ReplaceAllStringFunc(text, func(place string) string {
+		match := itemPath.FindStringSubmatch(place)
+		if match[1] == "services" {
+			return pick(parsed.Upsert.Services, match[2], "service", place)
 		}
-		if m[1] == "tenants" {
-			return pick(c.Upsert.Tenants, m[2], "tenant", place)
+		if match[1] == "tenants" {
+			return pick(parsed.Upsert.Tenants, match[2], "tenant", place)
 		}
-		if i, _ := strconv.Atoi(m[2]); m[3] != "" && i < len(c.Upsert.Domains) {
-			return pick(c.Upsert.Domains[i].HostRoutes, m[3], "route", place)
+		if i, _ := strconv.Atoi(match[2]); match[3] != "" && i < len(parsed.Upsert.Domains) {
+			return pick(parsed.Upsert.Domains[i].HostRoutes, match[3], "route", place)
 		}
 		return place
 	})
@@ -86,13 +86,13 @@
 // is checked by Apply.
 func Read(body []byte) (*Change, error) {
 	if err := settings.Validate(schema(), body); err != nil {
-		return nil, invalid("%s", named(body, err.Error()))
+		return nil, invalid("%s", nameItems(body, err.Error()))
 	}
-	var c call
-	if err := json.Unmarshal(body, &c); err != nil {
+	var parsed request
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return nil, invalid("%v", err)
 	}
-	out := &Change{}
+	change := &Change{}
 	seen := map[string]bool{}
 	add := func(name, host string, raw json.RawMessage) error {
 		var head removal
@@ -110,61 +110,61 @@
 		if err := json.Compact(&compact, raw); err != nil {
 			return invalid("%s: %v", name, err)
 		}
-		out.upserts = append(out.upserts, Record{Name: name, Gen: head.Generation,
+		change.upserts = append(change.upserts, Record{Name: name, Gen: head.Generation,
 			Data: encode(Item{Host: host, Raw: compact.Bytes(), Status: Status{Phase: PhaseNew, Shard: -1}})})
 		return nil
 	}
-	for _, raw := range c.Upsert.Services {
+	for _, raw := range parsed.Upsert.Services {
 		if err := add(servicePrefix, "", raw); err != nil {
 			return nil, err
 		}
 	}
-	for _, raw := range c.Upsert.Tenants {
+	for _, raw := range parsed.Upsert.Tenants {
 		if err := add(tenantPrefix, "", raw); err != nil {
 			return nil, err
 		}
 	}
-	if len(c.Upsert.Limits) > 0 && string(c.Upsert.Limits) != "null" {
-		if err := add(limitsName, "", c.Upsert.Limits); err != nil {
+	if len(parsed.Upsert.Limits) > 0 && string(parsed.Upsert.Limits) != "null" {
+		if err := add(limitsName, "", parsed.Upsert.Limits); err != nil {
 			return nil, err
 		}
 	}
-	for _, d := range c.Upsert.Domains {
-		for _, raw := range d.HostRoutes {
-			if err := add(routePrefix, strings.ToLower(d.Authority), raw); err != nil {
+	for _, domain := range parsed.Upsert.Domains {
+		for _, raw := range domain.HostRoutes {
+			if err := add(routePrefix, strings.ToLower(domain.Authority), raw); err != nil {
 				return nil, err
 			}
-			var r Route
-			if err := json.Unmarshal(raw, &r); err != nil {
-				return nil, invalid("route %s: %v", r.Name, err)
+			var route Route
+			if err := json.Unmarshal(raw, &route); err != nil {
+				return nil, invalid("route %s: %v", route.Name, err)
 			}
-			sum := 0.0
-			for _, s := range r.Split {
-				sum += s.Share
+			shareSum := 0.0
+			for _, share := range route.Split {
+				shareSum += share.Share
 			}
-			if r.Target == "" && sum <= 0 {
-				return nil, invalid("route %s: split: the shares sum to 0", r.Name)
+			if route.Target == "" && shareSum <= 0 {
+				return nil, invalid("route %s: split: the shares sum to 0", route.Name)
 			}
 		}
 	}
-	drop := func(prefix string, list []removal) error {
-		for _, r := range list {
-			name := prefix + r.Name
+	remove := func(prefix string, list []removal) error {
+		for _, route := range list {
+			name := prefix + route.Name
 			if seen[name] {
 				return invalid("%s: both set and removed", name)
 			}
-			out.removals = append(out.removals, Record{Name: name, Gen: r.Generation, Dropped: true})
+			change.removals = append(change.removals, Record{Name: name, Gen: route.Generation, Dropped: true})
 		}
 		return nil
 	}
-	if err := drop(routePrefix, c.Remove.Routes); err != nil {
+	if err := remove(routePrefix, parsed.Remove.Routes); err != nil {
 		return nil, err
 	}
-	if err := drop(servicePrefix, c.Remove.Services); err != nil {
+	if err := remove(servicePrefix, parsed.Remove.Services); err != nil {
 		return nil, err
 	}
-	if err := drop(tenantPrefix, c.Remove.Tenants); err != nil {
+	if err := remove(tenantPrefix, parsed.Remove.Tenants); err != nil {
 		return nil, err
 	}
-	return out, nil
+	return change, nil
 }
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -11,21 +11,21 @@
 }
 
 // take applies a call and returns what changed.
-func take(t *testing.T, have map[string]Record, body string) ([]Record, error) {
+func applyRequest(t *testing.T, records map[string]Record, body string) ([]Record, error) {
 	t.Helper()
 	c, err := Read([]byte(body))
 	if err != nil {
 		return nil, err
 	}
-	changes, err := c.Apply(have, &Reader{})
+	changes, err := c.Apply(records, &Reader{})
 	for _, r := range changes {
-		have[r.Name] = r
+		records[r.Name] = r
 	}
 	return changes, err
 }
 
 func TestTenants(t *testing.T) {
-	have := map[string]Record{}
+	records := map[string]Record{}
 	for _, c := range []struct{ name, body, refused string }{
 		{"one tenant", tenant("one", `"k1","k2"`, 1, `,"ratePerS":5,"burst":5,"residency":["north"]`), ""},
 		{"another", tenant("two", `"k3"`, 1, ""), ""},
@@ -34,22 +34,22 @@
 		{"a rate below 0", tenant("two", `"k3"`, 2, `,"ratePerS":-1`), "tenant two"},
 		{"a key moves in one call", `{"upsert":{"tenants":[{"name":"one","apiKeys":["k2"],"generation":2},{"name":"two","apiKeys":["k3","k1"],"generation":2}]}}`, ""},
 	} {
-		_, err := take(t, have, c.body)
+		_, err := applyRequest(t, records, c.body)
 		if c.refused == "" && err != nil || c.refused != "" && (err == nil || !strings.Contains(err.Error(), c.refused)) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	table := (&Builder{}).Build(have)
+	table := (&Builder{}).Build(records)
 	if !table.Tenants || table.Readers["k1"].Name != "two" || table.Readers["k2"].Name != "one" || table.Readers["q"] != nil {
 		t.Errorf("readers: %v", table.Readers)
 	}
-	if got := string(Render(have)); !strings.Contains(got, `"tenants":[{"name":"one"`) {
+	if got := string(Render(records)); !strings.Contains(got, `"tenants":[{"name":"one"`) {
 		t.Errorf("read back: %s", got)
 	}
-	if _, err := take(t, have, `{"remove":{"tenants":[{"name":"one","generation":3},{"name":"two","generation":3}]}}`); err != nil {
+	if _, err := applyRequest(t, records, `{"remove":{"tenants":[{"name":"one","generation":3},{"name":"two","generation":3}]}}`); err != nil {
 		t.Fatal(err)
 	}
-	if table = (&Builder{}).Build(have); !table.Tenants || len(table.Readers) > 0 {
+	if table = (&Builder{}).Build(records); !table.Tenants || len(table.Readers) > 0 {
 		t.Error("without its last tenant the gateway is open to all")
 	}
 	if got := (&Builder{}).Build(map[string]Record{}); got.Tenants {
@@ -69,15 +69,15 @@
 		"another comes":    {tenant("two", `"c"`, 1, ""), false},
 		"an old version":   {tenant("one", `"a"`, 0, ""), false},
 	} {
-		have := map[string]Record{}
-		if _, err := take(t, have, tenant("one", `"a","b"`, 1, "")); err != nil {
+		records := map[string]Record{}
+		if _, err := applyRequest(t, records, tenant("one", `"a","b"`, 1, "")); err != nil {
 			t.Fatal(err)
 		}
 		before := map[string]Record{}
-		for k, v := range have {
+		for k, v := range records {
 			before[k] = v
 		}
-		changes, err := take(t, have, c.body)
+		changes, err := applyRequest(t, records, c.body)
 		if err != nil || Revokes(before, changes, &Reader{}) != c.want {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/config/forget_test.go
+++ b/internal/config/tombstones_test.go
@@ -11,104 +11,104 @@
 )
 
 // model is an owner's copy of the configuration.
-type model struct {
+type configOwner struct {
 	t      *testing.T
 	have   map[string]Record
 	reader *Reader
 }
 
-func newModel(t *testing.T) *model { return &model{t, start(t), &Reader{}} }
+func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Reader{}} }
 
-func (m *model) call(body string) error {
-	m.t.Helper()
-	c, err := Read([]byte(body))
+func (o *configOwner) call(body string) error {
+	o.t.Helper()
+	change, err := Read([]byte(body))
 	if err != nil {
-		m.t.Fatal(err)
+		o.t.Fatal(err)
 	}
-	changes, err := c.Apply(m.have, m.reader)
-	m.put(changes)
+	changes, err := change.Apply(o.have, o.reader)
+	o.put(changes)
 	return err
 }
 
-func (m *model) put(changes []Record) {
+func (o *configOwner) put(changes []Record) {
 	for _, r := range changes {
-		if m.have[r.Name] = r; r.Erased {
-			delete(m.have, r.Name)
+		if o.have[r.Name] = r; r.Erased {
+			delete(o.have, r.Name)
 		}
 	}
 }
 
-func (m *model) take(body string) {
-	m.t.Helper()
-	if err := m.call(body); err != nil {
-		m.t.Fatal(err)
+func (o *configOwner) mustCall(body string) {
+	o.t.Helper()
+	if err := o.call(body); err != nil {
+		o.t.Fatal(err)
 	}
 }
 
 // comeAndGo sets routes from one number up to another in a call, places them, and removes them
 // in a second call.
-func (m *model) comeAndGo(from, to, generation int) {
-	m.t.Helper()
-	var c, d Change
+func (o *configOwner) addAndRemove(from, to, generation int) {
+	o.t.Helper()
+	var add, remove Change
 	for i := from; i < to; i++ {
 		name := fmt.Sprintf("n%d", i)
 		raw := fmt.Sprintf(`{"name":%q,"pathPrefix":"/%[1]s/","routeKind":"idempotent","deadlineS":2,"target":"a","generation":%d}`, name, generation)
-		c.upserts = append(c.upserts, Record{Name: routePrefix + name, Gen: uint64(generation),
+		add.upserts = append(add.upserts, Record{Name: routePrefix + name, Gen: uint64(generation),
 			Data: encode(Item{Host: "h.example", Raw: []byte(raw), Status: Status{Phase: PhaseNew, Shard: -1}})})
-		d.removals = append(d.removals, Record{Name: routePrefix + name, Gen: uint64(generation + 1), Dropped: true})
+		remove.removals = append(remove.removals, Record{Name: routePrefix + name, Gen: uint64(generation + 1), Dropped: true})
 	}
-	m.apply(&c)
+	o.mustApply(&add)
 	for i := from; i < to; i++ {
 		name := fmt.Sprintf("n%d", i)
-		changes, err := Bind(m.have, RouteBinding{name, 0}, m.have[routePrefix+name].Rev)
+		changes, err := Bind(o.have, RouteBinding{name, 0}, o.have[routePrefix+name].Rev)
 		if err != nil {
-			m.t.Fatal(err)
+			o.t.Fatal(err)
 		}
-		m.put(changes)
+		o.put(changes)
 	}
-	m.apply(&d)
+	o.mustApply(&remove)
 }
 
 // apply takes a call that was read already.
-func (m *model) apply(c *Change) {
-	m.t.Helper()
-	changes, err := c.Apply(m.have, m.reader)
+func (o *configOwner) mustApply(c *Change) {
+	o.t.Helper()
+	changes, err := c.Apply(o.have, o.reader)
 	if err != nil {
-		m.t.Fatal(err)
+		o.t.Fatal(err)
 	}
-	m.put(changes)
+	o.put(changes)
 }
 
-func (m *model) bytes() (standing, dropped int) {
-	for _, r := range m.have {
+func (o *configOwner) liveAndTombstoneBytes() (live, tombstones int) {
+	for _, r := range o.have {
 		if r.Dropped {
-			dropped += size(r)
+			tombstones += size(r)
 		} else {
-			standing += size(r)
+			live += size(r)
 		}
 	}
-	return standing, dropped
+	return live, tombstones
 }
 
 // Names come and go for ever: each call is taken, what is kept stays bounded, the newest
 // removals are always known, and no old change brings a name back. The generations are
 // those of one counter for all items, or of one that each item begins anew.
-func TestNamesThatComeAndGoForEver(t *testing.T) {
+func TestTombstonesStayBounded(t *testing.T) {
 	const names, aCall, recent, looks = 300_000, 5000, 25_000, 20
 	for what, generation := range map[string]func(call int) int{
 		"one counter":     func(call int) int { return 10 + 2*call },
 		"one of each one": func(int) int { return 10 },
 	} {
-		m := newModel(t)
+		m := newConfigOwner(t)
 		random := rand.New(rand.NewPCG(1, 2))
 		for call := range names / aCall {
 			if what == "one counter" || call*aCall < 40_000 {
-				m.comeAndGo(call*aCall, (call+1)*aCall, generation(call))
+				m.addAndRemove(call*aCall, (call+1)*aCall, generation(call))
 			}
-			if standing, dropped := m.bytes(); dropped > droppedMost || standing > 2000 {
+			if standing, dropped := m.liveAndTombstoneBytes(); dropped > maxTombstoneBytes || standing > 2000 {
 				t.Fatalf("%s, call %d: %d bytes stand, %d are dropped", what, call, standing, dropped)
 			}
-			if len(m.reader.routes) > 2*aCall+pruneFrom {
+			if len(m.reader.routes) > 2*aCall+pruneThreshold {
 				t.Fatalf("%s, call %d: the reader holds %d routes", what, call, len(m.reader.routes))
 			}
 			done := (call + 1) * aCall
@@ -141,7 +141,7 @@
 }
 
 // A change of a name that is unknown, at or below what was forgotten of its kind.
-func TestChangesThatMayBeOlderThanAForgottenRemoval(t *testing.T) {
+func TestChangesAtOrBelowPurgedGeneration(t *testing.T) {
 	const last = 100
 	for name, c := range map[string]struct {
 		body    string
@@ -159,7 +159,7 @@
 		"the limits":                    {`{"upsert":{"limits":{"maxHeaderBytes":1,"generation":1}}}`, false, true},
 		"an unknown one beside another": {patch("", route("r", "/q/", "a", 9)+","+route("n", "/n/", "a", 3), ""), true, false},
 	} {
-		m := newModel(t)
+		m := newConfigOwner(t)
 		m.have[horizonName] = horizonAt(last)
 		before := maps.Clone(m.have)
 		for range 2 { // a change that is sent again gets the same answer
@@ -178,21 +178,21 @@
 }
 
 // dropMany puts dropped routes into a copy, named by number and with that as their place.
-func (m *model) dropMany(n int, generation func(i int) uint64) {
+func (o *configOwner) addTombstones(n int, generation func(i int) uint64) {
 	for i := range n {
 		name := fmt.Sprintf("route/n%d", i)
-		m.have[name] = Record{Name: name, Gen: generation(i), Rev: uint64(i + 1), Dropped: true, Data: make([]byte, 20)}
+		o.have[name] = Record{Name: name, Gen: generation(i), Rev: uint64(i + 1), Dropped: true, Data: make([]byte, 20)}
 	}
 }
 
 // What stands takes the room of dropped records down to their least share, and no further.
-func TestDroppedRecordsMakeRoomForThoseThatStand(t *testing.T) {
+func TestTombstonesMakeRoomForLiveRecords(t *testing.T) {
 	for _, c := range []struct {
 		standing int
 		refused  bool
-	}{{MaxBytes / 8, false}, {MaxBytes / 8 * 5, false}, {MaxBytes - droppedLeast - 1<<10, false}, {MaxBytes - droppedLeast + 1<<10, true}} {
-		m := newModel(t)
-		m.dropMany(100_000, func(i int) uint64 { return uint64(i) })
+	}{{MaxBytes / 8, false}, {MaxBytes / 8 * 5, false}, {MaxBytes - minTombstoneBytes - 1<<10, false}, {MaxBytes - minTombstoneBytes + 1<<10, true}} {
+		m := newConfigOwner(t)
+		m.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
 		m.have["service/large"] = Record{Name: "service/large", Gen: 1, Data: make([]byte, c.standing)}
 		err := m.call(patch("", route("new", "/new/", "a", 1_000_000), ""))
 		if c.refused != (apierror.KindOf(err) == apierror.BodyTooLarge) || !c.refused && err != nil {
@@ -201,8 +201,8 @@
 		if c.refused {
 			continue
 		}
-		standing, dropped := m.bytes()
-		least := max(droppedLeast, int(float64(min(droppedMost, MaxBytes-standing))*droppedKeptPart))
+		standing, dropped := m.liveAndTombstoneBytes()
+		least := max(minTombstoneBytes, int(float64(min(maxTombstoneBytes, MaxBytes-standing))*tombstoneKeepRatio))
 		if dropped > least+100 || dropped < least-200 || standing+dropped > MaxBytes {
 			t.Errorf("%d bytes stand: %d of dropped records are kept, not %d", standing, dropped, least)
 		}
@@ -219,41 +219,41 @@
 }
 
 // One removal far above all others does not make all new items need such a generation.
-func TestARemovalFarAboveTheOthersIsKept(t *testing.T) {
+func TestTombstoneWithOutlierGenerationIsKept(t *testing.T) {
 	const far = 1 << 50
-	m := newModel(t)
-	m.dropMany(100_000, func(i int) uint64 {
+	m := newConfigOwner(t)
+	m.addTombstones(100_000, func(i int) uint64 {
 		if i == 7 {
 			return far
 		}
 		return uint64(i)
 	})
-	m.take(patch("", route("new", "/new/", "a", 200_000), ""))
+	m.mustCall(patch("", route("new", "/new/", "a", 200_000), ""))
 	if Horizon(m.have) != 1 {
 		t.Fatal("nothing was forgotten")
 	}
 	if r := m.have["route/n7"]; r.Gen != far {
 		t.Error("it is forgotten")
 	}
-	m.take(patch("", route("newer", "/newer/", "a", 200_000), ""))
+	m.mustCall(patch("", route("newer", "/newer/", "a", 200_000), ""))
 
 	// Where all are far above what is newer, the oldest go all the same.
-	m = newModel(t)
-	m.dropMany(100_000, func(i int) uint64 { return uint64(200_000 - i) })
-	m.take(patch("", route("new", "/new/", "a", 300_000), ""))
-	if _, dropped := m.bytes(); dropped > droppedMost {
+	m = newConfigOwner(t)
+	m.addTombstones(100_000, func(i int) uint64 { return uint64(200_000 - i) })
+	m.mustCall(patch("", route("new", "/new/", "a", 300_000), ""))
+	if _, dropped := m.liveAndTombstoneBytes(); dropped > maxTombstoneBytes {
 		t.Errorf("%d bytes of dropped records stay", dropped)
 	}
 }
 
 // Requests go on to need a key when all tenants are gone and forgotten.
-func TestThatThereWereTenantsIsNotForgotten(t *testing.T) {
-	m := newModel(t)
+func TestLastTenantTombstoneIsKept(t *testing.T) {
+	m := newConfigOwner(t)
 	for _, name := range []string{"tenant/x", "tenant/y"} {
 		m.have[name] = Record{Name: name, Gen: 1, Dropped: true}
 	}
-	m.dropMany(100_000, func(i int) uint64 { return uint64(i) })
-	m.take(patch("", route("new", "/new/", "a", 200_000), ""))
+	m.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
+	m.mustCall(patch("", route("new", "/new/", "a", 200_000), ""))
 	_, x := m.have["tenant/x"]
 	_, y := m.have["tenant/y"]
 	if x || !y {
@@ -265,12 +265,12 @@
 }
 
 // Removals keep their order, whatever the names and generations.
-func TestRemovalsAreNumberedInTheirOrder(t *testing.T) {
-	m := newModel(t)
+func TestTombstonesAreNumberedInOrder(t *testing.T) {
+	m := newConfigOwner(t)
 	last := uint64(0)
 	for i, name := range []string{"z", "b", "a", "c"} {
-		m.take(patch("", route(name, "/"+name+"/", "a", 50-10*i), ""))
-		m.take(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
+		m.mustCall(patch("", route(name, "/"+name+"/", "a", 50-10*i), ""))
+		m.mustCall(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
 		if r := m.have["route/"+name]; r.Rev <= last {
 			t.Errorf("%s has number %d after %d", name, r.Rev, last)
 		}
--- a/internal/election/challenge_test.go
+++ b/internal/election/challenge_test.go
@@ -8,222 +8,225 @@
 )
 
 const (
-	tick     = 50 * time.Millisecond
-	drain    = 2500 * time.Millisecond // within which a change has to be known
-	limit    = drain / 2
-	poll     = drain / 5
-	strikes  = 12
-	calmLeft = 4 * time.Second // between the end of a trouble and the next one
+	tick           = 50 * time.Millisecond
+	maxResultAge   = 2500 * time.Millisecond // on nodes without a fault
+	challengeLimit = maxResultAge / 2
+	workInterval   = maxResultAge / 5
+	faultRounds    = 12
+	recoveryTime   = 4 * time.Second // between the end of a fault and the next one
 )
 
-// trouble is what is wrong with a node.
-type trouble int
+// fault is what is wrong with a node.
+type fault int
 
 const (
-	none     trouble = iota
-	unable           // its work fails
-	endless          // its work never ends
-	slow             // its work takes several times as long as the others'
-	mute             // its results don't reach the others; its votes do
-	deaf             // nothing reaches it
-	unheard          // nothing comes from it
-	cutOff           // both
-	standing         // the process stands still
-	troubles
+	noFault        fault = iota
+	failing              // its work fails
+	hanging              // its work never ends
+	slow                 // its work takes several times as long as the others'
+	resultsDropped       // its results don't reach the others, its votes do
+	noInbound            // it receives nothing
+	noOutbound           // nothing that it sends arrives
+	isolated             // both noInbound and noOutbound
+	paused               // the process does not run
+	faultCount
 )
 
-func (t trouble) String() string {
-	return [...]string{"none", "unable", "endless", "slow", "mute", "deaf", "unheard", "cut off", "standing"}[t]
+func (f fault) String() string {
+	return [...]string{"none", "failing", "hanging", "slow", "results dropped", "no inbound", "no outbound", "isolated", "paused"}[f]
 }
 
-// worker is a node that does the duty if it has it, or if the results of the holder are too old.
-type worker struct {
-	elector           *Elector
-	trouble           trouble
-	known, own        time.Duration // as Progress has them
-	began, ends, next time.Duration // of the work under way; ends 0: there is none
+// dutyNode is a node that works on the duty if it holds it, or as a deputy if the holder's results are too old.
+type dutyNode struct {
+	elector                       *Elector
+	fault                         fault
+	knownAsOf, ownAsOf            time.Duration // Known and Own of Progress
+	workBegan, workEnds, nextWork time.Duration // workEnds is 0 while the node does not work
 }
 
-// workplace is some nodes of which one does a duty for all. The messages between them take no time.
-type workplace struct {
-	t       *testing.T
-	now     time.Duration
-	ids     []string
-	workers map[string]*worker
-	faults  int // how many nodes may be in trouble at a time
-	readers int // the most that have worked at a time
-	taken   int // results
+// dutyCluster is a number of nodes, one of which does a duty for all. Messages between them take no time.
+type dutyCluster struct {
+	t          *testing.T
+	now        time.Duration
+	ids        []string
+	nodes      map[string]*dutyNode
+	maxFaulty  int // nodes that may be faulty at the same time
+	maxWorking int // most nodes that have worked at the same time
+	published  int // number of results
 }
 
-func newWorkplace(t *testing.T, n int) *workplace {
+func newDutyCluster(t *testing.T, size int) *dutyCluster {
 	t.Helper()
-	p := &workplace{t: t, workers: map[string]*worker{}, faults: (n - 1) / 2}
-	for i := range n {
-		p.ids = append(p.ids, fmt.Sprintf("a%d", i))
+	c := &dutyCluster{t: t, nodes: map[string]*dutyNode{}, maxFaulty: (size - 1) / 2}
+	for i := range size {
+		c.ids = append(c.ids, fmt.Sprintf("a%d", i))
 	}
-	for _, id := range p.ids {
-		w := &worker{}
-		w.elector = New(Config{Self: id, Duties: []string{"list"}, Lease: lease, Roster: func() []string { return p.ids },
-			Alive:    func(string) bool { return true },
-			Progress: func(time.Duration, string) Progress { return Progress{Known: w.known, Own: w.own, Limit: limit} }})
-		p.workers[id] = w
+	for _, id := range c.ids {
+		node := &dutyNode{}
+		node.elector = New(Config{Self: id, Duties: []string{"list"}, Lease: lease, Roster: func() []string { return c.ids },
+			Alive: func(string) bool { return true },
+			Progress: func(time.Duration, string) Progress {
+				return Progress{Known: node.knownAsOf, Own: node.ownAsOf, Limit: challengeLimit}
+			}})
+		c.nodes[id] = node
 	}
-	return p
+	return c
 }
 
-// reaches says whether a message gets from one node to another.
-func (p *workplace) reaches(from, to string, result bool) bool {
-	a, b := p.workers[from].trouble, p.workers[to].trouble
-	return a != unheard && a != cutOff && a != standing && b != deaf && b != cutOff && b != standing && (a != mute || !result)
+// reaches reports whether a message arrives.
+func (c *dutyCluster) reaches(from, to string, isResult bool) bool {
+	fromFault, toFault := c.nodes[from].fault, c.nodes[to].fault
+	return fromFault != noOutbound && fromFault != isolated && fromFault != paused && toFault != noInbound && toFault != isolated && toFault != paused && (fromFault != resultsDropped || !isResult)
 }
 
-func (p *workplace) run(span time.Duration) {
-	for end := p.now + span; p.now < end; p.now += tick {
-		for _, id := range p.ids {
-			if w := p.workers[id]; w.trouble != standing {
-				w.elector.Tick(p.now)
-				p.work(id, w)
+func (c *dutyCluster) run(span time.Duration) {
+	for end := c.now + span; c.now < end; c.now += tick {
+		for _, id := range c.ids {
+			if node := c.nodes[id]; node.fault != paused {
+				node.elector.Tick(c.now)
+				c.work(id, node)
 			}
 		}
-		p.deliver()
-		p.judge()
+		c.deliver()
+		c.checkFreshness()
 	}
 }
 
-// work lets a node go on with its work, begin it if it is due, and tell what it has done.
-func (p *workplace) work(id string, w *worker) {
-	_, holds := w.elector.Holds(p.now, "list")
-	place, _ := w.elector.Deputy(p.now, "list")
-	deputy := p.now-w.known > limit && place <= p.faults
-	if w.ends == 0 && p.now >= w.next && (holds || deputy) {
-		w.began, w.ends, w.next = p.now, p.now+tick, p.now+poll
-		switch w.trouble {
+// work starts a node's work if it is due, and publishes its result when it ends.
+func (c *dutyCluster) work(id string, node *dutyNode) {
+	_, holds := node.elector.Holds(c.now, "list")
+	rank, _ := node.elector.Deputy(c.now, "list")
+	deputy := c.now-node.knownAsOf > challengeLimit && rank <= c.maxFaulty
+	if node.workEnds == 0 && c.now >= node.nextWork && (holds || deputy) {
+		node.workBegan, node.workEnds, node.nextWork = c.now, c.now+tick, c.now+workInterval
+		switch node.fault {
 		case slow:
-			w.ends = p.now + 4*drain
-		case endless:
-			w.ends = p.now + 1000*drain
+			node.workEnds = c.now + 4*maxResultAge
+		case hanging:
+			node.workEnds = c.now + 1000*maxResultAge
 		}
 	}
-	if w.ends == 0 || p.now < w.ends {
+	if node.workEnds == 0 || c.now < node.workEnds {
 		return
 	}
-	w.ends = 0
-	if w.trouble == unable {
+	node.workEnds = 0
+	if node.fault == failing {
 		return
 	}
-	w.own = w.began
+	node.ownAsOf = node.workBegan
 	if holds {
-		p.tell(id, w.own)
+		c.publish(id, node.ownAsOf)
 	}
 }
 
-// tell brings a result to all nodes that it reaches.
-func (p *workplace) tell(from string, asOf time.Duration) {
-	p.taken++
-	for _, id := range p.ids {
-		if id == from || p.reaches(from, id, true) {
-			p.workers[id].known = max(p.workers[id].known, asOf)
+// publish delivers a result to all nodes that it reaches.
+func (c *dutyCluster) publish(from string, asOf time.Duration) {
+	c.published++
+	for _, id := range c.ids {
+		if id == from || c.reaches(from, id, true) {
+			c.nodes[id].knownAsOf = max(c.nodes[id].knownAsOf, asOf)
 		}
 	}
 }
 
-func (p *workplace) deliver() {
-	for again := true; again; {
-		again = false
-		for _, id := range p.ids {
-			if p.workers[id].trouble == standing {
+func (c *dutyCluster) deliver() {
+	for pending := true; pending; {
+		pending = false
+		for _, id := range c.ids {
+			if c.nodes[id].fault == paused {
 				continue
 			}
-			out, changed := p.workers[id].elector.Take()
-			for _, e := range out {
-				if p.reaches(id, e.To, false) {
-					again = true
-					p.workers[e.To].elector.Handle(p.now, id, e.Msg)
+			messages, changed := c.nodes[id].elector.Take()
+			for _, envelope := range messages {
+				if c.reaches(id, envelope.To, false) {
+					pending = true
+					c.nodes[envelope.To].elector.Handle(c.now, id, envelope.Msg)
 				}
 			}
-			if _, holds := p.workers[id].elector.Holds(p.now, "list"); len(changed) > 0 && holds {
-				again = true
-				p.tell(id, p.workers[id].own)
+			if _, holds := c.nodes[id].elector.Holds(c.now, "list"); len(changed) > 0 && holds {
+				pending = true
+				c.publish(id, c.nodes[id].ownAsOf)
 			}
 		}
 	}
 }
 
-// judge looks for nodes without trouble whose newest result is too old.
-func (p *workplace) judge() {
+// checkFreshness fails the test if the newest result of a node without a fault is too old.
+func (c *dutyCluster) checkFreshness() {
 	working := 0
-	for _, id := range p.ids {
-		w := p.workers[id]
-		if w.ends > 0 && w.trouble != endless && w.trouble != slow {
+	for _, id := range c.ids {
+		node := c.nodes[id]
+		if node.workEnds > 0 && node.fault != hanging && node.fault != slow {
 			working++
 		}
-		if w.trouble == none && p.now > 2*drain && p.now-w.known > drain {
-			p.t.Fatalf("at %v, %s has nothing newer than of %v ago; %s", p.now, id, p.now-w.known, p)
+		if node.fault == noFault && c.now > 2*maxResultAge && c.now-node.knownAsOf > maxResultAge {
+			c.t.Fatalf("at %v, the newest result at %s is %v old; cluster: %s", c.now, id, c.now-node.knownAsOf, c)
 		}
 	}
-	p.readers = max(p.readers, working)
+	c.maxWorking = max(c.maxWorking, working)
 }
 
-func (p *workplace) holder() string {
-	for _, id := range p.ids {
-		if _, holds := p.workers[id].elector.Holds(p.now, "list"); holds && p.workers[id].trouble == none {
+// holder returns the holder if it has no fault, else the first node.
+func (c *dutyCluster) holder() string {
+	for _, id := range c.ids {
+		if _, holds := c.nodes[id].elector.Holds(c.now, "list"); holds && c.nodes[id].fault == noFault {
 			return id
 		}
 	}
-	return p.ids[0]
+	return c.ids[0]
 }
 
-func (p *workplace) String() (out string) {
-	for _, id := range p.ids {
-		w := p.workers[id]
-		term, holds := w.elector.Holds(p.now, "list")
-		out += fmt.Sprintf("%s: %v, holds %v (%d), knows of %v; ", id, w.trouble, holds, term, w.known)
+func (c *dutyCluster) String() (out string) {
+	for _, id := range c.ids {
+		node := c.nodes[id]
+		term, holds := node.elector.Holds(c.now, "list")
+		out += fmt.Sprintf("%s: fault %v, holds %v (term %d), newest result as of %v; ", id, node.fault, holds, term, node.knownAsOf)
 	}
 	return out
 }
 
-// Whatever is wrong with the holder of a duty, and with the next one after it, all others have a result that is new
-// enough: a duty rests on what has come of it at a majority, not on the holder being alive.
-func TestADutyGoesOnFromAHolderWithoutResults(t *testing.T) {
-	for kind := unable; kind < troubles; kind++ {
+// Whatever fault the holder of a duty has, and then its successor, all other nodes keep getting results that are
+// new enough: a holder keeps the duty by the results that a majority receives, not by being alive.
+func TestDutyMovesFromHolderWithoutResults(t *testing.T) {
+	for kind := failing; kind < faultCount; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
-			p := newWorkplace(t, 4)
-			p.run(2 * drain)
+			c := newDutyCluster(t, 4)
+			c.run(2 * maxResultAge)
 			for range 4 {
-				struck := p.workers[p.holder()]
-				struck.trouble = kind
-				p.run(3 * drain)
-				struck.trouble, struck.ends = none, 0
-				struck.known = p.now // it is given time to catch up
-				p.run(calmLeft)
+				faulty := c.nodes[c.holder()]
+				faulty.fault = kind
+				c.run(3 * maxResultAge)
+				faulty.fault, faulty.workEnds = noFault, 0
+				faulty.knownAsOf = c.now // gives it time to catch up
+				c.run(recoveryTime)
 			}
 		})
 	}
 }
 
-// Holders are struck one after the other by troubles that are drawn, on some runs two of five at a time.
-func TestADutyGoesOnThroughSeriesOfTroubles(t *testing.T) {
+// One holder after the other gets a random fault, in half of the runs up to two of five nodes at the same time.
+func TestResultsStayFreshThroughFaultSeries(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		nodes, most := 4, 1
+		nodes, maxAtOnce := 4, 1
 		if seed%2 == 1 {
-			nodes, most = 5, 2
+			nodes, maxAtOnce = 5, 2
 		}
-		p := newWorkplace(t, nodes)
-		p.run(2 * drain)
-		for range strikes {
-			var struck []*worker
-			for range 1 + random.IntN(most) {
-				w := p.workers[p.holder()]
-				w.trouble = none + 1 + trouble(random.IntN(int(troubles)-1))
-				struck = append(struck, w)
-				p.run(time.Duration(random.IntN(int(drain/8))) + drain)
+		c := newDutyCluster(t, nodes)
+		c.run(2 * maxResultAge)
+		for range faultRounds {
+			var faulty []*dutyNode
+			for range 1 + random.IntN(maxAtOnce) {
+				node := c.nodes[c.holder()]
+				node.fault = noFault + 1 + fault(random.IntN(int(faultCount)-1))
+				faulty = append(faulty, node)
+				c.run(time.Duration(random.IntN(int(maxResultAge/8))) + maxResultAge)
 			}
-			p.run(time.Duration(random.IntN(int(2 * drain))))
-			for _, w := range struck {
-				w.trouble, w.ends, w.known = none, 0, p.now
+			c.run(time.Duration(random.IntN(int(2 * maxResultAge))))
+			for _, node := range faulty {
+				node.fault, node.workEnds, node.knownAsOf = noFault, 0, c.now
 			}
-			p.run(calmLeft)
+			c.run(recoveryTime)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -231,61 +234,61 @@
 	}
 }
 
-// While nothing is wrong, the holder alone works, and the duty stays with it.
-func TestADutyStaysWhileItsResultsCome(t *testing.T) {
-	p := newWorkplace(t, 4)
-	p.run(2 * drain)
-	at := p.holder()
-	term, _ := p.workers[at].elector.Holds(p.now, "list")
-	p.readers = 0
-	p.run(40 * drain)
-	if now, _ := p.workers[at].elector.Holds(p.now, "list"); p.holder() != at || now != term {
-		t.Errorf("%s under term %d, then %s", at, term, p)
+// Without faults only the holder works, and the duty stays with it.
+func TestDutyStaysWhileResultsArrive(t *testing.T) {
+	c := newDutyCluster(t, 4)
+	c.run(2 * maxResultAge)
+	holder := c.holder()
+	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
+	c.maxWorking = 0
+	c.run(40 * maxResultAge)
+	if newTerm, _ := c.nodes[holder].elector.Holds(c.now, "list"); c.holder() != holder || newTerm != term {
+		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
 	}
-	if p.readers > 1 {
-		t.Errorf("%d worked at a time", p.readers)
+	if c.maxWorking > 1 {
+		t.Errorf("%d nodes worked at the same time", c.maxWorking)
 	}
 }
 
-// Where nobody can do the duty, its holder keeps it, and terms don't rise.
-func TestADutyStaysWhileNobodyCanDoIt(t *testing.T) {
-	p := newWorkplace(t, 4)
-	p.run(2 * drain)
-	at := p.holder()
-	term, _ := p.workers[at].elector.Holds(p.now, "list")
-	for _, w := range p.workers {
-		w.trouble = unable
+// While all nodes fail at the duty, its holder keeps it, and terms don't rise.
+func TestDutyStaysWhenAllNodesFail(t *testing.T) {
+	c := newDutyCluster(t, 4)
+	c.run(2 * maxResultAge)
+	holder := c.holder()
+	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
+	for _, node := range c.nodes {
+		node.fault = failing
 	}
-	p.run(20 * drain)
-	if now, holds := p.workers[at].elector.Holds(p.now, "list"); !holds || now != term {
-		t.Errorf("%s had it under term %d, then %s", at, term, p)
+	c.run(20 * maxResultAge)
+	if newTerm, holds := c.nodes[holder].elector.Holds(c.now, "list"); !holds || newTerm != term {
+		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
 	}
 }
 
-// One node alone that gets no results changes nothing for the others: it asks before it stands.
-func TestOneNodeWithoutResultsDoesNotTakeADuty(t *testing.T) {
-	p := newWorkplace(t, 4)
-	p.run(2 * drain)
-	at := p.holder()
-	term, _ := p.workers[at].elector.Holds(p.now, "list")
-	alone := p.workers[p.ids[0]]
-	if p.ids[0] == at {
-		alone = p.workers[p.ids[1]]
+// A single node that receives no results changes nothing for the others, because its pre-vote fails.
+func TestSingleStaleNodeDoesNotTakeDuty(t *testing.T) {
+	c := newDutyCluster(t, 4)
+	c.run(2 * maxResultAge)
+	holder := c.holder()
+	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
+	stale := c.nodes[c.ids[0]]
+	if c.ids[0] == holder {
+		stale = c.nodes[c.ids[1]]
 	}
 	for range 100 {
-		alone.known, alone.own = p.now-3*drain, p.now
-		p.now += tick
-		alone.elector.Tick(p.now)
-		p.deliver()
-		for _, id := range p.ids {
-			if w := p.workers[id]; w != alone {
-				w.known = p.now
-				w.elector.Tick(p.now)
+		stale.knownAsOf, stale.ownAsOf = c.now-3*maxResultAge, c.now
+		c.now += tick
+		stale.elector.Tick(c.now)
+		c.deliver()
+		for _, id := range c.ids {
+			if node := c.nodes[id]; node != stale {
+				node.knownAsOf = c.now
+				node.elector.Tick(c.now)
 			}
 		}
-		p.deliver()
+		c.deliver()
 	}
-	if now, holds := p.workers[at].elector.Holds(p.now, "list"); !holds || now != term {
-		t.Errorf("%s had it under term %d, then %s", at, term, p)
+	if newTerm, holds := c.nodes[holder].elector.Holds(c.now, "list"); !holds || newTerm != term {
+		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
 	}
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,8 +1,9 @@
-// Package election gives each duty to one control node. A duty that falls vacant is won
-// by an election; its holder keeps it while a majority goes on voting
-// for it, and until another control node has a newer result of the duty than the holder has
-// brought to a majority: see candidacy.go. Two holders at once do no harm to what is kept, only to
-// cost: the results of a duty are guarded by what they are written to.
+// Package election assigns each duty (a background task that one control node does for all) to one
+// control node. A vacant duty is won by a majority of votes. Votes are leases: the holder keeps the duty
+// while a majority renews its votes, and until a majority finds another node's result of the duty newer
+// than what it has received from the holder (see prevote.go). Two holders at the same time cannot
+// corrupt stored data, since the places that results are written to reject outdated ones; they only
+// double the work.
 package election
 
 import (
@@ -12,76 +13,80 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Message asks for a vote, or is the answer.
+// Message is a request for a vote or pre-vote, an answer to one, or a resignation.
 type Message struct {
 	Duty   string `cbor:"1,keyasint"`
-	Term   uint64 `cbor:"2,keyasint"`
-	Vote   bool   `cbor:"3,keyasint,omitempty"` // an answer
-	OK     bool   `cbor:"4,keyasint,omitempty"`
-	Resign bool   `cbor:"5,keyasint,omitempty"`
-	Used   uint64 `cbor:"6,keyasint,omitempty"` // see duty.used
-	Life   uint64 `cbor:"7,keyasint,omitempty"` // of the candidate
-
-	Ask    bool    `cbor:"8,keyasint,omitempty"` // asks only whether the vote would be given, or answers that
-	Result *Result `cbor:"9,keyasint,omitempty"` // the candidate stands against a holder
+	Term   uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's duty.minTerm, if that is higher
+	Vote   bool   `cbor:"3,keyasint,omitempty"` // this is an answer to a request
+	OK     bool   `cbor:"4,keyasint,omitempty"` // in an answer: the vote is granted
+	Resign bool   `cbor:"5,keyasint,omitempty"` // the sender releases the receiver's vote for it
+	Used   uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's duty.usedTerm
+	Life   uint64 `cbor:"7,keyasint,omitempty"` // identifies the run of the candidate's process
+
+	Ask    bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or an answer to one
+	Result *Result `cbor:"9,keyasint,omitempty"` // set if the candidate challenges a holder
 }
 
-// Envelope is a message to one control node.
+// Envelope is a message with its recipient.
 type Envelope struct {
 	To  string
 	Msg Message
 }
 
-// Config is what an elector is told. Lease is how long a vote counts.
+// Config configures an Elector.
 type Config struct {
 	Self   string
-	Life   uint64
+	Life   uint64 // identifies this run of the process
 	Duties []string
-	Lease  time.Duration
-	Roster func() []string
-	Alive  func(string) bool
-	// Progress tells how far the result of a duty has come; nil: no holder is ever stood against.
+	Lease  time.Duration     // how long a vote is valid
+	Roster func() []string   // the control nodes that vote
+	Alive  func(string) bool // whether a control node is presumed to work
+	// Progress tells how recent the results of a duty are; if nil, holders are never challenged.
 	Progress func(now time.Duration, duty string) Progress
 }
 
+// duty is the state of one duty at this control node.
 type duty struct {
-	name  string
-	floor uint64 // no lower term is begun or voted for
-	used  uint64 // terms up to this one were seen in use by others; none of them may go on
-
-	grantTo    string
-	grantTerm  uint64
-	grantLife  uint64
-	grantUntil time.Duration
-	grantSince time.Duration // when the vote went on to grantTo from another
-
-	holding bool
-	term    uint64
-	until   time.Duration
-	asked   time.Duration
-	asking  bool
-	votes   map[string]bool
-	opposed bool            // the election is one against a holder, whose refusal does not end it
-	refused map[string]bool // by whom, then
-
-	notUntil  time.Duration // a pause after an election that was lost
-	candidacy candidacy     // this control node's
-	handedOn  *HandOn       // the last that this control node voted for
+	name     string
+	minTerm  uint64 // lower terms get no vote and are not campaigned under
+	usedTerm uint64 // terms up to this one were held by others; a holder under one must take a higher one
+
+	// The vote that this control node has given.
+	votedFor    string
+	votedTerm   uint64
+	votedLife   uint64
+	voteExpires time.Duration
+	votedSince  time.Duration // when the vote last moved to another node
+
+	// This control node as holder or candidate.
+	holding     bool
+	term        uint64
+	heldUntil   time.Duration
+	requestedAt time.Duration // when votes were last requested
+	campaigning bool          // votes are requested, for the first time or as a renewal
+	votes       map[string]bool
+	challenging bool            // the campaign is against a holder, so single refusals do not end it
+	refusedBy   map[string]bool // in a challenge
+
+	retryAt      time.Duration // earliest next campaign after a lost one
+	preVote      preVote
+	lastTakeover *HandOn // the last takeover that this control node voted for
 }
 
-// Elector is one control node's part in the elections of all duties.
+// Elector takes part in the elections of all duties for one control node. It does no I/O: callers pass
+// in the time and received messages, and send what Take returns. It is not safe for concurrent use.
 type Elector struct {
-	cfg     Config
-	duties  []*duty
-	out     []Envelope
-	changed []string
-	handOns []HandOn
-	leaving bool
-	began   time.Duration
-	ran     bool
+	cfg           Config
+	duties        []*duty
+	outbox        []Envelope
+	changedDuties []string
+	takeovers     []HandOn
+	leaving       bool
+	startedAt     time.Duration
+	started       bool
 }
 
-// New makes an elector with every duty vacant.
+// New returns an Elector for which all duties are vacant.
 func New(cfg Config) *Elector {
 	e := &Elector{cfg: cfg}
 	for _, d := range cfg.Duties {
@@ -99,179 +104,182 @@
 	return nil
 }
 
-// Take returns what is to be sent and the duties that were won or lost.
+// Take returns the messages to send, and the names of the duties won or lost since the last call.
 func (e *Elector) Take() ([]Envelope, []string) {
-	out, changed := e.out, e.changed
-	e.out, e.changed = nil, nil
-	return out, changed
+	messages, changedDuties := e.outbox, e.changedDuties
+	e.outbox, e.changedDuties = nil, nil
+	return messages, changedDuties
 }
 
-// Holds says whether this control node has a duty, and under which term.
+// Holds reports whether this control node holds a duty, and under which term.
 func (e *Elector) Holds(now time.Duration, name string) (uint64, bool) {
 	d := e.duty(name)
 	if d == nil {
 		return 0, false
 	}
-	return d.term, d.holding && now < d.until
+	return d.term, d.holding && now < d.heldUntil
 }
 
-// Holder is the control node that this one voted for, the term and its life.
+// Holder returns the control node that has this node's vote, the term of the vote, and the identifier
+// of the holder's process run; zero values if there is no valid vote.
 func (e *Elector) Holder(now time.Duration, name string) (id string, term, life uint64) {
 	d := e.duty(name)
-	if d == nil || now >= d.grantUntil {
+	if d == nil || now >= d.voteExpires {
 		return "", 0, 0
 	}
-	return d.grantTo, d.grantTerm, d.grantLife
+	return d.votedFor, d.votedTerm, d.votedLife
 }
 
-// Raise tells that terms up to used were held by somebody else, before the
-// control nodes lost their memory: whoever holds one of them now has to begin a
-// later one.
-func (e *Elector) Raise(name string, used uint64) {
+// Raise reports that terms up to usedTerm were held by another node before the control nodes lost
+// their in-memory state. A node that holds the duty under one of these terms has to take a higher one.
+func (e *Elector) Raise(name string, usedTerm uint64) {
 	if d := e.duty(name); d != nil {
-		d.used = max(d.used, used)
+		d.usedTerm = max(d.usedTerm, usedTerm)
 	}
 }
 
-// Tick lets time pass.
+// Tick does what is due at a time: expires and renews leases, and starts, continues or abandons campaigns.
 func (e *Elector) Tick(now time.Duration) {
-	if !e.ran {
-		e.ran, e.began = true, now
+	if !e.started {
+		e.started, e.startedAt = true, now
 	}
 	roster := e.cfg.Roster()
 	if len(roster) == 0 || e.leaving {
 		return
 	}
 	for _, d := range e.duties {
-		if d.holding && now >= d.until {
-			e.lose(d)
+		if d.holding && now >= d.heldUntil {
+			e.loseDuty(d)
 		}
-		if d.holding && (d.term < d.floor || d.term <= d.used) {
-			e.stand(now, d, max(d.floor, d.used)+1, nil, roster)
+		if d.holding && (d.term < d.minTerm || d.term <= d.usedTerm) {
+			e.campaign(now, d, max(d.minTerm, d.usedTerm)+1, nil, roster)
 			continue
 		}
 		switch {
 		case d.holding:
-			if now-d.asked >= e.cfg.Lease/3 {
-				e.stand(now, d, d.term, nil, roster)
+			if now-d.requestedAt >= e.cfg.Lease/3 {
+				e.campaign(now, d, d.term, nil, roster)
 			}
-		case d.asking && now-d.asked < e.cfg.Lease/2:
-			// Some may only now have come up.
-			again := Message{Duty: d.name, Term: d.term, Life: e.cfg.Life}
-			if d.opposed {
-				again.Result = e.better(now, d)
+		case d.campaigning && now-d.requestedAt < e.cfg.Lease/2:
+			// Repeat the request: some voters may have started only now.
+			request := Message{Duty: d.name, Term: d.term, Life: e.cfg.Life}
+			if d.challenging {
+				request.Result = e.challengeResult(now, d)
 			}
 			for _, id := range roster {
 				if !d.votes[id] {
-					e.out = append(e.out, Envelope{id, again})
+					e.outbox = append(e.outbox, Envelope{id, request})
 				}
 			}
-		case d.asking:
-			e.giveUp(now, d, roster)
-		case now >= d.notUntil:
-			e.consider(now, d, roster)
+		case d.campaigning:
+			e.abandonCampaign(now, d, roster)
+		case now >= d.retryAt:
+			e.preVoteIfDue(now, d, roster)
 		}
 	}
 }
 
-// giveUp ends an election that was not won and frees the votes that it got, so
-// that two candidates do not block each other.
-func (e *Elector) giveUp(now time.Duration, d *duty, roster []string) {
-	if !d.asking {
+// abandonCampaign ends a campaign that was not won and releases its votes, so that two candidates do
+// not block each other.
+func (e *Elector) abandonCampaign(now time.Duration, d *duty, roster []string) {
+	if !d.campaigning {
 		return
 	}
-	d.notUntil = now + e.cfg.Lease/8*time.Duration(1+e.rank(d, roster))
-	e.freeVotes(now, d, roster)
+	d.retryAt = now + e.cfg.Lease/8*time.Duration(1+e.rank(d, roster))
+	e.releaseVotes(now, d, roster)
 }
 
-// freeVotes gives back the votes for this control node. Those who have not answered yet are told
-// too: the votes of far ones may be on their way, and would bind them for a whole lease.
-func (e *Elector) freeVotes(now time.Duration, d *duty, roster []string) {
-	d.asking = false
-	if d.grantTo == e.cfg.Self {
-		d.grantUntil = now
+// releaseVotes gives back the votes for this control node. Nodes that have not answered yet are told
+// too: their votes may be in transit and would otherwise bind them for a whole lease.
+func (e *Elector) releaseVotes(now time.Duration, d *duty, roster []string) {
+	d.campaigning = false
+	if d.votedFor == e.cfg.Self {
+		d.voteExpires = now
 	}
 	for _, id := range roster {
 		if id != e.cfg.Self {
-			e.out = append(e.out, Envelope{id, Message{Duty: d.name, Resign: true}})
+			e.outbox = append(e.outbox, Envelope{id, Message{Duty: d.name, Resign: true}})
 		}
 	}
 }
 
-// nextTerm is a term above all that this control node knows of.
-func (d *duty) nextTerm() uint64 { return max(d.floor, d.used, d.grantTerm, d.term) + 1 }
+// nextTerm returns a term above all that this control node knows of.
+func (d *duty) nextTerm() uint64 { return max(d.minTerm, d.usedTerm, d.votedTerm, d.term) + 1 }
 
+// rank returns how many live nodes come before this one in the rendezvous order of a duty; outside the
+// roster it is one more than the number of live nodes.
 func (e *Elector) rank(d *duty, roster []string) int {
-	n := 0
+	rank := 0
 	for _, id := range rendezvous.Order(d.name, roster) {
 		if id == e.cfg.Self {
-			return n
+			return rank
 		}
 		if e.cfg.Alive(id) {
-			n++
+			rank++
 		}
 	}
-	return n + 1
+	return rank + 1
 }
 
-// stand asks for votes under a term, against another holder if it has the better result.
-func (e *Elector) stand(now time.Duration, d *duty, term uint64, result *Result, roster []string) {
-	d.asked, d.asking = now, true
-	d.opposed, d.refused = result != nil, map[string]bool{}
+// campaign requests votes under a term, to win a duty or to renew the lease on it. With a result, it
+// challenges the current holder.
+func (e *Elector) campaign(now time.Duration, d *duty, term uint64, result *Result, roster []string) {
+	d.requestedAt, d.campaigning = now, true
+	d.challenging, d.refusedBy = result != nil, map[string]bool{}
 	if term != d.term && d.holding {
-		e.lose(d)
+		e.loseDuty(d)
 	}
 	d.term = term
 	d.votes = map[string]bool{}
 	request := Message{Duty: d.name, Term: term, Life: e.cfg.Life, Result: result}
-	if !e.grant(now, d, e.cfg.Self, request) {
-		d.asking = false
+	if !e.grantVote(now, d, e.cfg.Self, request) {
+		d.campaigning = false
 		return
 	}
 	d.votes[e.cfg.Self] = true
 	for _, id := range roster {
 		if id != e.cfg.Self {
-			e.out = append(e.out, Envelope{id, request})
+			e.outbox = append(e.outbox, Envelope{id, request})
 		}
 	}
-	e.count(d, roster)
+	e.countVotes(d, roster)
 }
 
-// mayGrant says whether this control node may vote for a candidate: no other has its vote, or the
-// candidate has the better result.
-func (e *Elector) mayGrant(now time.Duration, d *duty, to string, request Message) bool {
-	if request.Term < d.floor || request.Term <= d.used {
+// mayGrantVote reports whether this control node may vote for a candidate: its vote is free or already
+// the candidate's, or the candidate's challenge is accepted.
+func (e *Elector) mayGrantVote(now time.Duration, d *duty, candidate string, request Message) bool {
+	if request.Term < d.minTerm || request.Term <= d.usedTerm {
 		return false
 	}
-	if now >= d.grantUntil {
+	if now >= d.voteExpires {
 		return true
 	}
-	if d.grantTo != to {
-		return e.yields(now, d, request)
+	if d.votedFor != candidate {
+		return e.acceptsChallenge(now, d, request)
 	}
-	return request.Term >= d.grantTerm
+	return request.Term >= d.votedTerm
 }
 
-// grant votes for a candidate if it may.
-func (e *Elector) grant(now time.Duration, d *duty, to string, request Message) bool {
-	if !e.mayGrant(now, d, to, request) {
+// grantVote votes for a candidate if mayGrantVote allows it, and reports whether it did.
+func (e *Elector) grantVote(now time.Duration, d *duty, candidate string, request Message) bool {
+	if !e.mayGrantVote(now, d, candidate, request) {
 		return false
 	}
-	if now < d.grantUntil && d.grantTo != to {
-		e.handOn(now, d, to)
+	if now < d.voteExpires && d.votedFor != candidate {
+		e.recordTakeover(now, d, candidate)
 	}
-	if d.grantTo != to {
-		d.grantSince = now
+	if d.votedFor != candidate {
+		d.votedSince = now
 	}
-	d.grantTo, d.grantTerm, d.grantLife, d.grantUntil = to, request.Term, request.Life, now+e.cfg.Lease
-	d.floor = max(d.floor, request.Term)
-	if d.holding && to != e.cfg.Self {
-		e.lose(d)
+	d.votedFor, d.votedTerm, d.votedLife, d.voteExpires = candidate, request.Term, request.Life, now+e.cfg.Lease
+	d.minTerm = max(d.minTerm, request.Term)
+	if d.holding && candidate != e.cfg.Self {
+		e.loseDuty(d)
 	}
 	return true
 }
 
-// Handle takes a message.
+// Handle processes a message from another control node.
 func (e *Elector) Handle(now time.Duration, from string, m Message) {
 	d := e.duty(m.Duty)
 	if d == nil {
@@ -279,64 +287,65 @@
 	}
 	switch {
 	case m.Resign:
-		if d.grantTo == from {
-			d.grantUntil = now
+		if d.votedFor == from {
+			d.voteExpires = now
 		}
-	case m.Vote && (m.Ask || !d.asking && !d.holding):
-		e.answeredInAdvance(now, d, from, m)
+	case m.Vote && (m.Ask || !d.campaigning && !d.holding):
+		e.handlePreVoteAnswer(now, d, from, m)
 	case m.Vote:
-		if m.OK && (m.Term != d.term || !d.asking) {
+		if m.OK && (m.Term != d.term || !d.campaigning) {
 			return
 		}
 		if m.OK {
 			d.votes[from] = true
-			e.count(d, e.cfg.Roster())
+			e.countVotes(d, e.cfg.Roster())
 			return
 		}
-		d.floor, d.used = max(d.floor, m.Term), max(d.used, m.Used)
+		d.minTerm, d.usedTerm = max(d.minTerm, m.Term), max(d.usedTerm, m.Used)
 		roster := e.cfg.Roster()
-		if !d.holding && !d.stillOpen(from, m, roster) {
-			e.giveUp(now, d, roster)
+		if !d.holding && !d.stillWinnable(from, m, roster) {
+			e.abandonCampaign(now, d, roster)
 		}
 	default:
-		ok := m.Ask && e.mayGrant(now, d, from, m) || !m.Ask && e.grant(now, d, from, m)
+		ok := m.Ask && e.mayGrantVote(now, d, from, m) || !m.Ask && e.grantVote(now, d, from, m)
 		term := m.Term
-		if !ok && d.floor > m.Term {
-			term = d.floor
+		if !ok && d.minTerm > m.Term {
+			term = d.minTerm
 		}
-		e.out = append(e.out, Envelope{from, Message{Duty: m.Duty, Term: term, Vote: true, OK: ok, Ask: m.Ask, Used: d.used}})
+		e.outbox = append(e.outbox, Envelope{from, Message{Duty: m.Duty, Term: term, Vote: true, OK: ok, Ask: m.Ask, Used: d.usedTerm}})
 	}
 }
 
-func (e *Elector) count(d *duty, roster []string) {
+// countVotes takes or renews the lease on a duty once a majority has voted for this control node.
+func (e *Elector) countVotes(d *duty, roster []string) {
 	if !majority(d.votes, roster) {
 		return
 	}
-	// Counted from when the votes were asked for, so it ends before the votes do.
-	d.until = d.asked + e.cfg.Lease
+	// The lease counts from the request, so it ends before the votes expire.
+	d.heldUntil = d.requestedAt + e.cfg.Lease
 	if !d.holding {
 		d.holding = true
-		e.changed = append(e.changed, d.name)
+		e.changedDuties = append(e.changedDuties, d.name)
 	}
 }
 
-// majority says whether more than half of a roster has voted.
+// majority reports whether more than half of a roster has voted.
 func majority(votes map[string]bool, roster []string) bool {
-	n := 0
+	count := 0
 	for _, id := range roster {
 		if votes[id] {
-			n++
+			count++
 		}
 	}
-	return n > len(roster)/2
+	return count > len(roster)/2
 }
 
-func (e *Elector) lose(d *duty) {
+func (e *Elector) loseDuty(d *duty) {
 	d.holding = false
-	e.changed = append(e.changed, d.name)
+	e.changedDuties = append(e.changedDuties, d.name)
 }
 
-// Leave resigns from all duties and stands for none.
+// Leave resigns from all duties and ends campaigning for good.
 func (e *Elector) Leave(now time.Duration) {
 	e.leaving = true
 	for _, d := range e.duties {
@@ -344,41 +353,41 @@
 	}
 }
 
-// resign gives a duty up, and the votes for this control node.
+// resign gives up a duty and releases the votes for this control node.
 func (e *Elector) resign(now time.Duration, d *duty) {
 	if d.holding {
-		e.lose(d)
+		e.loseDuty(d)
 	}
-	e.freeVotes(now, d, e.cfg.Roster())
+	e.releaseVotes(now, d, e.cfg.Roster())
 }
 
-// State is one duty as status shows it.
+// State is the state of one duty in status output.
 type State struct {
 	Duty   string `json:"duty"`
 	Holder string `json:"holder"`
 	Term   uint64 `json:"term"`
-	// ResultAgeS is how old the holder's result is, as this control node has it.
+	// ResultAgeS is the age of the newest result that this control node knows of.
 	ResultAgeS float64      `json:"resultAgeS"`
 	HandedOn   *HandOnState `json:"handedOn,omitempty"`
 }
 
-// HandOnState tells of the last time that a duty went on from a holder whose result was too old.
+// HandOnState is the last takeover of a duty in status output.
 type HandOnState struct {
 	From       string  `json:"from"`
-	ResultAgeS float64 `json:"resultAgeS"` // then
-	AgoS       float64 `json:"agoS"`
+	ResultAgeS float64 `json:"resultAgeS"` // age of the old holder's result at the takeover
+	AgoS       float64 `json:"agoS"`       // time since the takeover
 }
 
-// States shows all duties.
-func (e *Elector) States(now time.Duration) (out []State) {
+// States returns the states of all duties, sorted by name.
+func (e *Elector) States(now time.Duration) (states []State) {
 	for _, d := range e.duties {
-		h, t, _ := e.Holder(now, d.name)
-		state := State{Duty: d.name, Holder: h, Term: t, ResultAgeS: e.resultAge(now, d).Seconds()}
-		if on := d.handedOn; on != nil {
-			state.HandedOn = &HandOnState{on.From, on.ResultAge.Seconds(), (now - on.at).Round(time.Millisecond).Seconds()}
+		holder, term, _ := e.Holder(now, d.name)
+		state := State{Duty: d.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, d).Seconds()}
+		if takeover := d.lastTakeover; takeover != nil {
+			state.HandedOn = &HandOnState{takeover.From, takeover.ResultAge.Seconds(), (now - takeover.at).Round(time.Millisecond).Seconds()}
 		}
-		out = append(out, state)
+		states = append(states, state)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Duty < out[j].Duty })
-	return out
+	sort.Slice(states, func(i, j int) bool { return states[i].Duty < states[j].Duty })
+	return states
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -8,158 +8,160 @@
 
 const lease = 1200 * time.Millisecond
 
-type hall struct {
+// voteCluster is a number of electors; messages between those that are up take no time.
+type voteCluster struct {
 	now      time.Duration
 	electors map[string]*Elector
 	down     map[string]bool
 	ids      []string
 }
 
-func newHall(n int) *hall {
-	h := &hall{electors: map[string]*Elector{}, down: map[string]bool{}}
+func newVoteCluster(size int) *voteCluster {
+	c := &voteCluster{electors: map[string]*Elector{}, down: map[string]bool{}}
 	var ids []string
-	for i := 0; i < n; i++ {
+	for i := 0; i < size; i++ {
 		ids = append(ids, fmt.Sprintf("a%d", i))
 	}
-	h.ids = ids
+	c.ids = ids
 	for _, id := range ids {
-		h.electors[id] = New(Config{Self: id, Duties: []string{"list"}, Lease: lease,
-			Roster: func() []string { return ids }, Alive: func(o string) bool { return !h.down[o] }})
+		c.electors[id] = New(Config{Self: id, Duties: []string{"list"}, Lease: lease,
+			Roster: func() []string { return ids }, Alive: func(o string) bool { return !c.down[o] }})
 	}
-	return h
+	return c
 }
 
-func (h *hall) run(t *testing.T, d time.Duration) {
+// run fails the test if two nodes hold the duty at the same time.
+func (c *voteCluster) run(t *testing.T, duration time.Duration) {
 	t.Helper()
-	for end := h.now + d; h.now < end; h.now += 50 * time.Millisecond {
-		for _, id := range h.ids {
-			if !h.down[id] {
-				h.electors[id].Tick(h.now)
+	for end := c.now + duration; c.now < end; c.now += 50 * time.Millisecond {
+		for _, id := range c.ids {
+			if !c.down[id] {
+				c.electors[id].Tick(c.now)
 			}
 		}
-		for again := true; again; {
-			again = false
-			for _, id := range h.ids {
-				out, _ := h.electors[id].Take()
-				for _, e := range out {
-					if !h.down[id] && !h.down[e.To] {
-						again = true
-						h.electors[e.To].Handle(h.now, id, e.Msg)
+		for pending := true; pending; {
+			pending = false
+			for _, id := range c.ids {
+				messages, _ := c.electors[id].Take()
+				for _, envelope := range messages {
+					if !c.down[id] && !c.down[envelope.To] {
+						pending = true
+						c.electors[envelope.To].Handle(c.now, id, envelope.Msg)
 					}
 				}
 			}
 		}
-		if len(h.holders()) > 1 {
-			t.Fatalf("two holders at %v: %v", h.now, h.holders())
+		if len(c.holders()) > 1 {
+			t.Fatalf("two holders at %v: %v", c.now, c.holders())
 		}
 	}
 }
 
-func (h *hall) holders() (out []string) {
-	for id, r := range h.electors {
-		if _, ok := r.Holds(h.now, "list"); ok {
+func (c *voteCluster) holders() (out []string) {
+	for id, elector := range c.electors {
+		if _, ok := elector.Holds(c.now, "list"); ok {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func TestOneHolderAndTheNextWhenItFallsSilent(t *testing.T) {
-	h := newHall(4)
-	h.run(t, 2*time.Second)
+func TestDutyMovesWhenHolderIsDown(t *testing.T) {
+	c := newVoteCluster(4)
+	c.run(t, 2*time.Second)
 	for i := 0; i < 3; i++ {
-		first := h.holders()
+		first := c.holders()
 		if len(first) != 1 {
 			t.Fatalf("holders %v", first)
 		}
-		term, _ := h.electors[first[0]].Holds(h.now, "list")
-		h.down[first[0]] = true
-		h.run(t, 3*time.Second)
-		next := h.holders()
+		term, _ := c.electors[first[0]].Holds(c.now, "list")
+		c.down[first[0]] = true
+		c.run(t, 3*time.Second)
+		next := c.holders()
 		if len(next) != 1 || next[0] == first[0] {
 			t.Fatalf("after %v: %v", first, next)
 		}
-		if later, _ := h.electors[next[0]].Holds(h.now, "list"); later <= term {
+		if later, _ := c.electors[next[0]].Holds(c.now, "list"); later <= term {
 			t.Fatalf("term %d after %d", later, term)
 		}
-		h.down[first[0]] = false
-		h.run(t, time.Second)
+		c.down[first[0]] = false
+		c.run(t, time.Second)
 	}
 }
 
-func TestAnElectionWaitsForThoseWhoComeUpLate(t *testing.T) {
-	h := newHall(4)
-	h.down["a2"], h.down["a3"] = true, true
-	h.run(t, 400*time.Millisecond)
-	h.down["a2"] = false
-	h.run(t, 2*lease/3)
-	if got := h.holders(); len(got) != 1 {
-		t.Fatalf("holders %v soon after a majority is there", got)
+func TestCampaignCountsVotersThatStartLate(t *testing.T) {
+	c := newVoteCluster(4)
+	c.down["a2"], c.down["a3"] = true, true
+	c.run(t, 400*time.Millisecond)
+	c.down["a2"] = false
+	c.run(t, 2*lease/3)
+	if got := c.holders(); len(got) != 1 {
+		t.Fatalf("holders %v soon after a majority is up", got)
 	}
 }
 
-func TestNoHolderWithoutAMajority(t *testing.T) {
-	h := newHall(4)
-	h.down["a0"], h.down["a1"] = true, true
-	h.run(t, 5*time.Second)
-	if got := h.holders(); len(got) != 0 {
+func TestNoHolderWithoutMajority(t *testing.T) {
+	c := newVoteCluster(4)
+	c.down["a0"], c.down["a1"] = true, true
+	c.run(t, 5*time.Second)
+	if got := c.holders(); len(got) != 0 {
 		t.Fatalf("holders %v", got)
 	}
 }
 
-func TestResignationIsQuickAndFloorsCount(t *testing.T) {
-	h := newHall(4)
-	h.run(t, 2*time.Second)
-	first := h.holders()[0]
-	h.electors[first].Leave(h.now)
-	h.run(t, lease)
-	next := h.holders()
+func TestResignationAndRaisedTerm(t *testing.T) {
+	c := newVoteCluster(4)
+	c.run(t, 2*time.Second)
+	first := c.holders()[0]
+	c.electors[first].Leave(c.now)
+	c.run(t, lease)
+	next := c.holders()
 	if len(next) != 1 || next[0] == first {
 		t.Fatalf("after the resignation of %s: %v", first, next)
 	}
-	// One control node that is not the holder has seen a term of a former life.
-	for id, r := range h.electors {
+	// Control nodes other than the holder learn of a term that was used before a restart.
+	for id, elector := range c.electors {
 		if id != next[0] && id != first {
-			r.Raise("list", 100)
+			elector.Raise("list", 100)
 		}
 	}
-	h.run(t, lease)
-	if term, ok := h.electors[next[0]].Holds(h.now, "list"); !ok || term <= 100 {
-		t.Fatalf("term %d after the floor was raised to 100", term)
+	c.run(t, lease)
+	if term, ok := c.electors[next[0]].Holds(c.now, "list"); !ok || term <= 100 {
+		t.Fatalf("term %d after terms up to 100 were reported as used", term)
 	}
 }
 
-// A candidate that is refused by a near voter gives up before the votes of far ones
-// have come. Those have to be freed as well: bound for a whole lease, again and
-// again, they would let nobody win.
-func TestWhoGivesUpFreesFarVotersToo(t *testing.T) {
+// A candidate that a nearby voter refuses abandons its campaign before the votes of distant voters
+// arrive. These must be released as well: if they stayed bound for a whole lease after each campaign,
+// no candidate would win.
+func TestAbandonedCampaignReleasesDistantVotes(t *testing.T) {
 	ids := []string{"a", "near", "far"}
 	elector := func(self string) *Elector {
 		return New(Config{Self: self, Duties: []string{"list"}, Lease: lease,
 			Roster: func() []string { return ids }, Alive: func(string) bool { return true }})
 	}
-	a, far := elector("a"), elector("far")
-	a.Tick(0)
-	a.Tick(lease)
-	var toFar []Message
+	candidate, distant := elector("a"), elector("far")
+	candidate.Tick(0)
+	candidate.Tick(lease)
+	var toDistant []Message
 	collect := func() {
-		out, _ := a.Take()
-		for _, e := range out {
-			if e.To == "far" {
-				toFar = append(toFar, e.Msg)
+		messages, _ := candidate.Take()
+		for _, envelope := range messages {
+			if envelope.To == "far" {
+				toDistant = append(toDistant, envelope.Msg)
 			}
 		}
 	}
 	collect()
-	if len(toFar) == 0 {
-		t.Fatal("no election")
+	if len(toDistant) == 0 {
+		t.Fatal("no vote was requested")
 	}
-	a.Handle(lease, "near", Message{Duty: "list", Term: toFar[0].Term, Vote: true}) // refused
+	candidate.Handle(lease, "near", Message{Duty: "list", Term: toDistant[0].Term, Vote: true}) // refused
 	collect()
-	for _, m := range toFar {
-		far.Handle(lease, "a", m)
+	for _, m := range toDistant {
+		distant.Handle(lease, "a", m)
 	}
-	if to, _, _ := far.Holder(lease, "list"); to != "" {
-		t.Errorf("the far voter is still bound to %s", to)
+	if votedFor, _, _ := distant.Holder(lease, "list"); votedFor != "" {
+		t.Errorf("the distant voter's vote is still bound to %s", votedFor)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,204 +10,206 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-const beat = 500 * time.Millisecond
-
-// net carries messages between rolls at once, unless one is down or cut off.
-type net struct {
-	rolls map[string]*Table
-	down  map[string]bool
-	now   time.Duration
-	bytes int // sent
+const probeInterval = 500 * time.Millisecond
+
+// cluster delivers messages between tables at once, unless the sender or the recipient is down.
+type cluster struct {
+	tables    map[string]*Table
+	down      map[string]bool
+	now       time.Duration
+	bytesSent int
 }
 
-func newNet(n int) *net {
-	w := &net{rolls: map[string]*Table{}, down: map[string]bool{}}
-	for i := 0; i < n; i++ {
-		w.start(i)
+func newCluster(size int) *cluster {
+	c := &cluster{tables: map[string]*Table{}, down: map[string]bool{}}
+	for i := 0; i < size; i++ {
+		c.start(i)
 	}
-	return w
+	return c
 }
 
-func addr(i int) string { return fmt.Sprintf("10.0.0.%d:7660", i) }
+func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:7660", i) }
 
-func (w *net) start(i int) {
-	w.rolls[addr(i)] = NewTable(Config{Self: Node{Address: addr(i), Name: fmt.Sprintf("edge-%02d", i), Zone: fmt.Sprintf("z%d", i%4)},
-		Seeds: []string{addr(0), addr(1), addr(2)}, Beat: beat, Forget: 100 * beat})
-	w.down[addr(i)] = false
+func (c *cluster) start(i int) {
+	c.tables[addressOf(i)] = NewTable(Config{Self: Node{Address: addressOf(i), Name: fmt.Sprintf("edge-%02d", i), Zone: fmt.Sprintf("z%d", i%4)},
+		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, Beat: probeInterval, Forget: 100 * probeInterval})
+	c.down[addressOf(i)] = false
 }
 
-func (w *net) flush() {
-	for again := true; again; {
-		again = false
-		for _, from := range slices.Sorted(maps.Keys(w.rolls)) {
-			out, _ := w.rolls[from].Take()
-			for _, e := range out {
-				again = true
-				b, _ := cbor.Marshal(e.Msg)
-				w.bytes += len(b)
-				if to := w.rolls[e.To]; to != nil && !w.down[e.To] && !w.down[from] {
-					to.Handle(w.now, from, e.Msg)
+func (c *cluster) deliver() {
+	for pending := true; pending; {
+		pending = false
+		for _, from := range slices.Sorted(maps.Keys(c.tables)) {
+			messages, _ := c.tables[from].Take()
+			for _, envelope := range messages {
+				pending = true
+				b, _ := cbor.Marshal(envelope.Msg)
+				c.bytesSent += len(b)
+				if to := c.tables[envelope.To]; to != nil && !c.down[envelope.To] && !c.down[from] {
+					to.Handle(c.now, from, envelope.Msg)
 				}
 			}
 		}
 	}
 }
 
-func (w *net) run(beats int) {
-	for i := 0; i < beats; i++ {
-		w.now += beat
-		for _, a := range slices.Sorted(maps.Keys(w.rolls)) {
-			if !w.down[a] {
-				w.rolls[a].Tick(w.now)
+func (c *cluster) run(intervals int) {
+	for i := 0; i < intervals; i++ {
+		c.now += probeInterval
+		for _, address := range slices.Sorted(maps.Keys(c.tables)) {
+			if !c.down[address] {
+				c.tables[address].Tick(c.now)
 			}
 		}
-		w.flush()
+		c.deliver()
 	}
 }
 
-func (w *net) believe(t *testing.T, about string, want State) {
+// expectState fails the test if a node that is up has another state for subject than want.
+func (c *cluster) expectState(t *testing.T, subject string, want State) {
 	t.Helper()
-	for a, r := range w.rolls {
-		if w.down[a] || a == about {
+	for address, table := range c.tables {
+		if c.down[address] || address == subject {
 			continue
 		}
-		if it := r.items[about]; it == nil || it.node.State != want {
-			t.Fatalf("%s holds %s for %+v, want %v", a, about, it, want)
+		if e := table.entries[subject]; e == nil || e.node.State != want {
+			t.Fatalf("%s has %s as %+v, want state %v", address, subject, e, want)
 		}
 	}
 }
 
-func TestEveryoneFindsEveryoneThroughSeeds(t *testing.T) {
-	w := newNet(15)
-	w.run(8)
-	for a, r := range w.rolls {
-		if n := len(r.Nodes()); n != 15 {
-			t.Fatalf("%s knows %d nodes", a, n)
+func TestAllNodesFindEachOtherThroughSeeds(t *testing.T) {
+	c := newCluster(15)
+	c.run(8)
+	for address, table := range c.tables {
+		if n := len(table.Nodes()); n != 15 {
+			t.Fatalf("%s knows %d nodes", address, n)
 		}
-		if n := len(r.WatchSet()); n != watchSet {
-			t.Fatalf("%s watches %d nodes", a, n)
+		if n := len(table.WatchSet()); n != probeTargets {
+			t.Fatalf("%s probes %d nodes", address, n)
 		}
 	}
 }
 
-func TestSuspicionBeforeDeathAndReturn(t *testing.T) {
-	w := newNet(12)
-	w.run(8)
-	gone := addr(7)
-	w.down[gone] = true
-	w.run(3)
+func TestNodeIsSuspectBeforeDeadAndRejoins(t *testing.T) {
+	c := newCluster(12)
+	c.run(8)
+	gone := addressOf(7)
+	c.down[gone] = true
+	c.run(3)
 	suspected := false
-	for a, r := range w.rolls {
-		if a != gone && r.items[gone].node.State == Dead {
-			t.Fatal("dead without having been suspected for two beats")
+	for address, table := range c.tables {
+		if address != gone && table.entries[gone].node.State == Dead {
+			t.Fatal("dead without having been suspect for two probe intervals")
 		}
-		suspected = suspected || a != gone && r.items[gone].node.State == Suspect
+		suspected = suspected || address != gone && table.entries[gone].node.State == Suspect
 	}
 	if !suspected {
-		t.Fatal("nobody suspects a silent node")
+		t.Fatal("no node suspects the one that is down")
 	}
-	w.run(12)
-	w.believe(t, gone, Dead)
-	w.start(7) // a new process with no memory
-	w.run(10)
-	w.believe(t, gone, Alive)
+	c.run(12)
+	c.expectState(t, gone, Dead)
+	c.start(7) // a new process with no memory
+	c.run(10)
+	c.expectState(t, gone, Alive)
 }
 
-func TestFrozenNodeClearsItself(t *testing.T) {
-	w := newNet(8)
-	w.run(8)
-	w.down[addr(3)] = true
-	w.run(4)
-	w.down[addr(3)] = false
-	w.run(8)
-	w.believe(t, addr(3), Alive)
+func TestPausedNodeRefutesSuspicion(t *testing.T) {
+	c := newCluster(8)
+	c.run(8)
+	c.down[addressOf(3)] = true
+	c.run(4)
+	c.down[addressOf(3)] = false
+	c.run(8)
+	c.expectState(t, addressOf(3), Alive)
 }
 
-func TestSeedsAreNotNeededLater(t *testing.T) {
-	w := newNet(10)
-	w.run(8)
+func TestMembershipWorksWithoutSeedsAfterJoin(t *testing.T) {
+	c := newCluster(10)
+	c.run(8)
 	for i := 0; i < 3; i++ {
-		w.down[addr(i)] = true
+		c.down[addressOf(i)] = true
 	}
-	w.run(15)
-	w.believe(t, addr(0), Dead)
-	w.believe(t, addr(9), Alive)
+	c.run(15)
+	c.expectState(t, addressOf(0), Dead)
+	c.expectState(t, addressOf(9), Alive)
 }
 
-func TestShardsSpanZonesAndStay(t *testing.T) {
-	w := newNet(11)
-	w.run(8)
-	list := func() *List { return &List{Nodes: w.rolls[addr(10)].Nodes()} }
+func TestShardsSpanZonesAndStayAssigned(t *testing.T) {
+	c := newCluster(11)
+	c.run(8)
+	list := func() *List { return &List{Nodes: c.tables[addressOf(10)].Nodes()} }
 	before := list().Shards(2)
 	for zone := 0; zone < 4; zone++ {
 		seen := map[int]bool{}
 		for i := zone; i < 11; i += 4 {
-			seen[before[addr(i)]] = true
+			seen[before[addressOf(i)]] = true
 		}
 		if len(seen) != 2 {
 			t.Fatalf("zone %d has shards %v", zone, seen)
 		}
 	}
-	w.down[addr(0)] = true
-	w.run(12)
-	for a, s := range list().Shards(2) {
-		if before[a] != s {
-			t.Fatalf("%s moved from shard %d to %d when another gateway died", a, before[a], s)
+	c.down[addressOf(0)] = true
+	c.run(12)
+	for address, shard := range list().Shards(2) {
+		if before[address] != shard {
+			t.Fatalf("%s moved from shard %d to %d when another gateway died", address, before[address], shard)
 		}
 	}
 }
 
-// wrong counts what the nodes that are up believe wrongly of all n.
-func (w *net) wrong(n int) (out int) {
-	for a, r := range w.rolls {
-		for i := 0; i < n && !w.down[a]; i++ {
-			if it := r.items[addr(i)]; (it != nil && it.node.State < Dead) == w.down[addr(i)] {
-				out++
+// wrongBeliefs counts, over the nodes that are up, the entries of n nodes that are wrong about whether
+// the node is up.
+func (c *cluster) wrongBeliefs(n int) (count int) {
+	for address, table := range c.tables {
+		for i := 0; i < n && !c.down[address]; i++ {
+			if e := table.entries[addressOf(i)]; (e != nil && e.node.State < Dead) == c.down[addressOf(i)] {
+				count++
 			}
 		}
 	}
-	return out
+	return count
 }
 
-// What the nodes tell each other must stay small beside links of a few Mbit/s when
-// there are hundreds of them, also when many come and go at once.
-func TestHundredsOfNodes(t *testing.T) {
+// Gossip traffic between hundreds of nodes must stay small compared to links of a few Mbit/s, also
+// when many nodes stop and start at once.
+func TestGossipTrafficWithHundredsOfNodes(t *testing.T) {
 	const n = 300
-	w := newNet(n)
+	c := newCluster(n)
 	steps := []struct {
-		name   string
-		change func()
-		beats  int
-		most   int // bytes a node and beat
-		wrong  int // beliefs that may be wrong at the end, of n*n
+		name      string
+		change    func()
+		intervals int
+		maxBytes  int // per node and interval
+		maxWrong  int // wrong beliefs allowed at the end, of n*n
 	}{
 		{"start", func() {}, 8, 12000, n},
-		{"calm", func() {}, 5, 2400, 0},
-		{"one in ten dies", func() {
+		{"no changes", func() {}, 5, 2400, 0},
+		{"one in ten stops", func() {
 			for i := 5; i < n; i += 10 {
-				w.down[addr(i)] = true
+				c.down[addressOf(i)] = true
 			}
 		}, 12, 8000, n * n / 500},
-		{"and is back", func() {
+		{"these restart", func() {
 			for i := 5; i < n; i += 10 {
-				w.start(i)
+				c.start(i)
 			}
 		}, 12, 8000, 0},
 		{"one list lacks a node", func() {
-			delete(w.rolls[addr(7)].items, addr(9))
-			w.rolls[addr(7)].touch()
+			delete(c.tables[addressOf(7)].entries, addressOf(9))
+			c.tables[addressOf(7)].markChanged()
 		}, 8, 2400, 0},
 	}
-	for _, s := range steps {
-		s.change()
-		w.bytes = 0
-		w.run(s.beats)
-		t.Logf("%s: %d bytes a node and beat, %d wrong", s.name, w.bytes/n/s.beats, w.wrong(n))
-		if got := w.bytes / n / s.beats; got > s.most {
-			t.Errorf("%s: %d bytes a node and beat", s.name, got)
+	for _, step := range steps {
+		step.change()
+		c.bytesSent = 0
+		c.run(step.intervals)
+		t.Logf("%s: %d bytes per node and interval, %d wrong beliefs", step.name, c.bytesSent/n/step.intervals, c.wrongBeliefs(n))
+		if got := c.bytesSent / n / step.intervals; got > step.maxBytes {
+			t.Errorf("%s: %d bytes per node and interval", step.name, got)
 		}
-		if got := w.wrong(n); got > s.wrong {
-			t.Errorf("%s: %d beliefs are wrong", s.name, got)
+		if got := c.wrongBeliefs(n); got > step.maxWrong {
+			t.Errorf("%s: %d wrong beliefs", step.name, got)
 		}
 	}
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -8,36 +8,37 @@
 	"madderwing/internal/transport"
 )
 
-const kind = "register"
+// messageKind is the kind of membership messages at the transport.
+const messageKind = "register"
 
-// List is what the other parts see of the nodes.
+// List is an immutable snapshot of the known nodes.
 type List struct {
-	Nodes []Node
-	byAdr map[string]int
+	Nodes     []Node
+	byAddress map[string]int
 }
 
-// Get finds a node by address.
+// Get returns the node with an address.
 func (l *List) Get(address string) (Node, bool) {
-	i, ok := l.byAdr[address]
+	index, ok := l.byAddress[address]
 	if !ok {
 		return Node{}, false
 	}
-	return l.Nodes[i], true
+	return l.Nodes[index], true
 }
 
-// Live lists the nodes of a plane that are taken to be working.
-func (l *List) Live(p Plane) (out []Node) {
+// Live returns the nodes of a plane that are alive or suspect.
+func (l *List) Live(plane Plane) (out []Node) {
 	for _, n := range l.Nodes {
-		if n.Plane == p && n.State <= Suspect {
+		if n.Plane == plane && n.State <= Suspect {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// Shards labels the gateways: the gateways of each zone, in the order of their
-// names, take the labels in turn, so that each shard has gateways in every zone.
-// Dead gateways keep their place until they are forgotten, so labels stay put.
+// Shards assigns gateways, by address, to count shards. The gateways of each zone are assigned
+// round-robin in the order of their names, so that each shard has gateways in every zone. Dead gateways
+// keep their place until they are removed from the list, so the others keep their shards.
 func (l *List) Shards(count int) map[string]int {
 	zones := map[string][]Node{}
 	for _, n := range l.Nodes {
@@ -45,121 +46,123 @@
 			zones[n.Zone] = append(zones[n.Zone], n)
 		}
 	}
-	out := map[string]int{}
+	labels := map[string]int{}
 	for _, gateways := range zones {
 		sort.Slice(gateways, func(i, j int) bool { return gateways[i].Name < gateways[j].Name })
 		for i, n := range gateways {
-			out[n.Address] = i % count
+			labels[n.Address] = i % count
 		}
 	}
-	return out
+	return labels
 }
 
-// Service drives a Roll over a Mesh. One goroutine owns the roll.
+// Service runs a Table over a transport endpoint.
 type Service struct {
-	roll     *Table
-	post     *transport.Endpoint
-	commands chan func(now time.Duration)
-	list     atomic.Pointer[List]
-	start    time.Time
-	onChange func(*List)
-	done     chan struct{}
+	table     *Table // owned by the goroutine of Run
+	endpoint  *transport.Endpoint
+	commands  chan func(now time.Duration) // executed by Run
+	list      atomic.Pointer[List]
+	startedAt time.Time
+	onChange  func(*List)
+	done      chan struct{}
 }
 
-// NewService makes the service; onChange runs on the service's goroutine.
-func NewService(cfg Config, post *transport.Endpoint, onChange func(*List)) *Service {
-	s := &Service{roll: NewTable(cfg), post: post, commands: make(chan func(time.Duration), 256),
-		start: time.Now(), onChange: onChange, done: make(chan struct{})}
-	s.publish()
-	transport.On(post, kind, func(from string, m Message) {
+// NewService returns a Service. onChange is called with the initial list before NewService returns, and
+// with each new list on the goroutine of Run; it may be nil.
+func NewService(cfg Config, endpoint *transport.Endpoint, onChange func(*List)) *Service {
+	service := &Service{table: NewTable(cfg), endpoint: endpoint, commands: make(chan func(time.Duration), 256),
+		startedAt: time.Now(), onChange: onChange, done: make(chan struct{})}
+	service.publish()
+	transport.On(endpoint, messageKind, func(from string, message Message) {
 		select {
-		case s.commands <- func(now time.Duration) { s.roll.Handle(now, from, m) }:
-		default:
+		case service.commands <- func(now time.Duration) { service.table.Handle(now, from, message) }:
+		default: // the queue is full: drop the message, as the network may
 		}
 	})
-	return s
+	return service
 }
 
+// publish replaces the snapshot that List returns and calls onChange.
 func (s *Service) publish() {
-	l := &List{Nodes: s.roll.Nodes(), byAdr: map[string]int{}}
-	for i, n := range l.Nodes {
-		l.byAdr[n.Address] = i
+	list := &List{Nodes: s.table.Nodes(), byAddress: map[string]int{}}
+	for i, n := range list.Nodes {
+		list.byAddress[n.Address] = i
 	}
-	s.list.Store(l)
+	s.list.Store(list)
 	if s.onChange != nil {
-		s.onChange(l)
+		s.onChange(list)
 	}
 }
 
-// Introduce answers the nodes that join through a process that is in no register
-// itself: known gives the nodes that such a one is told of. It may block.
-func Introduce(post *transport.Endpoint, known func(joins Node) []Node) {
-	transport.On(post, kind, func(from string, m Message) {
-		if m.From == nil || !m.Ping || m.From.Address != from {
+// Introduce makes a process that is not a member itself answer nodes that use it as a seed. known
+// returns the nodes that a joining node is told of; it may block.
+func Introduce(endpoint *transport.Endpoint, known func(joining Node) []Node) {
+	transport.On(endpoint, messageKind, func(from string, message Message) {
+		if message.From == nil || !message.Ping || message.From.Address != from {
 			return
 		}
 		go func() {
-			if nodes := known(*m.From); len(nodes) > 0 {
-				post.Send(from, kind, Message{Whole: true, Nodes: nodes})
+			if nodes := known(*message.From); len(nodes) > 0 {
+				endpoint.Send(from, messageKind, Message{Whole: true, Nodes: nodes})
 			}
 		}()
 	})
 }
 
-// List is the newest list.
+// List returns the newest list.
 func (s *Service) List() *List { return s.list.Load() }
 
-// Hopeful says whether nothing is known against a node.
+// Hopeful reports whether a node is alive or unknown, as opposed to suspect, dead or gone.
 func (s *Service) Hopeful(address string) bool {
 	n, ok := s.List().Get(address)
 	return !ok || n.State == Alive
 }
 
-// Run drives the roll until Stop.
+// Run runs the table until Stop.
 func (s *Service) Run() {
-	beat := s.roll.cfg.Beat
-	timer := time.NewTicker(beat)
-	defer timer.Stop()
+	interval := s.table.cfg.Beat
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	step := func(fn func(time.Duration)) {
-		fn(time.Since(s.start))
-		out, changed := s.roll.Take()
-		for _, e := range out {
-			if e.Large {
-				s.post.Send(e.To, kind, e.Msg)
+		fn(time.Since(s.startedAt))
+		messages, changed := s.table.Take()
+		for _, envelope := range messages {
+			if envelope.Large {
+				s.endpoint.Send(envelope.To, messageKind, envelope.Msg)
 			} else {
-				s.post.Toss(e.To, kind, e.Msg)
+				s.endpoint.Toss(envelope.To, messageKind, envelope.Msg)
 			}
 		}
 		if changed {
 			s.publish()
 		}
 	}
-	step(s.roll.Tick)
+	step(s.table.Tick)
 	for {
 		select {
 		case fn := <-s.commands:
 			step(fn)
-		case <-timer.C:
-			step(s.roll.Tick)
+		case <-ticker.C:
+			step(s.table.Tick)
 		case <-s.done:
 			return
 		}
 	}
 }
 
-// Leave tells others that this node drains, or is gone.
+// Leave tells the other nodes that this node is draining or, if gone, that it has left.
 func (s *Service) Leave(gone bool) {
-	s.commands <- func(now time.Duration) { s.roll.Leave(now, gone) }
+	s.commands <- func(now time.Duration) { s.table.Leave(now, gone) }
 }
 
-// Open tells others that this node serves clients at a port.
+// Open announces the port at which this node serves client requests.
 func (s *Service) Open(port uint16) {
-	s.commands <- func(now time.Duration) { s.roll.Open(now, port) }
+	s.commands <- func(now time.Duration) { s.table.Open(now, port) }
 }
 
-// Seeds gives the roll other seeds.
+// Seeds replaces the seeds.
 func (s *Service) Seeds(seeds []string) {
-	s.commands <- func(time.Duration) { s.roll.cfg.Seeds = seeds }
+	s.commands <- func(time.Duration) { s.table.cfg.Seeds = seeds }
 }
 
 // Stop ends Run.
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -8,33 +8,33 @@
 	"madderwing/internal/transport"
 )
 
-// A node whose one seed is in no register is told of a control node there, and so joins.
-func TestJoiningThroughAStranger(t *testing.T) {
-	mesh := func() *transport.Endpoint {
-		m, err := transport.New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
+// A node whose only seed is not a member learns of a control node from that seed, and joins through it.
+func TestJoinThroughNonMember(t *testing.T) {
+	newEndpoint := func() *transport.Endpoint {
+		endpoint, err := transport.New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(m.Close)
-		return m
+		t.Cleanup(endpoint.Close)
+		return endpoint
 	}
-	node := func(plane Plane, seeds ...string) (*Service, *transport.Endpoint) {
-		m := mesh()
-		s := NewService(Config{Self: Node{Address: m.Self(), Plane: plane}, Seeds: seeds, Beat: 50 * time.Millisecond, Forget: time.Minute}, m, nil)
-		m.Start()
-		go s.Run()
-		t.Cleanup(s.Stop)
-		return s, m
+	startNode := func(plane Plane, seeds ...string) (*Service, *transport.Endpoint) {
+		endpoint := newEndpoint()
+		service := NewService(Config{Self: Node{Address: endpoint.Self(), Plane: plane}, Seeds: seeds, Beat: 50 * time.Millisecond, Forget: time.Minute}, endpoint, nil)
+		endpoint.Start()
+		go service.Run()
+		t.Cleanup(service.Stop)
+		return service, endpoint
 	}
-	controlNode, at := node(Control)
-	stranger := mesh()
-	Introduce(stranger, func(Node) []Node { return []Node{{Address: at.Self(), Plane: Control}} })
-	stranger.Start()
-	gateway, from := node(Data, stranger.Self())
+	controlNode, controlEndpoint := startNode(Control)
+	introducer := newEndpoint()
+	Introduce(introducer, func(Node) []Node { return []Node{{Address: controlEndpoint.Self(), Plane: Control}} })
+	introducer.Start()
+	gateway, gatewayEndpoint := startNode(Data, introducer.Self())
 	for i := 0; ; i++ {
-		_, knows := gateway.List().Get(at.Self())
-		_, known := controlNode.List().Get(from.Self())
-		if knows && known {
+		_, gatewayKnowsControl := gateway.List().Get(controlEndpoint.Self())
+		_, controlKnowsGateway := controlNode.List().Get(gatewayEndpoint.Self())
+		if gatewayKnowsControl && controlKnowsGateway {
 			break
 		}
 		if i > 600 {
@@ -42,9 +42,9 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	for _, s := range []*Service{gateway, controlNode} {
-		if _, ok := s.List().Get(stranger.Self()); ok {
-			t.Error("the stranger is in the register")
+	for _, service := range []*Service{gateway, controlNode} {
+		if _, ok := service.List().Get(introducer.Self()); ok {
+			t.Error("the introducer is in the list of nodes")
 		}
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,6 +1,6 @@
-// Package membership knows the system's nodes. Each node watches the few others
-// that rendezvous hashing names for it; what it learns spreads on the back of
-// the watching. Roll is the state machine; Service drives it.
+// Package membership keeps the list of the system's nodes by a gossip protocol similar to SWIM. Each
+// node probes a few others, chosen by rendezvous hashing; changes spread as payload of the probes and
+// their answers. Table is the state machine; Service runs it over the network.
 package membership
 
 import (
@@ -13,11 +13,10 @@
 	"madderwing/internal/rendezvous"
 )
 
-// State is what is believed of a node.
+// State is the presumed state of a node.
 type State uint8
 
-// The states, in the order in which they supersede each other within one
-// incarnation.
+// The states. Within one incarnation, later ones supersede earlier ones.
 const (
 	Alive State = iota
 	Suspect
@@ -27,10 +26,9 @@
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Plane says which of the two kinds of process a node is.
+// Plane tells whether a node is a gateway (data plane) or a control node (control plane).
 type Plane uint8
 
-// The planes.
 const (
 	Data Plane = iota
 	Control
@@ -38,7 +36,7 @@
 
 func (p Plane) String() string { return [...]string{"gateway", "control"}[p] }
 
-// Node is one process of the system.
+// Node describes one process of the system.
 type Node struct {
 	Address     string `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -47,369 +45,378 @@
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
 	State       State  `cbor:"6,keyasint,omitempty"`
 	Draining    bool   `cbor:"7,keyasint,omitempty"`
-	// Front is the port that serves clients; told only where a registry names it.
+	// Front is the port for client requests, 0 if not announced. It is announced only where gateways
+	// take it from a service registry.
 	Front uint16 `cbor:"8,keyasint,omitempty"`
 }
 
-func (n Node) supersedes(o Node) bool {
-	if n.Incarnation != o.Incarnation {
-		return n.Incarnation > o.Incarnation
+// supersedes reports whether n is newer than other, a description of the same node.
+func (n Node) supersedes(other Node) bool {
+	if n.Incarnation != other.Incarnation {
+		return n.Incarnation > other.Incarnation
 	}
-	if n.State != o.State {
-		return n.State > o.State
+	if n.State != other.State {
+		return n.State > other.State
 	}
-	return n.Draining && !o.Draining
+	return n.Draining && !other.Draining
 }
 
-// Message is what nodes say to each other about nodes.
+// Message is a message of the gossip protocol: a request (Ping) or an answer. Whole makes it a request
+// for, or an answer with, the full list; Sums makes it one of digests; otherwise it is a probe.
 type Message struct {
 	Ping  bool   `cbor:"1,keyasint,omitempty"`
-	Seq   uint64 `cbor:"2,keyasint,omitempty"`
-	Sum   uint64 `cbor:"3,keyasint,omitempty"` // digest of the sender's whole list
-	Nodes []Node `cbor:"4,keyasint,omitempty"` // news, or the whole list
+	Seq   uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in its answer
+	Sum   uint64 `cbor:"3,keyasint,omitempty"` // digest of the sender's full list
+	Nodes []Node `cbor:"4,keyasint,omitempty"` // changes, or the full list
 	Whole bool   `cbor:"5,keyasint,omitempty"`
 	From  *Node  `cbor:"6,keyasint,omitempty"` // the sender, when it joins
-	// Sums are the sender's digests by range: to a ping the answer is the nodes of
-	// the ranges that differ, to that the answer is what still does.
+	// Sums are the sender's digests by range. A request is answered with the receiver's nodes of the
+	// ranges that differ and its digests; to these the requester replies with its own nodes of the
+	// ranges that still differ.
 	Sums []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// ranges is how many ranges the nodes are divided into for repair.
-const ranges = 64
+// digestRanges is the number of address ranges whose digests are compared to repair differing lists.
+const digestRanges = 64
 
-// Envelope is a message to one node. Large ones go over a connection.
+// Envelope is a message with its recipient.
 type Envelope struct {
 	To    string
 	Msg   Message
-	Large bool
+	Large bool // send over a connection, not as a datagram
 }
 
-// watchSet is how many others a node watches; a piece of news is passed on
-// newsTimes times.
 const (
-	watchSet  = 3
-	newsTimes = 6
-	newsMax   = 8
+	probeTargets   = 3 // nodes that a node probes
+	gossipRepeats  = 6 // times that a node passes on a change
+	maxGossipNodes = 8 // changes in one message
 )
 
-// Config is what a roll is told.
+// Config configures a Table.
 type Config struct {
 	Self   Node
-	Seeds  []string // addresses of control nodes
-	Beat   time.Duration
-	Forget time.Duration // how long a dead node is remembered
+	Seeds  []string      // addresses of control nodes
+	Beat   time.Duration // probe interval
+	Forget time.Duration // how long a dead node stays in the list
 }
 
-type item struct {
-	node  Node
-	since time.Duration // when the state was learnt
-	tell  int           // how often it is still passed on
+type entry struct {
+	node        Node
+	stateSince  time.Duration // when this version of the node was learned
+	repeatsLeft int           // how many times it is still passed on
 }
 
-type watch struct {
-	sent    uint64
-	answers uint64
-	misses  int
+type probe struct {
+	lastSent     uint64 // sequence numbers
+	lastAnswered uint64
+	missed       int // consecutive unanswered probes
 }
 
-// Table is one node's list of nodes.
+// Table is one node's list of nodes. It does no I/O: callers pass in the time and received messages, and
+// send what Take returns. It is not safe for concurrent use.
 type Table struct {
-	cfg     Config
-	self    *item
-	items   map[string]*item
-	watched map[string]*watch
-	seq     uint64
-	next    time.Duration
-	out     []Envelope
-	sums    [ranges]uint64
-	sumOK   bool
-	changed bool
-	joined  bool
-	odd     map[string]int // peers whose list differs, and for how many beats
+	cfg          Config
+	self         *entry
+	entries      map[string]*entry
+	probes       map[string]*probe
+	probeSeq     uint64
+	nextTick     time.Duration
+	outbox       []Envelope
+	rangeDigests [digestRanges]uint64
+	digestsValid bool
+	changed      bool
+	joined       bool
+	mismatches   map[string]int // peer -> consecutive probe answers with a digest that differs
 }
 
-// NewTable makes the list of a node that knows only itself.
+// NewTable returns the list of a node that knows only itself.
 func NewTable(cfg Config) *Table {
 	cfg.Self.Incarnation = max(cfg.Self.Incarnation, 1)
-	r := &Table{cfg: cfg, items: map[string]*item{}, watched: map[string]*watch{}, odd: map[string]int{}}
-	r.self = &item{node: cfg.Self, tell: newsTimes}
-	r.items[cfg.Self.Address] = r.self
-	r.changed = true
-	return r
+	t := &Table{cfg: cfg, entries: map[string]*entry{}, probes: map[string]*probe{}, mismatches: map[string]int{}}
+	t.self = &entry{node: cfg.Self, repeatsLeft: gossipRepeats}
+	t.entries[cfg.Self.Address] = t.self
+	t.changed = true
+	return t
 }
 
-// Take returns what is to be sent, and whether the list has changed.
-func (r *Table) Take() ([]Envelope, bool) {
-	out, changed := r.out, r.changed
-	r.out, r.changed = nil, false
-	return out, changed
+// Take returns the messages to send, and whether the list has changed since the last call.
+func (t *Table) Take() ([]Envelope, bool) {
+	messages, changed := t.outbox, t.changed
+	t.outbox, t.changed = nil, false
+	return messages, changed
 }
 
-// Nodes lists all known nodes by address.
-func (r *Table) Nodes() []Node {
-	out := make([]Node, 0, len(r.items))
-	for _, it := range r.items {
-		out = append(out, it.node)
+// Nodes returns all known nodes, sorted by address.
+func (t *Table) Nodes() []Node {
+	nodes := make([]Node, 0, len(t.entries))
+	for _, e := range t.entries {
+		nodes = append(nodes, e.node)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Address < out[j].Address })
-	return out
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Address < nodes[j].Address })
+	return nodes
 }
 
-// Joined says whether any other node has been heard of.
-func (r *Table) Joined() bool { return r.joined }
+// Joined reports whether this node has heard from, or learned of, another node.
+func (t *Table) Joined() bool { return t.joined }
 
-// digest is that of the whole list.
-func (r *Table) digest() (sum uint64) {
-	for i, s := range r.digests() {
+// digest returns the digest of the full list.
+func (t *Table) digest() (sum uint64) {
+	for i, s := range t.digestsByRange() {
 		sum ^= bits.RotateLeft64(s, i)
 	}
 	return sum
 }
 
-// digests are those of the ranges. Nodes that are gone are left out: who has never
-// heard of one, or has forgotten it, has nothing to learn.
-func (r *Table) digests() []uint64 {
-	if !r.sumOK {
-		r.sums, r.sumOK = [ranges]uint64{}, true
-		for a, it := range r.items {
-			if n := it.node; n.State < Dead {
-				v := rendezvous.Weight(a, n.State.String()+strconv.FormatUint(n.Incarnation, 36)+strconv.FormatBool(n.Draining))
-				r.sums[rangeOf(a)] ^= v
+// digestsByRange returns the digests of the ranges. Nodes that are dead or have left don't count, so a
+// peer that never knew or has already removed such a node has an equal digest.
+func (t *Table) digestsByRange() []uint64 {
+	if !t.digestsValid {
+		t.rangeDigests, t.digestsValid = [digestRanges]uint64{}, true
+		for address, e := range t.entries {
+			if n := e.node; n.State < Dead {
+				digest := rendezvous.Weight(address, n.State.String()+strconv.FormatUint(n.Incarnation, 36)+strconv.FormatBool(n.Draining))
+				t.rangeDigests[rangeOf(address)] ^= digest
 			}
 		}
 	}
-	return r.sums[:]
+	return t.rangeDigests[:]
 }
 
-func rangeOf(address string) int { return int(rendezvous.Weight("range", address) % ranges) }
+// rangeOf returns the range of an address.
+func rangeOf(address string) int { return int(rendezvous.Weight("range", address) % digestRanges) }
 
-// differing lists the nodes of the ranges that differ from a peer's.
-func (r *Table) differing(theirs []uint64) (out []Node) {
-	mine := r.digests()
-	for _, n := range r.Nodes() {
-		if i := rangeOf(n.Address); i >= len(theirs) || mine[i] != theirs[i] {
+// nodesInDifferingRanges lists the nodes of the ranges whose digests differ from a peer's.
+func (t *Table) nodesInDifferingRanges(peerDigests []uint64) (out []Node) {
+	own := t.digestsByRange()
+	for _, n := range t.Nodes() {
+		if i := rangeOf(n.Address); i >= len(peerDigests) || own[i] != peerDigests[i] {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// compare tells a peer the digests, so that both send each other what differs.
-func (r *Table) compare(with string) {
-	r.out = append(r.out, Envelope{To: with, Msg: Message{Ping: true, Nodes: []Node{r.self.node}, Sums: slices.Clone(r.digests())}})
+// sendDigests sends a peer the digests by range, after which both send each other the nodes of the
+// ranges that differ.
+func (t *Table) sendDigests(peer string) {
+	t.outbox = append(t.outbox, Envelope{To: peer, Msg: Message{Ping: true, Nodes: []Node{t.self.node}, Sums: slices.Clone(t.digestsByRange())}})
 }
 
-func (r *Table) touch() { r.sumOK, r.changed = false, true }
+// markChanged marks the list as changed and its digests as outdated.
+func (t *Table) markChanged() { t.digestsValid, t.changed = false, true }
 
-func (r *Table) news() (out []Node) {
-	var list []*item
-	for _, it := range r.items {
-		if it.tell > 0 {
-			list = append(list, it)
+// takeGossip returns the changes to send with a message: those that were passed on least often first.
+func (t *Table) takeGossip() (nodes []Node) {
+	var pending []*entry
+	for _, e := range t.entries {
+		if e.repeatsLeft > 0 {
+			pending = append(pending, e)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool {
-		if list[i].tell != list[j].tell {
-			return list[i].tell > list[j].tell
+	sort.Slice(pending, func(i, j int) bool {
+		if pending[i].repeatsLeft != pending[j].repeatsLeft {
+			return pending[i].repeatsLeft > pending[j].repeatsLeft
 		}
-		return list[i].node.Address < list[j].node.Address
+		return pending[i].node.Address < pending[j].node.Address
 	})
-	for _, it := range list {
-		if len(out) == newsMax {
+	for _, e := range pending {
+		if len(nodes) == maxGossipNodes {
 			break
 		}
-		it.tell--
-		out = append(out, it.node)
+		e.repeatsLeft--
+		nodes = append(nodes, e.node)
 	}
-	return out
+	return nodes
 }
 
-// Tick lets time pass.
-func (r *Table) Tick(now time.Duration) {
-	if now < r.next {
+// Tick, once per probe interval, updates the states of nodes, removes expired ones, and sends probes. A
+// node without peers asks the seeds for the full list.
+func (t *Table) Tick(now time.Duration) {
+	if now < t.nextTick {
 		return
 	}
-	r.next = now + r.cfg.Beat
-	for a, it := range r.items {
+	t.nextTick = now + t.cfg.Beat
+	for address, e := range t.entries {
 		switch {
-		case it == r.self:
-		case it.node.State == Suspect && now-it.since > 2*r.cfg.Beat:
-			n := it.node
+		case e == t.self:
+		case e.node.State == Suspect && now-e.stateSince > 2*t.cfg.Beat:
+			n := e.node
 			n.State = Dead
-			r.learn(now, n)
-		case it.node.State >= Dead && now-it.since > r.cfg.Forget:
-			delete(r.items, a)
-			r.touch()
+			t.merge(now, n)
+		case e.node.State >= Dead && now-e.stateSince > t.cfg.Forget:
+			delete(t.entries, address)
+			t.markChanged()
 		}
 	}
-	set := r.WatchSet()
-	if len(set) == 0 || !r.joined {
-		for _, s := range r.cfg.Seeds {
-			if s != r.cfg.Self.Address {
-				me := r.self.node
-				r.out = append(r.out, Envelope{To: s, Msg: Message{From: &me, Whole: true, Ping: true}, Large: true})
+	targets := t.WatchSet()
+	if len(targets) == 0 || !t.joined {
+		for _, seed := range t.cfg.Seeds {
+			if seed != t.cfg.Self.Address {
+				self := t.self.node
+				t.outbox = append(t.outbox, Envelope{To: seed, Msg: Message{From: &self, Whole: true, Ping: true}, Large: true})
 			}
 		}
 	}
-	keep := map[string]*watch{}
-	for _, a := range set {
-		w := r.watched[a]
-		if w == nil {
-			w = &watch{}
-		} else if w.answers < w.sent {
-			w.misses++
+	probes := map[string]*probe{}
+	for _, address := range targets {
+		p := t.probes[address]
+		if p == nil {
+			p = &probe{}
+		} else if p.lastAnswered < p.lastSent {
+			p.missed++
 		} else {
-			w.misses = 0
+			p.missed = 0
 		}
-		keep[a] = w
-		if w.misses >= 2 {
-			if it := r.items[a]; it != nil && it.node.State == Alive {
-				n := it.node
+		probes[address] = p
+		if p.missed >= 2 {
+			if e := t.entries[address]; e != nil && e.node.State == Alive {
+				n := e.node
 				n.State = Suspect
-				r.learn(now, n)
+				t.merge(now, n)
 			}
 		}
-		r.seq++
-		w.sent = r.seq
-		r.out = append(r.out, Envelope{To: a, Msg: Message{Ping: true, Seq: r.seq, Sum: r.digest(), Nodes: r.news()}})
+		t.probeSeq++
+		p.lastSent = t.probeSeq
+		t.outbox = append(t.outbox, Envelope{To: address, Msg: Message{Ping: true, Seq: t.probeSeq, Sum: t.digest(), Nodes: t.takeGossip()}})
 	}
-	r.watched = keep
+	t.probes = probes
 }
 
-// WatchSet names the nodes that this one watches: those of highest weight
-// among the ones that are not known to be gone, and any suspect among the
-// last set, so that it may clear itself.
-func (r *Table) WatchSet() []string {
+// WatchSet returns the nodes that this one probes: those of highest rendezvous weight among the alive
+// and the suspect. Suspects are still probed so that they can refute the suspicion.
+func (t *Table) WatchSet() []string {
 	var live []string
-	for a, it := range r.items {
-		if it != r.self && it.node.State <= Suspect {
-			live = append(live, a)
+	for address, e := range t.entries {
+		if e != t.self && e.node.State <= Suspect {
+			live = append(live, address)
 		}
 	}
-	return rendezvous.Pick(r.cfg.Self.Address, live, watchSet)
+	return rendezvous.Pick(t.cfg.Self.Address, live, probeTargets)
 }
 
-// Handle takes a message.
-func (r *Table) Handle(now time.Duration, from string, m Message) {
-	if m.From != nil {
-		r.joined = true
-		old, known := r.items[from]
-		if known && m.From.Incarnation <= old.node.Incarnation {
-			// A process that starts anew outlives what was known of the last.
-			n := *m.From
+// Handle processes a message from another node.
+func (t *Table) Handle(now time.Duration, from string, message Message) {
+	if message.From != nil {
+		t.joined = true
+		old, known := t.entries[from]
+		if known && message.From.Incarnation <= old.node.Incarnation {
+			// The process was restarted: its state supersedes that of its predecessor.
+			n := *message.From
 			n.Incarnation = old.node.Incarnation
-			if old.node.State != Alive || n.Incarnation == old.node.Incarnation && m.Ping {
+			if old.node.State != Alive || n.Incarnation == old.node.Incarnation && message.Ping {
 				n.Incarnation++
 			}
-			r.learn(now, n)
+			t.merge(now, n)
 		} else {
-			r.learn(now, *m.From)
+			t.merge(now, *message.From)
 		}
 	}
-	for _, n := range m.Nodes {
-		r.learn(now, n)
+	for _, n := range message.Nodes {
+		t.merge(now, n)
 	}
-	if len(m.Nodes) > 0 || m.Seq > 0 {
-		r.joined = true
+	if len(message.Nodes) > 0 || message.Seq > 0 {
+		t.joined = true
 	}
-	if it := r.items[from]; it == nil && m.From == nil {
-		// A stranger: what it answers names itself. Nothing else of a stranger's is
-		// answered, so two that do not take each other in do not answer for ever.
-		if m.Ping && len(m.Sums) == 0 {
-			r.compare(from)
+	if e := t.entries[from]; e == nil && message.From == nil {
+		// The sender is unknown: request its digests, an exchange in which it describes itself. Other
+		// messages from unknown nodes are not answered, so that two nodes that don't accept each other
+		// do not exchange messages endlessly.
+		if message.Ping && len(message.Sums) == 0 {
+			t.sendDigests(from)
 		}
 		return
 	}
-	if w := r.watched[from]; w != nil && !m.Ping && m.Seq == w.sent {
-		w.answers = m.Seq
-		if it := r.items[from]; it != nil && it.node.State == Suspect {
-			// It answers, but only it may clear itself; tell it.
-			r.out = append(r.out, Envelope{To: from, Msg: Message{Nodes: []Node{it.node}}})
+	if p := t.probes[from]; p != nil && !message.Ping && message.Seq == p.lastSent {
+		p.lastAnswered = message.Seq
+		if e := t.entries[from]; e != nil && e.node.State == Suspect {
+			// The suspect answers, but only the suspect itself may refute the suspicion: tell it.
+			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Nodes: []Node{e.node}}})
 		}
 	}
-	if m.Whole {
-		if m.Ping {
-			r.out = append(r.out, Envelope{To: from, Msg: Message{Whole: true, Nodes: r.Nodes()}, Large: true})
+	if message.Whole {
+		if message.Ping {
+			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Whole: true, Nodes: t.Nodes()}, Large: true})
 		}
 		return
 	}
-	if len(m.Sums) > 0 {
-		answer := Message{Nodes: r.differing(m.Sums)}
+	if len(message.Sums) > 0 {
+		answer := Message{Nodes: t.nodesInDifferingRanges(message.Sums)}
 		differ := len(answer.Nodes) > 0
-		if m.Ping {
-			answer.Sums = slices.Clone(r.digests())
-			differ = !slices.Equal(m.Sums, answer.Sums)
+		if message.Ping {
+			answer.Sums = slices.Clone(t.digestsByRange())
+			differ = !slices.Equal(message.Sums, answer.Sums)
 		}
 		if differ {
-			r.out = append(r.out, Envelope{To: from, Msg: answer, Large: len(answer.Nodes) > newsMax})
+			t.outbox = append(t.outbox, Envelope{To: from, Msg: answer, Large: len(answer.Nodes) > maxGossipNodes})
 		}
 		return
 	}
-	if m.Ping {
-		r.out = append(r.out, Envelope{To: from, Msg: Message{Seq: m.Seq, Sum: r.digest(), Nodes: r.news()}})
-	} else if m.Seq > 0 {
-		if m.Sum == r.digest() {
-			delete(r.odd, from)
-		} else if r.odd[from]++; r.odd[from] >= 3 {
-			delete(r.odd, from)
-			r.compare(from)
+	if message.Ping {
+		t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Seq: message.Seq, Sum: t.digest(), Nodes: t.takeGossip()}})
+	} else if message.Seq > 0 {
+		if message.Sum == t.digest() {
+			delete(t.mismatches, from)
+		} else if t.mismatches[from]++; t.mismatches[from] >= 3 {
+			delete(t.mismatches, from)
+			t.sendDigests(from)
 		}
 	}
 }
 
-// learn takes over news of a node if they supersede what is known.
-func (r *Table) learn(now time.Duration, n Node) {
-	if n.Address == r.cfg.Self.Address {
-		me := &r.self.node
-		if n.Incarnation > me.Incarnation || n.Incarnation == me.Incarnation && (n.State > me.State || n.Front != me.Front) {
-			me.Incarnation = n.Incarnation
-			if n.State > me.State || n.Front != me.Front {
-				me.Incarnation++ // what is said of this node is not so
+// merge takes over the description of a node if it supersedes the known one. If others describe this
+// node itself wrongly, it refutes that under a higher incarnation.
+func (t *Table) merge(now time.Duration, n Node) {
+	if n.Address == t.cfg.Self.Address {
+		self := &t.self.node
+		if n.Incarnation > self.Incarnation || n.Incarnation == self.Incarnation && (n.State > self.State || n.Front != self.Front) {
+			self.Incarnation = n.Incarnation
+			if n.State > self.State || n.Front != self.Front {
+				self.Incarnation++ // refute
 			}
-			r.self.tell, r.self.since = newsTimes, now
-			r.touch()
+			t.self.repeatsLeft, t.self.stateSince = gossipRepeats, now
+			t.markChanged()
 		}
 		return
 	}
-	it := r.items[n.Address]
-	if it == nil {
+	e := t.entries[n.Address]
+	if e == nil {
 		if n.State >= Dead {
 			return
 		}
-		r.items[n.Address] = &item{node: n, since: now, tell: newsTimes}
-		r.joined = true
-		r.touch()
+		t.entries[n.Address] = &entry{node: n, stateSince: now, repeatsLeft: gossipRepeats}
+		t.joined = true
+		t.markChanged()
 		return
 	}
-	if n.supersedes(it.node) {
-		it.node, it.since, it.tell = n, now, newsTimes
-		r.touch()
+	if n.supersedes(e.node) {
+		e.node, e.stateSince, e.repeatsLeft = n, now, gossipRepeats
+		t.markChanged()
 	}
 }
 
-// Open tells that this node serves clients at a port.
-func (r *Table) Open(now time.Duration, port uint16) {
-	me := &r.self.node
-	if me.Front == port {
+// Open announces the port at which this node serves client requests.
+func (t *Table) Open(now time.Duration, port uint16) {
+	self := &t.self.node
+	if self.Front == port {
 		return
 	}
-	me.Incarnation++
-	me.Front = port
-	r.self.tell, r.self.since = newsTimes, now
-	r.touch()
+	self.Incarnation++
+	self.Front = port
+	t.self.repeatsLeft, t.self.stateSince = gossipRepeats, now
+	t.markChanged()
 }
 
-// Leave tells the watch set that this node goes, or that it is draining.
-func (r *Table) Leave(now time.Duration, gone bool) {
-	me := &r.self.node
-	me.Incarnation++
-	me.Draining = true
+// Leave tells the probed nodes that this node is draining or, if gone, that it has left.
+func (t *Table) Leave(now time.Duration, gone bool) {
+	self := &t.self.node
+	self.Incarnation++
+	self.Draining = true
 	if gone {
-		me.State = Left
+		self.State = Left
 	}
-	r.self.tell = newsTimes
-	r.touch()
-	for _, a := range r.WatchSet() {
-		r.out = append(r.out, Envelope{To: a, Msg: Message{Nodes: []Node{*me}}})
+	t.self.repeatsLeft = gossipRepeats
+	t.markChanged()
+	for _, address := range t.WatchSet() {
+		t.outbox = append(t.outbox, Envelope{To: address, Msg: Message{Nodes: []Node{*self}}})
 	}
 }
