--- a/internal/config/binding.go
+++ b/internal/config/binding.go
@@ -4,34 +4,33 @@
 	"madderwing/internal/apierror"
 )
 
-// This file holds the placement of routes onto shards.
+// This file assigns routes to shards.
 
-// RouteBinding names a route and the shard that serves it.
+// RouteBinding assigns a route to the shard that serves it.
 type RouteBinding struct {
 	Route string `cbor:"1,keyasint" json:"route"`
 	Shard int    `cbor:"2,keyasint" json:"shard"`
 }
 
-// Bind is the create path of a RouteBinding, the only writer of a route's
-// status. It is refused if the route's status is not the one that the caller
-// saw, so that two schedulers cannot bind one route twice. A binding that comes again
-// after it was made is acknowledged, and changes nothing, as long as it stands.
+// Bind creates a RouteBinding and returns the records to change. It is the only writer of a route's
+// status. It fails with a Conflict unless the route is at the revision that the caller saw, so that two
+// schedulers cannot both bind a route. A repeated call for the current binding succeeds without changes.
 func Bind(records map[string]Record, binding RouteBinding, seenRev uint64) ([]Record, error) {
-	route, ok := records[routePrefix+binding.Route]
-	if !ok || route.Dropped {
-		return nil, apierror.New(apierror.Conflict, "route %s is gone", binding.Route)
+	routeRecord, ok := records[routePrefix+binding.Route]
+	if !ok || routeRecord.Dropped {
+		return nil, apierror.New(apierror.Conflict, "route %s does not exist", binding.Route)
 	}
-	item := decodeItem(route)
+	item := decodeItem(routeRecord)
 	scheduled := Status{PhaseScheduled, binding.Shard}
-	if route.Rev == seenRev+1 && item.Status == scheduled {
+	if routeRecord.Rev == seenRev+1 && item.Status == scheduled {
 		return nil, nil
 	}
-	if route.Rev != seenRev {
-		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", binding.Route, route.Rev, seenRev)
+	if routeRecord.Rev != seenRev {
+		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", binding.Route, routeRecord.Rev, seenRev)
 	}
 	item.Status = scheduled
-	route.Rev++
-	route.Data = encode(item)
+	routeRecord.Rev++
+	routeRecord.Data = encode(item)
 	bindingRecord := Record{Name: bindingPrefix + binding.Route, Gen: records[bindingPrefix+binding.Route].Gen + 1, Data: encode(binding)}
-	return []Record{bindingRecord, route}, nil
+	return []Record{bindingRecord, routeRecord}, nil
 }
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -6,15 +6,16 @@
 	"strings"
 )
 
-// This file holds what a call changes, given the items that stand.
+// This file determines the effect of a configuration request on the existing items.
 
-// Change is one checked call of an operator.
+// Change is a validated configuration request.
 type Change struct {
 	upserts  []Record
 	removals []Record
 }
 
-// Revokes says whether changes take a key from a tenant that has it in have.
+// Revokes reports whether changes remove an API key from a tenant that has it in records, or may do so
+// because the tenant can't be parsed.
 func Revokes(records map[string]Record, changes []Record, reader *Reader) bool {
 	for _, change := range changes {
 		old, ok := records[change.Name]
@@ -38,7 +39,7 @@
 	return false
 }
 
-// NamesTenants says whether a call sets or removes tenants.
+// NamesTenants reports whether the request sets or removes tenants.
 func (c *Change) NamesTenants() bool {
 	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
 		if strings.HasPrefix(record.Name, tenantPrefix) {
@@ -48,13 +49,13 @@
 	return false
 }
 
-// Apply works out which records a call changes, given those that stand, and
-// checks the whole that would result. It runs at the owner of the catalogue. A
-// generation that is not above the one that stands changes nothing; one that is known
-// to have been taken with another content refuses the call with a Conflict.
+// Apply returns the records that the request changes, given the current ones, and validates the
+// configuration that would result. It runs at the owner of the catalogue. An item whose generation is
+// not above the current one changes nothing; if that generation is known to have had different content,
+// the whole request fails with a Conflict.
 func (c *Change) Apply(records map[string]Record, reader *Reader) ([]Record, error) {
 	var changes []Record
-	changeIndex := map[string]int{} // where this call's own changes are
+	changeIndex := map[string]int{} // name -> index of the request's change in changes
 	purged := purgedGenerations(records)
 	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
 		old, ok := records[record.Name]
@@ -65,7 +66,7 @@
 			if err := checkResend(old, record); err != nil {
 				return nil, err
 			}
-			continue // also a removal that is named twice
+			continue // also for a removal that is listed twice
 		}
 		if !ok {
 			if older, err := mayPredatePurge(purged, record); err != nil {
@@ -78,13 +79,13 @@
 			record = withHistory(old, record)
 		}
 		if ok && !old.Dropped && !record.Dropped && strings.HasPrefix(record.Name, routePrefix) {
-			// A route keeps its place when the operator changes it.
+			// A route keeps its shard when the operator changes it.
 			item := decodeItem(record)
 			item.Status = decodeItem(old).Status
 			record.Data, record.Rev = encode(item), old.Rev
 		}
 		if ok && record.Dropped && strings.HasPrefix(record.Name, routePrefix) {
-			if binding, bound := records[bindingPrefix+record.Name[len(routePrefix):]]; bound && !binding.Dropped {
+			if binding, exists := records[bindingPrefix+record.Name[len(routePrefix):]]; exists && !binding.Dropped {
 				changes = append(changes, Record{Name: binding.Name, Gen: binding.Gen + 1, Dropped: true})
 			}
 		}
@@ -103,15 +104,15 @@
 	return changes, nil
 }
 
-// Step is what a call would do to one item.
+// Step is the effect that a request would have on one item.
 type Step struct {
 	Item   string `json:"item"`
 	Effect string `json:"effect"` // add, change, drop, or nothing
-	Stands uint64 `json:"stands"` // the generation that stands, 0 for none
-	Sent   uint64 `json:"sent"`
+	Stands uint64 `json:"stands"` // the current generation, 0 for none
+	Sent   uint64 `json:"sent"`   // the generation in the request
 }
 
-// Plan works out what a call would do, item by item, without doing it.
+// Plan returns the effect that the request would have on each item, without changing anything.
 func (c *Change) Plan(records map[string]Record, reader *Reader) ([]Step, error) {
 	changes, err := c.Apply(records, reader)
 	if err != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,33 +6,31 @@
 	"madderwing/internal/apierror"
 )
 
-// This file holds the checks on the whole that would result from a change.
+// This file validates the configuration that would result from a change.
 
-// MaxBytes is how large a catalogue may grow; it has to fit into one message
-// between control nodes.
+// MaxBytes is the maximum size of the catalogue, which has to fit into one message between control nodes.
 const MaxBytes = 12 << 20
 
-// recordBytes is about what a record takes in a message beside its name and
-// data.
+// recordBytes is the approximate size of a record in a message, apart from its name and data.
 const recordBytes = 64
 
-// check checks the whole that results from changes. Of several faults it names
-// the first by name.
+// check validates the configuration that results from changes. Of several errors it returns the first in
+// alphabetical order, so that the answer does not depend on map order.
 func check(records map[string]Record, changes []Record, reader *Reader) error {
 	changed := make(map[string]Record, len(changes))
-	for _, route := range changes {
-		changed[route.Name] = route
+	for _, record := range changes {
+		changed[record.Name] = record
 	}
 	exists := func(name string) bool {
-		route, ok := changed[name]
+		record, ok := changed[name]
 		if !ok {
-			route, ok = records[name]
+			record, ok = records[name]
 		}
-		return ok && !route.Dropped
+		return ok && !record.Dropped
 	}
-	type place struct{ host, prefix string }
-	routeAt := map[place]string{}
-	tenantWithKey := map[string]string{} // key -> tenant
+	type hostPrefix struct{ host, prefix string }
+	routeAt := map[hostPrefix]string{}
+	tenantWithKey := map[string]string{} // API key -> tenant
 	totalBytes := 0
 	var firstErr error
 	report := func(format string, args ...any) {
@@ -40,52 +38,52 @@
 			firstErr = err
 		}
 	}
-	checkRecord := func(rec Record) {
-		totalBytes += size(rec)
-		if !rec.Dropped && strings.HasPrefix(rec.Name, tenantPrefix) {
-			tenant, err := reader.Tenant(rec)
+	checkRecord := func(record Record) {
+		totalBytes += size(record)
+		if !record.Dropped && strings.HasPrefix(record.Name, tenantPrefix) {
+			tenant, err := reader.Tenant(record)
 			if err != nil {
-				report("%s: %v", rec.Name, err)
+				report("%s: %v", record.Name, err)
 				return
 			}
-			for _, k := range tenant.APIKeys {
-				if other, ok := tenantWithKey[k]; ok && other != tenant.Name {
+			for _, apiKey := range tenant.APIKeys {
+				if other, ok := tenantWithKey[apiKey]; ok && other != tenant.Name {
 					report("tenants %s and %s: apiKeys: they share a key", min(other, tenant.Name), max(other, tenant.Name))
 				}
-				tenantWithKey[k] = tenant.Name
+				tenantWithKey[apiKey] = tenant.Name
 			}
 		}
-		if rec.Dropped || !strings.HasPrefix(rec.Name, routePrefix) {
+		if record.Dropped || !strings.HasPrefix(record.Name, routePrefix) {
 			return
 		}
-		route, err := reader.Route(rec)
+		route, err := reader.Route(record)
 		if err != nil {
-			report("%s: %v", rec.Name, err)
+			report("%s: %v", record.Name, err)
 			return
 		}
-		for _, tenant := range route.Targets() {
-			if !exists(servicePrefix + tenant) {
-				report("route %s: target: unknown service %q", route.Name, tenant)
+		for _, target := range route.Targets() {
+			if !exists(servicePrefix + target) {
+				report("route %s: target: unknown service %q", route.Name, target)
 			}
 		}
-		key := place{route.Host, route.PathPrefix}
+		key := hostPrefix{route.Host, route.PathPrefix}
 		if other, ok := routeAt[key]; ok {
 			report("routes %s and %s: pathPrefix: same host and prefix", min(other, route.Name), max(other, route.Name))
 		}
 		routeAt[key] = route.Name
 	}
-	for name, rec := range records {
+	for name, record := range records {
 		if _, ok := changed[name]; !ok {
-			checkRecord(rec)
+			checkRecord(record)
 		}
 	}
-	for _, rec := range changes {
-		if !rec.Erased {
-			checkRecord(rec)
+	for _, record := range changes {
+		if !record.Erased {
+			checkRecord(record)
 		}
 	}
 	if firstErr == nil && totalBytes > MaxBytes {
-		return apierror.New(apierror.BodyTooLarge, "the configuration would hold %d bytes, more than %d", totalBytes, MaxBytes)
+		return apierror.New(apierror.BodyTooLarge, "the configuration would take %d bytes, the limit is %d", totalBytes, MaxBytes)
 	}
 	return firstErr
 }
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -11,13 +11,15 @@
 	"madderwing/internal/apierror"
 )
 
-// remembered is how many generations below the one that stands an item keeps the
-// digests of.
+// This file tells whether a generation that is sent again has the same content as before. For this, items
+// keep digests of the contents of a few earlier generations.
+
+// maxRemembered is the number of generations before the current one whose digests an item keeps.
 const maxRemembered = 4
 
-// digest tells contents apart: 64 bits of a hash over the canonical form of an item
-// as the operator sent it, and its host. 0 stands for a removal and for nothing else.
-// Digests are kept on disk, so the canonical form has to stay as it is.
+// digest identifies the content of an item: 64 bits of a hash over its host and the canonical form of the
+// JSON that the operator sent. 0 means a removal and nothing else. Digests are stored on disk, so the
+// canonical form must not change.
 type digest uint64
 
 func (item Item) digest() digest {
@@ -28,9 +30,8 @@
 	return max(1, digest(binary.BigEndian.Uint64(hash.Sum(nil))))
 }
 
-// canonical writes a JSON document in a form that is the same for all that say the
-// same: keys sorted, numbers by value, letters unescaped the same way. What cannot
-// be read stays as it is.
+// canonical returns a JSON document in a form that is equal for documents of equal meaning: with sorted
+// keys, normalized numbers, and uniform escaping. Text that is not valid JSON is returned unchanged.
 func canonical(raw []byte) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -45,7 +46,7 @@
 	return body
 }
 
-// sameNumbers puts all numbers in a document, which it alters, in the form of number.
+// normalizeNumbers applies normalizeNumber to all numbers of a document, in place.
 func normalizeNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
@@ -62,8 +63,8 @@
 	return v
 }
 
-// number writes a number as its digits, without zeros at either end, and a power of
-// ten: 2, 2.0 and 0.2e1 are all 2e0. No digit is lost, however many there are.
+// normalizeNumber writes a number as its significant digits, without zeros at either end, and a power of
+// ten: 2, 2.0 and 0.2e1 all become 2e0. All digits are kept, however many there are.
 func normalizeNumber(n json.Number) json.Number {
 	text, minus := strings.CutPrefix(strings.ToLower(string(n)), "-")
 	mantissa, power, _ := strings.Cut(text, "e")
@@ -73,7 +74,7 @@
 		return "0"
 	}
 	exponent := new(big.Int)
-	exponent.SetString(power, 10) // stays 0 where there is none
+	exponent.SetString(power, 10) // stays 0 if there is no exponent
 	significant := strings.TrimRight(digits, "0")
 	exponent.Add(exponent, big.NewInt(int64(len(digits)-len(significant)-len(fraction))))
 	if minus {
@@ -82,7 +83,7 @@
 	return json.Number(significant + "e" + exponent.String())
 }
 
-// same says whether two records of one name have one content.
+// sameContent reports whether two records of the same name have the same content.
 func sameContent(a, b Record) bool {
 	if a.Dropped || b.Dropped {
 		return a.Dropped == b.Dropped
@@ -91,7 +92,7 @@
 	return itemA.Host == itemB.Host && bytes.Equal(itemA.Raw, itemB.Raw) || itemA.digest() == itemB.digest()
 }
 
-// content is the digest of what a record holds.
+// contentDigest returns the digest of a record's content.
 func contentDigest(r Record) digest {
 	if r.Dropped {
 		return 0
@@ -99,20 +100,21 @@
 	return decodeItem(r).digest()
 }
 
-// grave is the data of a dropped record: the memory that it has in common with an Item.
+// tombstoneData is the data of a dropped record. Taken is encoded as in Item.
 type tombstoneData struct {
 	Taken []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// takenBytes are those of one digest beside its generation.
+// digestBytes is the size of one digest in Item.Taken, without its generation.
 const digestBytes = 8
 
-// succeeds puts a record in the place of another: what stood joins the memory.
+// withHistory returns record as the successor of old, with the generation and digest of old added to its
+// history.
 func withHistory(old, record Record) Record {
 	history := binary.AppendUvarint(nil, old.Gen)
 	history = binary.BigEndian.AppendUint64(history, uint64(contentDigest(old)))
 	rest := decodeItem(old).Taken
-	for n := 1; n < maxRemembered; n++ {
+	for remaining := 1; remaining < maxRemembered; remaining++ {
 		_, size := binary.Uvarint(rest)
 		if size <= 0 || len(rest) < size+digestBytes {
 			break
@@ -130,7 +132,7 @@
 	return record
 }
 
-// recall looks in an item's memory for what was taken under a generation.
+// findDigest returns the digest of an earlier generation from an item's history.
 func findDigest(record Record, generation uint64) (d digest, ok bool) {
 	for rest := decodeItem(record).Taken; ; {
 		entry, size := binary.Uvarint(rest)
@@ -144,9 +146,8 @@
 	}
 }
 
-// confirms says whether what was sent under a generation that is not above the one
-// that stands may be acknowledged: not if it is known that something else was taken
-// under that number. The error is of the kind Conflict.
+// checkResend checks an item or removal whose generation is not above the current one. It returns a
+// Conflict if that generation is known to have had different content, else nil.
 func checkResend(current, sent Record) error {
 	matches := true
 	if sent.Gen == current.Gen {
@@ -157,6 +158,6 @@
 	if matches {
 		return nil
 	}
-	return apierror.New(apierror.Conflict, "%s: generation %d has been taken with another content",
+	return apierror.New(apierror.Conflict, "%s: generation %d was already used for different content",
 		strings.Replace(sent.Name, "/", " ", 1), sent.Gen)
 }
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -8,20 +8,20 @@
 	"madderwing/internal/apierror"
 )
 
-// This file holds the records of evacuated zones.
+// This file handles the records of zone evacuations.
 
-// EvacuationPrefix begins the keys that hold a zone's evacuation.
+// EvacuationPrefix is the prefix of the names of evacuation records; the zone follows.
 const EvacuationPrefix = "evacuation/"
 
-// keptOrders is how many of the newest orders an evacuation record names: twice as many as may
-// be under way at once.
+// maxKeptOrders is the number of newest orders that an evacuation record keeps: twice as many as may be in
+// progress at the same time.
 const maxKeptOrders = 16
 
-// evacuatesBit tells the numbers of evacuations from those of withdrawals. Those of earlier
-// releases all have it.
+// evacuateBit is set in the IDs of evacuation orders and clear in those of withdrawals. Earlier releases
+// set it in all IDs.
 const evacuateBit = 1
 
-// EvacuationOrderID makes the number of an order from a random one.
+// EvacuationOrderID returns an order ID made from a random number.
 func EvacuationOrderID(random uint64, evacuate bool) uint64 {
 	id := random&^evacuateBit | evacuateBit<<1
 	if evacuate {
@@ -30,39 +30,39 @@
 	return id
 }
 
-// EvacuationOrder is an order of an operator's on a zone.
+// EvacuationOrder is an operator's order to evacuate a zone or to withdraw an evacuation.
 type EvacuationOrder struct {
 	Zone     string
-	Evacuate bool // else it withdraws an evacuation
-	// ID names the order, however often and by whom it is passed on.
+	Evacuate bool // if false, the order withdraws an evacuation
+	// ID identifies the order wherever it is forwarded.
 	ID uint64
-	// Basis is the generation of the zone's record on which the order rests; nil: not told.
+	// Basis is the generation of the zone's record that the order is based on; nil if not given.
 	Basis *uint64
-	// Recent says whether an order that was carried out may still be sent again by its operator, who
-	// gets another ID then.
+	// Recent reports whether an executed order is recent enough that its operator may still send it again,
+	// which gives it a new ID.
 	Recent func(id uint64) bool
 }
 
-// repeats says whether the order may be one that an evacuation record names, sent again.
+// mayRepeat reports whether the order may be a resend of one that the evacuation record already has.
 func (order EvacuationOrder) mayRepeat(e evacuation) bool {
 	return slices.ContainsFunc(e.orders, func(id uint64) bool {
 		return (id&evacuateBit != 0) == order.Evacuate && order.Recent != nil && order.Recent(id)
 	})
 }
 
-// evacuation is the content of a zone's record. Each evacuation that is asked for stands until it is
-// withdrawn. Since an order that comes again can't be told from another operator's, the number of those
-// that stand is known only by its bounds.
+// evacuation is the content of a zone's record. Each requested evacuation is active until it is withdrawn.
+// An order that is sent again can't be told from an order of another operator, so only bounds on the
+// number of active evacuations are known.
 type evacuation struct {
-	minActive uint64 // stand at least
-	maxActive uint64 // stand at most
-	orders    []uint64
+	minActive uint64   // at least this many are active
+	maxActive uint64   // at most this many are active
+	orders    []uint64 // IDs of the newest executed orders, the newest last
 }
 
-// Evacuation works out the change of a zone's evacuation record. The zone is evacuated as
-// long as an evacuation may stand. An order that the record names has been carried out. An
-// order that rests on another generation than the record's is older than one that was
-// carried out, and is refused. Every other order makes a new generation.
+// Evacuation returns the change that an order makes to a zone's evacuation record. The zone is evacuated
+// as long as an evacuation may be active. An order whose ID the record has was already executed and changes
+// nothing. An order based on another generation than the record's is older than one that was executed,
+// and is refused. Every other order makes a new generation.
 func Evacuation(records map[string]Record, order EvacuationOrder) ([]Record, error) {
 	name := EvacuationPrefix + order.Zone
 	old := records[name]
@@ -71,7 +71,7 @@
 		return nil, nil
 	}
 	if order.Basis != nil && *order.Basis != old.Gen {
-		return nil, apierror.New(apierror.Outdated, "zone %s is at generation %d, the order rests on %d", order.Zone, old.Gen, *order.Basis)
+		return nil, apierror.New(apierror.Outdated, "zone %s is at generation %d, the order is based on generation %d", order.Zone, old.Gen, *order.Basis)
 	}
 	e.count(order.Evacuate, order.mayRepeat(e))
 	e.orders = append(e.orders, order.ID)
@@ -79,7 +79,7 @@
 	return []Record{e.encodeRecord(name, old.Gen+1)}, nil
 }
 
-// take counts an order, which may be one that was counted before.
+// count updates the bounds for an order. With repeat, the order may already have been counted.
 func (e *evacuation) count(evacuate, repeat bool) {
 	switch {
 	case evacuate && repeat && e.minActive > 0:
@@ -95,8 +95,8 @@
 	}
 }
 
-// EndDoubt works out the change that takes a zone back of which a generation leaves it open whether
-// an evacuation stands. It changes nothing on another generation.
+// EndDoubt returns the change that ends the evacuation of a zone whose record is in doubt (see InDoubt). It
+// returns nil if the record is not in doubt or has another generation.
 func EndDoubt(records map[string]Record, name string, generation uint64) []Record {
 	old := records[name]
 	if old.Gen != generation || !InDoubt(old) {
@@ -107,8 +107,8 @@
 	return []Record{e.encodeRecord(name, old.Gen+1)}
 }
 
-// InDoubt says whether a record is that of a zone which is evacuated though all
-// evacuations may have been withdrawn.
+// InDoubt reports whether a record is that of a zone which is evacuated although all its evacuations may
+// have been withdrawn.
 func InDoubt(r Record) bool {
 	if !strings.HasPrefix(r.Name, EvacuationPrefix) || r.Dropped {
 		return false
@@ -117,12 +117,11 @@
 	return e.minActive == 0 && e.maxActive > 0
 }
 
-// EvacuationOrders are the numbers of the newest orders that an evacuation record names, the
-// last one last.
+// EvacuationOrders returns the IDs of the newest orders in an evacuation record, the newest last.
 func EvacuationOrders(r Record) []uint64 { return decodeEvacuation(r).orders }
 
-// record lays the content out: the possible evacuations, the orders, and the certain evacuations, which
-// earlier releases don't read.
+// encodeRecord encodes an evacuation record: maxActive, the order IDs, and minActive, which earlier
+// releases don't read.
 func (e evacuation) encodeRecord(name string, generation uint64) Record {
 	data := binary.AppendUvarint(nil, e.maxActive)
 	for _, id := range e.orders {
@@ -132,8 +131,8 @@
 	return Record{Name: name, Gen: generation, Dropped: e.maxActive == 0, Data: data}
 }
 
-// readEvacuation reads an evacuation record. Where earlier releases wrote it, all evacuations
-// are certain.
+// decodeEvacuation decodes an evacuation record. In records of earlier releases, which have no minActive,
+// all evacuations count as active.
 func decodeEvacuation(r Record) (e evacuation) {
 	maxActive, size := binary.Uvarint(r.Data)
 	if size <= 0 {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -1,6 +1,7 @@
-// Package config holds the operator's items: how a call is read and checked
-// as a whole, how items are kept with their generations, and the tables that
-// requests are looked up in.
+// Package config implements the configuration that operators send: routes, services, tenants and limits,
+// called items, and zone evacuations. It validates configuration requests, keeps the items with their
+// generations as records, and builds the tables in which gateways look up client requests. The operator
+// numbers the versions of each item with rising generations.
 package config
 
 import (
@@ -9,31 +10,30 @@
 	"madderwing/internal/antientropy"
 )
 
-// Key is the key of the control state that holds the catalogue.
+// Key is the key in the control nodes' replicated state under which the catalogue, the set of all records,
+// is kept.
 const Key = "catalogue"
 
-// Record is the form in which items are kept and copied.
+// Record is the form in which items are stored and replicated.
 type Record = antientropy.Record
 
-// Phase tells how far the placement of a route has come.
+// Phase tells whether a route has been assigned to a shard.
 type Phase string
 
-// The phases.
 const (
 	PhaseNew       Phase = "new"
 	PhaseScheduled Phase = "scheduled"
 )
 
-// Status is the part of a route that only the binding's create path writes.
+// Status is the part of a route that only Bind writes.
 type Status struct {
 	Phase Phase `cbor:"1,keyasint" json:"phase"`
 	Shard int   `cbor:"2,keyasint" json:"shard"`
 }
 
-// Item is the content of a route's, a tenant's, a service's or the limits' record.
-// Raw is the item as the operator sent it. Taken is the memory of what was taken
-// before under lower generations, the newest first: for each of a few, the generation
-// as a varint and eight bytes of digest; empty in records of earlier releases.
+// Item is the content of the record of a route, a tenant, a service or the limits. Raw is the JSON that the
+// operator sent. Taken is the history of a few earlier generations, the newest first: for each the
+// generation as a varint and eight bytes of digest. It is empty in records of earlier releases.
 type Item struct {
 	Host   string `cbor:"1,keyasint,omitempty"`
 	Raw    []byte `cbor:"2,keyasint,omitempty"`
@@ -41,7 +41,7 @@
 	Taken  []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// The prefixes of the records' names.
+// Record names consist of a prefix and the item's name, except for the limits.
 const (
 	routePrefix   = "route/"
 	tenantPrefix  = "tenant/"
@@ -50,13 +50,13 @@
 	limitsName    = "limits"
 )
 
-// Share is one service of a split route.
+// Share is the part of a split route's requests that goes to one service.
 type Share struct {
 	Target string  `json:"target"`
 	Share  float64 `json:"share"`
 }
 
-// Route is a route as read from its item.
+// Route is a parsed route.
 type Route struct {
 	Name           string  `json:"name"`
 	Host           string  `json:"-"`
@@ -69,17 +69,17 @@
 	Target         string  `json:"target"`
 	Split          []Share `json:"split"`
 	Public         bool    `json:"public"`
-	// Residency lists the regions in which the route may be served; empty: all.
+	// Residency lists the regions in which the route may be served; if empty, all.
 	Residency  []string `json:"residency"`
 	Generation uint64   `json:"generation"`
 	Status     Status   `json:"-"`
 	Rev        uint64   `json:"-"`
 }
 
-// Repeatable says whether a request on the route may run more than once.
+// Repeatable reports whether a request on the route may be executed more than once.
 func (r *Route) Repeatable() bool { return r.RouteKind != "mutating" }
 
-// Targets lists the services that the route may go to.
+// Targets returns the services to which the route sends requests.
 func (r *Route) Targets() []string {
 	if r.Target != "" {
 		return []string{r.Target}
@@ -91,7 +91,7 @@
 	return targets
 }
 
-// Choose picks a service by a number from 0 up to 1.
+// Choose returns the service for a point in [0, 1), in proportion to the shares.
 func (r *Route) Choose(point float64) string {
 	if r.Target != "" {
 		return r.Target
@@ -115,19 +115,19 @@
 	return last
 }
 
-// Tenant is a tenant as read from its item.
+// Tenant is a parsed tenant.
 type Tenant struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"apiKeys"`
-	// Priority goes before that of the route, where it is given.
+	// Priority, if set, overrides that of the route.
 	Priority   *int     `json:"priority"`
-	RatePerS   float64  `json:"ratePerS"` // 0: no limit
+	RatePerS   float64  `json:"ratePerS"` // 0 means no limit
 	Burst      float64  `json:"burst"`
 	Residency  []string `json:"residency"`
 	Generation uint64   `json:"generation"`
 }
 
-// Service is a service as read from its item.
+// Service is a parsed service.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"healthPath"`
@@ -136,7 +136,7 @@
 	WarmupPerS float64 `json:"warmupPerS"`
 }
 
-// Limits are the limits on what clients may send.
+// Limits are the limits on client requests.
 type Limits struct {
 	MaxHeaderBytes int     `json:"maxHeaderBytes"`
 	MaxBodyBytes   int64   `json:"maxBodyBytes"`
@@ -144,7 +144,7 @@
 	IdleTimeoutS   float64 `json:"idleTimeoutS"`
 }
 
-// HasService says whether a service stands.
+// HasService reports whether a service exists.
 func HasService(records map[string]Record, name string) bool {
 	record, ok := records[servicePrefix+name]
 	return ok && !record.Dropped
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -8,9 +8,7 @@
 	"strings"
 )
 
-// This file holds how items are read from their records, each version once.
-
-// ReadRoute reads a route from its record.
+// ReadRoute parses the route of a record.
 func ReadRoute(record Record) (*Route, error) {
 	item := decodeItem(record)
 	route := &Route{}
@@ -21,11 +19,12 @@
 	return route, nil
 }
 
-// Reader reads each version of a route or a tenant once. One goroutine owns it.
+// Reader parses routes and tenants and caches the result for the latest version of each. It is not safe for
+// concurrent use.
 type Reader struct {
 	routes  map[string]cachedRoute
 	tenants map[string]cachedTenant
-	pruneAt int // versions held at which prune looks again
+	pruneAt int // number of cached items at which prune next has an effect
 }
 
 type cachedTenant struct {
@@ -33,7 +32,7 @@
 	tenant *Tenant
 }
 
-// Tenant gives the tenant of a record.
+// Tenant returns the tenant of a record.
 func (reader *Reader) Tenant(record Record) (*Tenant, error) {
 	if cached, ok := reader.tenants[record.Name]; ok && bytes.Equal(cached.data, record.Data) {
 		return cached.tenant, nil
@@ -54,10 +53,9 @@
 	route *Route
 }
 
-// Route gives the route of a record.
+// Route returns the route of a record.
 func (reader *Reader) Route(record Record) (*Route, error) {
-	// Generations do not do as a mark: what was refused may have carried the
-	// same one.
+	// Comparing generations is not enough: a refused version may have had the same one.
 	if cached, ok := reader.routes[record.Name]; ok && bytes.Equal(cached.data, record.Data) && cached.route.Rev == record.Rev {
 		return cached.route, nil
 	}
@@ -72,8 +70,8 @@
 	return route, nil
 }
 
-// prune forgets versions of items that don't stand, each time that as many have been read
-// again as there were.
+// prune evicts items that don't exist, each time that the number of cached items has doubled and grown by
+// pruneThreshold.
 func (reader *Reader) prune(records map[string]Record) {
 	if len(reader.routes)+len(reader.tenants) < reader.pruneAt {
 		return
@@ -87,11 +85,10 @@
 	reader.pruneAt = 2*(len(reader.routes)+len(reader.tenants)) + pruneThreshold
 }
 
-// pruneFrom is how many versions of items a Reader holds before it looks for those that
-// don't stand.
+// pruneThreshold is the number of items that a Reader may cache before prune looks for those to evict.
 const pruneThreshold = 1 << 10
 
-// List lists the routes that stand, by name, and forgets the others.
+// List returns the existing routes, sorted by name, and evicts removed ones from the cache.
 func (reader *Reader) List(records map[string]Record) (routes []*Route) {
 	for name, record := range records {
 		if record.Dropped {
--- a/internal/config/render.go
+++ b/internal/config/render.go
@@ -7,9 +7,7 @@
 	"strings"
 )
 
-// This file holds how the items that stand are laid out for operators.
-
-// Render lays out the items that stand as the operator's first call did.
+// Render returns the existing items in the form of the upsert part of a configuration request.
 func Render(records map[string]Record) []byte {
 	names := make([]string, 0, len(records))
 	for name, record := range records {
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -15,13 +15,14 @@
 	"madderwing/internal/settings"
 )
 
-// This file holds how a call is read, and checked as far as that needs no other items.
+// This file parses configuration requests and checks what can be checked without the existing items.
 
 //go:embed schema.json
 var schemaText []byte
 
 var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompile("catalogue.json", schemaText) })
 
+// request is the body of a configuration request.
 type request struct {
 	Upsert struct {
 		Services []json.RawMessage `json:"services"`
@@ -44,46 +45,47 @@
 	Generation uint64 `json:"generation"`
 }
 
-// inCall finds the places of items in a call that a check has named.
+// itemPath matches the path of an item in a message of the schema validation.
 var itemPath = regexp.MustCompile(`upsert\.(services|tenants|domains)\.(\d+)(?:\.hostRoutes\.(\d+))?`)
 
-// named puts the names of the items at fault in the place of their numbers.
+// nameItems replaces the paths of items in a validation message by their kinds and names.
 func nameItems(body []byte, text string) string {
 	var parsed request
 	if json.Unmarshal(body, &parsed) != nil {
 		return text
 	}
-	pick := func(list []json.RawMessage, index string, kind, place string) string {
+	itemName := func(list []json.RawMessage, index string, kind, path string) string {
 		var item removal
 		if i, err := strconv.Atoi(index); err == nil && i < len(list) {
 			_ = json.Unmarshal(list[i], &item)
 		}
 		if item.Name == "" {
-			return place
+			return path
 		}
 		return kind + " " + item.Name
 	}
-	return itemPath.ReplaceAllStringFunc(text, func(place string) string {
-		match := itemPath.FindStringSubmatch(place)
+	return itemPath.ReplaceAllStringFunc(text, func(path string) string {
+		match := itemPath.FindStringSubmatch(path)
 		if match[1] == "services" {
-			return pick(parsed.Upsert.Services, match[2], "service", place)
+			return itemName(parsed.Upsert.Services, match[2], "service", path)
 		}
 		if match[1] == "tenants" {
-			return pick(parsed.Upsert.Tenants, match[2], "tenant", place)
+			return itemName(parsed.Upsert.Tenants, match[2], "tenant", path)
 		}
 		if i, _ := strconv.Atoi(match[2]); match[3] != "" && i < len(parsed.Upsert.Domains) {
-			return pick(parsed.Upsert.Domains[i].HostRoutes, match[3], "route", place)
+			return itemName(parsed.Upsert.Domains[i].HostRoutes, match[3], "route", path)
 		}
-		return place
+		return path
 	})
 }
 
+// invalid returns an error of kind InvalidConfig.
 func invalid(format string, args ...any) error {
 	return apierror.New(apierror.InvalidConfig, format, args...)
 }
 
-// Read reads and checks a call by itself. What depends on the items that stand
-// is checked by Apply.
+// Read parses and validates a configuration request by itself. Change.Apply checks what depends on the
+// existing items.
 func Read(body []byte) (*Change, error) {
 	if err := settings.Validate(schema(), body); err != nil {
 		return nil, invalid("%s", nameItems(body, err.Error()))
@@ -94,44 +96,44 @@
 	}
 	change := &Change{}
 	seen := map[string]bool{}
-	add := func(name, host string, raw json.RawMessage) error {
-		var head removal
-		if err := json.Unmarshal(raw, &head); err != nil {
+	addUpsert := func(name, host string, raw json.RawMessage) error {
+		var header removal
+		if err := json.Unmarshal(raw, &header); err != nil {
 			return invalid("%s: %v", name, err)
 		}
-		if name != limitsName { // there is but one, however it may call itself
-			name += head.Name
+		if name != limitsName { // there is only one limits item, whatever name it carries
+			name += header.Name
 		}
 		if seen[name] {
-			return invalid("%s: named twice", name)
+			return invalid("%s: appears twice in the request", name)
 		}
 		seen[name] = true
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, raw); err != nil {
 			return invalid("%s: %v", name, err)
 		}
-		change.upserts = append(change.upserts, Record{Name: name, Gen: head.Generation,
+		change.upserts = append(change.upserts, Record{Name: name, Gen: header.Generation,
 			Data: encode(Item{Host: host, Raw: compact.Bytes(), Status: Status{Phase: PhaseNew, Shard: -1}})})
 		return nil
 	}
 	for _, raw := range parsed.Upsert.Services {
-		if err := add(servicePrefix, "", raw); err != nil {
+		if err := addUpsert(servicePrefix, "", raw); err != nil {
 			return nil, err
 		}
 	}
 	for _, raw := range parsed.Upsert.Tenants {
-		if err := add(tenantPrefix, "", raw); err != nil {
+		if err := addUpsert(tenantPrefix, "", raw); err != nil {
 			return nil, err
 		}
 	}
 	if len(parsed.Upsert.Limits) > 0 && string(parsed.Upsert.Limits) != "null" {
-		if err := add(limitsName, "", parsed.Upsert.Limits); err != nil {
+		if err := addUpsert(limitsName, "", parsed.Upsert.Limits); err != nil {
 			return nil, err
 		}
 	}
 	for _, domain := range parsed.Upsert.Domains {
 		for _, raw := range domain.HostRoutes {
-			if err := add(routePrefix, strings.ToLower(domain.Authority), raw); err != nil {
+			if err := addUpsert(routePrefix, strings.ToLower(domain.Authority), raw); err != nil {
 				return nil, err
 			}
 			var route Route
@@ -147,23 +149,23 @@
 			}
 		}
 	}
-	remove := func(prefix string, list []removal) error {
-		for _, route := range list {
-			name := prefix + route.Name
+	addRemovals := func(prefix string, entries []removal) error {
+		for _, entry := range entries {
+			name := prefix + entry.Name
 			if seen[name] {
 				return invalid("%s: both set and removed", name)
 			}
-			change.removals = append(change.removals, Record{Name: name, Gen: route.Generation, Dropped: true})
+			change.removals = append(change.removals, Record{Name: name, Gen: entry.Generation, Dropped: true})
 		}
 		return nil
 	}
-	if err := remove(routePrefix, parsed.Remove.Routes); err != nil {
+	if err := addRemovals(routePrefix, parsed.Remove.Routes); err != nil {
 		return nil, err
 	}
-	if err := remove(servicePrefix, parsed.Remove.Services); err != nil {
+	if err := addRemovals(servicePrefix, parsed.Remove.Services); err != nil {
 		return nil, err
 	}
-	if err := remove(tenantPrefix, parsed.Remove.Tenants); err != nil {
+	if err := addRemovals(tenantPrefix, parsed.Remove.Tenants); err != nil {
 		return nil, err
 	}
 	return change, nil
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -11,20 +11,19 @@
 	"madderwing/internal/rollout"
 )
 
-// Table is what requests are looked up in. It is built anew for each change
-// and never altered.
+// Table is what client requests are looked up in. It is immutable; each change builds a new one.
 type Table struct {
 	routesByHost map[string][]*Route // longest prefix first
 	Services     map[string]*Service
 	Limits       Limits
-	Evacuated    map[string]uint64  // zone -> generation of its evacuation
-	Known        bool               // any item is known
-	Tenants      bool               // there are tenants, or were: requests need a key
-	Readers      map[string]*Tenant // by key
-	Versions     map[string]rollout.Service
+	Evacuated    map[string]uint64          // zone -> generation of its evacuation
+	Known        bool                       // any item is known
+	Tenants      bool                       // there are or were tenants, so requests need an API key
+	Readers      map[string]*Tenant         // by API key
+	Versions     map[string]rollout.Service // by service
 }
 
-// Builder builds tables and reads each version of an item once.
+// Builder builds tables. It caches parsed items between builds.
 type Builder struct {
 	reader   Reader
 	services map[string]builtService
@@ -35,10 +34,10 @@
 	service    *Service
 }
 
-// defaults of the limits until the operator has set them.
+// defaultLimits apply to limits that the operator has not set.
 var defaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeoutS: 3, IdleTimeoutS: 15}
 
-// Build builds the table of a set of records.
+// Build returns the table for a set of records.
 func (b *Builder) Build(records map[string]Record) *Table {
 	if b.services == nil {
 		b.services = map[string]builtService{}
@@ -109,7 +108,7 @@
 	return table
 }
 
-// Lookup finds the route of a request, by host and path.
+// Lookup returns the route of a request by host and path, or nil. The host may include a port.
 func (t *Table) Lookup(host, path string) *Route {
 	routes := t.routesByHost[host]
 	if routes == nil {
@@ -130,8 +129,8 @@
 	return nil
 }
 
-// Placements maps each service to the shard whose gateways hold its slack and its
-// cold pace: the shard of the first of its routes, by name, that is scheduled.
+// Placements maps each service to the shard whose gateways hold its retry slack and send to its instances
+// during warm-up: the shard of its first scheduled route by name.
 func (t *Table) Placements() map[string]int {
 	firstRoute := map[string]*Route{}
 	for _, routes := range t.routesByHost {
@@ -153,7 +152,7 @@
 	return shards
 }
 
-// Tenants lists the tenants that stand, by name.
+// Tenants returns the existing tenants, sorted by name.
 func Tenants(records map[string]Record, reader *Reader) (tenants []*Tenant) {
 	for name, record := range records {
 		if record.Dropped || !strings.HasPrefix(name, tenantPrefix) {
@@ -167,7 +166,7 @@
 	return tenants
 }
 
-// Quotas are the limits of all tenants; a rate of 0 is none.
+// Quotas returns the rate limits of all tenants; a rate of 0 means no limit.
 func Quotas(records map[string]Record, reader *Reader) map[string]quota.Quota {
 	quotas := map[string]quota.Quota{}
 	for _, tenant := range Tenants(records, reader) {
@@ -176,8 +175,8 @@
 	return quotas
 }
 
-// Residency lists the regions that every route of a host allows, nil if any of
-// them may be served everywhere or the host is unknown.
+// Residency returns the regions that all routes of a host allow; nil if any route may be served everywhere
+// or the host is unknown.
 func (t *Table) Residency(host string) []string {
 	routes := t.routesByHost[strings.ToLower(host)]
 	if len(routes) == 0 {
@@ -202,8 +201,8 @@
 	return regions
 }
 
-// Regions are those in which both lists allow a request to be served; bound is
-// false if that is everywhere.
+// Regions returns the regions in which the residency of both route and tenant allows a request to be
+// served. restricted is false if that is everywhere.
 func Regions(route, tenant []string) (allowed []string, restricted bool) {
 	switch {
 	case len(route) == 0:
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -12,52 +12,52 @@
 	"madderwing/internal/apierror"
 )
 
-// This file bounds what dropped items leave behind. Their records keep an older change
-// from bringing a name back; the oldest beyond a bound are erased, and the horizon record
-// tells how far that has gone. See docs/notes/hardening-numbers.md.
+// This file bounds the space that removed items take. The record of a removed item stays as a tombstone
+// (Record.Dropped), so that an older change can't bring the item back. When tombstones take too much space,
+// the oldest are erased, and the horizon record tells up to which generations. See
+// docs/notes/hardening-numbers.md.
 
 const (
-	// droppedMost is how many bytes of records of dropped items are kept at most.
+	// maxTombstoneBytes is the maximum size of all tombstones.
 	maxTombstoneBytes = MaxBytes / 2
-	// droppedLeast is how many bytes of them are kept however much room the items that
-	// stand take.
+	// minTombstoneBytes is the size of tombstones that is kept however much room live items take.
 	minTombstoneBytes = MaxBytes / 16
-	// droppedKeptPart is the part of the room for them that is still filled after some were
-	// forgotten. Each time, gateways take all ranges anew, so it is to be seldom.
+	// tombstoneKeepRatio is the part of the available room that tombstones still fill after a purge. A purge
+	// makes gateways fetch all ranges again, so it frees enough room to be rare.
 	tombstoneKeepRatio = 0.75
-	// usualPart is the part of the newer removals whose generations count as usual, and
-	// sparedPart the most of all removals that are kept beyond their turn for having a higher
-	// one; see usualGenerations.
+	// typicalQuantile is the part of the newer tombstones whose generations count as typical;
+	// maxSparedRatio is the largest part of all tombstones that a purge skips because their generations
+	// are above that. See typicalGenerations.
 	typicalQuantile, maxSparedRatio = 0.9, 1.0 / 16
 )
 
-// horizonName is the name of the record that tells how far dropped items are forgotten.
-// There is none until some are; earlier releases carry it and don't read it.
+// horizonName is the name of the horizon record, which tells up to which generations tombstones were
+// erased. It exists from the first purge on. Earlier releases replicate it without reading it.
 const horizonName = "horizon"
 
-// horizonData is the content of the horizon record: the highest generation of a removal
-// that was forgotten, by kind of item.
+// horizonData is the content of the horizon record: the highest generation of an erased tombstone, by kind
+// of item.
 type horizonData struct {
 	Generations map[string]uint64 `cbor:"1,keyasint"`
 }
 
-// Horizon tells how often dropped items have been forgotten in a set of records. It
-// only rises: of two copies of the configuration, the one with the higher horizon is newer
-// as a whole, and a name that it does not hold does not stand.
+// Horizon returns the number of purges in the history of a set of records. It only rises: of two copies of
+// the configuration, the one with the higher horizon is newer as a whole, and an item that it lacks does
+// not exist.
 func Horizon(records map[string]Record) uint64 { return records[horizonName].Gen }
 
-// RaisesHorizon says whether changes tell of a horizon above that of a set of records.
+// RaisesHorizon reports whether changes contain a higher horizon than a set of records.
 func RaisesHorizon(records map[string]Record, changes []Record) bool {
 	return slices.ContainsFunc(changes, func(r Record) bool { return r.Name == horizonName && r.Gen > Horizon(records) })
 }
 
-// IsForgettable says whether a record is one of those that a horizon is about: all of the
-// configuration's own, and no evacuations or rollouts.
+// IsForgettable reports whether the horizon covers a record: it covers all records of the configuration
+// itself, but not those of evacuations and rollouts.
 func IsForgettable(name string) bool {
 	return name == horizonName || name == limitsName || strings.HasPrefix(name, bindingPrefix) || kindPrefix(name) != ""
 }
 
-// kindOf is the prefix of an item's name that operators may remove; empty: none.
+// kindPrefix returns the prefix of a record's name if it is of a kind that operators may remove, else "".
 func kindPrefix(name string) string {
 	for _, prefix := range []string{routePrefix, servicePrefix, tenantPrefix} {
 		if strings.HasPrefix(name, prefix) {
@@ -67,9 +67,9 @@
 	return ""
 }
 
-// Replace makes a copy hold, of the configuration's records in some ranges, just those
-// given, and says whether that changed anything. Versions aren't compared: a name that was
-// forgotten may have begun anew.
+// Replace replaces the configuration's records in some ranges of a replica, and reports whether that
+// changed anything. Versions aren't compared, since an item whose tombstone was erased may have been
+// created again with a lower version.
 func Replace(replica *antientropy.Set, ranges []int, replacement []Record) (changed bool) {
 	wanted := make(map[string]uint64, len(replacement))
 	for _, r := range replacement {
@@ -93,18 +93,17 @@
 	return changed
 }
 
-// forgotten are the generations up to which removals have been forgotten, by kind.
+// purgedGenerations returns the generations up to which tombstones were erased, by kind.
 func purgedGenerations(records map[string]Record) map[string]uint64 {
 	var data horizonData
 	_ = cbor.Unmarshal(records[horizonName].Data, &data)
 	return data.Generations
 }
 
-// tooLate says whether a change of an unknown name is at or below a generation up to which
-// removals of its kind have been forgotten: it may be older than one of them. A removal is
-// then acknowledged, as the name does not stand and nothing as old can bring it back. An
-// item is refused: it may never have been seen, so an acknowledgement without effect could
-// lose it.
+// mayPredatePurge reports whether a change of an unknown name is at or below the generation up to which
+// tombstones of its kind were erased, and so may be older than the item's removal. Such a removal is
+// acknowledged, since the item does not exist and no change as old can bring it back. Such an item is
+// refused with a Conflict: it may be new, and acknowledging it without effect could lose it.
 func mayPredatePurge(purged map[string]uint64, sent Record) (older bool, err error) {
 	highest := purged[kindPrefix(sent.Name)]
 	if sent.Gen > highest {
@@ -114,34 +113,34 @@
 		return true, nil
 	}
 	return true, apierror.New(apierror.Conflict,
-		"%s: unknown, and generation %d may be older than its removal: removals up to generation %d are forgotten; a new item needs a higher one",
+		"%s: unknown, and generation %d may be older than its removal: removals up to generation %d are no longer recorded; a new item needs a higher generation",
 		strings.Replace(sent.Name, "/", " ", 1), sent.Gen, highest)
 }
 
-// numberRemovals gives the removals among changes their place in the order of removals, as their
-// Rev. Those of earlier releases have none and count as the oldest.
+// numberTombstones numbers the tombstones among changes consecutively, in Rev, to record the order of
+// removals. Tombstones of earlier releases have no number and count as the oldest.
 func numberTombstones(records map[string]Record, changes []Record) {
-	last := uint64(0)
+	lastNumber := uint64(0)
 	for _, r := range records {
 		if r.Dropped {
-			last = max(last, r.Rev)
+			lastNumber = max(lastNumber, r.Rev)
 		}
 	}
 	for i := range changes {
 		if changes[i].Dropped {
-			last++
-			changes[i].Rev = last
+			lastNumber++
+			changes[i].Rev = lastNumber
 		}
 	}
 }
 
-// size is about what a record takes in a message.
+// size returns the approximate size of a record in a message.
 func size(r Record) int { return len(r.Data) + len(r.Name) + recordBytes }
 
-// usage is what the records that would result from a change take, in bytes.
+// usage is the space that the records resulting from a change take.
 type usage struct {
 	liveBytes, tombstoneBytes int
-	tenantRecords             int // how many records of tenants there are, dropped or not
+	tenantRecords             int // number of tenant records, including tombstones
 }
 
 func (u *usage) add(r Record) {
@@ -155,14 +154,14 @@
 	}
 }
 
-// forget lists the further changes by which the oldest dropped records make room, if those
-// that would result from changes take more than they may: each of them erased, and the
-// horizon. What the changes themselves drop stays.
+// purgeTombstones returns the additional changes that erase the oldest tombstones and raise the horizon, if
+// changes would leave tombstones with more than the available room. Tombstones made by changes themselves
+// are kept.
 func purgeTombstones(records map[string]Record, changes []Record) []Record {
 	var used usage
 	changed := make(map[string]bool, len(changes))
 	for _, r := range changes {
-		if !changed[r.Name] { // a removal may be named twice
+		if !changed[r.Name] { // a removal may be listed twice
 			used.add(r)
 		}
 		changed[r.Name] = true
@@ -188,7 +187,7 @@
 	return append(erased, Record{Name: horizonName, Gen: Horizon(records) + 1, Data: encode(horizonData{purged})})
 }
 
-// removalsInOrder lists the dropped records that a call does not change, the oldest first.
+// tombstonesOldestFirst returns the tombstones that are not being changed, the oldest first.
 func tombstonesOldestFirst(records map[string]Record, changed map[string]bool) (tombstones []Record) {
 	for name, r := range records {
 		if r.Dropped && !changed[name] {
@@ -201,8 +200,8 @@
 	return tombstones
 }
 
-// erase lists the changes that erase the oldest removals until dropped records take no more
-// than target, and raises the generations that are forgotten by kind.
+// eraseOldest returns the changes that erase the oldest tombstones until all take no more than target bytes,
+// and raises the erased generations in purged.
 func eraseOldest(tombstones []Record, used usage, target int, purged map[string]uint64) (erased []Record) {
 	typical := typicalGenerations(tombstones[len(tombstones)/2:])
 	spared := int(float64(len(tombstones)) * maxSparedRatio)
@@ -217,7 +216,7 @@
 		}
 		if kind == tenantPrefix {
 			if used.tenantRecords == 1 {
-				continue // that there were tenants is to stay known: requests need a key
+				continue // keep the last tenant record: it makes client requests need a key
 			}
 			used.tenantRecords--
 		}
@@ -230,9 +229,9 @@
 	return erased
 }
 
-// usualGenerations are, by kind, generations that few of the removals given are above. A few
-// that are get kept beyond their turn: once one is forgotten, all new items of its kind
-// need a generation higher still.
+// typicalGenerations returns, by kind, generations that few of the given tombstones exceed. Tombstones above
+// are kept longer if they are few, because erasing one forces all new items of its kind to a generation
+// that is higher still.
 func typicalGenerations(tombstones []Record) map[string]uint64 {
 	byKind := map[string][]uint64{}
 	for _, r := range tombstones {
