--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -10,7 +10,8 @@
 
 // This file handles the records of zone evacuations.
 
-// EvacuationPrefix is the prefix of the names of evacuation records; the zone follows.
+// EvacuationPrefix begins the keys of the replicated state that hold evacuation records, and the names of
+// these records; the zone follows.
 const EvacuationPrefix = "evacuation/"
 
 // maxKeptOrders is the number of newest orders that an evacuation record keeps: twice as many as may be in
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -10,8 +10,8 @@
 	"madderwing/internal/apierror"
 )
 
-// Bodies of calls on items of each kind, with a generation and something that
-// differs between contents.
+// itemKinds has requests that set and remove an item of each kind, with a placeholder for the generation
+// and one for a number that makes contents differ, and the item's name in error messages.
 var itemKinds = map[string]struct{ set, drop, named string }{
 	"route":   {patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":%[2]d,"target":"a","generation":%[1]d}`, ""), `{"remove":{"routes":[{"name":"n","generation":%d}]}}`, "route n"},
 	"service": {`{"upsert":{"services":[{"name":"n","maxConns":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"services":[{"name":"n","generation":%d}]}}`, "service n"},
@@ -19,47 +19,47 @@
 	"limits":  {`{"upsert":{"limits":{"maxHeaderBytes":%[2]d,"generation":%[1]d}}}`, "", "limits"},
 }
 
-// One number has one content: whatever was taken under it is acknowledged as often
-// as it comes, and nothing else is.
+// A generation identifies one content: that content is acknowledged each time it is sent again, and any
+// other is refused.
 func TestGenerationIdentifiesOneContent(t *testing.T) {
-	const drop = 0 // in the place of a content
+	const drop = 0 // as content: a removal
 	type step struct {
-		gen, content int
-		refused      bool
+		generation, content int
+		refused             bool
 	}
 	cases := map[string][]step{
-		"sent again":                       {{9, 1, false}, {9, 1, false}, {9, 1, false}},
-		"another content":                  {{9, 1, false}, {9, 2, true}, {9, 1, false}, {9, 2, true}},
-		"a removal":                        {{9, 1, false}, {9, drop, true}, {9, 1, false}},
-		"set after a removal":              {{9, 1, false}, {10, drop, false}, {10, 2, true}, {10, drop, false}},
-		"removed before it was ever set":   {{9, drop, false}, {9, 1, true}, {9, drop, false}, {10, 1, false}},
-		"an older one that was taken":      {{9, 1, false}, {11, 2, false}, {9, 1, false}, {11, 2, false}},
-		"an older one that was not":        {{9, 1, false}, {11, 2, false}, {8, 3, false}, {10, 3, false}, {10, drop, false}, {11, 2, false}},
-		"an older number, other content":   {{9, 1, false}, {11, 2, false}, {9, 2, true}, {9, drop, true}, {9, 1, false}},
-		"an older number, removed":         {{9, 1, false}, {11, drop, false}, {13, 2, false}, {11, 2, true}, {11, drop, false}, {9, 3, true}},
-		"older numbers of what is dropped": {{9, 1, false}, {11, 2, false}, {13, drop, false}, {9, 2, true}, {11, 1, true}, {11, drop, true}, {9, 1, false}},
-		"numbers beyond the memory":        {{1, 1, false}, {2, 1, false}, {3, 1, false}, {4, 1, false}, {5, 1, false}, {6, 1, false}, {2, 2, true}, {1, 2, false}},
+		"sent again":                        {{9, 1, false}, {9, 1, false}, {9, 1, false}},
+		"another content":                   {{9, 1, false}, {9, 2, true}, {9, 1, false}, {9, 2, true}},
+		"a removal":                         {{9, 1, false}, {9, drop, true}, {9, 1, false}},
+		"set after a removal":               {{9, 1, false}, {10, drop, false}, {10, 2, true}, {10, drop, false}},
+		"removed before it was set":         {{9, drop, false}, {9, 1, true}, {9, drop, false}, {10, 1, false}},
+		"an accepted older generation":      {{9, 1, false}, {11, 2, false}, {9, 1, false}, {11, 2, false}},
+		"an unknown older generation":       {{9, 1, false}, {11, 2, false}, {8, 3, false}, {10, 3, false}, {10, drop, false}, {11, 2, false}},
+		"older generation, other content":   {{9, 1, false}, {11, 2, false}, {9, 2, true}, {9, drop, true}, {9, 1, false}},
+		"older generation of a removal":     {{9, 1, false}, {11, drop, false}, {13, 2, false}, {11, 2, true}, {11, drop, false}, {9, 3, true}},
+		"older generations after a removal": {{9, 1, false}, {11, 2, false}, {13, drop, false}, {9, 2, true}, {11, 1, true}, {11, drop, true}, {9, 1, false}},
+		"generations beyond the history":    {{1, 1, false}, {2, 1, false}, {3, 1, false}, {4, 1, false}, {5, 1, false}, {6, 1, false}, {2, 2, true}, {1, 2, false}},
 	}
-	for kind, k := range itemKinds {
+	for kind, kindRequests := range itemKinds {
 		for name, steps := range cases {
 			records := newRecords(t)
-			for i, s := range steps {
-				body := fmt.Sprintf(k.set, s.gen, max(s.content, 1))
-				if s.content == drop {
-					if k.drop == "" {
-						break // the limits can't be dropped
+			for i, step := range steps {
+				body := fmt.Sprintf(kindRequests.set, step.generation, max(step.content, 1))
+				if step.content == drop {
+					if kindRequests.drop == "" {
+						break // the limits can't be removed
 					}
-					body = fmt.Sprintf(k.drop, s.gen)
+					body = fmt.Sprintf(kindRequests.drop, step.generation)
 				}
 				before := maps.Clone(records)
 				err := apply(t, records, body)
-				if !s.refused {
+				if !step.refused {
 					if err != nil {
 						t.Errorf("%s, %s, step %d: %v", kind, name, i, err)
 					}
 					continue
 				}
-				if apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), k.named+": ") || !strings.Contains(err.Error(), fmt.Sprintf("generation %d ", s.gen)) {
+				if apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), kindRequests.named+": ") || !strings.Contains(err.Error(), fmt.Sprintf("generation %d ", step.generation)) {
 					t.Errorf("%s, %s, step %d: got %v", kind, name, i, err)
 				}
 				if !reflect.DeepEqual(records, before) {
@@ -70,57 +70,57 @@
 	}
 }
 
-// What is the same content, and what is not.
+// Contents are equal if host and JSON value are; formatting does not count, all else does.
 func TestContentComparisonIgnoresJSONFormatting(t *testing.T) {
 	const first = `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":2,"split":[{"target":"a","share":10},{"target":"b","share":90}],"note":{"x":[1,0.50],"y":"A<"},"generation":9}`
-	at := func(host, item string) string {
+	onHost := func(host, item string) string {
 		return fmt.Sprintf(`{"upsert":{"domains":[{"authority":%q,"hostRoutes":[%s]}]}}`, host, item)
 	}
-	swap := func(old, new string) string {
+	withChange := func(old, new string) string {
 		if !strings.Contains(first, old) {
 			t.Fatalf("%s is not in the item", old)
 		}
 		return strings.Replace(first, old, new, 1)
 	}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		body string
 		same bool
 	}{
-		"as it was":            {at("h.example", first), true},
-		"host case":            {at("H.Example", first), true},
-		"order of keys":        {at("h.example", `{"generation":9,`+strings.TrimSuffix(swap(`{"name"`, `"name"`), `,"generation":9}`)+`}`), true},
-		"order of inner keys":  {at("h.example", swap(`{"target":"a","share":10}`, `{"share":10,"target":"a"}`)), true},
-		"white space":          {at("h.example", swap(`"deadlineS":2`, "\n \"deadlineS\" : 2")), true},
-		"2.0 for 2":            {at("h.example", swap(`"deadlineS":2`, `"deadlineS":2.0`)), true},
-		"0.2e1 for 2":          {at("h.example", swap(`"deadlineS":2`, `"deadlineS":0.2e1`)), true},
-		"1E+1 for 10":          {at("h.example", swap(`"share":10`, `"share":1E+1`)), true},
-		"0.5 for 0.50":         {at("h.example", swap(`0.50`, `0.5`)), true},
-		"escaped letters":      {at("h.example", swap(`"A<"`, `"\u0041\u003c"`)), true},
-		"another host":         {at("i.example", first), false},
-		"another number":       {at("h.example", swap(`"deadlineS":2`, `"deadlineS":20`)), false},
-		"a digit far back":     {at("h.example", swap(`0.50`, `0.500000000000000000001`)), false},
-		"a sign":               {at("h.example", swap(`[1,`, `[-1,`)), false},
-		"a key more":           {at("h.example", swap(`"deadlineS":2`, `"deadlineS":2,"public":true`)), false},
-		"an unknown key":       {at("h.example", swap(`"x":[1`, `"z":[1`)), false},
-		"a number as a string": {at("h.example", swap(`[1,`, `["1",`)), false},
-		"order of a list":      {at("h.example", swap(`{"target":"a","share":10},{"target":"b","share":90}`, `{"target":"b","share":90},{"target":"a","share":10}`)), false},
-		"limits by a name":     {`{"upsert":{"limits":{"name":"x","maxHeaderBytes":2,"generation":1}}}`, false},
+		"unchanged":                {onHost("h.example", first), true},
+		"host case":                {onHost("H.Example", first), true},
+		"order of keys":            {onHost("h.example", `{"generation":9,`+strings.TrimSuffix(withChange(`{"name"`, `"name"`), `,"generation":9}`)+`}`), true},
+		"order of inner keys":      {onHost("h.example", withChange(`{"target":"a","share":10}`, `{"share":10,"target":"a"}`)), true},
+		"white space":              {onHost("h.example", withChange(`"deadlineS":2`, "\n \"deadlineS\" : 2")), true},
+		"2.0 for 2":                {onHost("h.example", withChange(`"deadlineS":2`, `"deadlineS":2.0`)), true},
+		"0.2e1 for 2":              {onHost("h.example", withChange(`"deadlineS":2`, `"deadlineS":0.2e1`)), true},
+		"1E+1 for 10":              {onHost("h.example", withChange(`"share":10`, `"share":1E+1`)), true},
+		"0.5 for 0.50":             {onHost("h.example", withChange(`0.50`, `0.5`)), true},
+		"escaped letters":          {onHost("h.example", withChange(`"A<"`, `"\u0041\u003c"`)), true},
+		"another host":             {onHost("i.example", first), false},
+		"another number":           {onHost("h.example", withChange(`"deadlineS":2`, `"deadlineS":20`)), false},
+		"a distant digit":          {onHost("h.example", withChange(`0.50`, `0.500000000000000000001`)), false},
+		"a sign":                   {onHost("h.example", withChange(`[1,`, `[-1,`)), false},
+		"an additional key":        {onHost("h.example", withChange(`"deadlineS":2`, `"deadlineS":2,"public":true`)), false},
+		"a key outside the schema": {onHost("h.example", withChange(`"x":[1`, `"z":[1`)), false},
+		"a number as a string":     {onHost("h.example", withChange(`[1,`, `["1",`)), false},
+		"order of a list":          {onHost("h.example", withChange(`{"target":"a","share":10},{"target":"b","share":90}`, `{"target":"b","share":90},{"target":"a","share":10}`)), false},
+		"limits with a name":       {`{"upsert":{"limits":{"name":"x","maxHeaderBytes":2,"generation":1}}}`, false},
 	} {
 		records := newRecords(t)
 		if err := apply(t, records, `{"upsert":{"services":[{"name":"b","generation":1}],"limits":{"maxHeaderBytes":1,"generation":1}}}`); err != nil {
 			t.Fatal(err)
 		}
-		if err := apply(t, records, at("h.example", first)); err != nil {
+		if err := apply(t, records, onHost("h.example", first)); err != nil {
 			t.Fatal(err)
 		}
-		if err := apply(t, records, c.body); c.same && err != nil || !c.same && apierror.KindOf(err) != apierror.Conflict {
+		if err := apply(t, records, testCase.body); testCase.same && err != nil || !testCase.same && apierror.KindOf(err) != apierror.Conflict {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// What the system writes into a route is no part of its content, and doesn't make it
-// forget; a record of an earlier release has its content and no memory.
+// The status that Bind writes into a route is not part of its content, and its history stays. A record of an
+// earlier release has content but no history.
 func TestBindingDoesNotChangeContent(t *testing.T) {
 	records := newRecords(t)
 	put := func(body string, refused bool) {
@@ -139,14 +139,14 @@
 		}
 	}
 	bind()
-	put(patch("", route("r", "/p/", "a", 7), ""), false)
-	put(patch("", route("r", "/q/", "a", 7), ""), true)
-	put(patch("", route("r", "/q/", "a", 9), ""), false)
+	put(patch("", routeJSON("r", "/p/", "a", 7), ""), false)
+	put(patch("", routeJSON("r", "/q/", "a", 7), ""), true)
+	put(patch("", routeJSON("r", "/q/", "a", 9), ""), false)
 	bind()
-	put(patch("", route("r", "/p/", "a", 7), ""), false)
-	put(patch("", route("r", "/q/", "a", 7), ""), true)
+	put(patch("", routeJSON("r", "/p/", "a", 7), ""), false)
+	put(patch("", routeJSON("r", "/q/", "a", 7), ""), true)
 	if s := (&Reader{}).List(records)[0].Status; s.Shard != 1 {
-		t.Errorf("the route lost its place: %+v", s)
+		t.Errorf("the route changed its shard: %+v", s)
 	}
 
 	// As an earlier release wrote it.
@@ -155,32 +155,32 @@
 		Raw    []byte `cbor:"2,keyasint,omitempty"`
 		Status Status `cbor:"3,keyasint"`
 	}
-	records["route/r"] = Record{Name: "route/r", Gen: 9, Data: encode(oldItem{"h.example", []byte(route("r", "/q/", "a", 9)), Status{PhaseNew, -1}})}
+	records["route/r"] = Record{Name: "route/r", Gen: 9, Data: encode(oldItem{"h.example", []byte(routeJSON("r", "/q/", "a", 9)), Status{PhaseNew, -1}})}
 	records["route/gone"] = Record{Name: "route/gone", Gen: 9, Dropped: true}
-	put(patch("", route("r", "/q/", "a", 9), ""), false)
-	put(patch("", route("r", "/z/", "a", 9), ""), true)
-	put(patch("", route("r", "/z/", "a", 7), ""), false) // not known any more
-	put(patch("", route("gone", "/g/", "a", 9), ""), true)
+	put(patch("", routeJSON("r", "/q/", "a", 9), ""), false)
+	put(patch("", routeJSON("r", "/z/", "a", 9), ""), true)
+	put(patch("", routeJSON("r", "/z/", "a", 7), ""), false) // not in the history
+	put(patch("", routeJSON("gone", "/g/", "a", 9), ""), true)
 	put(patch("", "", `{"name":"gone","generation":9}`), false)
 }
 
-// In one call: a removal may be named twice, also under two numbers; all else that is
-// named twice is no valid call. One item at fault refuses the whole.
+// Within one request a removal may be listed twice, also with two generations; any other item that is
+// listed twice makes the request invalid. One conflicting item refuses the whole request.
 func TestGenerationsWithinOneRequest(t *testing.T) {
-	for name, c := range map[string]struct {
-		body string
-		kind apierror.Kind
-		ok   bool
+	for name, testCase := range map[string]struct {
+		body  string
+		kind  apierror.Kind
+		valid bool
 	}{
-		"one removal twice":               {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":9}`), 0, true},
-		"one removal, two numbers":        {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":12}`), 0, true},
-		"the higher one first":            {patch("", "", `{"name":"r","generation":12},{"name":"r","generation":9}`), 0, true},
-		"set twice, one content":          {patch("", route("n", "/n/", "a", 9)+","+route("n", "/n/", "a", 9), ""), apierror.InvalidConfig, false},
-		"set twice, two contents":         {patch("", route("n", "/n/", "a", 9)+","+route("n", "/m/", "a", 9), ""), apierror.InvalidConfig, false},
-		"set and removed":                 {patch("", route("n", "/n/", "a", 9), `{"name":"n","generation":9}`), apierror.InvalidConfig, false},
-		"the first of two is taken":       {patch("", route("r", "/x/", "a", 7)+","+route("n", "/n/", "a", 9), ""), apierror.Conflict, false},
-		"the last of two is taken":        {patch("", route("n", "/n/", "a", 9)+","+route("r", "/x/", "a", 7), ""), apierror.Conflict, false},
-		"a removal of what stands beside": {patch("", route("n", "/n/", "a", 9), `{"name":"r","generation":7}`), apierror.Conflict, false},
+		"one removal twice":            {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":9}`), 0, true},
+		"one removal, two generations": {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":12}`), 0, true},
+		"the higher generation first":  {patch("", "", `{"name":"r","generation":12},{"name":"r","generation":9}`), 0, true},
+		"set twice, same content":      {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.InvalidConfig, false},
+		"set twice, two contents":      {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/m/", "a", 9), ""), apierror.InvalidConfig, false},
+		"set and removed":              {patch("", routeJSON("n", "/n/", "a", 9), `{"name":"n","generation":9}`), apierror.InvalidConfig, false},
+		"the first of two conflicts":   {patch("", routeJSON("r", "/x/", "a", 7)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.Conflict, false},
+		"the last of two conflicts":    {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("r", "/x/", "a", 7), ""), apierror.Conflict, false},
+		"a removal conflicts":          {patch("", routeJSON("n", "/n/", "a", 9), `{"name":"r","generation":7}`), apierror.Conflict, false},
 	} {
 		records := newRecords(t)
 		bound, err := Bind(records, RouteBinding{"r", 1}, 0)
@@ -191,58 +191,58 @@
 			records[r.Name] = r
 		}
 		before := maps.Clone(records)
-		err = apply(t, records, c.body)
-		if c.ok && err != nil || !c.ok && apierror.KindOf(err) != c.kind {
+		err = apply(t, records, testCase.body)
+		if testCase.valid && err != nil || !testCase.valid && apierror.KindOf(err) != testCase.kind {
 			t.Errorf("%s: %v", name, err)
 		}
-		if !c.ok && !reflect.DeepEqual(records, before) {
+		if !testCase.valid && !reflect.DeepEqual(records, before) {
 			t.Errorf("%s: took effect", name)
 		}
-		if c.ok {
-			for _, gen := range []uint64{9, 12} {
-				if strings.Contains(c.body, fmt.Sprint(gen)) && records["route/r"].Gen < gen {
-					t.Errorf("%s: generation %d holds", name, records["route/r"].Gen)
+		if testCase.valid {
+			for _, generation := range []uint64{9, 12} {
+				if strings.Contains(testCase.body, fmt.Sprint(generation)) && records["route/r"].Gen < generation {
+					t.Errorf("%s: the current generation is %d", name, records["route/r"].Gen)
 				}
 			}
-			if err := apply(t, records, c.body); err != nil {
+			if err := apply(t, records, testCase.body); err != nil {
 				t.Errorf("%s, sent again: %v", name, err)
 			}
 		}
 	}
 }
 
-// A name that is changed for ever takes no more room than one that is changed a few times.
+// An item that changes without end takes no more space than one that has changed a few times.
 func TestGenerationHistoryIsBounded(t *testing.T) {
 	records := newRecords(t)
-	size := func() (n int) {
+	totalBytes := func() (bytes int) {
 		for _, r := range records {
-			n += len(r.Data) + len(r.Name) + recordBytes
+			bytes += len(r.Data) + len(r.Name) + recordBytes
 		}
-		return n
+		return bytes
 	}
-	most := 0
-	for gen := 100; gen < 3100; gen++ {
-		body := patch("", route("n", fmt.Sprintf("/n%d/", gen%10), "a", gen), "")
-		if gen%3 == 2 {
-			body = patch("", "", fmt.Sprintf(`{"name":"n","generation":%d}`, gen))
+	maxBytes := 0
+	for generation := 100; generation < 3100; generation++ {
+		body := patch("", routeJSON("n", fmt.Sprintf("/n%d/", generation%10), "a", generation), "")
+		if generation%3 == 2 {
+			body = patch("", "", fmt.Sprintf(`{"name":"n","generation":%d}`, generation))
 		}
 		if err := apply(t, records, body); err != nil {
 			t.Fatal(err)
 		}
-		if gen < 130 {
-			most = max(most, size())
-		} else if size() > most+maxRemembered { // the numbers themselves grow by a byte
-			t.Fatalf("generation %d: %d bytes, at first %d", gen, size(), most)
+		if generation < 130 {
+			maxBytes = max(maxBytes, totalBytes())
+		} else if totalBytes() > maxBytes+maxRemembered { // each generation in the history may grow by a byte
+			t.Fatalf("generation %d: %d bytes, at most %d before generation 130", generation, totalBytes(), maxBytes)
 		}
 	}
 }
 
-// Eight orders may be under way at once: one that is passed on again after seven others
-// of its zone is still known.
-func TestEvacuationOrderResentAfterSevenOthers(t *testing.T) {
+// Eight orders may be in progress at the same time: an order that is forwarded again after seven others of
+// its zone is still recognized.
+func TestEvacuationOrderForwardedAfterSevenOthers(t *testing.T) {
 	records := map[string]Record{}
-	ask := func(on bool, id uint64) (changed bool) {
-		changes, err := Evacuation(records, EvacuationOrder{Zone: "z", Evacuate: on, ID: id})
+	order := func(evacuate bool, id uint64) (changed bool) {
+		changes, err := Evacuation(records, EvacuationOrder{Zone: "z", Evacuate: evacuate, ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -252,25 +252,25 @@
 		return len(changes) > 0
 	}
 	for id := uint64(1); id <= 8; id++ {
-		ask(id%2 == 1, id)
+		order(id%2 == 1, id)
 	}
-	if ask(true, 1) || !records["evacuation/z"].Dropped {
-		t.Error("the first of eight orders was carried out twice")
+	if order(true, 1) || !records["evacuation/z"].Dropped {
+		t.Error("the first of eight orders was executed twice")
 	}
 }
 
-// Thousands of names that come and go: none of them comes back by an old change, and
-// each leaves a bounded trace, all of which counts against MaxBytes.
+// Of thousands of routes that are added and removed, none comes back by an old change, and each leaves only
+// small tombstones.
 func TestRemovedNamesLeaveSmallTombstones(t *testing.T) {
-	const names, trace = 2000, 32 // bytes of a dropped route's memory, at most
+	const names, maxTombstoneData = 2000, 32 // maxTombstoneData in bytes
 	records, reader := newRecords(t), &Reader{}
-	take := func(body string) {
+	mustApply := func(body string) {
 		t.Helper()
-		c, err := Read([]byte(body))
+		change, err := Read([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes, err := c.Apply(records, reader)
+		changes, err := change.Apply(records, reader)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -278,9 +278,9 @@
 			records[r.Name] = r
 		}
 	}
-	set := func(i int) string { return patch("", route(fmt.Sprintf("n%d", i), "/n/", "a", 100), "") }
+	upsert := func(i int) string { return patch("", routeJSON(fmt.Sprintf("n%d", i), "/n/", "a", 100), "") }
 	for i := range names {
-		take(set(i))
+		mustApply(upsert(i))
 		changes, err := Bind(records, RouteBinding{fmt.Sprintf("n%d", i), 0}, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -288,17 +288,17 @@
 		for _, r := range changes {
 			records[r.Name] = r
 		}
-		take(patch("", "", fmt.Sprintf(`{"name":"n%d","generation":200}`, i)))
+		mustApply(patch("", "", fmt.Sprintf(`{"name":"n%d","generation":200}`, i)))
 	}
 	for i := 0; i < names; i += 7 {
-		take(set(i))
+		mustApply(upsert(i))
 	}
 	if routes := reader.List(records); len(routes) != 1 {
-		t.Errorf("%d routes stand, not 1", len(routes))
+		t.Errorf("%d routes exist, not 1", len(routes))
 	}
 	for name, r := range records {
-		if r.Dropped && len(r.Data) > trace {
-			t.Fatalf("%s leaves %d bytes", name, len(r.Data))
+		if r.Dropped && len(r.Data) > maxTombstoneData {
+			t.Fatalf("the tombstone of %s has %d bytes of data", name, len(r.Data))
 		}
 	}
 	if want := 2 + 2*names; len(records) != want { // a route and its binding each
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -10,8 +10,8 @@
 	"madderwing/internal/antientropy"
 )
 
-// Key is the key in the control nodes' replicated state under which the catalogue, the set of all records,
-// is kept.
+// Key is the key under which the control nodes' replicated state keeps the catalogue: the records of all
+// items and route bindings, and the horizon.
 const Key = "catalogue"
 
 // Record is the form in which items are stored and replicated.
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -6,37 +6,37 @@
 	"testing"
 )
 
-func tenant(name, keys string, gen int, more string) string {
-	return fmt.Sprintf(`{"upsert":{"tenants":[{"name":%q,"apiKeys":[%s],"generation":%d%s}]}}`, name, keys, gen, more)
+func tenantRequest(name, keys string, generation int, fields string) string {
+	return fmt.Sprintf(`{"upsert":{"tenants":[{"name":%q,"apiKeys":[%s],"generation":%d%s}]}}`, name, keys, generation, fields)
 }
 
-// take applies a call and returns what changed.
+// applyRequest applies a request and returns what changed.
 func applyRequest(t *testing.T, records map[string]Record, body string) ([]Record, error) {
 	t.Helper()
-	c, err := Read([]byte(body))
+	change, err := Read([]byte(body))
 	if err != nil {
 		return nil, err
 	}
-	changes, err := c.Apply(records, &Reader{})
-	for _, r := range changes {
-		records[r.Name] = r
+	changes, err := change.Apply(records, &Reader{})
+	for _, record := range changes {
+		records[record.Name] = record
 	}
 	return changes, err
 }
 
 func TestTenants(t *testing.T) {
 	records := map[string]Record{}
-	for _, c := range []struct{ name, body, refused string }{
-		{"one tenant", tenant("one", `"k1","k2"`, 1, `,"ratePerS":5,"burst":5,"residency":["north"]`), ""},
-		{"another", tenant("two", `"k3"`, 1, ""), ""},
-		{"a key that another has", tenant("two", `"k3","k1"`, 2, ""), "they share a key"},
-		{"two that share a key in one call", `{"upsert":{"tenants":[{"name":"x","apiKeys":["q"],"generation":1},{"name":"y","apiKeys":["q"],"generation":1}]}}`, "they share a key"},
-		{"a rate below 0", tenant("two", `"k3"`, 2, `,"ratePerS":-1`), "tenant two"},
-		{"a key moves in one call", `{"upsert":{"tenants":[{"name":"one","apiKeys":["k2"],"generation":2},{"name":"two","apiKeys":["k3","k1"],"generation":2}]}}`, ""},
+	for _, step := range []struct{ name, body, refused string }{
+		{"one tenant", tenantRequest("one", `"k1","k2"`, 1, `,"ratePerS":5,"burst":5,"residency":["north"]`), ""},
+		{"another", tenantRequest("two", `"k3"`, 1, ""), ""},
+		{"a key of another tenant", tenantRequest("two", `"k3","k1"`, 2, ""), "they share a key"},
+		{"two tenants that share a key in one request", `{"upsert":{"tenants":[{"name":"x","apiKeys":["q"],"generation":1},{"name":"y","apiKeys":["q"],"generation":1}]}}`, "they share a key"},
+		{"a rate below 0", tenantRequest("two", `"k3"`, 2, `,"ratePerS":-1`), "tenant two"},
+		{"a key moves in one request", `{"upsert":{"tenants":[{"name":"one","apiKeys":["k2"],"generation":2},{"name":"two","apiKeys":["k3","k1"],"generation":2}]}}`, ""},
 	} {
-		_, err := applyRequest(t, records, c.body)
-		if c.refused == "" && err != nil || c.refused != "" && (err == nil || !strings.Contains(err.Error(), c.refused)) {
-			t.Errorf("%s: %v", c.name, err)
+		_, err := applyRequest(t, records, step.body)
+		if step.refused == "" && err != nil || step.refused != "" && (err == nil || !strings.Contains(err.Error(), step.refused)) {
+			t.Errorf("%s: %v", step.name, err)
 		}
 	}
 	table := (&Builder{}).Build(records)
@@ -44,48 +44,48 @@
 		t.Errorf("readers: %v", table.Readers)
 	}
 	if got := string(Render(records)); !strings.Contains(got, `"tenants":[{"name":"one"`) {
-		t.Errorf("read back: %s", got)
+		t.Errorf("rendered: %s", got)
 	}
 	if _, err := applyRequest(t, records, `{"remove":{"tenants":[{"name":"one","generation":3},{"name":"two","generation":3}]}}`); err != nil {
 		t.Fatal(err)
 	}
 	if table = (&Builder{}).Build(records); !table.Tenants || len(table.Readers) > 0 {
-		t.Error("without its last tenant the gateway is open to all")
+		t.Error("after the last tenant is removed, requests need no key")
 	}
 	if got := (&Builder{}).Build(map[string]Record{}); got.Tenants {
-		t.Error("a gateway that never had tenants asks for keys")
+		t.Error("requests need a key although there never were tenants")
 	}
 }
 
 func TestRevokes(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		body string
 		want bool
 	}{
-		"a key is added":   {tenant("one", `"a","b","c"`, 2, ""), false},
-		"a key goes":       {tenant("one", `"a"`, 2, ""), true},
-		"a key is changed": {tenant("one", `"a","c"`, 2, ""), true},
-		"the tenant goes":  {`{"remove":{"tenants":[{"name":"one","generation":2}]}}`, true},
-		"another comes":    {tenant("two", `"c"`, 1, ""), false},
-		"an old version":   {tenant("one", `"a"`, 0, ""), false},
+		"a key is added":          {tenantRequest("one", `"a","b","c"`, 2, ""), false},
+		"a key is removed":        {tenantRequest("one", `"a"`, 2, ""), true},
+		"a key is changed":        {tenantRequest("one", `"a","c"`, 2, ""), true},
+		"the tenant is removed":   {`{"remove":{"tenants":[{"name":"one","generation":2}]}}`, true},
+		"another tenant is added": {tenantRequest("two", `"c"`, 1, ""), false},
+		"an old version":          {tenantRequest("one", `"a"`, 0, ""), false},
 	} {
 		records := map[string]Record{}
-		if _, err := applyRequest(t, records, tenant("one", `"a","b"`, 1, "")); err != nil {
+		if _, err := applyRequest(t, records, tenantRequest("one", `"a","b"`, 1, "")); err != nil {
 			t.Fatal(err)
 		}
 		before := map[string]Record{}
 		for k, v := range records {
 			before[k] = v
 		}
-		changes, err := applyRequest(t, records, c.body)
-		if err != nil || Revokes(before, changes, &Reader{}) != c.want {
+		changes, err := applyRequest(t, records, testCase.body)
+		if err != nil || Revokes(before, changes, &Reader{}) != testCase.want {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestRegions(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		route, tenant, want []string
 		bound               bool
 	}{
@@ -95,8 +95,8 @@
 		{[]string{"n", "s"}, []string{"s", "e"}, []string{"s"}, true},
 		{[]string{"n"}, []string{"s"}, nil, true},
 	} {
-		if got, bound := Regions(c.route, c.tenant); fmt.Sprint(got) != fmt.Sprint(c.want) || bound != c.bound {
-			t.Errorf("%v and %v: %v %v", c.route, c.tenant, got, bound)
+		if got, bound := Regions(testCase.route, testCase.tenant); fmt.Sprint(got) != fmt.Sprint(testCase.want) || bound != testCase.bound {
+			t.Errorf("%v and %v: %v %v", testCase.route, testCase.tenant, got, bound)
 		}
 	}
 }
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -10,30 +10,31 @@
 	"madderwing/internal/apierror"
 )
 
-// model is an owner's copy of the configuration.
+// configOwner is the owner's copy of the configuration.
 type configOwner struct {
-	t      *testing.T
-	have   map[string]Record
-	reader *Reader
+	t       *testing.T
+	records map[string]Record
+	reader  *Reader
 }
 
 func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Reader{}} }
 
+// call parses and applies a request.
 func (o *configOwner) call(body string) error {
 	o.t.Helper()
 	change, err := Read([]byte(body))
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	changes, err := change.Apply(o.have, o.reader)
+	changes, err := change.Apply(o.records, o.reader)
 	o.put(changes)
 	return err
 }
 
 func (o *configOwner) put(changes []Record) {
 	for _, r := range changes {
-		if o.have[r.Name] = r; r.Erased {
-			delete(o.have, r.Name)
+		if o.records[r.Name] = r; r.Erased {
+			delete(o.records, r.Name)
 		}
 	}
 }
@@ -45,8 +46,8 @@
 	}
 }
 
-// comeAndGo sets routes from one number up to another in a call, places them, and removes them
-// in a second call.
+// addAndRemove sets the routes numbered from from to to-1 in one request, binds them, and removes them in a
+// second request.
 func (o *configOwner) addAndRemove(from, to, generation int) {
 	o.t.Helper()
 	var add, remove Change
@@ -60,7 +61,7 @@
 	o.mustApply(&add)
 	for i := from; i < to; i++ {
 		name := fmt.Sprintf("n%d", i)
-		changes, err := Bind(o.have, RouteBinding{name, 0}, o.have[routePrefix+name].Rev)
+		changes, err := Bind(o.records, RouteBinding{name, 0}, o.records[routePrefix+name].Rev)
 		if err != nil {
 			o.t.Fatal(err)
 		}
@@ -69,10 +70,10 @@
 	o.mustApply(&remove)
 }
 
-// apply takes a call that was read already.
+// mustApply applies a parsed request.
 func (o *configOwner) mustApply(c *Change) {
 	o.t.Helper()
-	changes, err := c.Apply(o.have, o.reader)
+	changes, err := c.Apply(o.records, o.reader)
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -80,7 +81,7 @@
 }
 
 func (o *configOwner) liveAndTombstoneBytes() (live, tombstones int) {
-	for _, r := range o.have {
+	for _, r := range o.records {
 		if r.Dropped {
 			tombstones += size(r)
 		} else {
@@ -90,190 +91,191 @@
 	return live, tombstones
 }
 
-// Names come and go for ever: each call is taken, what is kept stays bounded, the newest
-// removals are always known, and no old change brings a name back. The generations are
-// those of one counter for all items, or of one that each item begins anew.
+// While new items are added and removed without end, all requests succeed, the size of tombstones stays
+// bounded, the newest tombstones are kept, and no old change brings an item back. The generations come
+// from one counter for all items, or start at the same value for each item.
 func TestTombstonesStayBounded(t *testing.T) {
-	const names, aCall, recent, looks = 300_000, 5000, 25_000, 20
-	for what, generation := range map[string]func(call int) int{
-		"one counter":     func(call int) int { return 10 + 2*call },
-		"one of each one": func(int) int { return 10 },
+	const names, perRequest, recent, looks = 300_000, 5000, 25_000, 20
+	for scheme, generation := range map[string]func(request int) int{
+		"one counter for all":  func(request int) int { return 10 + 2*request },
+		"one counter per item": func(int) int { return 10 },
 	} {
-		m := newConfigOwner(t)
+		owner := newConfigOwner(t)
 		random := rand.New(rand.NewPCG(1, 2))
-		for call := range names / aCall {
-			if what == "one counter" || call*aCall < 40_000 {
-				m.addAndRemove(call*aCall, (call+1)*aCall, generation(call))
+		for request := range names / perRequest {
+			if scheme == "one counter for all" || request*perRequest < 40_000 {
+				owner.addAndRemove(request*perRequest, (request+1)*perRequest, generation(request))
 			}
-			if standing, dropped := m.liveAndTombstoneBytes(); dropped > maxTombstoneBytes || standing > 2000 {
-				t.Fatalf("%s, call %d: %d bytes stand, %d are dropped", what, call, standing, dropped)
+			if live, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes || live > 2000 {
+				t.Fatalf("%s, request %d: %d live bytes, %d bytes of tombstones", scheme, request, live, tombstones)
 			}
-			if len(m.reader.routes) > 2*aCall+pruneThreshold {
-				t.Fatalf("%s, call %d: the reader holds %d routes", what, call, len(m.reader.routes))
+			if len(owner.reader.routes) > 2*perRequest+pruneThreshold {
+				t.Fatalf("%s, request %d: the reader holds %d routes", scheme, request, len(owner.reader.routes))
 			}
-			done := (call + 1) * aCall
+			removed := (request + 1) * perRequest
 			for range 5 {
-				i := max(0, done-1-random.IntN(recent))
+				i := max(0, removed-1-random.IntN(recent))
 				name := fmt.Sprintf("n%d", i)
-				if _, ok := m.have["route/"+name]; !ok {
-					t.Fatalf("%s, call %d: %s is forgotten", what, call, name)
+				if _, ok := owner.records["route/"+name]; !ok {
+					t.Fatalf("%s, request %d: the tombstone of %s is erased", scheme, request, name)
 				}
-				i = random.IntN(done)
+				i = random.IntN(removed)
 				name = fmt.Sprintf("n%d", i)
-				_ = m.call(patch("", route(name, "/back/", "a", generation(i/aCall)), ""))
-				if r, ok := m.have["route/"+name]; ok && !r.Dropped {
-					t.Fatalf("%s, call %d: %s is back", what, call, name)
+				_ = owner.call(patch("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
+				if record, ok := owner.records["route/"+name]; ok && !record.Dropped {
+					t.Fatalf("%s, request %d: %s is back", scheme, request, name)
 				}
 			}
-			if what != "one counter" && Horizon(m.have) > 0 {
-				break // from here on a new item needs a higher generation
+			if scheme != "one counter for all" && Horizon(owner.records) > 0 {
+				break // from now on a new item needs a higher generation
 			}
 		}
-		if Horizon(m.have) == 0 {
-			t.Errorf("%s: nothing was forgotten", what)
+		if Horizon(owner.records) == 0 {
+			t.Errorf("%s: nothing was purged", scheme)
 		}
 	}
 }
 
-// horizonAt is a horizon record with one generation for routes.
+// horizonAt returns a horizon record with a generation for routes.
 func horizonAt(generation uint64) Record {
 	return Record{Name: horizonName, Gen: 1, Data: encode(horizonData{map[string]uint64{routePrefix: generation}})}
 }
 
-// A change of a name that is unknown, at or below what was forgotten of its kind.
+// Changes of unknown items, at or below the generation up to which tombstones of their kind were erased.
 func TestChangesAtOrBelowPurgedGeneration(t *testing.T) {
-	const last = 100
-	for name, c := range map[string]struct {
+	const highestPurged = 100
+	for name, testCase := range map[string]struct {
 		body    string
 		refused bool
 		changes bool
 	}{
-		"an unknown route":              {patch("", route("n", "/n/", "a", last), ""), true, false},
-		"one above":                     {patch("", route("n", "/n/", "a", last+1), ""), false, true},
+		"an unknown route":              {patch("", routeJSON("n", "/n/", "a", highestPurged), ""), true, false},
+		"an unknown route, above":       {patch("", routeJSON("n", "/n/", "a", highestPurged+1), ""), false, true},
 		"its removal":                   {patch("", "", `{"name":"n","generation":100}`), false, false},
 		"its removal, above":            {patch("", "", `{"name":"n","generation":101}`), false, true},
-		"a route that stands":           {patch("", route("r", "/q/", "a", 9), ""), false, true},
-		"one that stands, sent again":   {patch("", route("r", "/p/", "a", 7), ""), false, false},
-		"removal of one that stands":    {patch("", "", `{"name":"r","generation":9}`), false, true},
+		"an existing route":             {patch("", routeJSON("r", "/q/", "a", 9), ""), false, true},
+		"an existing route, sent again": {patch("", routeJSON("r", "/p/", "a", 7), ""), false, false},
+		"removal of an existing route":  {patch("", "", `{"name":"r","generation":9}`), false, true},
 		"another kind":                  {`{"upsert":{"services":[{"name":"n","generation":1}]}}`, false, true},
 		"the limits":                    {`{"upsert":{"limits":{"maxHeaderBytes":1,"generation":1}}}`, false, true},
-		"an unknown one beside another": {patch("", route("r", "/q/", "a", 9)+","+route("n", "/n/", "a", 3), ""), true, false},
+		"unknown and existing routes":   {patch("", routeJSON("r", "/q/", "a", 9)+","+routeJSON("n", "/n/", "a", 3), ""), true, false},
 	} {
-		m := newConfigOwner(t)
-		m.have[horizonName] = horizonAt(last)
-		before := maps.Clone(m.have)
+		owner := newConfigOwner(t)
+		owner.records[horizonName] = horizonAt(highestPurged)
+		before := maps.Clone(owner.records)
 		for range 2 { // a change that is sent again gets the same answer
-			err := m.call(c.body)
-			if c.refused && (apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), "route n: ") || !strings.Contains(err.Error(), fmt.Sprint(last))) {
+			err := owner.call(testCase.body)
+			if testCase.refused && (apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), "route n: ") || !strings.Contains(err.Error(), fmt.Sprint(highestPurged))) {
 				t.Errorf("%s: got %v", name, err)
 			}
-			if !c.refused && err != nil {
+			if !testCase.refused && err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if same := fmt.Sprint(before) == fmt.Sprint(m.have); same == c.changes {
-			t.Errorf("%s: changed something: %v", name, !same)
+		if same := fmt.Sprint(before) == fmt.Sprint(owner.records); same == testCase.changes {
+			t.Errorf("%s: records changed: %v", name, !same)
 		}
 	}
 }
 
-// dropMany puts dropped routes into a copy, named by number and with that as their place.
+// addTombstones adds n tombstones of routes, named and ordered by number.
 func (o *configOwner) addTombstones(n int, generation func(i int) uint64) {
 	for i := range n {
 		name := fmt.Sprintf("route/n%d", i)
-		o.have[name] = Record{Name: name, Gen: generation(i), Rev: uint64(i + 1), Dropped: true, Data: make([]byte, 20)}
+		o.records[name] = Record{Name: name, Gen: generation(i), Rev: uint64(i + 1), Dropped: true, Data: make([]byte, 20)}
 	}
 }
 
-// What stands takes the room of dropped records down to their least share, and no further.
+// Live records displace tombstones down to minTombstoneBytes and no further.
 func TestTombstonesMakeRoomForLiveRecords(t *testing.T) {
-	for _, c := range []struct {
-		standing int
-		refused  bool
+	for _, testCase := range []struct {
+		liveBytes int
+		refused   bool
 	}{{MaxBytes / 8, false}, {MaxBytes / 8 * 5, false}, {MaxBytes - minTombstoneBytes - 1<<10, false}, {MaxBytes - minTombstoneBytes + 1<<10, true}} {
-		m := newConfigOwner(t)
-		m.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
-		m.have["service/large"] = Record{Name: "service/large", Gen: 1, Data: make([]byte, c.standing)}
-		err := m.call(patch("", route("new", "/new/", "a", 1_000_000), ""))
-		if c.refused != (apierror.KindOf(err) == apierror.BodyTooLarge) || !c.refused && err != nil {
-			t.Errorf("%d bytes stand: %v", c.standing, err)
+		owner := newConfigOwner(t)
+		owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
+		owner.records["service/large"] = Record{Name: "service/large", Gen: 1, Data: make([]byte, testCase.liveBytes)}
+		err := owner.call(patch("", routeJSON("new", "/new/", "a", 1_000_000), ""))
+		if testCase.refused != (apierror.KindOf(err) == apierror.BodyTooLarge) || !testCase.refused && err != nil {
+			t.Errorf("%d live bytes: %v", testCase.liveBytes, err)
 		}
-		if c.refused {
+		if testCase.refused {
 			continue
 		}
-		standing, dropped := m.liveAndTombstoneBytes()
-		least := max(minTombstoneBytes, int(float64(min(maxTombstoneBytes, MaxBytes-standing))*tombstoneKeepRatio))
-		if dropped > least+100 || dropped < least-200 || standing+dropped > MaxBytes {
-			t.Errorf("%d bytes stand: %d of dropped records are kept, not %d", standing, dropped, least)
+		live, tombstones := owner.liveAndTombstoneBytes()
+		wantTombstones := max(minTombstoneBytes, int(float64(min(maxTombstoneBytes, MaxBytes-live))*tombstoneKeepRatio))
+		if tombstones > wantTombstones+100 || tombstones < wantTombstones-200 || live+tombstones > MaxBytes {
+			t.Errorf("%d live bytes: %d bytes of tombstones are kept, not %d", live, tombstones, wantTombstones)
 		}
 		oldest := uint64(100_000)
-		for _, r := range m.have {
+		for _, r := range owner.records {
 			if r.Dropped {
 				oldest = min(oldest, r.Rev)
 			}
 		}
-		if kept := 100_000 - int(oldest) + 1; kept != len(m.have)-5 { // service, route, large, new, horizon
-			t.Errorf("%d bytes stand: the oldest kept is number %d of %d", standing, oldest, len(m.have))
+		if keptTombstones := 100_000 - int(oldest) + 1; keptTombstones != len(owner.records)-5 { // service, route, large, new, horizon
+			t.Errorf("%d live bytes: the oldest tombstone is number %d, of %d records", live, oldest, len(owner.records))
 		}
 	}
 }
 
-// One removal far above all others does not make all new items need such a generation.
+// A single tombstone with a generation far above the others is kept, since erasing it would force all new
+// items to a generation above it.
 func TestTombstoneWithOutlierGenerationIsKept(t *testing.T) {
-	const far = 1 << 50
-	m := newConfigOwner(t)
-	m.addTombstones(100_000, func(i int) uint64 {
+	const outlier = 1 << 50
+	owner := newConfigOwner(t)
+	owner.addTombstones(100_000, func(i int) uint64 {
 		if i == 7 {
-			return far
+			return outlier
 		}
 		return uint64(i)
 	})
-	m.mustCall(patch("", route("new", "/new/", "a", 200_000), ""))
-	if Horizon(m.have) != 1 {
-		t.Fatal("nothing was forgotten")
+	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	if Horizon(owner.records) != 1 {
+		t.Fatal("nothing was purged")
 	}
-	if r := m.have["route/n7"]; r.Gen != far {
-		t.Error("it is forgotten")
+	if record := owner.records["route/n7"]; record.Gen != outlier {
+		t.Error("the tombstone with the high generation is erased")
 	}
-	m.mustCall(patch("", route("newer", "/newer/", "a", 200_000), ""))
+	owner.mustCall(patch("", routeJSON("newer", "/newer/", "a", 200_000), ""))
 
-	// Where all are far above what is newer, the oldest go all the same.
-	m = newConfigOwner(t)
-	m.addTombstones(100_000, func(i int) uint64 { return uint64(200_000 - i) })
-	m.mustCall(patch("", route("new", "/new/", "a", 300_000), ""))
-	if _, dropped := m.liveAndTombstoneBytes(); dropped > maxTombstoneBytes {
-		t.Errorf("%d bytes of dropped records stay", dropped)
+	// If all older generations are above the newer ones, the oldest tombstones are erased all the same.
+	owner = newConfigOwner(t)
+	owner.addTombstones(100_000, func(i int) uint64 { return uint64(200_000 - i) })
+	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 300_000), ""))
+	if _, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes {
+		t.Errorf("%d bytes of tombstones are kept", tombstones)
 	}
 }
 
-// Requests go on to need a key when all tenants are gone and forgotten.
+// Client requests still need a key after all tenants are removed and tombstones purged.
 func TestLastTenantTombstoneIsKept(t *testing.T) {
-	m := newConfigOwner(t)
+	owner := newConfigOwner(t)
 	for _, name := range []string{"tenant/x", "tenant/y"} {
-		m.have[name] = Record{Name: name, Gen: 1, Dropped: true}
+		owner.records[name] = Record{Name: name, Gen: 1, Dropped: true}
 	}
-	m.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
-	m.mustCall(patch("", route("new", "/new/", "a", 200_000), ""))
-	_, x := m.have["tenant/x"]
-	_, y := m.have["tenant/y"]
+	owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
+	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	_, x := owner.records["tenant/x"]
+	_, y := owner.records["tenant/y"]
 	if x || !y {
-		t.Errorf("of two dropped tenants, kept: %v, %v", x, y)
+		t.Errorf("tombstones of two tenants, kept: %v, %v; want only the second", x, y)
 	}
-	if !(&Builder{}).Build(m.have).Tenants {
-		t.Error("requests need no key any more")
+	if !(&Builder{}).Build(owner.records).Tenants {
+		t.Error("requests no longer need a key")
 	}
 }
 
-// Removals keep their order, whatever the names and generations.
+// Tombstones are numbered in the order of removals, whatever the names and generations.
 func TestTombstonesAreNumberedInOrder(t *testing.T) {
-	m := newConfigOwner(t)
-	last := uint64(0)
+	owner := newConfigOwner(t)
+	lastNumber := uint64(0)
 	for i, name := range []string{"z", "b", "a", "c"} {
-		m.mustCall(patch("", route(name, "/"+name+"/", "a", 50-10*i), ""))
-		m.mustCall(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
-		if r := m.have["route/"+name]; r.Rev <= last {
-			t.Errorf("%s has number %d after %d", name, r.Rev, last)
+		owner.mustCall(patch("", routeJSON(name, "/"+name+"/", "a", 50-10*i), ""))
+		owner.mustCall(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
+		if record := owner.records["route/"+name]; record.Rev <= lastNumber {
+			t.Errorf("%s has number %d after %d", name, record.Rev, lastNumber)
 		}
-		last = m.have["route/"+name].Rev
+		lastNumber = owner.records["route/"+name].Rev
 	}
 }
