--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,10 +17,12 @@
 	return fmt.Sprintf(`{"name":%q,"pathPrefix":%q,"routeKind":"idempotent","deadlineS":1,"target":%q,"maxTries":2,"generation":%d}`, name, prefix, target, generation)
 }
 
+// patch returns the body of a request with lists of services, routes, and routes to remove.
 func patch(services, routes, remove string) string {
 	return fmt.Sprintf(`{"upsert":{"services":[%s],"domains":[{"authority":"h.example","hostRoutes":[%s]}]},"remove":{"routes":[%s]}}`, services, routes, remove)
 }
 
+// apply applies a request to records.
 func apply(t *testing.T, records map[string]Record, body string) error {
 	t.Helper()
 	change, err := Read([]byte(body))
@@ -34,6 +36,7 @@
 	return err
 }
 
+// newRecords returns records with service a and a route r to it, both at generation 7.
 func newRecords(t *testing.T) map[string]Record {
 	t.Helper()
 	records := map[string]Record{}
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -14,8 +14,8 @@
 // This file tells whether a generation that is sent again has the same content as before. For this, items
 // keep digests of the contents of a few earlier generations.
 
-// maxRemembered is the number of generations before the current one whose digests an item keeps.
-const maxRemembered = 4
+// maxHistory is the number of generations before the current one whose digests an item keeps.
+const maxHistory = 4
 
 // digest identifies the content of an item: 64 bits of a hash over its host and the canonical form of the
 // JSON that the operator sent. 0 means a removal and nothing else. Digests are stored on disk, so the
@@ -114,7 +114,7 @@
 	history := binary.AppendUvarint(nil, old.Gen)
 	history = binary.BigEndian.AppendUint64(history, uint64(contentDigest(old)))
 	rest := decodeItem(old).Taken
-	for remaining := 1; remaining < maxRemembered; remaining++ {
+	for remaining := 1; remaining < maxHistory; remaining++ {
 		_, size := binary.Uvarint(rest)
 		if size <= 0 || len(rest) < size+digestBytes {
 			break
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -12,15 +12,15 @@
 
 // itemKinds has requests that set and remove an item of each kind, with a placeholder for the generation
 // and one for a number that makes contents differ, and the item's name in error messages.
-var itemKinds = map[string]struct{ set, drop, named string }{
+var itemKinds = map[string]struct{ set, remove, errorName string }{
 	"route":   {patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":%[2]d,"target":"a","generation":%[1]d}`, ""), `{"remove":{"routes":[{"name":"n","generation":%d}]}}`, "route n"},
 	"service": {`{"upsert":{"services":[{"name":"n","maxConns":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"services":[{"name":"n","generation":%d}]}}`, "service n"},
 	"tenant":  {`{"upsert":{"tenants":[{"name":"n","apiKeys":["k"],"ratePerS":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"tenants":[{"name":"n","generation":%d}]}}`, "tenant n"},
 	"limits":  {`{"upsert":{"limits":{"maxHeaderBytes":%[2]d,"generation":%[1]d}}}`, "", "limits"},
 }
 
-// A generation identifies one content: that content is acknowledged each time it is sent again, and any
-// other is refused.
+// As long as a generation is in the history it identifies one content: that content is acknowledged each time
+// it is sent again, and any other is refused.
 func TestGenerationIdentifiesOneContent(t *testing.T) {
 	const drop = 0 // as content: a removal
 	type step struct {
@@ -46,10 +46,10 @@
 			for i, step := range steps {
 				body := fmt.Sprintf(kindRequests.set, step.generation, max(step.content, 1))
 				if step.content == drop {
-					if kindRequests.drop == "" {
+					if kindRequests.remove == "" {
 						break // the limits can't be removed
 					}
-					body = fmt.Sprintf(kindRequests.drop, step.generation)
+					body = fmt.Sprintf(kindRequests.remove, step.generation)
 				}
 				before := maps.Clone(records)
 				err := apply(t, records, body)
@@ -59,7 +59,7 @@
 					}
 					continue
 				}
-				if apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), kindRequests.named+": ") || !strings.Contains(err.Error(), fmt.Sprintf("generation %d ", step.generation)) {
+				if apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), kindRequests.errorName+": ") || !strings.Contains(err.Error(), fmt.Sprintf("generation %d ", step.generation)) {
 					t.Errorf("%s, %s, step %d: got %v", kind, name, i, err)
 				}
 				if !reflect.DeepEqual(records, before) {
@@ -231,7 +231,7 @@
 		}
 		if generation < 130 {
 			maxBytes = max(maxBytes, totalBytes())
-		} else if totalBytes() > maxBytes+maxRemembered { // each generation in the history may grow by a byte
+		} else if totalBytes() > maxBytes+maxHistory { // each generation in the history may grow by a byte
 			t.Fatalf("generation %d: %d bytes, at most %d before generation 130", generation, totalBytes(), maxBytes)
 		}
 	}
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -28,7 +28,7 @@
 // Status is the part of a route that only Bind writes.
 type Status struct {
 	Phase Phase `cbor:"1,keyasint" json:"phase"`
-	Shard int   `cbor:"2,keyasint" json:"shard"`
+	Shard int   `cbor:"2,keyasint" json:"shard"` // -1 for a new route
 }
 
 // Item is the content of the record of a route, a tenant, a service or the limits. Raw is the JSON that the
@@ -150,6 +150,7 @@
 	return ok && !record.Dropped
 }
 
+// decodeItem returns the item of a record, as far as its data can be decoded.
 func decodeItem(record Record) (item Item) {
 	_ = cbor.Unmarshal(record.Data, &item)
 	return item
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -40,6 +40,7 @@
 	} `json:"remove"`
 }
 
+// removal identifies an item to remove. It also serves to read the name and generation of other items.
 type removal struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -87,7 +87,7 @@
 func TestRegions(t *testing.T) {
 	for _, testCase := range []struct {
 		route, tenant, want []string
-		bound               bool
+		restricted          bool
 	}{
 		{nil, nil, nil, false},
 		{[]string{"n"}, nil, []string{"n"}, true},
@@ -95,8 +95,8 @@
 		{[]string{"n", "s"}, []string{"s", "e"}, []string{"s"}, true},
 		{[]string{"n"}, []string{"s"}, nil, true},
 	} {
-		if got, bound := Regions(testCase.route, testCase.tenant); fmt.Sprint(got) != fmt.Sprint(testCase.want) || bound != testCase.bound {
-			t.Errorf("%v and %v: %v %v", testCase.route, testCase.tenant, got, bound)
+		if got, restricted := Regions(testCase.route, testCase.tenant); fmt.Sprint(got) != fmt.Sprint(testCase.want) || restricted != testCase.restricted {
+			t.Errorf("%v and %v: %v %v", testCase.route, testCase.tenant, got, restricted)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -85,7 +85,7 @@
 		if n := len(table.Nodes()); n != 15 {
 			t.Fatalf("%s knows %d nodes", address, n)
 		}
-		if n := len(table.WatchSet()); n != probeTargets {
+		if n := len(table.WatchSet()); n != probeCount {
 			t.Fatalf("%s probes %d nodes", address, n)
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -45,8 +45,8 @@
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
 	State       State  `cbor:"6,keyasint,omitempty"`
 	Draining    bool   `cbor:"7,keyasint,omitempty"`
-	// Front is the port for client requests, 0 if not announced. It is announced only where gateways
-	// take it from a service registry.
+	// Front is the port for client requests, 0 if not announced. Gateways announce it only if they are
+	// to be listed in a service registry.
 	Front uint16 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -87,7 +87,7 @@
 }
 
 const (
-	probeTargets   = 3 // nodes that a node probes
+	probeCount     = 3 // nodes that a node probes
 	gossipRepeats  = 6 // times that a node passes on a change
 	maxGossipNodes = 8 // changes in one message
 )
@@ -291,7 +291,7 @@
 			live = append(live, address)
 		}
 	}
-	return rendezvous.Pick(t.cfg.Self.Address, live, probeTargets)
+	return rendezvous.Pick(t.cfg.Self.Address, live, probeCount)
 }
 
 // Handle processes a message from another node.
