--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -61,8 +61,9 @@
 	return n.Draining && !other.Draining
 }
 
-// Message is a message of the gossip protocol: a request (Ping) or an answer. Whole makes it a request
-// for, or an answer with, the full list; Sums makes it one of digests; otherwise it is a probe.
+// Message is a message of the gossip protocol: a request (Ping) or an answer. With Seq it belongs to a
+// probe, with Whole to a request for the full list, with Sums to a comparison of digests. A message
+// without these carries only changes.
 type Message struct {
 	Ping  bool   `cbor:"1,keyasint,omitempty"`
 	Seq   uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in its answer
@@ -318,9 +319,9 @@
 		t.joined = true
 	}
 	if e := t.entries[from]; e == nil && message.From == nil {
-		// The sender is unknown: request its digests, an exchange in which it describes itself. Other
-		// messages from unknown nodes are not answered, so that two nodes that don't accept each other
-		// do not exchange messages endlessly.
+		// The sender is unknown: send it the digests, since its answer to these describes the sender too.
+		// Other messages from unknown nodes are not answered, so that two nodes that don't accept each
+		// other do not exchange messages endlessly.
 		if message.Ping && len(message.Sums) == 0 {
 			t.sendDigests(from)
 		}
