--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,86 +6,84 @@
 	"madderwing/internal/apierror"
 )
 
-// This file holds the checks on the whole that would result from a change.
+// This file validates the configuration that would result from a change.
 
-// MaxBytes is how large a catalogue may grow; it has to fit into one message
-// between control nodes.
+// MaxBytes is the maximum size of the catalogue, which has to fit into one message between control nodes.
 const MaxBytes = 12 << 20
 
-// recordBytes is about what a record takes in a message beside its name and
-// data.
+// recordBytes is the approximate size of a record in a message, apart from its name and data.
 const recordBytes = 64
 
-// check checks the whole that results from changes. Of several faults it names
-// the first by name.
-func check(have map[string]Record, changes []Record, reader *Reader) error {
+// check validates the configuration that results from changes. Of several errors it returns the first in
+// alphabetical order, so that the answer does not depend on map order.
+func check(records map[string]Record, changes []Record, reader *Reader) error {
 	changed := make(map[string]Record, len(changes))
-	for _, r := range changes {
-		changed[r.Name] = r
+	for _, record := range changes {
+		changed[record.Name] = record
 	}
-	stands := func(name string) bool {
-		r, ok := changed[name]
+	exists := func(name string) bool {
+		record, ok := changed[name]
 		if !ok {
-			r, ok = have[name]
+			record, ok = records[name]
 		}
-		return ok && !r.Dropped
+		return ok && !record.Dropped
 	}
-	type place struct{ host, prefix string }
-	places := map[place]string{}
-	holders := map[string]string{} // key -> tenant
-	bytes := 0
-	var first error
-	fault := func(format string, args ...any) {
-		if err := invalid(format, args...); first == nil || err.Error() < first.Error() {
-			first = err
+	type hostPrefix struct{ host, prefix string }
+	routeAt := map[hostPrefix]string{}
+	tenantWithKey := map[string]string{} // API key -> tenant
+	totalBytes := 0
+	var firstErr error
+	report := func(format string, args ...any) {
+		if err := invalid(format, args...); firstErr == nil || err.Error() < firstErr.Error() {
+			firstErr = err
 		}
 	}
-	look := func(rec Record) {
-		bytes += size(rec)
-		if !rec.Dropped && strings.HasPrefix(rec.Name, tenantPrefix) {
-			t, err := reader.Tenant(rec)
+	checkRecord := func(record Record) {
+		totalBytes += size(record)
+		if !record.Dropped && strings.HasPrefix(record.Name, tenantPrefix) {
+			tenant, err := reader.Tenant(record)
 			if err != nil {
-				fault("%s: %v", rec.Name, err)
+				report("%s: %v", record.Name, err)
 				return
 			}
-			for _, k := range t.APIKeys {
-				if other, ok := holders[k]; ok && other != t.Name {
-					fault("tenants %s and %s: apiKeys: they share a key", min(other, t.Name), max(other, t.Name))
+			for _, apiKey := range tenant.APIKeys {
+				if other, ok := tenantWithKey[apiKey]; ok && other != tenant.Name {
+					report("tenants %s and %s: apiKeys: they share a key", min(other, tenant.Name), max(other, tenant.Name))
 				}
-				holders[k] = t.Name
+				tenantWithKey[apiKey] = tenant.Name
 			}
 		}
-		if rec.Dropped || !strings.HasPrefix(rec.Name, routePrefix) {
+		if record.Dropped || !strings.HasPrefix(record.Name, routePrefix) {
 			return
 		}
-		r, err := reader.Route(rec)
+		route, err := reader.Route(record)
 		if err != nil {
-			fault("%s: %v", rec.Name, err)
+			report("%s: %v", record.Name, err)
 			return
 		}
-		for _, t := range r.Targets() {
-			if !stands(servicePrefix + t) {
-				fault("route %s: target: unknown service %q", r.Name, t)
+		for _, target := range route.Targets() {
+			if !exists(servicePrefix + target) {
+				report("route %s: target: unknown service %q", route.Name, target)
 			}
 		}
-		at := place{r.Host, r.PathPrefix}
-		if other, ok := places[at]; ok {
-			fault("routes %s and %s: pathPrefix: same host and prefix", min(other, r.Name), max(other, r.Name))
+		key := hostPrefix{route.Host, route.PathPrefix}
+		if other, ok := routeAt[key]; ok {
+			report("routes %s and %s: pathPrefix: same host and prefix", min(other, route.Name), max(other, route.Name))
 		}
-		places[at] = r.Name
+		routeAt[key] = route.Name
 	}
-	for name, rec := range have {
+	for name, record := range records {
 		if _, ok := changed[name]; !ok {
-			look(rec)
+			checkRecord(record)
 		}
 	}
-	for _, rec := range changes {
-		if !rec.Erased {
-			look(rec)
+	for _, record := range changes {
+		if !record.Erased {
+			checkRecord(record)
 		}
 	}
-	if first == nil && bytes > MaxBytes {
-		return apierror.New(apierror.BodyTooLarge, "the configuration would hold %d bytes, more than %d", bytes, MaxBytes)
+	if firstErr == nil && totalBytes > MaxBytes {
+		return apierror.New(apierror.BodyTooLarge, "the configuration would take %d bytes, the limit is %d", totalBytes, MaxBytes)
 	}
-	return first
+	return firstErr
 }
