--- a/internal/antientropy/antientropy.go
+++ b/internal/antientropy/antientropy.go
@@ -1,5 +1,5 @@
-// Package antientropy compares copies of a set of records by digests over
-// ranges and mends the older copy from the newer.
+// Package antientropy compares copies of a set of records by digests over hash ranges, so that
+// only ranges that differ have to be sent to update an older copy from a newer one.
 package antientropy
 
 import (
@@ -7,32 +7,32 @@
 	"sort"
 )
 
-// Ranges is the number of ranges into which the hash of a record's name
-// divides every set.
+// Ranges is the number of ranges that the records of a set are divided into, by the hash of
+// their names.
 const Ranges = 16
 
-// Record is one entry of a set. Gen is the version that its author gave it,
-// Rev counts what the system itself has written into it since; in a dropped record of the
-// configuration it is the place in the order of removals.
+// Record is one entry of a set. Gen is the version set by its author, and Rev counts what the
+// system itself has written since. In a dropped record of the configuration, Rev is the place
+// in the order of removals.
 type Record struct {
 	Name    string `cbor:"1,keyasint"`
 	Gen     uint64 `cbor:"2,keyasint,omitempty"`
 	Rev     uint64 `cbor:"3,keyasint,omitempty"`
 	Dropped bool   `cbor:"4,keyasint,omitempty"`
 	Data    []byte `cbor:"5,keyasint,omitempty"`
-	// Erased is set only in a change: the record is to vanish without a trace.
+	// Erased is set only in a change: the record is removed without leaving a dropped record.
 	Erased bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Newer says whether r supersedes o, another version of the same record.
+// Newer reports whether r supersedes o, another version of the same record.
 func (r Record) Newer(o Record) bool {
 	return r.Gen > o.Gen || r.Gen == o.Gen && r.Rev > o.Rev
 }
 
-// Sums holds one digest a range.
+// Sums holds one digest per range.
 type Sums [Ranges]uint64
 
-// AllRanges lists all ranges.
+// AllRanges returns the numbers of all ranges.
 func AllRanges() (all []int) {
 	for i := range Ranges {
 		all = append(all, i)
@@ -40,7 +40,7 @@
 	return all
 }
 
-// RangeOf is the range in which a name falls.
+// RangeOf returns the range that a name belongs to.
 func RangeOf(name string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
@@ -48,7 +48,7 @@
 	return int((v ^ v>>16) % Ranges)
 }
 
-// Sum is a record's own part in the digest of its range.
+// Sum returns the record's contribution to the digest of its range.
 func (r Record) Sum() uint64 {
 	h := fnv.New64a()
 	var n [17]byte
@@ -64,7 +64,7 @@
 	return h.Sum64()
 }
 
-// Digest is the digest of a whole set.
+// Digest computes the digests of a whole set.
 func Digest(set map[string]Record) (s Sums) {
 	for _, r := range set {
 		s[RangeOf(r.Name)] ^= r.Sum()
@@ -72,17 +72,16 @@
 	return s
 }
 
-// Set is a set of records with its digest, which is kept up to date with every
-// change instead of being worked out anew.
+// Set is a set of records with its digests, which are updated with every change.
 type Set struct {
 	Records map[string]Record
 	Sums    Sums
 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{Records: map[string]Record{}} }
 
-// Put adds or replaces a record, or takes away one that is to be erased.
+// Put adds or replaces a record, or removes it if r.Erased is set.
 func (s *Set) Put(r Record) {
 	s.Remove(r.Name)
 	if r.Erased {
@@ -92,7 +91,7 @@
 	s.Sums[RangeOf(r.Name)] ^= r.Sum()
 }
 
-// Remove removes a record, if it is there.
+// Remove removes a record if it exists.
 func (s *Set) Remove(name string) {
 	if old, ok := s.Records[name]; ok {
 		s.Sums[RangeOf(name)] ^= old.Sum()
@@ -100,8 +99,8 @@
 	}
 }
 
-// Merge takes over every record that is newer than what the set holds, and
-// says whether there was any.
+// Merge takes over every record that is newer than the set's version of it, and reports whether
+// there was any.
 func (s *Set) Merge(from []Record) (changed bool) {
 	for _, r := range from {
 		if have, ok := s.Records[r.Name]; !ok || r.Newer(have) {
@@ -112,10 +111,10 @@
 	return changed
 }
 
-// Pick lists the records of some ranges, by name.
+// Pick returns the records of some ranges, sorted by name.
 func (s *Set) Pick(ranges []int) []Record { return Pick(s.Records, ranges) }
 
-// Fold makes one number of all digests.
+// Fold combines all digests into one number.
 func (s Sums) Fold() (v uint64) {
 	for _, x := range s {
 		v = (v^x)*0x9e3779b97f4a7c15 + 1
@@ -123,7 +122,7 @@
 	return v
 }
 
-// Diff names the ranges in which two digests differ.
+// Diff returns the ranges in which two sets of digests differ.
 func Diff(a, b Sums) (ranges []int) {
 	for i := range a {
 		if a[i] != b[i] {
@@ -133,7 +132,7 @@
 	return ranges
 }
 
-// Pick lists the records of some ranges, by name.
+// Pick returns the records of some ranges, sorted by name.
 func Pick(set map[string]Record, ranges []int) (out []Record) {
 	var want [Ranges]bool
 	for _, i := range ranges {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses among candidates by highest random weight: whoever
-// knows the same name and candidates chooses alike, and a candidate that comes
-// or goes changes no choice but those that concern it.
+// Package rendezvous implements rendezvous hashing (highest random weight): all callers with
+// the same name and candidates choose alike, and adding or removing a candidate changes only
+// the choices that involve it.
 package rendezvous
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// The figures of FNV-1a, written out so that a name is hashed once for many
+// The constants of FNV-1a. It is implemented here so that a name is hashed once for many
 // candidates.
 const (
 	offset64 = 14695981039346656037
@@ -22,13 +22,13 @@
 	return h
 }
 
-// Name is a name that candidates are weighed for.
+// Name is the hash of a name that candidates are chosen for.
 type Name uint64
 
-// Of makes a name ready to weigh candidates for.
+// Of hashes a name.
 func Of(name string) Name { return Name(hash(offset64, name) * prime64) }
 
-// Weight is the weight of a candidate.
+// Weight returns the weight of a candidate.
 func (n Name) Weight(candidate string) uint64 {
 	v := hash(uint64(n), candidate)
 	v ^= v >> 33
@@ -38,50 +38,51 @@
 	return v ^ v>>33
 }
 
-// Weight is the weight of a candidate for a name.
+// Weight returns the weight of a candidate for a name.
 func Weight(name, candidate string) uint64 { return Of(name).Weight(candidate) }
 
-type weighed struct {
+type weighted struct {
 	weight    uint64
 	candidate string
 }
 
-func heavier(a, b weighed) int {
+func compareWeights(a, b weighted) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.candidate, b.candidate)
 }
 
-// Order lists the candidates for a name, the heaviest first.
+// Order returns the candidates for a name by decreasing weight.
 func Order(name string, candidates []string) []string {
-	w := Of(name)
-	all := make([]weighed, len(candidates))
+	hashed := Of(name)
+	candidateWeights := make([]weighted, len(candidates))
 	for i, c := range candidates {
-		all[i] = weighed{w.Weight(c), c}
+		candidateWeights[i] = weighted{hashed.Weight(c), c}
 	}
-	slices.SortFunc(all, heavier)
-	return names(all)
+	slices.SortFunc(candidateWeights, compareWeights)
+	return candidateNames(candidateWeights)
 }
 
-// Pick lists the n heaviest candidates for a name, without sorting the others.
+// Pick returns the n candidates with the highest weights for a name, without sorting the
+// others.
 func Pick(name string, candidates []string, n int) []string {
 	if n >= len(candidates) {
 		return Order(name, candidates)
 	}
-	w := Of(name)
-	top := make([]weighed, 0, n+1)
+	hashed := Of(name)
+	top := make([]weighted, 0, n+1)
 	for _, c := range candidates {
-		x := weighed{w.Weight(c), c}
-		if at, _ := slices.BinarySearchFunc(top, x, heavier); at < n {
-			top = slices.Insert(top, at, x)
+		next := weighted{hashed.Weight(c), c}
+		if pos, _ := slices.BinarySearchFunc(top, next, compareWeights); pos < n {
+			top = slices.Insert(top, pos, next)
 			top = top[:min(n, len(top))]
 		}
 	}
-	return names(top)
+	return candidateNames(top)
 }
 
-func names(list []weighed) []string {
+func candidateNames(list []weighted) []string {
 	out := make([]string, len(list))
 	for i, x := range list {
 		out[i] = x.candidate
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -1,8 +1,8 @@
 package replication
 
-// This file holds how a member that has missed steps catches up: by the steps that it
-// lacks, as long as the owner has them, or else by a snapshot of the ranges that
-// differ, in chunks of bounded size, and the steps since.
+// This file holds how a member that lags behind catches up: by the log entries that it is
+// missing, as long as the owner still has them, or else by a snapshot of the ranges whose
+// digests differ, sent in chunks of bounded size, and the log entries appended since.
 
 import (
 	"sort"
@@ -12,56 +12,57 @@
 )
 
 const (
-	chunkBytes = 256 << 10 // of records in one message, unless a single record is larger
-	logBytes   = 4 << 20   // of steps that are kept for those who lag
-	logSteps   = 1024
+	maxChunkBytes = 256 << 10 // bytes of records in one message, unless a single record is larger
+	maxLogBytes   = 4 << 20   // bytes of log entries kept for members that lag
+	maxLogEntries = 1024
 )
 
-// stepLog holds the newest steps of a key, each beginning where the last one ended.
-type stepLog struct {
-	steps []logged
-	bytes int
+// entryLog holds the newest log entries of a key. Each entry begins at the position where the
+// one before it ended.
+type entryLog struct {
+	entries []logEntry
+	bytes   int
 }
 
-type logged struct {
+type logEntry struct {
 	base, to Position
 	changes  []Record
 	bytes    int
 }
 
-// weight is about how many bytes records take in a message.
-func weight(records []Record) (n int) {
+// recordBytes estimates the size of records in a message.
+func recordBytes(records []Record) (bytes int) {
 	for _, r := range records {
-		n += len(r.Name) + len(r.Data) + 24
+		bytes += len(r.Name) + len(r.Data) + 24
 	}
-	return n
+	return bytes
 }
 
-func (l *stepLog) add(base, to Position, changes []Record) {
-	if n := len(l.steps); n > 0 && l.steps[n-1].to != base {
-		*l = stepLog{}
+func (l *entryLog) add(base, to Position, changes []Record) {
+	if count := len(l.entries); count > 0 && l.entries[count-1].to != base {
+		*l = entryLog{}
 	}
-	s := logged{base, to, changes, weight(changes)}
-	l.steps, l.bytes = append(l.steps, s), l.bytes+s.bytes
-	for len(l.steps) > 1 && (l.bytes > logBytes || len(l.steps) > logSteps) {
-		l.bytes -= l.steps[0].bytes
-		l.steps = l.steps[1:]
+	entry := logEntry{base, to, changes, recordBytes(changes)}
+	l.entries, l.bytes = append(l.entries, entry), l.bytes+entry.bytes
+	for len(l.entries) > 1 && (l.bytes > maxLogBytes || len(l.entries) > maxLogEntries) {
+		l.bytes -= l.entries[0].bytes
+		l.entries = l.entries[1:]
 	}
 }
 
-// between gives the changes from one position to another, the newest of each record,
-// by name; ok is false where the log doesn't hold both.
-func (l *stepLog) between(from, to Position) (changes []Record, ok bool) {
-	i := sort.Search(len(l.steps), func(i int) bool { return !l.steps[i].base.Less(from) })
-	if i == len(l.steps) || l.steps[i].base != from {
+// between returns the changes from one position to another, with the newest version of each
+// record, sorted by name. ok is false if the log does not hold both positions.
+func (l *entryLog) between(from, to Position) (changes []Record, ok bool) {
+	i := sort.Search(len(l.entries), func(i int) bool { return !l.entries[i].base.Less(from) })
+	if i == len(l.entries) || l.entries[i].base != from {
 		return nil, false
 	}
 	newest := map[string]Record{}
-	for ; i < len(l.steps) && !to.Less(l.steps[i].to); i++ {
-		for _, r := range l.steps[i].changes {
+	for ; i < len(l.entries) && !to.Less(l.entries[i].to); i++ {
+		for _, r := range l.entries[i].changes {
 			newest[r.Name] = r
 		}
-		ok = ok || l.steps[i].to == to
+		ok = ok || l.entries[i].to == to
 	}
 	if !ok {
 		return nil, false
@@ -73,90 +74,94 @@
 	return changes, true
 }
 
-// sending is a snapshot on its way to a member.
-type sending struct {
-	at     Position
-	sums   antientropy.Sums
-	ranges []int
-	chunks [][]Record
-	next   int
-	moved  time.Duration // when a chunk was last sent or asked for
-	wait   time.Duration // after which it is sent again; it doubles, for links on which a chunk takes long
+// outgoingSnapshot is a snapshot that is being sent to a member.
+type outgoingSnapshot struct {
+	position    Position
+	sums        antientropy.Sums
+	ranges      []int
+	chunks      [][]Record
+	nextChunk   int
+	sentAt      time.Duration // when a chunk was last sent
+	resendAfter time.Duration // silence after which the chunk is sent again; doubled each time, for links on which a chunk takes long
 }
 
-// mended is what was last sent to a member that lags: from where, and until when it may
-// be on its way. A chunk's worth may take a beat.
-type mended struct {
+// catchUpSent describes the changes last sent to a lagging member: the position that they
+// started from, and until when they may still be in transit. One heartbeat interval is allowed
+// for maxChunkBytes.
+type catchUpSent struct {
 	base  Position
 	until time.Duration
 }
 
-// mend brings a member that lags towards the owner's position.
-func (m *Replica) mend(k *key, to, id string, base Position, theirs antientropy.Sums) {
-	if s := k.sending[id]; s != nil && !base.Less(s.at) {
-		delete(k.sending, id) // it has the whole of it
-	} else if s != nil {
-		if m.now-s.moved > s.wait {
-			s.wait *= 2
-			m.sendSnapshotChunk(k, to, s)
+// catchUp sends a lagging member what it is missing up to the owner's position. theirs are the
+// digests of its copy.
+func (m *Replica) catchUp(k *replicatedKey, to, id string, base Position, theirs antientropy.Sums) {
+	if snapshot := k.outgoing[id]; snapshot != nil && !base.Less(snapshot.position) {
+		delete(k.outgoing, id) // the member has received the whole snapshot
+	} else if snapshot != nil {
+		if m.now-snapshot.sentAt > snapshot.resendAfter {
+			snapshot.resendAfter *= 2
+			m.sendSnapshotChunk(k, to, snapshot)
 		}
 		return
 	}
-	if last := k.mended[id]; last.base == base && m.now < last.until {
+	if sent := k.lastCatchUp[id]; sent.base == base && m.now < sent.until {
 		return
 	}
-	sent := func(bytes int) {
-		k.mended[id] = mended{base, m.now + m.cfg.Beat*time.Duration(bytes)/chunkBytes}
+	noteSent := func(bytes int) {
+		k.lastCatchUp[id] = catchUpSent{base, m.now + m.cfg.Beat*time.Duration(bytes)/maxChunkBytes}
 	}
-	if base != k.at {
-		// First to what is committed, so that the member can show that.
-		if k.undo != nil && k.commit.Epoch == k.mine && base.Less(k.commit) && k.commit != k.at {
+	if base != k.position {
+		// Send the committed part first, in a message of its own, so that the member can show
+		// it to readers.
+		if k.undo != nil && k.commit.Epoch == k.ownEpoch && base.Less(k.commit) && k.commit != k.position {
 			changes, ok := k.log.between(base, k.commit)
-			rest, whole := k.log.between(k.commit, k.at)
-			if ok && whole && weight(changes)+weight(rest) <= chunkBytes {
-				c := m.copy(k, base)
-				c.Seq, c.Changes = k.commit.Seq, changes
-				// The digests are those of the position after; they are compared there.
-				c.tells(k.sumsBefore(), m.olderVersions())
-				m.send(to, Message{Body: c})
-				c = m.copy(k, k.commit)
-				c.Changes = rest
-				m.send(to, Message{Body: c})
-				sent(weight(changes) + weight(rest))
+			rest, restOK := k.log.between(k.commit, k.position)
+			if ok && restOK && recordBytes(changes)+recordBytes(rest) <= maxChunkBytes {
+				msg := m.newAppend(k, base)
+				msg.Seq, msg.Changes = k.commit.Seq, changes
+				// The digest has to be that of the committed position, which the member reaches
+				// first.
+				msg.setDigest(k.committedSums(), m.olderVersions())
+				m.send(to, Message{Body: msg})
+				msg = m.newAppend(k, k.commit)
+				msg.Changes = rest
+				m.send(to, Message{Body: msg})
+				noteSent(recordBytes(changes) + recordBytes(rest))
 				return
 			}
 		}
-		if changes, ok := k.log.between(base, k.at); ok && weight(changes) <= chunkBytes {
-			c := m.copy(k, base)
-			c.Changes = changes
-			m.send(to, Message{Body: c})
-			sent(weight(changes))
+		if changes, ok := k.log.between(base, k.position); ok && recordBytes(changes) <= maxChunkBytes {
+			msg := m.newAppend(k, base)
+			msg.Changes = changes
+			m.send(to, Message{Body: msg})
+			noteSent(recordBytes(changes))
 			return
 		}
 	}
 	ranges := antientropy.Diff(k.Sums, theirs)
 	records := k.Pick(ranges)
-	if weight(records) <= chunkBytes {
-		c := m.copy(k, base)
-		c.Mend, c.Changes = ranges, records
-		m.send(to, Message{Body: c})
-		sent(weight(records))
+	if recordBytes(records) <= maxChunkBytes {
+		msg := m.newAppend(k, base)
+		msg.Mend, msg.Changes = ranges, records
+		m.send(to, Message{Body: msg})
+		noteSent(recordBytes(records))
 		return
 	}
-	s := &sending{at: k.at, sums: k.Sums, ranges: ranges, wait: m.cfg.Beat}
-	for begin, i, n := 0, 0, 0; i < len(records); i++ {
-		n += weight(records[i : i+1])
-		if last := i == len(records)-1; last || n+weight(records[i+1:i+2]) > chunkBytes {
-			s.chunks = append(s.chunks, records[begin:i+1])
-			begin, n = i+1, 0
+	snapshot := &outgoingSnapshot{position: k.position, sums: k.Sums, ranges: ranges, resendAfter: m.cfg.Beat}
+	for begin, i, bytes := 0, 0, 0; i < len(records); i++ {
+		bytes += recordBytes(records[i : i+1])
+		if last := i == len(records)-1; last || bytes+recordBytes(records[i+1:i+2]) > maxChunkBytes {
+			snapshot.chunks = append(snapshot.chunks, records[begin:i+1])
+			begin, bytes = i+1, 0
 		}
 	}
-	k.sending[id] = s
-	m.sendSnapshotChunk(k, to, s)
+	k.outgoing[id] = snapshot
+	m.sendSnapshotChunk(k, to, snapshot)
 }
 
-// sumsBefore are the digests of the key as it stood when it was last committed.
-func (k *key) sumsBefore() antientropy.Sums {
+// committedSums returns the digests of the key's records at the last committed position.
+func (k *replicatedKey) committedSums() antientropy.Sums {
 	sums := k.Sums
 	for name, old := range k.undo {
 		i := antientropy.RangeOf(name)
@@ -170,71 +175,71 @@
 	return sums
 }
 
-func (m *Replica) sendSnapshotChunk(k *key, to string, s *sending) {
-	s.moved = m.now
-	m.send(to, Message{Body: &SnapshotChunk{Key: k.name, Epoch: k.mine, Roster: m.keys[RosterKey].at, At: s.at, Sums: s.sums,
-		Index: s.next, Count: len(s.chunks), Ranges: s.ranges, Records: s.chunks[s.next]}})
+func (m *Replica) sendSnapshotChunk(k *replicatedKey, to string, s *outgoingSnapshot) {
+	s.sentAt = m.now
+	m.send(to, Message{Body: &SnapshotChunk{Key: k.name, Epoch: k.ownEpoch, Roster: m.keys[RosterKey].position, At: s.position, Sums: s.sums,
+		Index: s.nextChunk, Count: len(s.chunks), Ranges: s.ranges, Records: s.chunks[s.nextChunk]}})
 }
 
-// taking is a snapshot that a member has in part.
-type taking struct {
-	at      Position
-	next    int
-	records []Record
+// incomingSnapshot is a snapshot that this member has received in part.
+type incomingSnapshot struct {
+	position  Position
+	nextChunk int
+	records   []Record
 }
 
-func (m *Replica) onSnapshotChunk(from string, c *SnapshotChunk) {
-	k := m.key(c.Key)
-	if reply := m.refuses(k, c.Epoch, c.Roster); reply != nil {
+func (m *Replica) onSnapshotChunk(from string, chunk *SnapshotChunk) {
+	k := m.key(chunk.Key)
+	if reply := m.rejection(k, chunk.Epoch, chunk.Roster); reply != nil {
 		m.send(from, Message{Body: reply})
 		return
 	}
-	m.follow(k, c.Epoch)
-	if k.taking == nil || k.taking.at != c.At {
-		k.taking = &taking{at: c.At}
+	m.followOwner(k, chunk.Epoch)
+	if k.incoming == nil || k.incoming.position != chunk.At {
+		k.incoming = &incomingSnapshot{position: chunk.At}
 	}
-	t := k.taking
-	if c.Index == t.next {
-		t.next++
-		t.records = append(t.records, c.Records...)
+	snapshot := k.incoming
+	if chunk.Index == snapshot.nextChunk {
+		snapshot.nextChunk++
+		snapshot.records = append(snapshot.records, chunk.Records...)
 	}
-	if t.next < c.Count {
-		m.send(from, Message{Body: &SnapshotAck{c.Key, c.Epoch, c.At, t.next}})
+	if snapshot.nextChunk < chunk.Count {
+		m.send(from, Message{Body: &SnapshotAck{chunk.Key, chunk.Epoch, chunk.At, snapshot.nextChunk}})
 		return
 	}
-	k.taking = nil
-	// The rest of the key must be as the owner took it to be, or the whole isn't what
-	// stood at that position.
+	k.incoming = nil
+	// The ranges outside the snapshot must have the digests that the owner expects; otherwise
+	// the result would not be the state at the snapshot's position.
 	sums := k.Sums
-	for _, i := range c.Ranges {
+	for _, i := range chunk.Ranges {
 		sums[i] = 0
 	}
-	for _, r := range t.records {
+	for _, r := range snapshot.records {
 		sums[antientropy.RangeOf(r.Name)] ^= r.Sum()
 	}
-	reply := &AppendAck{Key: c.Key, Epoch: c.Epoch}
-	if sums == c.Sums && !c.At.Less(k.at) {
-		entries := m.replace(k, c.Ranges, t.records)
-		k.at = c.At
+	reply := &AppendAck{Key: chunk.Key, Epoch: chunk.Epoch}
+	if sums == chunk.Sums && !chunk.At.Less(k.position) {
+		entries := m.replace(k, chunk.Ranges, snapshot.records)
+		k.position = chunk.At
 		m.write(append(entries, k.meta()), nil)
 		reply.OK = true
 	}
 	sums = k.Sums
 	reply.Sums = &sums
-	m.reply(k, from, reply)
+	m.replyWhenDurable(k, from, reply)
 }
 
-func (m *Replica) onSnapshotAck(from, id string, c *SnapshotAck) {
-	k := m.key(c.Key)
-	s := k.sending[id]
-	if k.role != owns || c.Epoch != k.mine || s == nil || s.at != c.At {
+func (m *Replica) onSnapshotAck(from, id string, ack *SnapshotAck) {
+	k := m.key(ack.Key)
+	s := k.outgoing[id]
+	if k.role != roleOwner || ack.Epoch != k.ownEpoch || s == nil || s.position != ack.At {
 		return
 	}
-	k.seen[id] = m.now
-	if c.Next > s.next && c.Next < len(s.chunks) {
-		s.next = c.Next
+	k.ackedAt[id] = m.now
+	if ack.Next > s.nextChunk && ack.Next < len(s.chunks) {
+		s.nextChunk = ack.Next
 		m.sendSnapshotChunk(k, from, s)
-	} else if c.Next < s.next {
-		delete(k.sending, id) // it has begun a new life
+	} else if ack.Next < s.nextChunk {
+		delete(k.outgoing, id) // the member has restarted and needs the snapshot from the beginning
 	}
 }
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -73,24 +73,24 @@
 		o := w.settle(t)
 		n := w.lastOther(o)
 		k := n.m.keys[testKey]
-		before := k.at
+		before := k.position
 		set := antientropy.NewSet()
 		for _, r := range whole {
 			set.Put(r)
 		}
-		at := Position{k.promised, k.at.Seq + 5}
+		at := Position{k.promised, k.position.Seq + 5}
 		n.m.Take()
 		for i, records := range c.records {
 			n.m.Handle(w.clock(n), o.id, Message{Identity: o.m.identity, Body: &SnapshotChunk{Key: testKey, Epoch: k.promised,
-				Roster: n.m.keys[RosterKey].at, At: at, Sums: set.Sums, Index: c.index[i], Count: 2, Ranges: allRanges, Records: records}})
+				Roster: n.m.keys[RosterKey].position, At: at, Sums: set.Sums, Index: c.index[i], Count: 2, Ranges: allRanges, Records: records}})
 		}
-		n.m.Durable(w.clock(n), n.m.nextWrite)
+		n.m.Durable(w.clock(n), n.m.lastWrite)
 		took := false
 		for _, e := range n.m.Take().Send {
 			took = took || as[*AppendAck](e.Msg) != nil && as[*AppendAck](e.Msg).OK && as[*AppendAck](e.Msg).At == at
 		}
-		if took != c.ok || (k.at == at) != c.ok || !c.ok && k.at != before {
-			t.Errorf("%s: answered as held: %v, at %v", c.name, took, k.at)
+		if took != c.ok || (k.position == at) != c.ok || !c.ok && k.position != before {
+			t.Errorf("%s: answered as held: %v, at %v", c.name, took, k.position)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 			if n := len(w.truthOf(testKey)); n < records {
 				t.Fatalf("%d records", n)
 			}
-			w.rate = float64(chunkBytes) / (1.2 * testBeat.Seconds())
+			w.rate = float64(maxChunkBytes) / (1.2 * testBeat.Seconds())
 			whole := float64(records * size)
 			copying := time.Duration(whole / w.rate * float64(time.Second))
 			begin, answered := w.now, w.answer
@@ -133,7 +133,7 @@
 			w.run(w.now + 5*time.Second)
 			var n *node
 			for _, id := range w.ids {
-				if o := w.nodes[id]; o.m.keys[testKey].role != owns && o.m.keys[RosterKey].role != owns {
+				if o := w.nodes[id]; o.m.keys[testKey].role != roleOwner && o.m.keys[RosterKey].role != roleOwner {
 					n = o
 				}
 			}
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds elections: how a key gets an owner and how an owner gives it up.
+// This file holds elections and the transfer of keys to another owner.
 
 import (
 	"maps"
@@ -10,176 +10,186 @@
 	"madderwing/internal/rendezvous"
 )
 
-// takeOver tries to become the owner of a key. Unless a former owner hands it over,
-// a pre-vote comes first: a member that others do not need as owner, because it is cut
-// off one way or has only just come back, then raises no epoch.
-func (m *Replica) takeOver(k *key, handed bool) {
-	if !m.mayOwn() || m.leaving || k.role == owns || k.role == asks && !(k.preVote && handed) || m.now < k.notUntil && !handed {
+// startElection starts an election in which this member is the candidate for a key. It begins
+// with a pre-vote unless the key was transferred to this member, by its owner or by the
+// bootstrap: a member that the others don't need as owner, because it is cut off in one
+// direction or has only just restarted, then doesn't raise the epoch.
+func (m *Replica) startElection(k *replicatedKey, transferred bool) {
+	if !m.mayOwn() || m.leaving || k.role == roleOwner || k.role == roleCandidate && !(k.preVote && transferred) || m.now < k.noElectionUntil && !transferred {
 		return
 	}
-	k.role, k.since, k.preVote = asks, m.now, !handed
-	k.mine = Epoch{max(k.promised.N, k.at.Epoch.N, k.floor) + 1, m.cfg.Self, m.cfg.Life}
-	k.promises, k.frees = map[string]*Vote{}, map[string]time.Duration{}
+	k.role, k.roleSince, k.preVote = roleCandidate, m.now, !transferred
+	k.ownEpoch = Epoch{max(k.promised.N, k.position.Epoch.N, k.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.Life}
+	k.votes, k.quietSince = map[string]*Vote{}, map[string]time.Duration{}
 	if k.preVote {
-		k.promises[m.self] = &Vote{At: k.at}
-		m.canvass(k)
+		k.votes[m.self] = &Vote{At: k.position}
+		m.requestVotes(k)
 		return
 	}
 	m.campaign(k)
 }
 
-// campaign asks for promises in earnest.
-func (m *Replica) campaign(k *key) {
-	k.preVote, k.since = false, m.now
-	k.promised = k.mine
-	mine := k.mine
-	k.promises = map[string]*Vote{}
-	m.write([]ledgerEntry{k.meta()}, func() {
-		if k.role != asks || k.mine != mine {
+// campaign requests binding votes, after the pre-vote or a transfer. The new epoch is made
+// durable first.
+func (m *Replica) campaign(k *replicatedKey) {
+	k.preVote, k.roleSince = false, m.now
+	k.promised = k.ownEpoch
+	epoch := k.ownEpoch
+	k.votes = map[string]*Vote{}
+	m.write([]storageEntry{k.meta()}, func() {
+		if k.role != roleCandidate || k.ownEpoch != epoch {
 			return
 		}
-		k.promises[m.self] = &Vote{At: k.at}
-		m.canvass(k)
+		k.votes[m.self] = &Vote{At: k.position}
+		m.requestVotes(k)
 	})
 }
 
-// canvass asks all whose promise is not there yet; see Tick for how often.
-func (m *Replica) canvass(k *key) {
-	k.askedAt = m.now
+// requestVotes sends a vote request to every seat that has not granted its vote yet. Tick
+// repeats it every quarter of a heartbeat interval.
+func (m *Replica) requestVotes(k *replicatedKey) {
+	k.votesRequestedAt = m.now
 	for _, to := range m.seatedOthers() {
-		if k.promises[m.newest[to]] != nil {
+		if k.votes[m.lastIdentity[to]] != nil {
 			continue
 		}
-		m.send(to, Message{Body: &VoteRequest{Key: k.name, Epoch: k.mine, Roster: m.keys[RosterKey].at, At: k.at, PreVote: k.preVote}})
+		m.send(to, Message{Body: &VoteRequest{Key: k.name, Epoch: k.ownEpoch, Roster: m.keys[RosterKey].position, At: k.position, PreVote: k.preVote}})
 	}
-	m.promised(k)
+	m.tallyVotes(k)
 }
 
-// served says that a key has an owner, as far as this member can tell.
-func (m *Replica) served(k *key) bool {
-	near := m.cfg.Vacant * 3 / 4
-	return k.role == owns && m.now-k.agreed <= near || k.role != owns && k.owned && m.now-k.copied <= near
+// hasLiveOwner reports whether, as far as this member knows, the key has an owner in contact
+// with a quorum (if it is this member) or with this member.
+func (m *Replica) hasLiveOwner(k *replicatedKey) bool {
+	limit := m.cfg.Vacant * 3 / 4
+	return k.role == roleOwner && m.now-k.quorumAt <= limit || k.role != roleOwner && k.hasOwner && m.now-k.ownerContact <= limit
 }
 
-func (m *Replica) onVoteRequest(from string, a *VoteRequest) {
-	k := m.key(a.Key)
-	k.floor = max(k.floor, a.Epoch.N)
-	older := m.olderRoster(a.Roster)
-	behind := a.At.Less(k.at)
-	ok := !a.Epoch.Less(k.promised) && !older && !behind
-	if a.PreVote && ok && m.served(k) && k.promised.Owner != from {
-		ok = false
-	}
-	if ok && !a.PreVote && k.promised != a.Epoch {
-		m.stepDown(k, a.Epoch)
-		k.heard, k.heardAny, k.owned = m.now, true, false
-		m.write([]ledgerEntry{k.meta()}, nil)
-	}
-	p := &Vote{Key: a.Key, Epoch: a.Epoch, OK: ok, Promised: k.promised, At: k.at, PreVote: a.PreVote, Sums: k.Sums}
+func (m *Replica) onVoteRequest(from string, req *VoteRequest) {
+	k := m.key(req.Key)
+	k.maxSeenEpoch = max(k.maxSeenEpoch, req.Epoch.N)
+	older := m.olderRoster(req.Roster)
+	behind := req.At.Less(k.position)
+	granted := !req.Epoch.Less(k.promised) && !older && !behind
+	if req.PreVote && granted && m.hasLiveOwner(k) && k.promised.Owner != from {
+		granted = false
+	}
+	if granted && !req.PreVote && k.promised != req.Epoch {
+		m.stepDown(k, req.Epoch)
+		k.lastContact, k.hadContact, k.hasOwner = m.now, true, false
+		m.write([]storageEntry{k.meta()}, nil)
+	}
+	vote := &Vote{Key: req.Key, Epoch: req.Epoch, OK: granted, Promised: k.promised, At: k.position, PreVote: req.PreVote, Sums: k.Sums}
 	if older {
-		p.Outdated = m.rosterHolding()
+		vote.Outdated = m.rosterCopy()
 	}
 	if behind && (m.leaving || !m.mayOwn()) {
-		p.At = a.At // this member is no heir that the asker should make way for
+		vote.At = req.At // this member can't become owner, so the candidate must not withdraw in its favor
 	}
-	m.settled(func() {
-		p.OK = p.OK && (a.PreVote || k.promised == a.Epoch)
-		if p.OK && !a.PreVote && k.wanted {
-			p.Quiet = m.now - k.spoke
+	m.whenDurable(func() {
+		vote.OK = vote.OK && (req.PreVote || k.promised == req.Epoch)
+		if vote.OK && !req.PreVote && k.trackFreshness {
+			vote.Quiet = m.now - k.lastConfirmSent
 		}
-		m.send(from, Message{Body: p})
+		m.send(from, Message{Body: vote})
 	})
-	if behind && !older && !m.served(k) {
-		// The asker lacks what this member holds, so this one is the better heir.
-		m.takeOver(k, false)
+	if behind && !older && !m.hasLiveOwner(k) {
+		// The candidate lacks changes that this member has, so this member is the better
+		// candidate.
+		m.startElection(k, false)
 	}
 }
 
-func (m *Replica) onVote(from, id string, p *Vote) {
-	k := m.key(p.Key)
-	had := m.keys[RosterKey].at
-	if p.Outdated != nil {
-		m.adopt(p.Outdated)
+func (m *Replica) onVote(from, id string, vote *Vote) {
+	k := m.key(vote.Key)
+	rosterBefore := m.keys[RosterKey].position
+	if vote.Outdated != nil {
+		m.adoptRoster(vote.Outdated)
 	}
-	if k.role != asks || k.mine != p.Epoch || k.preVote != p.PreVote {
+	if k.role != roleCandidate || k.ownEpoch != vote.Epoch || k.preVote != vote.PreVote {
 		return
 	}
-	if !p.OK || k.at.Less(p.At) {
-		k.floor = max(k.floor, p.Promised.N)
+	if !vote.OK || k.position.Less(vote.At) {
+		k.maxSeenEpoch = max(k.maxSeenEpoch, vote.Promised.N)
 		switch {
-		case !p.PreVote && k.mine.Less(p.Promised):
-			m.stepDown(k, p.Promised)
-			m.write([]ledgerEntry{k.meta()}, nil)
-		case p.Outdated != nil:
-			if had != m.keys[RosterKey].at {
-				m.canvass(k) // under the roster that it has now
+		case !vote.PreVote && k.ownEpoch.Less(vote.Promised):
+			m.stepDown(k, vote.Promised)
+			m.write([]storageEntry{k.meta()}, nil)
+		case vote.Outdated != nil:
+			if rosterBefore != m.keys[RosterKey].position {
+				m.requestVotes(k) // under the newer roster
 			}
-		case p.PreVote && k.at.Less(p.At):
-			// In earnest a majority decides, whatever the others hold.
-			m.release(k, ErrNoQuorum)
-			k.notUntil = m.now + m.cfg.Beat
+		case vote.PreVote && k.position.Less(vote.At):
+			// Only a pre-vote ends here: in a binding vote a majority decides, whatever the
+			// other members hold.
+			m.becomeFollower(k, ErrNoQuorum)
+			k.noElectionUntil = m.now + m.cfg.Beat
 		}
 		return
 	}
-	k.promises[id] = p
-	k.frees[id] = m.now - p.Quiet
-	m.promised(k)
+	k.votes[id] = vote
+	k.quietSince[id] = m.now - vote.Quiet
+	m.tallyVotes(k)
 }
 
-// promised makes this member the owner once a majority has promised. Each of them
-// held nothing newer than this member does.
-func (m *Replica) promised(k *key) {
-	if !m.quorum(false, func(id string) bool { return k.promises[id] != nil }) {
+// tallyVotes makes this member the owner once a majority has granted its votes. None of these
+// voters held anything newer than this member does.
+func (m *Replica) tallyVotes(k *replicatedKey) {
+	if !m.hasQuorum(false, func(id string) bool { return k.votes[id] != nil }) {
 		return
 	}
 	if !m.mayOwn() {
-		m.release(k, ErrNotOwner) // its seat has gone meanwhile
+		m.becomeFollower(k, ErrNotOwner) // this member has lost its seat in the meantime
 		return
 	}
 	if k.preVote {
 		m.campaign(k)
 		return
 	}
-	// Whoever owned the key before was sure of that only while a majority said so,
-	// and one member at least of any majority has promised now.
-	k.free = k.spoke
-	for id := range k.promises {
-		k.free = max(k.free, k.frees[id])
-	}
-	// A promise is no confirmation, for which others would wait: see reply.
-	k.sure, k.took, k.heir = unsure, m.now, len(k.Records) > 0
-	k.role, k.since, k.agreed = owns, m.now, m.now
-	k.acks, k.seen = map[string]Position{}, map[string]time.Duration{}
-	k.rounds, k.firstRound = map[string]uint64{}, m.beats.round+1
-	k.sending, k.mended = map[string]*sending{}, map[string]mended{}
-	base := k.at
-	k.at = Position{k.mine, base.Seq + 1}
-	k.log.add(base, k.at, nil)
-	at, promises := k.at, k.promises
-	k.promises, k.frees, k.taking = nil, nil, nil
-	m.write(append(m.apply(k, nil), k.meta()), func() { m.acked(k, m.self, at) })
-	for _, id := range slices.Sorted(maps.Keys(promises)) {
-		if p := promises[id]; id != m.self {
-			m.mend(k, addressOf(id), id, p.At, p.Sums)
+	// An earlier owner's ownership was confirmed by majorities, and each majority includes at
+	// least one of the present voters. So it was not confirmed later than the last confirmation
+	// that any of them sent.
+	k.predecessorUntil = k.lastConfirmSent
+	for id := range k.votes {
+		k.predecessorUntil = max(k.predecessorUntil, k.quietSince[id])
+	}
+	// The ownership still has to be confirmed. A vote doesn't count as a confirmation: later
+	// owners have to wait for the confirmations that a member sent (see replyWhenDurable).
+	k.confirmedAt, k.ownerSince, k.inherited = neverConfirmed, m.now, len(k.Records) > 0
+	k.role, k.roleSince, k.quorumAt = roleOwner, m.now, m.now
+	k.acks, k.ackedAt = map[string]Position{}, map[string]time.Duration{}
+	k.confirmedRounds, k.firstRound = map[string]uint64{}, m.heartbeats.round+1
+	k.outgoing, k.lastCatchUp = map[string]*outgoingSnapshot{}, map[string]catchUpSent{}
+	base := k.position
+	k.position = Position{k.ownEpoch, base.Seq + 1}
+	k.log.add(base, k.position, nil)
+	at, votes := k.position, k.votes
+	k.votes, k.quietSince, k.incoming = nil, nil, nil
+	m.write(append(m.apply(k, nil), k.meta()), func() { m.noteAck(k, m.self, at) })
+	for _, id := range slices.Sorted(maps.Keys(votes)) {
+		if vote := votes[id]; id != m.self {
+			m.catchUp(k, addressOf(id), id, vote.At, vote.Sums)
 		}
 	}
-	m.confirm(k)
-	m.advance(k)
+	m.scheduleConfirm(k)
+	m.advanceCommit(k)
 }
 
-// stepDown follows a newer epoch.
-func (m *Replica) stepDown(k *key, e Epoch) {
+// stepDown moves to a newer epoch as a follower.
+func (m *Replica) stepDown(k *replicatedKey, e Epoch) {
 	if k.promised.Less(e) {
 		k.promised = e
 	}
-	m.release(k, ErrNoQuorum)
+	m.becomeFollower(k, ErrNoQuorum)
 }
 
-func (m *Replica) release(k *key, err error) {
-	if k.role != follows {
-		k.role, k.preVote = follows, false
-		k.promises, k.acks, k.sending = nil, nil, nil
-		k.heard, k.heardAny, k.owned = m.now, true, false
+// becomeFollower gives up the ownership or candidacy of a key, and fails all waiting proposals
+// with err.
+func (m *Replica) becomeFollower(k *replicatedKey, err error) {
+	if k.role != roleFollower {
+		k.role, k.preVote = roleFollower, false
+		k.votes, k.acks, k.outgoing = nil, nil, nil
+		k.lastContact, k.hadContact, k.hasOwner = m.now, true, false
 	}
 	waiters, queue := k.waiters, k.queue
 	k.waiters, k.queue = nil, nil
@@ -191,40 +201,41 @@
 	}
 }
 
-// Heirs orders the addresses of the roster for a key: who takes it over first.
-func (m *Replica) Heirs(name string) []string { return slices.Clone(m.heirs(m.key(name))) }
+// Heirs returns the addresses of the roster in the order in which they take over a key.
+func (m *Replica) Heirs(name string) []string { return slices.Clone(m.successors(m.key(name))) }
 
-// heirs is Heirs for a key, worked out once for each roster.
-func (m *Replica) heirs(k *key) []string {
-	if s := m.seats(); k.heirsOf != s {
-		k.heirsOf, k.heirList = s, rendezvous.Order(k.name, m.Roster())
+// successors is Heirs without the copy; the order is computed once per roster.
+func (m *Replica) successors(k *replicatedKey) []string {
+	if s := m.seats(); k.successorsFor != s {
+		k.successorsFor, k.successorList = s, rendezvous.Order(k.name, m.Roster())
 	}
-	return k.heirList
+	return k.successorList
 }
 
-// rank is this member's place among the live heirs that are not the owner.
-func (m *Replica) rank(k *key) int {
+// rankAmongLive is the number of live members, other than the present owner, that come before
+// this one in the key's order of successors.
+func (m *Replica) rankAmongLive(k *replicatedKey) int {
 	n := 0
-	for _, id := range m.heirs(k) {
+	for _, id := range m.successors(k) {
 		if id == m.cfg.Self {
 			return n
 		}
-		if id != k.promised.Owner && m.cfg.Alive(id) && !m.wiped(id) {
+		if id != k.promised.Owner && m.cfg.Alive(id) && !m.diskReplaced(id) {
 			n++
 		}
 	}
 	return n
 }
 
-// wiped says that the machine at a seat's address has come back with another disk.
-func (m *Replica) wiped(address string) bool {
-	id, known := m.newest[address]
+// diskReplaced reports whether the machine at a seat's address has come back with another disk.
+func (m *Replica) diskReplaced(address string) bool {
+	id, known := m.lastIdentity[address]
 	return known && id != address && !slices.Contains(m.seats().all(), id) && !slices.Contains(m.seats().all(), address)
 }
 
-// place is this member's place among all heirs.
-func (m *Replica) place(name string) int {
-	for i, id := range m.heirs(m.key(name)) {
+// rankAmongAll is this member's index in the key's order of successors.
+func (m *Replica) rankAmongAll(name string) int {
+	for i, id := range m.successors(m.key(name)) {
 		if id == m.cfg.Self {
 			return i
 		}
@@ -234,88 +245,90 @@
 
 func (m *Replica) onProbe(from string) {
 	if !m.mayOwn() || m.leaving {
-		return // whoever asks would wait for this member to take keys over
+		return // an answer would make the sender wait for this member to take over keys
 	}
-	out := &ProbeAck{}
+	ack := &ProbeAck{}
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role != follows || m.Owner(m.now, name) != "" {
-			out.Owned = append(out.Owned, name)
+		if k := m.keys[name]; k.role != roleFollower || m.Owner(m.now, name) != "" {
+			ack.Owned = append(ack.Owned, name)
 		}
 	}
-	m.send(from, Message{Body: out})
+	m.send(from, Message{Body: ack})
 }
 
-func (m *Replica) onProbeAck(from string, h *ProbeAck) {
-	m.hailed[from] = map[string]bool{}
-	for _, name := range h.Owned {
-		m.hailed[from][name] = true
+func (m *Replica) onProbeAck(from string, ack *ProbeAck) {
+	m.probeAcks[from] = map[string]bool{}
+	for _, name := range ack.Owned {
+		m.probeAcks[from][name] = true
 	}
 }
 
-// ownerless says that a majority has answered a hail and knows no owner, and
-// that no heir before this member was among those who answered.
-func (m *Replica) ownerless(name string) bool {
-	for _, owned := range m.hailed {
+// probesFoundNoOwner reports whether a majority has answered this member's probes, none of them
+// knows an owner of the key, and none of those that answered precedes this member in the order
+// of successors.
+func (m *Replica) probesFoundNoOwner(name string) bool {
+	for _, owned := range m.probeAcks {
 		if owned[name] {
 			return false
 		}
 	}
-	if !enough(m.Roster(), false, func(id string) bool { return id == m.cfg.Self || m.hailed[id] != nil }) {
+	if !hasQuorumOf(m.Roster(), false, func(id string) bool { return id == m.cfg.Self || m.probeAcks[id] != nil }) {
 		return false
 	}
 	for _, id := range m.Heirs(name) {
 		if id == m.cfg.Self {
 			return true
 		}
-		if m.hailed[id] != nil {
+		if m.probeAcks[id] != nil {
 			return false
 		}
 	}
 	return false
 }
 
-// yield names a successor for a key: an heir whose copy is up to date, if there is one.
-func (m *Replica) yield(k *key) {
-	var heir string
+// transfer asks a successor to take over a key: the first live one whose copy is up to date, or
+// else the first live one.
+func (m *Replica) transfer(k *replicatedKey) {
+	var successor string
 	for _, id := range m.Heirs(k.name) {
 		if id == m.cfg.Self || !m.cfg.Alive(id) {
 			continue
 		}
-		if heir == "" {
-			heir = id
+		if successor == "" {
+			successor = id
 		}
-		if at, ok := k.ackOf(id); ok && at == k.at {
-			heir = id
+		if at, ok := k.ackedPosition(id); ok && at == k.position {
+			successor = id
 			break
 		}
 	}
-	if heir != "" {
-		m.send(heir, Message{Body: &Transfer{k.name}})
+	if successor != "" {
+		m.send(successor, Message{Body: &Transfer{k.name}})
 	}
 }
 
-// handBack gives a key back to the heir that comes before this member, once
-// that has been at work, with a copy that is up to date, for a long calm time.
-// Keys that a failure has gathered at one member so spread out again.
-func (m *Replica) handBack(k *key) {
-	heir := m.heirs(k)[0]
-	at, _ := k.ackOf(heir)
-	calm := heir != m.cfg.Self && m.cfg.HandBack > 0 && m.cfg.Alive(heir) && k.commit == k.at && len(k.waiters)+len(k.queue) == 0 &&
-		at == k.at && m.now-k.seen[m.newest[heir]] <= m.cfg.Vacant && m.now-k.since > m.cfg.HandBack &&
-		(k.name != RosterKey || m.whole())
-	if !calm {
-		k.calmFrom = m.now
+// handBack returns a key to the first member in its order of successors once that member has
+// been alive and up to date, and the key idle, for the period HandBack. Keys that were gathered
+// at one member by a failure are thus spread out again.
+func (m *Replica) handBack(k *replicatedKey) {
+	preferred := m.successors(k)[0]
+	at, _ := k.ackedPosition(preferred)
+	stable := preferred != m.cfg.Self && m.cfg.HandBack > 0 && m.cfg.Alive(preferred) && k.commit == k.position && len(k.waiters)+len(k.queue) == 0 &&
+		at == k.position && m.now-k.ackedAt[m.lastIdentity[preferred]] <= m.cfg.Vacant && m.now-k.roleSince > m.cfg.HandBack &&
+		(k.name != RosterKey || m.allSeatsAnswering())
+	if !stable {
+		k.stableSince = m.now
 		return
 	}
-	if m.now-k.calmFrom >= m.cfg.HandBack {
-		m.release(k, ErrNotOwner)
-		k.notUntil = m.now + m.cfg.Vacant
-		m.send(heir, Message{Body: &Transfer{k.name}})
+	if m.now-k.stableSince >= m.cfg.HandBack {
+		m.becomeFollower(k, ErrNotOwner)
+		k.noElectionUntil = m.now + m.cfg.Vacant
+		m.send(preferred, Message{Body: &Transfer{k.name}})
 	}
 }
 
-// ackOf is the newest position that the member at an address has confirmed.
-func (k *key) ackOf(address string) (at Position, ok bool) {
+// ackedPosition is the newest position that the member at an address has acknowledged.
+func (k *replicatedKey) ackedPosition(address string) (at Position, ok bool) {
 	for id, p := range k.acks {
 		if addressOf(id) == address && (!ok || at.Less(p)) {
 			at, ok = p, true
@@ -324,16 +337,16 @@
 	return at, ok
 }
 
-// Leave hands over all keys; the member takes none from then on. MayGo says when its
-// copies are needed no more.
+// Leave transfers all keys to other members; from then on this member takes over none. MayGo
+// reports when its copies are no longer needed.
 func (m *Replica) Leave(now time.Duration) {
 	m.now = now
 	m.leaving = true
 	m.survey = nil
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role == owns {
-			m.yield(k)
-			m.release(k, ErrNotOwner)
+		if k := m.keys[name]; k.role == roleOwner {
+			m.transfer(k)
+			m.becomeFollower(k, ErrNotOwner)
 		}
 	}
 	m.tickLeaving()
--- a/internal/replication/erased_test.go
+++ b/internal/replication/erased_test.go
@@ -42,7 +42,9 @@
 				}
 			}
 			comeAndGo(0, steps)
-			who := slices.IndexFunc(w.sound(), func(n *node) bool { return n.m.keys[testKey].role != owns && n.m.keys[RosterKey].role != owns })
+			who := slices.IndexFunc(w.sound(), func(n *node) bool {
+				return n.m.keys[testKey].role != roleOwner && n.m.keys[RosterKey].role != roleOwner
+			})
 			w.inject(failure{kind: k, who: who, count: 1, hold: 12 * time.Second})
 			w.run(w.now + 100*time.Millisecond)
 			comeAndGo(steps, 2*steps)
--- a/internal/replication/founding_test.go
+++ b/internal/replication/founding_test.go
@@ -14,7 +14,7 @@
 // mayFoundFrom says whether a disk tells of a system's first start, or of its roster.
 func mayFoundFrom(disk replicationtest.Disk) bool {
 	var v nodeValue
-	return cbor.Unmarshal(disk[nodeEntry], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+RosterKey] != nil)
+	return cbor.Unmarshal(disk[nodeEntryKey], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+RosterKey] != nil)
 }
 
 // foundingRun starts four machines, three of which are seeds, and kills some of them at
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -1,19 +1,18 @@
 package replication
 
-// This file holds the owner's half of heartbeats: what an owner sends each other member
-// at each beat, and what it makes of the answers.
+// This file holds the owner's side of heartbeats: what a member that owns keys sends to the
+// others at each heartbeat interval. heartbeat_acks.go holds what it does with the answers.
 //
-// One heartbeat stands for all keys that a process owns. It names their epochs and
-// positions by a version and a digest of the whole list, and carries only the entries
-// that differ from the version which that member acknowledged last. Its round number is
-// one for the process, so one answer confirms the epochs of all keys in the list. An
-// answer names the keys for which it doesn't hold: one of a newer epoch deposes the owner
-// of that key alone.
+// One heartbeat covers all keys that a process owns. It identifies their epochs and positions
+// by a version and a digest of the whole list, and carries only the entries that differ from
+// the version that the receiver acknowledged last. A round number applies to the whole process,
+// so one answer confirms the epochs of all keys in the list. An answer names the keys that are
+// exceptions; a newer epoch for one of them deposes the owner of that key alone.
 //
-// Between beats a partial heartbeat tells of the keys that it names and of no others:
-// those that were committed a moment ago, and those for which a read waits to be
-// confirmed. One that only tells of commits is not answered, unless the member lacks
-// what was committed.
+// Between these full heartbeats a partial heartbeat covers only the keys that it names: those
+// with a new commit, and those for which a read waits until the ownership is confirmed. One
+// that only announces commits is not answered unless the receiver's copy differs from the
+// owner's or the owner's epoch or roster is outdated.
 
 import (
 	"maps"
@@ -21,130 +20,133 @@
 	"time"
 )
 
-// protocolHeartbeat is the first protocol in which members understand heartbeats.
-// Members of an older one are sent a copy without changes for each key.
+// protocolHeartbeat is the first protocol version whose members understand heartbeats. Members
+// of an older version are sent an Append without changes for each key.
 const protocolHeartbeat = 1
 
-// roundsKept is for how many times the vacancy bound the times of rounds are kept; those
-// of the roster date the members' answers (see gone).
-const roundsKept = 8
+// roundRetention is how long the start times of rounds are kept, in multiples of Config.Vacant.
+// The times of the roster's rounds tell when a member last answered (see gone).
+const roundRetention = 8
 
 // peer is what an owner knows of the process at another member's address.
 type peer struct {
-	id      string
-	life    uint64
-	hears   bool   // it understands heartbeats
-	version uint64 // of the list that it acknowledged last; 0: none
+	id                string
+	incarnation       uint64
+	supportsHeartbeat bool
+	listVersion       uint64 // version of the list that it acknowledged last; 0: none
 }
 
-// sentRound is a round that was begun. keys are those of its partial heartbeat.
+// sentRound is a round that has begun. keys are the keys of its partial heartbeat.
 type sentRound struct {
 	at   time.Duration
 	keys []sentKey
 }
 
+// sentKey is a key with its position when the round began.
 type sentKey struct {
-	*key
-	at Position
+	*replicatedKey
+	position Position
 }
 
-// listing is a key's entry in the list and the version that brought it.
-type listing struct {
+// listEntry is a key's entry in the list, with the list version that added it.
+type listEntry struct {
 	KeyStatus
 	version uint64
 }
 
-// due says what a partial heartbeat is due for.
-type due int
+// dueReason is why a key is due for a partial heartbeat.
+type dueReason int
 
 const (
-	dueNotice  due = iota // the key was committed
-	dueConfirm            // its epoch is to be confirmed
+	dueCommit  dueReason = iota // a new commit is to be announced
+	dueConfirm                  // its epoch has to be confirmed
 )
 
-// heartbeats is the owner's half of heartbeats.
-type heartbeats struct {
-	round     uint64 // the newest that was begun
-	sent      map[uint64]sentRound
-	oldest    uint64            // the oldest in sent
-	rounds    map[string]uint64 // by member: the newest round in which it confirmed the whole list
-	confirmed uint64            // the newest round in which a quorum did
-	beatAt    time.Duration     // when the last one was sent to all
+// heartbeatState is the state of the owner's side of heartbeats.
+type heartbeatState struct {
+	round           uint64               // number of the newest round
+	sent            map[uint64]sentRound // by number
+	oldest          uint64               // lowest round number in sent
+	confirmedRounds map[string]uint64    // by member: the newest round in which it confirmed the whole list
+	confirmedRound  uint64               // the newest round that a quorum confirmed
+	lastFullAt      time.Duration        // when a full heartbeat was last sent to all members
 
-	version, digest uint64
-	listed          map[string]listing
-	gone            map[string]uint64 // keys that have left the list, and the version that says so
+	version, digest uint64 // of the list of owned keys
+	listed          map[string]listEntry
+	removed         map[string]uint64 // keys removed from the list, with the list version that removed them
 
-	dueAll  bool
-	dueTo   map[string]bool // members that need not wait for the next beat
-	dueKeys map[string]due
+	dueAll  bool                 // a full heartbeat to all members is due
+	dueTo   map[string]bool      // addresses to be sent a full heartbeat at once, ahead of the interval
+	dueKeys map[string]dueReason // keys for the next partial heartbeat
 }
 
-func newHeartbeats() heartbeats {
-	return heartbeats{sent: map[uint64]sentRound{}, oldest: 1, rounds: map[string]uint64{}, listed: map[string]listing{},
-		gone: map[string]uint64{}, dueTo: map[string]bool{}, dueKeys: map[string]due{}}
+func newHeartbeatState() heartbeatState {
+	return heartbeatState{sent: map[uint64]sentRound{}, oldest: 1, confirmedRounds: map[string]uint64{}, listed: map[string]listEntry{},
+		removed: map[string]uint64{}, dueTo: map[string]bool{}, dueKeys: map[string]dueReason{}}
 }
 
-// meet notes which process speaks at an address, and of which protocol.
-func (m *Replica) meet(from, id string, msg Message) {
+// notePeer records which process is at an address and whether it understands heartbeats.
+func (m *Replica) notePeer(from, id string, msg Message) {
 	p := m.peers[from]
-	if p == nil || p.id != id || p.life != msg.Life {
-		p = &peer{id: id, life: msg.Life}
+	if p == nil || p.id != id || p.incarnation != msg.Life {
+		p = &peer{id: id, incarnation: msg.Life}
 		m.peers[from] = p
-		m.beats.dueTo[from] = true
+		m.heartbeats.dueTo[from] = true
 	}
-	p.hears = msg.Protocol >= protocolHeartbeat
+	p.supportsHeartbeat = msg.Protocol >= protocolHeartbeat
 }
 
-// noteMark notes a member's clock, to be echoed with the next heartbeat. A new process
-// need not wait for the next beat.
-func (m *Replica) noteMark(from, id string, at time.Duration) {
-	had, ok := m.marks[id]
-	m.marks[id] = mark{m.lives[id], at, m.now}
-	if !ok || had.life != m.lives[id] {
-		m.beats.dueTo[from] = true
+// noteClockMark records a member's clock reading, which the next heartbeat returns to it. A new
+// process is sent one at once.
+func (m *Replica) noteClockMark(from, id string, clock time.Duration) {
+	previous, ok := m.clockMarks[id]
+	m.clockMarks[id] = clockMark{m.incarnations[id], clock, m.now}
+	if !ok || previous.incarnation != m.incarnations[id] {
+		m.heartbeats.dueTo[from] = true
 	}
 }
 
-// confirm starts a round in which a quorum has to confirm the epoch, and returns it.
-func (m *Replica) confirm(k *key) (round uint64) {
-	m.beats.dueKeys[k.name] = dueConfirm
-	return m.beats.round + 1
+// scheduleConfirm schedules a round in which a quorum has to confirm the key's epoch, and
+// returns its number.
+func (m *Replica) scheduleConfirm(k *replicatedKey) (round uint64) {
+	m.heartbeats.dueKeys[k.name] = dueConfirm
+	return m.heartbeats.round + 1
 }
 
-// notice tells the others soon where the key stands.
-func (m *Replica) notice(k *key) {
-	m.beats.dueKeys[k.name] = max(m.beats.dueKeys[k.name], dueNotice)
+// scheduleCommitNotice schedules a partial heartbeat that tells the others the key's commit
+// position.
+func (m *Replica) scheduleCommitNotice(k *replicatedKey) {
+	m.heartbeats.dueKeys[k.name] = max(m.heartbeats.dueKeys[k.name], dueCommit)
 }
 
-// owned lists the keys that this member owns, by name.
-func (m *Replica) owned() (out []*key) {
+// ownedKeys returns the keys that this member owns, sorted by name.
+func (m *Replica) ownedKeys() (out []*replicatedKey) {
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role == owns {
+		if k := m.keys[name]; k.role == roleOwner {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// flushHeartbeats sends the heartbeats that are due. It runs when all that the driver had
-// for this member is done, so that many keys share one.
+// flushHeartbeats sends the heartbeats that are due. It runs once the driver has passed on
+// everything that it had for this member, so that many keys share one heartbeat.
 func (m *Replica) flushHeartbeats() {
-	b := &m.beats
+	b := &m.heartbeats
 	if !b.dueAll && len(b.dueTo) == 0 && len(b.dueKeys) == 0 {
 		return
 	}
 	all, to, names := b.dueAll, b.dueTo, b.dueKeys
-	b.dueAll, b.dueTo, b.dueKeys = false, map[string]bool{}, map[string]due{}
-	owned := m.owned()
+	b.dueAll, b.dueTo, b.dueKeys = false, map[string]bool{}, map[string]dueReason{}
+	owned := m.ownedKeys()
 	if len(owned) == 0 {
 		return
 	}
-	var keys []*key
+	var keys []*replicatedKey
 	confirm := all || len(to) > 0
 	if !all {
 		for _, name := range slices.Sorted(maps.Keys(names)) {
-			if k := m.keys[name]; k.role == owns {
+			if k := m.keys[name]; k.role == roleOwner {
 				keys = append(keys, k)
 				confirm = confirm || names[name] == dueConfirm
 			}
@@ -155,194 +157,195 @@
 		round = m.beginRound(keys)
 	}
 	if all {
-		b.beatAt = m.now
+		b.lastFullAt = m.now
 	}
 	if all || len(to) > 0 {
-		m.relist(owned)
+		m.updateList(owned)
 	}
-	whole := m.wholeHeartbeats(round, owned)
+	full := m.fullHeartbeats(round, owned)
 	partial := m.partialHeartbeat(round, keys)
 	for _, a := range m.others() {
 		switch {
 		case all || to[a]:
-			m.sendWhole(a, owned, whole)
+			m.sendFull(a, owned, full)
 		case len(keys) > 0:
 			m.sendPartial(a, keys, partial)
 		}
 	}
 }
 
-// beginRound begins a round and forgets those that are of no use any more.
-func (m *Replica) beginRound(keys []*key) uint64 {
-	b := &m.beats
+// beginRound begins a round and forgets rounds that are too old to be of use.
+func (m *Replica) beginRound(keys []*replicatedKey) uint64 {
+	b := &m.heartbeats
 	b.round++
 	s := sentRound{at: m.now}
 	for _, k := range keys {
-		s.keys = append(s.keys, sentKey{k, k.at})
+		s.keys = append(s.keys, sentKey{k, k.position})
 	}
 	b.sent[b.round] = s
-	for ; b.oldest < b.round && m.now-b.sent[b.oldest].at > roundsKept*m.cfg.Vacant; b.oldest++ {
+	for ; b.oldest < b.round && m.now-b.sent[b.oldest].at > roundRetention*m.cfg.Vacant; b.oldest++ {
 		delete(b.sent, b.oldest)
 	}
 	return b.round
 }
 
-// status is how this member stands with a key that it owns.
-func (m *Replica) status(k *key) KeyStatus {
-	s := KeyStatus{Key: k.name, Epoch: k.mine.N, Seq: k.at.Seq, Sum: k.Sums.Fold()}
-	if k.commit.Epoch == k.mine {
+// status is the entry of an owned key in a heartbeat.
+func (m *Replica) status(k *replicatedKey) KeyStatus {
+	s := KeyStatus{Key: k.name, Epoch: k.ownEpoch.N, Seq: k.position.Seq, Sum: k.Sums.Fold()}
+	if k.commit.Epoch == k.ownEpoch {
 		s.Commit = k.commit.Seq
 	}
 	return s
 }
 
-// relist brings the list to where the keys stand now.
-func (m *Replica) relist(owned []*key) {
-	b := &m.beats
+// updateList brings the list up to date with the keys that this member owns now.
+func (m *Replica) updateList(owned []*replicatedKey) {
+	b := &m.heartbeats
 	next := b.version + 1
 	for _, k := range owned {
-		had, ok := b.listed[k.name]
+		previous, ok := b.listed[k.name]
 		s := m.status(k)
-		if ok && had.KeyStatus == s {
+		if ok && previous.KeyStatus == s {
 			continue
 		}
 		if ok {
-			b.digest ^= had.digest()
+			b.digest ^= previous.digest()
 		}
 		b.digest ^= s.digest()
-		b.listed[k.name], b.version = listing{s, next}, next
-		delete(b.gone, k.name)
+		b.listed[k.name], b.version = listEntry{s, next}, next
+		delete(b.removed, k.name)
 	}
 	if len(b.listed) > len(owned) {
 		for name, l := range b.listed {
-			if m.keys[name].role != owns {
+			if m.keys[name].role != roleOwner {
 				b.digest ^= l.digest()
-				b.version, b.gone[name] = next, next
+				b.version, b.removed[name] = next, next
 				delete(b.listed, name)
 			}
 		}
 	}
-	m.forgetGone()
+	m.forgetRemoved()
 }
 
-// forgetGone forgets keys of which every member knows that they have left the list.
-func (m *Replica) forgetGone() {
-	known := m.beats.version
+// forgetRemoved forgets removed keys once every member's list reflects the removal.
+func (m *Replica) forgetRemoved() {
+	known := m.heartbeats.version
 	for _, p := range m.peers {
-		if p.version > 0 {
-			known = min(known, p.version)
+		if p.listVersion > 0 {
+			known = min(known, p.listVersion)
 		}
 	}
-	maps.DeleteFunc(m.beats.gone, func(_ string, version uint64) bool { return version <= known })
+	maps.DeleteFunc(m.heartbeats.removed, func(_ string, version uint64) bool { return version <= known })
 }
 
-// wholeHeartbeats returns a function that gives the heartbeat for a member that holds the
-// list at a base; members with the same base share it.
-func (m *Replica) wholeHeartbeats(round uint64, owned []*key) func(base uint64) *Heartbeat {
+// fullHeartbeats returns a function that builds the heartbeat for a member that holds the list
+// at version base. Members with the same base share one message.
+func (m *Replica) fullHeartbeats(round uint64, owned []*replicatedKey) func(base uint64) *Heartbeat {
 	made := map[uint64]*Heartbeat{}
 	return func(base uint64) *Heartbeat {
 		if h := made[base]; h != nil {
 			return h
 		}
-		b := &m.beats
-		h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].at, Base: base, Version: b.version, Digest: b.digest}
+		b := &m.heartbeats
+		h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].position, Base: base, Version: b.version, Digest: b.digest}
 		for _, k := range owned {
 			if l := b.listed[k.name]; l.version > base {
 				h.Keys = append(h.Keys, l.KeyStatus)
 			}
 		}
 		if base > 0 {
-			for name, version := range b.gone {
+			for name, version := range b.removed {
 				if version > base {
 					h.Gone = append(h.Gone, name)
 				}
 			}
 			slices.Sort(h.Gone)
 		}
-		m.tellAges(h, owned)
+		m.setAges(h, owned)
 		made[base] = h
 		return h
 	}
 }
 
-func (m *Replica) partialHeartbeat(round uint64, keys []*key) *Heartbeat {
-	h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].at, Partial: true}
+func (m *Replica) partialHeartbeat(round uint64, keys []*replicatedKey) *Heartbeat {
+	h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].position, Partial: true}
 	for _, k := range keys {
 		h.Keys = append(h.Keys, m.status(k))
 	}
-	m.tellAges(h, keys)
+	m.setAges(h, keys)
 	return h
 }
 
-// tellAges puts into a heartbeat how long ago this member was sure of the keys: one age
-// for most, and those of the keys that are not as sure.
-func (m *Replica) tellAges(h *Heartbeat, keys []*key) {
-	sure := unsure
+// setAges sets how long ago this member's ownership of the keys was last confirmed: one age for
+// most of them, and separate ages for keys that were confirmed earlier or never.
+func (m *Replica) setAges(h *Heartbeat, keys []*replicatedKey) {
+	confirmedAt := neverConfirmed
 	for _, k := range keys {
-		if k.sure != unsure && (sure == unsure || k.sure < sure) {
-			sure = k.sure
+		if k.confirmedAt != neverConfirmed && (confirmedAt == neverConfirmed || k.confirmedAt < confirmedAt) {
+			confirmedAt = k.confirmedAt
 		}
 	}
-	if s, ok := m.beats.sent[m.beats.confirmed]; ok && !h.Partial {
-		sure = max(sure, s.at)
+	if s, ok := m.heartbeats.sent[m.heartbeats.confirmedRound]; ok && !h.Partial {
+		confirmedAt = max(confirmedAt, s.at)
 	}
-	if sure == unsure {
+	if confirmedAt == neverConfirmed {
 		return
 	}
-	h.Sure = &Sure{Age: m.now - sure}
+	h.Sure = &Sure{Age: m.now - confirmedAt}
 	for _, k := range keys {
 		switch {
-		case k.sure == unsure:
+		case k.confirmedAt == neverConfirmed:
 			h.Ages = append(h.Ages, KeyAge{k.name, -1})
-		case k.sure < sure:
-			h.Ages = append(h.Ages, KeyAge{k.name, m.now - k.sure})
+		case k.confirmedAt < confirmedAt:
+			h.Ages = append(h.Ages, KeyAge{k.name, m.now - k.confirmedAt})
 		}
 	}
 }
 
-// echoing is a heartbeat with the mark that a member has set; without one its ages mean
-// nothing to the member.
-func (m *Replica) echoing(h *Heartbeat, to string) *Heartbeat {
+// withClockMark returns the heartbeat with the clock mark of its receiver. Without a mark the
+// ages mean nothing to the receiver and are left out.
+func (m *Replica) withClockMark(h *Heartbeat, to string) *Heartbeat {
 	if h.Sure == nil {
 		return h
 	}
-	own := *h
-	if w, ok := m.marks[m.newest[to]]; ok {
-		own.Sure = &Sure{w.life, w.at, m.now - w.came, h.Sure.Age}
+	marked := *h
+	if mark, ok := m.clockMarks[m.lastIdentity[to]]; ok {
+		marked.Sure = &Sure{mark.incarnation, mark.clock, m.now - mark.receivedAt, h.Sure.Age}
 	} else {
-		own.Sure, own.Ages = nil, nil
+		marked.Sure, marked.Ages = nil, nil
 	}
-	return &own
+	return &marked
 }
 
-// sendWhole sends a member its heartbeat, or what stands for that: to a member of an older
-// version a copy for each key, and to one that hasn't been heard yet a copy of one key, which
-// any version answers.
-func (m *Replica) sendWhole(to string, owned []*key, whole func(base uint64) *Heartbeat) {
+// sendFull sends a member its full heartbeat. A member of an older protocol version is sent an
+// Append for each key instead, and one that has not been heard from yet an Append for one key,
+// which every version answers.
+func (m *Replica) sendFull(to string, owned []*replicatedKey, full func(base uint64) *Heartbeat) {
 	p := m.peers[to]
 	switch {
 	case p == nil:
 		m.sendAppends(to, owned[:1])
-	case !p.hears:
+	case !p.supportsHeartbeat:
 		m.sendAppends(to, owned)
 	default:
-		m.send(to, Message{Body: m.echoing(whole(p.version), to)})
+		m.send(to, Message{Body: m.withClockMark(full(p.listVersion), to)})
 	}
 }
 
-func (m *Replica) sendPartial(to string, keys []*key, h *Heartbeat) {
+func (m *Replica) sendPartial(to string, keys []*replicatedKey, h *Heartbeat) {
 	switch p := m.peers[to]; {
 	case p == nil:
-	case !p.hears:
+	case !p.supportsHeartbeat:
 		m.sendAppends(to, keys)
 	default:
-		m.send(to, Message{Body: m.echoing(h, to)})
+		m.send(to, Message{Body: m.withClockMark(h, to)})
 	}
 }
 
-// sendAppends sends a member copies without changes, as older versions know them.
-func (m *Replica) sendAppends(to string, keys []*key) {
+// sendAppends sends a member an Append without changes for each key, as older protocol versions
+// expect.
+func (m *Replica) sendAppends(to string, keys []*replicatedKey) {
 	for _, k := range keys {
-		m.send(to, Message{Body: m.sureAppend(k, m.newest[to], m.copy(k, k.at))})
+		m.send(to, Message{Body: m.withFreshness(k, m.lastIdentity[to], m.newAppend(k, k.position))})
 	}
 }
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -1,141 +1,146 @@
 package replication
 
-// This file holds what an owner makes of the answers to its heartbeats.
+// This file holds what an owner does with the answers to its heartbeats.
 
 import (
 	"time"
 )
 
-func (m *Replica) onHeartbeatAck(from, id string, a *HeartbeatAck) {
-	if a.Life != m.cfg.Life {
-		return // it answers a former life of this member
+func (m *Replica) onHeartbeatAck(from, id string, ack *HeartbeatAck) {
+	if ack.Life != m.cfg.Life {
+		return // addressed to an earlier process of this member
 	}
 	p := m.peers[from]
-	if a.Lacks {
-		p.version = 0
+	if ack.Lacks {
+		p.listVersion = 0
 		return
 	}
-	if a.Outdated != nil {
-		m.adopt(a.Outdated)
-		m.deviate(from, id, a)
-		m.beats.dueAll = m.beats.dueAll || m.mayOwn() // under the roster that it follows
+	if ack.Outdated != nil {
+		m.adoptRoster(ack.Outdated)
+		m.handleDeviations(from, id, ack)
+		m.heartbeats.dueAll = m.heartbeats.dueAll || m.mayOwn() // again, under the newer roster
 		return
 	}
-	if a.Mark > 0 {
-		m.noteMark(from, id, a.Mark)
+	if ack.Mark > 0 {
+		m.noteClockMark(from, id, ack.Mark)
 	}
-	deviating := m.deviate(from, id, a)
-	s, ok := m.beats.sent[a.Round]
+	deviating := m.handleDeviations(from, id, ack)
+	s, ok := m.heartbeats.sent[ack.Round]
 	switch {
 	case !ok:
-	case a.Partial:
+	case ack.Partial:
 		for _, sent := range s.keys {
 			if !deviating[sent.name] {
-				m.confirmedBy(sent.key, id, a.Round, sent.at)
-				m.advance(sent.key)
+				m.noteConfirmedBy(sent.replicatedKey, id, ack.Round, sent.position)
+				m.advanceCommit(sent.replicatedKey)
 			}
 		}
 	default:
-		p.version = max(p.version, a.Version)
-		m.wholeConfirmed(id, a, deviating)
+		p.listVersion = max(p.listVersion, ack.Version)
+		m.noteListConfirmed(id, ack, deviating)
 	}
 }
 
-// deviate takes the answers about single keys, and names those keys.
-func (m *Replica) deviate(from, id string, a *HeartbeatAck) map[string]bool {
+// handleDeviations handles the answers about individual keys and returns the names of those
+// keys.
+func (m *Replica) handleDeviations(from, id string, ack *HeartbeatAck) map[string]bool {
 	keys := map[string]bool{}
-	for _, d := range a.Deviate {
+	for _, d := range ack.Deviate {
 		keys[d.Key] = true
-		c := *d
-		c.Round = a.Round
-		m.onAppendAck(from, id, &c)
+		deviation := *d
+		deviation.Round = ack.Round
+		m.onAppendAck(from, id, &deviation)
 	}
 	return keys
 }
 
-// confirmedBy notes that a member has confirmed the epoch of a key in a round, and holds
-// it as it stood at a position.
-func (m *Replica) confirmedBy(k *key, id string, round uint64, at Position) {
-	if k.role != owns || round < k.firstRound {
+// noteConfirmedBy records that a member has confirmed a key's epoch in a round and holds the
+// key at a position.
+func (m *Replica) noteConfirmedBy(k *replicatedKey, id string, round uint64, at Position) {
+	if k.role != roleOwner || round < k.firstRound {
 		return
 	}
-	k.seen[id] = m.now
-	k.rounds[id] = max(k.rounds[id], round)
-	if s, ok := m.beats.sent[round]; ok && k.name == RosterKey {
-		// A word that was long on its way proves nothing of a member that is gone.
-		m.proven[id] = max(m.proven[id], s.at)
+	k.ackedAt[id] = m.now
+	k.confirmedRounds[id] = max(k.confirmedRounds[id], round)
+	if s, ok := m.heartbeats.sent[round]; ok && k.name == RosterKey {
+		// The time when the round was sent counts: a delayed answer is no evidence that the
+		// member is still there.
+		m.rosterAnsweredAt[id] = max(m.rosterAnsweredAt[id], s.at)
 	}
-	if at.Epoch == k.mine && k.acks[id].Less(at) {
+	if at.Epoch == k.ownEpoch && k.acks[id].Less(at) {
 		k.acks[id] = at
 	}
 }
 
-// wholeConfirmed takes a member's answer for the whole list. What a quorum confirms is
-// worked out once for all keys; a key for which more is to be done is looked at alone.
-func (m *Replica) wholeConfirmed(id string, a *HeartbeatAck, deviating map[string]bool) {
-	b := &m.beats
-	b.rounds[id] = max(b.rounds[id], a.Round)
-	for _, r := range b.rounds {
-		if _, ok := b.sent[r]; ok && r > b.confirmed && m.quorum(false, func(id string) bool { return id == m.self || b.rounds[id] >= r }) {
-			b.confirmed = r
+// noteListConfirmed handles a member's confirmation of the whole list. Which round a quorum has
+// confirmed is computed once for all keys. Keys with waiting callers or uncommitted changes are
+// also advanced one by one, as are all keys while the protocols are mixed.
+func (m *Replica) noteListConfirmed(id string, ack *HeartbeatAck, deviating map[string]bool) {
+	b := &m.heartbeats
+	b.confirmedRounds[id] = max(b.confirmedRounds[id], ack.Round)
+	for _, r := range b.confirmedRounds {
+		if _, ok := b.sent[r]; ok && r > b.confirmedRound && m.hasQuorum(false, func(id string) bool { return id == m.self || b.confirmedRounds[id] >= r }) {
+			b.confirmedRound = r
 		}
 	}
-	sure, dated := b.sent[b.confirmed]
+	newestRound, known := b.sent[b.confirmedRound]
 	mixed := m.mixedProtocols()
-	for _, k := range m.owned() {
-		if k.role != owns || k.firstRound > a.Round || deviating[k.name] {
+	for _, k := range m.ownedKeys() {
+		if k.role != roleOwner || k.firstRound > ack.Round || deviating[k.name] {
 			continue
 		}
 		at := Position{}
-		if l := b.listed[k.name]; l.version <= a.Version {
+		if l := b.listed[k.name]; l.version <= ack.Version {
 			at = Position{Epoch{l.Epoch, m.cfg.Self, m.cfg.Life}, l.Seq}
 		}
-		m.confirmedBy(k, id, a.Round, at)
-		if dated && k.firstRound <= b.confirmed {
-			m.sureAt(k, sure.at)
+		m.noteConfirmedBy(k, id, ack.Round, at)
+		if known && k.firstRound <= b.confirmedRound {
+			m.noteOwnershipConfirmed(k, newestRound.at)
 		}
-		if mixed || len(k.waiters) > 0 || k.commit != k.at {
-			m.advance(k)
+		if mixed || len(k.waiters) > 0 || k.commit != k.position {
+			m.advanceCommit(k)
 		}
 	}
 }
 
-// mixedProtocols says that the word of some seat comes by keys, not for the whole list.
+// mixedProtocols reports whether some seat's member confirms keys one by one because it doesn't
+// understand heartbeats.
 func (m *Replica) mixedProtocols() bool {
 	for _, seat := range m.seats().all() {
-		if p := m.peers[addressOf(seat)]; p != nil && !p.hears {
+		if p := m.peers[addressOf(seat)]; p != nil && !p.supportsHeartbeat {
 			return true
 		}
 	}
 	return false
 }
 
-// sureAt notes that a quorum has confirmed the epoch in a round that began at a time.
-func (m *Replica) sureAt(k *key, at time.Duration) {
-	first := k.sure == unsure
-	k.agreed, k.sure = max(k.agreed, at), max(k.sure, at)
-	k.spoke = m.now
+// noteOwnershipConfirmed records that a quorum has confirmed the key's epoch in a round that
+// began at the given time.
+func (m *Replica) noteOwnershipConfirmed(k *replicatedKey, began time.Duration) {
+	first := k.confirmedAt == neverConfirmed
+	k.quorumAt, k.confirmedAt = max(k.quorumAt, began), max(k.confirmedAt, began)
+	k.lastConfirmSent = m.now
 	if first {
-		m.notice(k) // the others learn how old their copies are
+		m.scheduleCommitNotice(k) // the others can now date their copies
 	}
 }
 
-// confirmedRound is the newest round in which a quorum has confirmed the epoch of a key,
-// and when it began. 0: none.
-func (m *Replica) confirmedRound(k *key) (round uint64, began time.Duration) {
+// confirmedRound returns the newest round in which a quorum has confirmed the key's epoch, and
+// when it began; 0 if there is none.
+func (m *Replica) confirmedRound(k *replicatedKey) (round uint64, began time.Duration) {
 	if m.decidesAlone() {
-		return m.beats.round + 1, m.now
+		return m.heartbeats.round + 1, m.now
 	}
-	for _, r := range k.rounds {
-		s, ok := m.beats.sent[r]
-		if ok && r > round && r >= k.firstRound && m.quorum(false, func(id string) bool { return id == m.self || k.rounds[id] >= r }) {
+	for _, r := range k.confirmedRounds {
+		s, ok := m.heartbeats.sent[r]
+		if ok && r > round && r >= k.firstRound && m.hasQuorum(false, func(id string) bool { return id == m.self || k.confirmedRounds[id] >= r }) {
 			round, began = r, s.at
 		}
 	}
 	return round, began
 }
 
-// decidesAlone says that this member is a quorum by itself.
+// decidesAlone reports whether this member is a quorum by itself.
 func (m *Replica) decidesAlone() bool {
-	return m.quorum(false, func(id string) bool { return id == m.self })
+	return m.hasQuorum(false, func(id string) bool { return id == m.self })
 }
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds the other half of heartbeats: what a member makes of an owner's.
+// This file holds the receiver's side of heartbeats.
 
 import (
 	"cmp"
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// ownerList is the list of an owner's keys as a member holds it, by name.
+// ownerList is a member's copy of an owner's key list, sorted by name.
 type ownerList struct {
-	life    uint64
-	version uint64
-	digest  uint64
-	keys    []KeyStatus
-	heard   time.Duration
+	incarnation uint64
+	version     uint64
+	digest      uint64
+	keys        []KeyStatus
+	lastHeard   time.Duration
 }
 
 func (l *ownerList) find(name string) (int, bool) {
@@ -39,28 +39,28 @@
 	}
 }
 
-// listState is what a heartbeat did to the list that a member holds.
+// listState is the result of applying a heartbeat to a member's copy of the list.
 type listState int
 
 const (
-	listTaken listState = iota
-	listStale           // a newer heartbeat came before
-	listLacks           // the list on which it builds isn't there
+	listApplied listState = iota
+	listStale             // a newer heartbeat has arrived before
+	listMissing           // the list version that the heartbeat builds on isn't there
 )
 
-// takeList brings the list of an owner to a heartbeat's version.
-func (m *Replica) takeList(from string, life uint64, h *Heartbeat) (*ownerList, listState) {
-	l := m.lists[from]
+// applyList brings the copy of an owner's list to the heartbeat's version.
+func (m *Replica) applyList(from string, incarnation uint64, h *Heartbeat) (*ownerList, listState) {
+	l := m.ownerLists[from]
 	switch {
-	case l != nil && l.life == life && h.Version < l.version:
+	case l != nil && l.incarnation == incarnation && h.Version < l.version:
 		return nil, listStale
 	case h.Base == 0:
-		l = &ownerList{life: life}
-		m.lists[from] = l
-	case l == nil || l.life != life || l.version < h.Base:
-		return nil, listLacks
+		l = &ownerList{incarnation: incarnation}
+		m.ownerLists[from] = l
+	case l == nil || l.incarnation != incarnation || l.version < h.Base:
+		return nil, listMissing
 	}
-	l.heard, l.version = m.now, h.Version
+	l.lastHeard, l.version = m.now, h.Version
 	for _, s := range h.Keys {
 		l.put(s)
 	}
@@ -68,36 +68,37 @@
 		l.remove(name)
 	}
 	if l.digest != h.Digest {
-		delete(m.lists, from)
-		return nil, listLacks
+		delete(m.ownerLists, from)
+		return nil, listMissing
 	}
-	return l, listTaken
+	return l, listApplied
 }
 
-// forgetLists forgets the lists of owners that have not been heard for long.
-func (m *Replica) forgetLists() {
-	for from, l := range m.lists {
-		if m.now-l.heard > 20*m.cfg.Vacant {
-			delete(m.lists, from)
+// expireLists drops the lists of owners that have not been heard from for 20 times
+// Config.Vacant.
+func (m *Replica) expireLists() {
+	for from, l := range m.ownerLists {
+		if m.now-l.lastHeard > 20*m.cfg.Vacant {
+			delete(m.ownerLists, from)
 		}
 	}
 }
 
-// heardKey is a key that a heartbeat stood for and the epoch that it told of.
+// heardKey is a key covered by a heartbeat, with the epoch that the heartbeat gave.
 type heardKey struct {
-	*key
+	*replicatedKey
 	epoch Epoch
 }
 
-func (m *Replica) onHeartbeat(from string, life uint64, h *Heartbeat) {
-	ack := &HeartbeatAck{Life: life, Round: h.Round, Partial: h.Partial}
+func (m *Replica) onHeartbeat(from string, incarnation uint64, h *Heartbeat) {
+	ack := &HeartbeatAck{Life: incarnation, Round: h.Round, Partial: h.Partial}
 	statuses := h.Keys
 	if !h.Partial {
-		l, state := m.takeList(from, life, h)
+		l, state := m.applyList(from, incarnation, h)
 		switch state {
 		case listStale:
 			return
-		case listLacks:
+		case listMissing:
 			ack.Lacks = true
 			m.send(from, Message{Body: ack})
 			return
@@ -111,40 +112,40 @@
 	}
 	heard := make([]heardKey, 0, len(statuses))
 	for _, s := range statuses {
-		k, e := m.key(s.Key), Epoch{s.Epoch, from, life}
+		k, e := m.key(s.Key), Epoch{s.Epoch, from, incarnation}
 		switch {
 		case e.Less(k.promised):
 			ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: k.promised})
 		case !older:
 			heard = append(heard, heardKey{k, e})
-			if !m.hear(k, e, s) {
+			if !m.applyKeyStatus(k, e, s) {
 				sums := k.Sums
-				ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: e, At: k.at, Sums: &sums})
+				ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: e, At: k.position, Sums: &sums})
 			}
-			m.dates(k, e, s, h.Sure, ages)
+			m.updateFreshness(k, e, s, h.Sure, ages)
 		}
 	}
 	if older {
-		ack.Outdated = m.rosterHolding()
+		ack.Outdated = m.rosterCopy()
 	}
 	if h.Round == 0 && len(ack.Deviate) == 0 && !older {
 		return
 	}
-	m.settled(func() { m.answerHeartbeat(from, ack, heard) })
+	m.whenDurable(func() { m.replyHeartbeat(from, ack, heard) })
 }
 
-// hear takes an owner's word on one key and says whether this member holds what the owner
-// does.
-func (m *Replica) hear(k *key, e Epoch, s KeyStatus) bool {
-	m.follow(k, e)
+// applyKeyStatus applies an owner's status of one key and reports whether this member holds
+// what the owner does.
+func (m *Replica) applyKeyStatus(k *replicatedKey, e Epoch, s KeyStatus) bool {
+	m.followOwner(k, e)
 	to := Position{e, s.Seq}
-	m.committed(k, Position{e, s.Commit})
-	return !k.at.Less(to) && (k.at != to || k.Sums.Fold() == s.Sum)
+	m.noteCommitted(k, Position{e, s.Commit})
+	return !k.position.Less(to) && (k.position != to || k.Sums.Fold() == s.Sum)
 }
 
-// dates takes in how old the copy of a key is. The owner had told nobody of anything beyond
-// Commit when it was as sure as it says.
-func (m *Replica) dates(k *key, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
+// updateFreshness updates the time as of which the copy of a key is known to be the newest.
+// When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
+func (m *Replica) updateFreshness(k *replicatedKey, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
 	if sure == nil || sure.Life != m.cfg.Life || s.Commit == 0 || k.commit.Epoch != e || k.commit.Seq < s.Commit {
 		return
 	}
@@ -153,13 +154,13 @@
 		age = sure.Age
 	}
 	if age >= 0 {
-		k.current = max(k.current, sure.Mark+sure.Held-age)
+		k.freshAsOf = max(k.freshAsOf, sure.Mark+sure.Held-age)
 	}
 }
 
-// answerHeartbeat answers once all that this member holds is durable. What it has
-// promised meanwhile to others it confirms no more.
-func (m *Replica) answerHeartbeat(from string, ack *HeartbeatAck, heard []heardKey) {
+// replyHeartbeat answers once all that this member holds is durable. Keys for which it has
+// promised another epoch in the meantime are no longer confirmed.
+func (m *Replica) replyHeartbeat(from string, ack *HeartbeatAck, heard []heardKey) {
 	for _, d := range ack.Deviate {
 		d.Promised = m.key(d.Key).promised
 	}
@@ -168,8 +169,8 @@
 			ack.Deviate = append(ack.Deviate, &AppendAck{Key: h.name, Epoch: h.epoch, Promised: h.promised})
 			continue
 		}
-		if h.wanted {
-			h.spoke = m.now
+		if h.trackFreshness {
+			h.lastConfirmSent = m.now
 		}
 	}
 	ack.Mark = max(m.now, 1)
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -1,23 +1,23 @@
 package replication
 
-// This file holds the messages of heartbeats.
+// This file holds the heartbeat messages.
 
 import (
 	"hash/fnv"
 	"time"
 )
 
-// KeyStatus is how an owner stands with one of its keys. The owner and life of the epoch
-// are those of the sender.
+// KeyStatus is an owner's status of one of its keys. The full epoch consists of the number here
+// and the sender's address and process (Epoch.Owner, Epoch.Life).
 type KeyStatus struct {
 	Key    string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
 	Seq    uint64 `cbor:"3,keyasint,omitempty"`
 	Commit uint64 `cbor:"4,keyasint,omitempty"`
-	Sum    uint64 `cbor:"5,keyasint,omitempty"` // the digest of all records
+	Sum    uint64 `cbor:"5,keyasint,omitempty"` // digest of all records
 }
 
-// digest is an entry's part in the digest of a list.
+// digest is the entry's contribution to the digest of the list.
 func (s KeyStatus) digest() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.Key))
@@ -29,36 +29,38 @@
 	return sum
 }
 
-// KeyAge is how long ago an owner was sure of one key, where that differs from the Age of
-// the heartbeat's Sure; negative: it has not been sure of it yet.
+// KeyAge is how long ago the ownership of one key was confirmed, where that differs from
+// Heartbeat.Sure.Age. Negative: it has not been confirmed yet.
 type KeyAge struct {
 	Key string        `cbor:"1,keyasint"`
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// Heartbeat is an owner's word for all its keys once a beat, or a partial one for those named.
+// Heartbeat covers all keys of an owner once per heartbeat interval or, if it is partial, those
+// that it names.
 type Heartbeat struct {
-	Round   uint64      `cbor:"1,keyasint,omitempty"` // 0: to be answered only if a key deviates
+	Round   uint64      `cbor:"1,keyasint,omitempty"` // 0: answered only if a key deviates or the roster is outdated
 	Roster  Position    `cbor:"2,keyasint"`
 	Partial bool        `cbor:"3,keyasint,omitempty"`
-	Base    uint64      `cbor:"4,keyasint,omitempty"` // the version to which Keys and Gone are the difference; 0: they are all
+	Base    uint64      `cbor:"4,keyasint,omitempty"` // list version that Keys and Gone are relative to; 0: Keys is the whole list
 	Version uint64      `cbor:"5,keyasint,omitempty"`
-	Digest  uint64      `cbor:"6,keyasint,omitempty"` // of the list at Version
+	Digest  uint64      `cbor:"6,keyasint,omitempty"` // digest of the list at Version
 	Keys    []KeyStatus `cbor:"7,keyasint,omitempty"`
-	Gone    []string    `cbor:"8,keyasint,omitempty"` // keys that the sender owns no more
+	Gone    []string    `cbor:"8,keyasint,omitempty"` // keys that the sender no longer owns
 	Sure    *Sure       `cbor:"9,keyasint,omitempty"`
 	Ages    []KeyAge    `cbor:"10,keyasint,omitempty"`
 }
 
 // HeartbeatAck answers a Heartbeat. It confirms the epochs of all keys that the heartbeat
-// stood for, unless the owner's roster is outdated or the member lacks the list.
+// covered, except those in Deviate, unless the owner's roster is outdated or the member lacks
+// the list.
 type HeartbeatAck struct {
-	Life     uint64        `cbor:"1,keyasint"` // of the owner's process
+	Life     uint64        `cbor:"1,keyasint"` // the owner's process (Message.Life)
 	Round    uint64        `cbor:"2,keyasint,omitempty"`
 	Partial  bool          `cbor:"3,keyasint,omitempty"`
-	Lacks    bool          `cbor:"4,keyasint,omitempty"` // the member hasn't the list that the heartbeat builds on
-	Version  uint64        `cbor:"5,keyasint,omitempty"` // of the list that the member holds
+	Lacks    bool          `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
+	Version  uint64        `cbor:"5,keyasint,omitempty"` // list version that the member holds
 	Mark     time.Duration `cbor:"6,keyasint,omitempty"` // the member's clock
-	Deviate  []*AppendAck  `cbor:"7,keyasint,omitempty"` // keys that the member lags behind with, or has promised to others
+	Deviate  []*AppendAck  `cbor:"7,keyasint,omitempty"` // keys in which the member's copy differs from the owner's, or for which it has promised another epoch
 	Outdated *Holding      `cbor:"8,keyasint,omitempty"` // the newer roster, if the owner's is older
 }
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -106,7 +106,7 @@
 	w := calmWorld(t, 4, 100)
 	owner := w.holder(testKey)
 	var mine []string
-	for _, k := range owner.m.owned() {
+	for _, k := range owner.m.ownedKeys() {
 		if k.name != RosterKey {
 			mine = append(mine, k.name)
 		}
@@ -121,7 +121,7 @@
 		}
 		return false
 	}
-	w.run(owner.born + owner.m.beats.beatAt + testBeat + 150*time.Millisecond) // between two beats
+	w.run(owner.born + owner.m.heartbeats.lastFullAt + testBeat + 150*time.Millisecond) // between two beats
 	c = traffic{}
 	answered := 0
 	w.on(owner.id, owner.life, func() {
@@ -135,14 +135,14 @@
 			})
 		}
 	})
-	w.run(owner.born + owner.m.beats.beatAt + testBeat - 10*time.Millisecond)
+	w.run(owner.born + owner.m.heartbeats.lastFullAt + testBeat - 10*time.Millisecond)
 	t.Logf("%d keys: %+v", len(mine), c)
 	if c.notices > 3*len(mine) || c.acks > 0 {
 		t.Errorf("%d keys: %+v", len(mine), c)
 	}
 	owner.m.Take()
 	for _, key := range mine {
-		owner.m.notice(owner.m.keys[key])
+		owner.m.scheduleCommitNotice(owner.m.keys[key])
 	}
 	if sent := owner.m.Take().Send; len(sent) != 3 || len(as[*Heartbeat](sent[0].Msg).Keys) != len(mine) {
 		t.Errorf("%d keys committed at once: %+v", len(mine), sent)
@@ -164,7 +164,7 @@
 	w := calmWorld(t, 4, 2)
 	owner := w.holder(testKey)
 	deaf := w.lastOther(owner)
-	w.run(owner.born + owner.m.beats.beatAt + testBeat + 10*time.Millisecond) // just after a beat
+	w.run(owner.born + owner.m.heartbeats.lastFullAt + testBeat + 10*time.Millisecond) // just after a beat
 	lost := 0
 	w.drop = func(_ string, e Envelope) bool {
 		if e.To == deaf.id && as[*Append](e.Msg) != nil && lost == 0 {
@@ -188,7 +188,7 @@
 	w := calmWorld(t, 4, 30)
 	owner := w.holder(testKey)
 	var other string
-	for _, k := range owner.m.owned() {
+	for _, k := range owner.m.ownedKeys() {
 		if k.name != testKey && k.name != RosterKey {
 			other = k.name
 		}
@@ -197,31 +197,31 @@
 	if heir == owner {
 		heir = w.nodes[owner.m.Heirs(testKey)[0]]
 	}
-	was, stands := owner.m.keys[testKey].mine, owner.m.keys[other].mine
+	was, stands := owner.m.keys[testKey].ownEpoch, owner.m.keys[other].ownEpoch
 	w.drop = func(_ string, e Envelope) bool { // the owner hears nothing of its successor's election
 		return e.To == owner.id && (as[*VoteRequest](e.Msg) != nil || as[*Append](e.Msg) != nil || as[*Heartbeat](e.Msg) != nil)
 	}
 	w.on(heir.id, heir.life, func() { heir.m.Handle(w.clock(heir), owner.id, Message{Body: &Transfer{testKey}}) })
 	w.run(w.now + testBeat + 100*time.Millisecond)
-	if k := heir.m.keys[testKey]; k.role != owns || !was.Less(k.mine) {
+	if k := heir.m.keys[testKey]; k.role != roleOwner || !was.Less(k.ownEpoch) {
 		t.Fatalf("%s did not take the key over", heir.id)
 	}
-	if k := owner.m.keys[testKey]; k.role == owns {
-		t.Errorf("the old owner holds on to %v", k.mine)
+	if k := owner.m.keys[testKey]; k.role == roleOwner {
+		t.Errorf("the old owner holds on to %v", k.ownEpoch)
 	}
-	if k := owner.m.keys[other]; k.role != owns || k.mine != stands {
+	if k := owner.m.keys[other]; k.role != roleOwner || k.ownEpoch != stands {
 		t.Errorf("it lost %s as well", other)
 	}
 }
 
 // seizedBy makes a member the owner of a key by the promises of all others; its
 // heartbeats since reach nobody.
-func (w *world) seizedBy(n *node, key string) *key {
+func (w *world) seizedBy(n *node, key string) *replicatedKey {
 	w.drop = func(from string, e Envelope) bool {
 		return (from == n.id || e.To == n.id) && as[*VoteRequest](e.Msg) == nil && as[*Vote](e.Msg) == nil
 	}
 	w.on(n.id, n.life, func() { n.m.Handle(w.clock(n), n.id, Message{Body: &Transfer{key}, Identity: n.m.identity}) })
-	for end := w.now + testBeat; n.m.keys[key].role != owns && w.now < end; {
+	for end := w.now + testBeat; n.m.keys[key].role != roleOwner && w.now < end; {
 		w.run(w.now + time.Millisecond)
 	}
 	return n.m.keys[key]
@@ -235,25 +235,25 @@
 		n = w.nodes[w.ids[2]]
 	}
 	k := w.seizedBy(n, testKey)
-	if k.role != owns || k.firstRound < 2 {
+	if k.role != roleOwner || k.firstRound < 2 {
 		t.Fatalf("%s does not own the key: %+v", n.id, k)
 	}
 	for _, id := range w.ids {
 		if o := w.nodes[id]; o != n {
 			n.m.Handle(w.clock(n), id, Message{Identity: o.m.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: n.m.cfg.Life, Round: k.firstRound - 1, Version: n.m.beats.version}})
+				Body: &HeartbeatAck{Life: n.m.cfg.Life, Round: k.firstRound - 1, Version: n.m.heartbeats.version}})
 		}
 	}
-	if k.sure != unsure {
-		t.Errorf("it is sure of a key as of %v, won at %v", k.sure, k.took)
+	if k.confirmedAt != neverConfirmed {
+		t.Errorf("it is sure of a key as of %v, won at %v", k.confirmedAt, k.ownerSince)
 	}
 	for _, id := range w.ids {
 		if o := w.nodes[id]; o != n {
 			n.m.Handle(w.clock(n), id, Message{Identity: o.m.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: n.m.cfg.Life + 1, Round: n.m.beats.round, Version: n.m.beats.version}})
+				Body: &HeartbeatAck{Life: n.m.cfg.Life + 1, Round: n.m.heartbeats.round, Version: n.m.heartbeats.version}})
 		}
 	}
-	if k.sure != unsure {
+	if k.confirmedAt != neverConfirmed {
 		t.Error("answers to another process made it sure")
 	}
 }
@@ -275,16 +275,16 @@
 	m.Take()
 	m.write(nil, nil) // the disk is at work
 	heartbeatEpoch := k.promised
-	heartbeat := &Heartbeat{Round: 7, Roster: m.keys[RosterKey].at, Partial: true,
-		Keys: []KeyStatus{{Key: testKey, Epoch: k.promised.N, Seq: k.at.Seq + lags, Commit: k.commit.Seq, Sum: k.Sums.Fold()}}}
+	heartbeat := &Heartbeat{Round: 7, Roster: m.keys[RosterKey].position, Partial: true,
+		Keys: []KeyStatus{{Key: testKey, Epoch: k.promised.N, Seq: k.position.Seq + lags, Commit: k.commit.Seq, Sum: k.Sums.Fold()}}}
 	m.Handle(now, owner.id, Message{Identity: owner.m.identity, Life: owner.m.cfg.Life, Protocol: protocolHeartbeat, Body: heartbeat})
 	newer := Epoch{k.promised.N + 1, n.id, 99}
 	m.Handle(now, owner.id, Message{Identity: owner.m.identity, Life: owner.m.cfg.Life, Protocol: protocolHeartbeat,
-		Body: &VoteRequest{Key: testKey, Epoch: newer, Roster: m.keys[RosterKey].at, At: k.at}})
+		Body: &VoteRequest{Key: testKey, Epoch: newer, Roster: m.keys[RosterKey].position, At: k.position}})
 	if k.promised != newer {
 		t.Fatalf("it promised %v", k.promised)
 	}
-	m.Durable(now, m.nextWrite)
+	m.Durable(now, m.lastWrite)
 	told, confirmed := false, false
 	for _, e := range m.Take().Send {
 		if a := as[*HeartbeatAck](e.Msg); a != nil && a.Round == 7 {
@@ -306,25 +306,25 @@
 	digest := whole[0].digest() ^ whole[1].digest()
 	changed := KeyStatus{Key: "b", Epoch: 1, Seq: 5, Commit: 5}
 	after := whole[0].digest() ^ changed.digest()
-	m := &Replica{lists: map[string]*ownerList{}}
+	m := &Replica{ownerLists: map[string]*ownerList{}}
 	for _, c := range []struct { // one after the other, at one member
 		name  string
 		h     Heartbeat
 		life  uint64
 		state listState
 	}{
-		{"nothing is there to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listLacks},
-		{"the whole", Heartbeat{Version: 2, Digest: digest, Keys: whole}, 1, listTaken},
-		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listTaken},
-		{"steps are missing", Heartbeat{Base: 3, Version: 4, Digest: after, Keys: []KeyStatus{changed}}, 1, listLacks},
-		{"another process", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 2, listLacks},
-		{"a change", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 1, listTaken},
+		{"nothing is there to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
+		{"the whole", Heartbeat{Version: 2, Digest: digest, Keys: whole}, 1, listApplied},
+		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listApplied},
+		{"steps are missing", Heartbeat{Base: 3, Version: 4, Digest: after, Keys: []KeyStatus{changed}}, 1, listMissing},
+		{"another process", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 2, listMissing},
+		{"a change", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 1, listApplied},
 		{"late", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listStale},
-		{"a key goes", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listTaken},
-		{"another digest", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listLacks},
-		{"and so it is forgotten", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listLacks},
+		{"a key goes", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listApplied},
+		{"another digest", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
+		{"and so it is forgotten", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
 	} {
-		if _, state := m.takeList("o", c.life, &c.h); state != c.state {
+		if _, state := m.applyList("o", c.life, &c.h); state != c.state {
 			t.Errorf("%s: %v, want %v", c.name, state, c.state)
 		}
 	}
@@ -386,8 +386,8 @@
 func TestAgesAreThoseOfEachKey(t *testing.T) {
 	w := calmWorld(t, 4, 30)
 	m := w.holder(testKey).m
-	keys := m.owned()[:4]
-	m.beats.sent[m.beats.confirmed] = sentRound{at: m.now - 300*time.Millisecond}
+	keys := m.ownedKeys()[:4]
+	m.heartbeats.sent[m.heartbeats.confirmedRound] = sentRound{at: m.now - 300*time.Millisecond}
 	for _, c := range [][]time.Duration{
 		{100, 200, 250, 300}, // all in the round that a quorum has confirmed for the list, or later
 		{100, 200, 250, 400}, // one was not in it
@@ -396,13 +396,13 @@
 		{-1, -1, -1, -1},
 	} {
 		for i, age := range c {
-			if keys[i].sure = m.now - age*time.Millisecond; age < 0 {
-				keys[i].sure = unsure
+			if keys[i].confirmedAt = m.now - age*time.Millisecond; age < 0 {
+				keys[i].confirmedAt = neverConfirmed
 			}
 		}
 		for _, partial := range []bool{false, true} {
 			h := &Heartbeat{Partial: partial}
-			m.tellAges(h, keys)
+			m.setAges(h, keys)
 			for _, k := range keys {
 				i := slices.IndexFunc(h.Ages, func(a KeyAge) bool { return a.Key == k.name })
 				told := time.Duration(-1)
@@ -411,8 +411,8 @@
 				} else if h.Sure != nil {
 					told = h.Sure.Age
 				}
-				if k.sure == unsure && told >= 0 && h.Sure != nil || k.sure != unsure && (told < m.now-k.sure || told > m.now-k.sure+300*time.Millisecond) {
-					t.Errorf("%v partial %v: %s, sure %v ago, is told as %v", c, partial, k.name, m.now-k.sure, told)
+				if k.confirmedAt == neverConfirmed && told >= 0 && h.Sure != nil || k.confirmedAt != neverConfirmed && (told < m.now-k.confirmedAt || told > m.now-k.confirmedAt+300*time.Millisecond) {
+					t.Errorf("%v partial %v: %s, sure %v ago, is told as %v", c, partial, k.name, m.now-k.confirmedAt, told)
 				}
 			}
 		}
@@ -428,26 +428,26 @@
 		w.drop = func(from string, e Envelope) bool { return from == n.id || e.To == n.id }
 		w.run(w.now + 20*time.Millisecond)
 		if partial {
-			m.confirm(k)
+			m.scheduleConfirm(k)
 		} else {
-			m.beats.dueAll = true
+			m.heartbeats.dueAll = true
 		}
 		w.on(n.id, n.life, func() {})
-		round, version, stood := m.beats.round, m.beats.version, k.at
+		round, version, stood := m.heartbeats.round, m.heartbeats.version, k.position
 		answered := false
 		w.ask(n.id, testKey, "x", 1, "one", func(uint64, error) { answered = true })
 		w.run(w.now + 20*time.Millisecond)
-		m.beats.dueAll = true
+		m.heartbeats.dueAll = true
 		w.on(n.id, n.life, func() {})
-		if l := m.beats.listed[testKey]; !stood.Less(k.at) || l.Seq != k.at.Seq || l.version <= version {
-			t.Fatalf("the step is not listed: %+v, at %v", l, k.at)
+		if l := m.heartbeats.listed[testKey]; !stood.Less(k.position) || l.Seq != k.position.Seq || l.version <= version {
+			t.Fatalf("the step is not listed: %+v, at %v", l, k.position)
 		}
 		for _, id := range w.ids {
 			if o := w.nodes[id]; o != n {
 				m.Handle(w.clock(n), id, Message{Identity: o.m.identity, Life: o.m.cfg.Life, Protocol: protocolHeartbeat,
 					Body: &HeartbeatAck{Life: m.cfg.Life, Round: round, Partial: partial, Version: version}})
-				if k.rounds[o.m.self] != round || k.acks[o.m.self] != stood {
-					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, k.rounds[o.m.self], k.acks[o.m.self], round, stood)
+				if k.confirmedRounds[o.m.self] != round || k.acks[o.m.self] != stood {
+					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, k.confirmedRounds[o.m.self], k.acks[o.m.self], round, stood)
 				}
 			}
 		}
--- a/internal/replication/joint_roster_test.go
+++ b/internal/replication/joint_roster_test.go
@@ -35,7 +35,7 @@
 			w.run(w.now + 9*time.Second)
 		}
 		newer := w.truthAt[RosterKey]
-		if got := o.m.keys[RosterKey].at; !got.Less(newer) || len(o.m.seats().after) != 5 || !slices.Contains(o.m.seats().after, away[0].m.self) {
+		if got := o.m.keys[RosterKey].position; !got.Less(newer) || len(o.m.seats().newSeats) != 5 || !slices.Contains(o.m.seats().newSeats, away[0].m.self) {
 			t.Fatalf("seed %d: the owner has heard of the roster %v", seed, *o.m.seats())
 		}
 		// It meets those two and nobody else.
@@ -53,7 +53,7 @@
 			w.run(w.now + 50*time.Millisecond)
 		}
 		for _, n := range append(away, o) {
-			if n.m.keys[testKey].role == owns || n.m.keys[RosterKey].role == owns {
+			if n.m.keys[testKey].role == roleOwner || n.m.keys[RosterKey].role == roleOwner {
 				t.Fatalf("seed %d: %s owns a key among members that were taken away", seed, n.id)
 			}
 		}
@@ -88,7 +88,7 @@
 					t.Fatalf("seed %d: %s acknowledged", seed, n.id)
 				}
 				for _, key := range []string{testKey, RosterKey} {
-					if n.m.keys[key].role == owns && n.m.keys[key].took >= begin-n.born {
+					if n.m.keys[key].role == roleOwner && n.m.keys[key].ownerSince >= begin-n.born {
 						t.Fatalf("seed %d: %s owns %s", seed, n.id, key)
 					}
 				}
@@ -163,7 +163,7 @@
 			return c.joint && apart(before, from, e.To)
 		}
 		c.untilJoint()
-		if s := c.k.m.seats(); len(s.after) != 5 || slices.Contains(s.after, c.x.m.self) || slices.Contains(s.after, c.y.m.self) {
+		if s := c.k.m.seats(); len(s.newSeats) != 5 || slices.Contains(s.newSeats, c.x.m.self) || slices.Contains(s.newSeats, c.y.m.self) {
 			t.Fatalf("seed %d: another change than was meant: %v", seed, *s)
 		}
 		if err := c.put(c.o, "x", 2); err != nil {
@@ -171,7 +171,7 @@
 		}
 		for end := c.now + 8*time.Second; c.now < end; c.run(c.now + 50*time.Millisecond) {
 			for _, n := range append(c.fresh, c.k) {
-				if n.m.keys[testKey].role == owns || !n.m.seats().joint && len(n.m.seats().after) > 0 && !slices.Contains(n.m.seats().after, c.x.m.self) {
+				if n.m.keys[testKey].role == roleOwner || !n.m.seats().joint && len(n.m.seats().newSeats) > 0 && !slices.Contains(n.m.seats().newSeats, c.x.m.self) {
 					t.Fatalf("seed %d: %s decides without the seats before: %v", seed, n.id, *n.m.seats())
 				}
 			}
@@ -209,7 +209,7 @@
 			t.Fatalf("seed %d: a majority of the roster before: %v", seed, err)
 		}
 		c.run(c.now + 5*time.Second)
-		if s := c.k.m.seats(); !s.joint && !slices.Contains(s.after, c.x.m.self) {
+		if s := c.k.m.seats(); !s.joint && !slices.Contains(s.newSeats, c.x.m.self) {
 			t.Errorf("seed %d: the joint roster ended with x=2 at %v", seed, c.holders("x", 2))
 		}
 		c.loses = func(from string, e Envelope) bool { return apart(lacking, from, e.To) }
@@ -255,23 +255,23 @@
 		o, keeper := w.settle(t), w.holder(RosterKey)
 		n := w.lastOther(o, keeper)
 		m, k, r := n.m, n.m.keys[testKey], n.m.keys[RosterKey]
-		m.takeOver(k, true)
-		m.Durable(w.clock(n), m.nextWrite)
+		m.startElection(k, true)
+		m.Durable(w.clock(n), m.lastWrite)
 		if loses {
 			next := map[string]seatState{}
-			for _, seat := range m.seats().after {
-				if next[seat] = seated; seat == m.self {
-					next[seat] = going
+			for _, seat := range m.seats().newSeats {
+				if next[seat] = seatStable; seat == m.self {
+					next[seat] = seatLeaving
 				}
 			}
 			m.Handle(w.clock(n), keeper.id, Message{Identity: keeper.m.identity, Body: &Append{Key: RosterKey, Epoch: r.promised,
-				Base: r.at, Seq: r.at.Seq + 1, Roster: Position{r.promised, r.at.Seq + 1}, Changes: rosterChange(r.Records, next)}})
+				Base: r.position, Seq: r.position.Seq + 1, Roster: Position{r.promised, r.position.Seq + 1}, Changes: rosterRecords(r.Records, next)}})
 		}
 		for _, id := range w.ids {
-			m.Handle(w.clock(n), id, Message{Identity: w.nodes[id].m.identity, Body: &Vote{Key: testKey, Epoch: k.mine, OK: true, Promised: k.mine, At: k.at}})
+			m.Handle(w.clock(n), id, Message{Identity: w.nodes[id].m.identity, Body: &Vote{Key: testKey, Epoch: k.ownEpoch, OK: true, Promised: k.ownEpoch, At: k.position}})
 		}
-		if (k.role == owns) == loses {
-			t.Errorf("loses its seat: %v, owns the key: %v", loses, k.role == owns)
+		if (k.role == roleOwner) == loses {
+			t.Errorf("loses its seat: %v, owns the key: %v", loses, k.role == roleOwner)
 		}
 	}
 }
@@ -300,7 +300,7 @@
 			})
 		}
 		w.until("its seat is taken", 2*testVacant+2*testBeat, func() string {
-			if s := keeper.m.seats(); !s.joint && !slices.Contains(s.after, n.m.self) {
+			if s := keeper.m.seats(); !s.joint && !slices.Contains(s.newSeats, n.m.self) {
 				return ""
 			}
 			return fmt.Sprint(*keeper.m.seats())
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -1,34 +1,35 @@
 package replication
 
-// This file holds how a member leaves in order.
+// This file holds how a member leaves in an orderly way.
 
 import "time"
 
-// tickLeaving asks the others where they stand, while this member leaves.
+// tickLeaving asks the other members for the positions of their copies while this member
+// leaves.
 func (m *Replica) tickLeaving() {
 	if m.survey == nil {
-		m.survey = &survey{at: m.keys[RosterKey].at, replies: map[string]*StateReport{}}
+		m.survey = &survey{roster: m.keys[RosterKey].position, replies: map[string]*StateReport{}}
 	}
 	m.sendSurvey(m.seatedOthers())
 }
 
-// MayGo says whether a member that leaves is needed no more: it has no seat, or one
-// that may be dead, and each key has another owner, and all that this member holds of
-// it is held by a majority without it.
+// MayGo reports whether a leaving member is no longer needed. That is so if it has no seat, or
+// if it can leave its seat behind as a lost one and, for each key, there is another owner and a
+// majority without this member holds everything that this member holds.
 func (m *Replica) MayGo(now time.Duration) bool {
 	m.now = now
-	if !m.leaving || !m.inRoster() {
+	if !m.leaving || !m.hasSeat() {
 		return true
 	}
-	if s := m.seats(); s.joint || m.needless(len(s.after)) {
-		return false // its seat is to go first
+	if s := m.seats(); s.joint || m.mustLoseSeatFirst(len(s.newSeats)) {
+		return false // wait until the roster's owner has taken the seat away
 	}
 	for _, name := range m.names {
 		k := m.keys[name]
-		if k.at.Seq == 0 {
+		if k.position.Seq == 0 {
 			continue
 		}
-		if k.role != follows || k.promised.Owner == m.cfg.Self || !k.owned {
+		if k.role != roleFollower || k.promised.Owner == m.cfg.Self || !k.hasOwner {
 			return false
 		}
 		holds := func(seat string) bool {
@@ -38,12 +39,12 @@
 			}
 			for _, s := range m.survey.replies[id].Keys {
 				if s.Key == name {
-					return !s.At.Less(k.at)
+					return !s.At.Less(k.position)
 				}
 			}
 			return false
 		}
-		if !enough(m.seats().after, false, holds) {
+		if !hasQuorumOf(m.seats().newSeats, false, holds) {
 			return false
 		}
 	}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -1,23 +1,25 @@
 package replication
 
-// This file holds membership: who counts, the founding roster, and its changes.
+// This file holds membership: which members count in a quorum, and why changes of the roster
+// are safe.
 //
-// The roster names seats, each an address and the identity of a disk. It changes by
-// joint agreement: first to a roster in which every decision needs a majority of the
-// seats before and one of those after, then to those after. The safety of the other
-// keys, which have owners of their own, rests on three things, none of which is time:
+// The roster consists of seats, each an address and the identity of a disk. It changes by joint
+// consensus: first to a joint roster, in which every decision needs a majority of the old seats
+// and one of the new seats, then to the new seats alone. The other keys have owners of their
+// own, which learn of a change at different times. Their safety rests on three rules, none of
+// which depends on time:
 //
-//   - A member that has taken a roster refuses every owner and candidate that acts
-//     under an older one, whether it knows the newer one to be committed or not.
-//   - The joint roster ends only after a survey in which a majority of the seats
-//     before and of those after, all of which had taken the joint roster, said where
-//     their copies stand, and enough of the seats after hold, on disk, at least what
-//     any of them held and promised.
-//   - A seat belongs to a disk. A member that has lost its disk has another identity
-//     and no seat; nothing that its former life said counts for it.
+//   - A member that has taken over a roster rejects every owner and candidate that acts
+//     under an older one, whether or not it knows the newer one to be committed.
+//   - The joint roster ends only after a survey in which a majority of the old seats and
+//     a majority of the new seats, all of them under the joint roster, reported the positions
+//     of their copies, and enough of the new seats hold durably at least the newest positions
+//     and promised epochs reported.
+//   - A seat belongs to a disk. A member that has lost its disk has another identity and no
+//     seat; nothing that it sent before counts for it.
 //
-// So any two majorities that decide over one key meet, or the later one begins with
-// all that the earlier one could have decided.
+// Thus any two majorities that decide about the same key overlap, or the later one starts with
+// everything that the earlier one could have decided.
 
 import (
 	"slices"
@@ -27,69 +29,69 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// seatState is what a seat's record says of it.
+// seatState is the state of a seat in its record.
 type seatState uint8
 
 const (
-	seated  seatState = iota
-	joining           // counts in the roster to come
-	going             // counts in the roster that was
+	seatStable  seatState = iota
+	seatJoining           // counts among the new seats only
+	seatLeaving           // counts among the old seats only
 )
 
 type seatValue struct {
 	State seatState `cbor:"1,keyasint,omitempty"`
 }
 
-// seats is the roster as it stands: before and after are the same but for a joint one.
+// seats is the current roster. oldSeats and newSeats are the same unless the roster is joint.
 type seats struct {
-	before, after []string
-	joint         bool
+	oldSeats, newSeats []string
+	joint              bool
 }
 
 func seatRecord(id string, gen uint64, s seatState) Record {
 	r := Record{Name: id, Gen: gen}
-	if s != seated {
+	if s != seatStable {
 		r.Data = marshal(seatValue{s})
 	}
 	return r
 }
 
-func stateOf(r Record) seatState {
+func seatStateOf(r Record) seatState {
 	var v seatValue
 	if len(r.Data) > 0 && cbor.Unmarshal(r.Data, &v) != nil {
-		return seated
+		return seatStable
 	}
 	return v.State
 }
 
 func (m *Replica) seats() *seats {
-	if m.cached != nil {
-		return m.cached
+	if m.cachedSeats != nil {
+		return m.cachedSeats
 	}
 	s := &seats{}
 	for name, r := range m.keys[RosterKey].Records {
 		if r.Dropped {
 			continue
 		}
-		switch stateOf(r) {
-		case joining:
-			s.after, s.joint = append(s.after, name), true
-		case going:
-			s.before, s.joint = append(s.before, name), true
+		switch seatStateOf(r) {
+		case seatJoining:
+			s.newSeats, s.joint = append(s.newSeats, name), true
+		case seatLeaving:
+			s.oldSeats, s.joint = append(s.oldSeats, name), true
 		default:
-			s.before, s.after = append(s.before, name), append(s.after, name)
+			s.oldSeats, s.newSeats = append(s.oldSeats, name), append(s.newSeats, name)
 		}
 	}
-	sort.Strings(s.before)
-	sort.Strings(s.after)
-	m.cached = s
+	sort.Strings(s.oldSeats)
+	sort.Strings(s.newSeats)
+	m.cachedSeats = s
 	return s
 }
 
-// all lists the seats that count in any way.
+// all returns the old and new seats, sorted.
 func (s *seats) all() []string {
-	out := append([]string(nil), s.after...)
-	for _, id := range s.before {
+	out := append([]string(nil), s.newSeats...)
+	for _, id := range s.oldSeats {
 		if !slices.Contains(out, id) {
 			out = append(out, id)
 		}
@@ -98,7 +100,7 @@
 	return out
 }
 
-// addressOf is the address of a member.
+// addressOf returns the address part of a member's identity.
 func addressOf(id string) string {
 	if i := strings.IndexByte(id, '/'); i >= 0 {
 		return id[:i]
@@ -106,8 +108,9 @@
 	return id
 }
 
-// holder is the identity whose word counts for a seat. A seat that a version without
-// identities gave belongs to whoever speaks at its address, until it is renewed.
+// holder returns the identity that counts for a seat. A seat without an identity was given by a
+// version without identities; it belongs to whichever member answers at its address until the
+// seat is renewed.
 func (m *Replica) holder(seat string) string {
 	if strings.IndexByte(seat, '/') >= 0 {
 		return seat
@@ -115,23 +118,23 @@
 	if seat == m.cfg.Self {
 		return m.self
 	}
-	if id, ok := m.newest[seat]; ok {
+	if id, ok := m.lastIdentity[seat]; ok {
 		return id
 	}
 	return seat
 }
 
-// olderVersions says that some seat's holder speaks as versions without identities do.
+// olderVersions reports whether the holder of some seat runs a version without identities.
 func (m *Replica) olderVersions() bool {
 	for _, seat := range m.seats().all() {
-		if a := addressOf(seat); m.newest[a] == a {
+		if a := addressOf(seat); m.lastIdentity[a] == a {
 			return true
 		}
 	}
 	return false
 }
 
-// Roster lists the addresses of the members that this one knows of.
+// Roster returns the addresses of all seats, old and new.
 func (m *Replica) Roster() []string {
 	var out []string
 	for _, id := range m.seats().all() {
@@ -142,7 +145,7 @@
 	return out
 }
 
-// seatedOthers lists the addresses of the other seats.
+// seatedOthers returns the addresses of the other members with a seat.
 func (m *Replica) seatedOthers() []string {
 	var out []string
 	for _, a := range m.Roster() {
@@ -153,10 +156,11 @@
 	return out
 }
 
-// others lists the addresses to which steps are copied: the other seats and learners.
+// others returns the addresses that changes are replicated to: those of the other seats and of
+// the learners.
 func (m *Replica) others() []string {
 	out := m.seatedOthers()
-	for _, id := range m.learning() {
+	for _, id := range m.activeLearners() {
 		if a := addressOf(id); !slices.Contains(out, a) {
 			out = append(out, a)
 		}
@@ -164,15 +168,15 @@
 	return out
 }
 
-// Everyone lists the addresses of the seats and of the learners.
+// Everyone returns the addresses of this member, the other seats and the learners.
 func (m *Replica) Everyone() []string {
 	out := append([]string{m.cfg.Self}, m.others()...)
 	sort.Strings(out)
 	return out
 }
 
-// learning lists the learners that have said lately that they want a seat.
-func (m *Replica) learning() (out []string) {
+// activeLearners returns the learners that have asked for a seat recently.
+func (m *Replica) activeLearners() (out []string) {
 	for id, at := range m.learners {
 		if m.now-at <= m.cfg.Vacant+m.cfg.Beat {
 			out = append(out, id)
@@ -186,34 +190,34 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// need is how many of n seats must hold a change before it is acknowledged: the owner,
+// ackQuorum is how many of n seats must hold a change before it is acknowledged: the owner and
 // two others, and never less than a majority.
-func need(n int) int { return max(majority(n), min(3, n)) }
+func ackQuorum(n int) int { return max(majority(n), min(3, n)) }
 
-// enough says whether the seats for which has holds may promise (need a
-// majority) or acknowledge.
-func enough(roster []string, durable bool, has func(string) bool) bool {
+// hasQuorumOf reports whether the seats for which has is true suffice: for an acknowledgement
+// of a change if forAck is set, or else for a vote or confirmation, which need a majority.
+func hasQuorumOf(seats []string, forAck bool, has func(string) bool) bool {
 	n := 0
-	for _, id := range roster {
+	for _, id := range seats {
 		if has(id) {
 			n++
 		}
 	}
-	if durable {
-		return len(roster) > 0 && n >= need(len(roster))
+	if forAck {
+		return len(seats) > 0 && n >= ackQuorum(len(seats))
 	}
-	return len(roster) > 0 && n >= majority(len(roster))
+	return len(seats) > 0 && n >= majority(len(seats))
 }
 
-// quorum says whether enough seats, of both rosters while the roster is a joint one,
-// are held by identities for which has holds.
-func (m *Replica) quorum(durable bool, has func(string) bool) bool {
+// hasQuorum reports whether the members for which has is true hold enough seats, in a joint
+// roster enough of the old and of the new ones.
+func (m *Replica) hasQuorum(forAck bool, has func(string) bool) bool {
 	s := m.seats()
 	holds := func(seat string) bool { return has(m.holder(seat)) }
-	return enough(s.after, durable, holds) && (!s.joint || enough(s.before, durable, holds))
+	return hasQuorumOf(s.newSeats, forAck, holds) && (!s.joint || hasQuorumOf(s.oldSeats, forAck, holds))
 }
 
-func (m *Replica) holds(seats []string) bool {
+func (m *Replica) holdsAny(seats []string) bool {
 	for _, seat := range seats {
 		if m.holder(seat) == m.self {
 			return true
@@ -222,51 +226,53 @@
 	return false
 }
 
-// inRoster says that this member's word counts.
-func (m *Replica) inRoster() bool {
+// hasSeat reports whether this member counts in a quorum.
+func (m *Replica) hasSeat() bool {
 	s := m.seats()
-	return m.holds(s.after) || s.joint && m.holds(s.before)
+	return m.holdsAny(s.newSeats) || s.joint && m.holdsAny(s.oldSeats)
 }
 
-// mayOwn says that this member may own keys: not if its seat goes.
-func (m *Replica) mayOwn() bool { return m.holds(m.seats().after) }
+// mayOwn reports whether this member may own keys. A member whose seat is being taken away may
+// not.
+func (m *Replica) mayOwn() bool { return m.holdsAny(m.seats().newSeats) }
 
-// olderRoster says that a peer acts under a roster older than the one taken here.
-func (m *Replica) olderRoster(p Position) bool { return p.Less(m.keys[RosterKey].at) }
+// olderRoster reports whether p is older than this member's roster.
+func (m *Replica) olderRoster(p Position) bool { return p.Less(m.keys[RosterKey].position) }
 
-func (m *Replica) rosterHolding() *Holding {
+func (m *Replica) rosterCopy() *Holding {
 	k := m.keys[RosterKey]
-	return &Holding{At: k.at, Records: k.Pick(allRanges)}
+	return &Holding{At: k.position, Records: k.Pick(allRanges)}
 }
 
-// adopt takes in a newer roster that a peer has refused this member for.
-func (m *Replica) adopt(h *Holding) {
+// adoptRoster takes over a newer roster, sent by a member that rejected a message because this
+// member's roster is outdated.
+func (m *Replica) adoptRoster(h *Holding) {
 	k := m.keys[RosterKey]
-	if !k.at.Less(h.At) {
+	if !k.position.Less(h.At) {
 		return
 	}
-	m.release(k, ErrNoQuorum)
+	m.becomeFollower(k, ErrNoQuorum)
 	entries := m.replace(k, allRanges, h.Records)
-	k.at = h.At
+	k.position = h.At
 	if k.promised.Less(h.At.Epoch) {
 		k.promised = h.At.Epoch
 	}
 	m.write(append(entries, k.meta()), nil)
 	if !m.mayOwn() {
-		m.note("this member has no seat any more")
+		m.note("this member no longer has a seat in the roster")
 		m.resign()
 	}
 }
 
-// resign gives up what a member without a seat owns or asks for.
+// resign gives up all keys and candidacies of a member that may not own keys.
 func (m *Replica) resign() {
 	for _, name := range m.names {
 		switch k := m.keys[name]; k.role {
-		case owns:
-			m.yield(k)
-			m.release(k, ErrNotOwner)
-		case asks:
-			m.release(k, ErrNotOwner)
+		case roleOwner:
+			m.transfer(k)
+			m.becomeFollower(k, ErrNotOwner)
+		case roleCandidate:
+			m.becomeFollower(k, ErrNotOwner)
 		}
 	}
 }
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -1,11 +1,16 @@
-// Package replication keeps the control state: a set of keys, each a set of records
-// that are validated together. Every key has one owner at a time, which copies
-// a change to others before it answers and is replaced under a rising epoch.
-// There is no log that the keys have in common and no leader for all of them.
+// Package replication replicates the state of the control nodes: a set of keys, each of which
+// is a set of records that are validated together. A key corresponds to a Raft group: it has
+// one owner (its leader) at a time, elected under a rising epoch, which replicates each change
+// to other members before it answers. There is no log common to all keys and no leader for all
+// of them.
 //
-// Replica is the state machine of one node. It does no input or output and reads
-// no clock: a driver hands it messages, time and finished writes, and carries
-// out what it asks for. The tests drive many of them through a simulated world.
+// A member is one control node's replica. Members with a seat in the roster vote; the others
+// are learners, which only receive copies. A member's Life identifies its process, and its
+// identity includes that of its disk.
+//
+// Replica is the state machine of one member. It does no I/O and reads no clock: a driver
+// passes it messages, the time and completed writes, and carries out the effects that it asks
+// for. The tests run many replicas in a simulated network.
 package replication
 
 import (
@@ -15,20 +20,21 @@
 	"madderwing/internal/antientropy"
 )
 
-// Record is one entry under a key.
+// Record is one entry of a key.
 type Record = antientropy.Record
 
-// RosterKey is the key that names the members; its records are their addresses.
+// RosterKey is the key of the roster; the names of its records are the identities of the
+// members with a seat.
 const RosterKey = "roster"
 
-// Epoch is one ownership of a key. No two processes ever use the same one.
+// Epoch identifies one ownership of a key, as a term does in Raft. No two processes ever use
+// the same one.
 type Epoch struct {
 	N     uint64 `cbor:"1,keyasint,omitempty"`
 	Owner string `cbor:"2,keyasint,omitempty"`
 	Life  uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Less orders epochs.
 func (e Epoch) Less(o Epoch) bool {
 	if e.N != o.N {
 		return e.N < o.N
@@ -39,13 +45,12 @@
 	return e.Life < o.Life
 }
 
-// Position is a point in a key's history.
+// Position is a position in a key's log.
 type Position struct {
 	Epoch Epoch  `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Less orders positions.
 func (p Position) Less(o Position) bool {
 	if p.Epoch != o.Epoch {
 		return p.Epoch.Less(o.Epoch)
@@ -53,34 +58,36 @@
 	return p.Seq < o.Seq
 }
 
-// VoteRequest requests the promise to follow no older epoch. A pre-vote asks only whether the
-// promise would be given, and changes nothing.
+// VoteRequest asks a member to vote for the sender and to promise to follow no older epoch. A
+// pre-vote only asks whether the vote would be granted, and changes nothing.
 type VoteRequest struct {
 	Key     string   `cbor:"1,keyasint"`
 	Epoch   Epoch    `cbor:"2,keyasint"`
 	Roster  Position `cbor:"3,keyasint"`
-	At      Position `cbor:"4,keyasint"` // the asker's copy
+	At      Position `cbor:"4,keyasint"` // position of the candidate's copy
 	PreVote bool     `cbor:"5,keyasint,omitempty"`
 }
 
-// Vote answers VoteRequest. It is given only to an asker whose copy is as new as the
-// member's own, so whoever has a majority of them holds all that was committed.
+// Vote answers VoteRequest. It is granted only to a candidate whose copy is at least as new as
+// the member's own, so a candidate with a majority of votes holds everything that was
+// committed.
 type Vote struct {
 	Key      string   `cbor:"1,keyasint"`
 	Epoch    Epoch    `cbor:"2,keyasint"`
 	OK       bool     `cbor:"3,keyasint,omitempty"`
 	Promised Epoch    `cbor:"4,keyasint"`
 	At       Position `cbor:"5,keyasint"`
-	Outdated *Holding `cbor:"9,keyasint,omitempty"` // the newer roster, if the asker's is older
-	// Quiet is for how long the member has confirmed no other epoch, if it must be
-	// known how old copies are.
+	Outdated *Holding `cbor:"9,keyasint,omitempty"` // the newer roster, if the candidate's is older
+	// Quiet is how long ago the member last confirmed another epoch. It is set for keys whose
+	// members must know how fresh their copies are.
 	Quiet   time.Duration    `cbor:"8,keyasint,omitempty"`
 	PreVote bool             `cbor:"10,keyasint,omitempty"`
-	Sums    antientropy.Sums `cbor:"11,keyasint"` // of the member's copy
+	Sums    antientropy.Sums `cbor:"11,keyasint"` // digests of the member's copy
 }
 
-// Append brings a member from one position to the next. Without Changes and
-// Mend it is what members of protocol 0 know for a heartbeat. A mending copy replaces whole ranges.
+// Append brings a member from the position Base to the position Seq of Epoch. Without Changes
+// and Mend it serves members of protocol 0 as a heartbeat. With Mend, it replaces the whole
+// ranges listed there by Changes.
 type Append struct {
 	Key     string   `cbor:"1,keyasint"`
 	Epoch   Epoch    `cbor:"2,keyasint"`
@@ -91,41 +98,43 @@
 	Roster  Position `cbor:"7,keyasint"`
 	Changes []Record `cbor:"8,keyasint,omitempty"`
 	Mend    []int    `cbor:"9,keyasint,omitempty"`
-	// Sum is the digest of all that the member then holds (antientropy.Sums.Fold). Members
-	// of a version before it send and read the digests by range, Sums.
+	// Sum is the digest of all records at the new position (antientropy.Sums.Fold). Members of
+	// versions without it send and read the digests by range, Sums.
 	Sums *antientropy.Sums `cbor:"10,keyasint,omitempty"`
 	Sure *Sure             `cbor:"11,keyasint,omitempty"`
 	Sum  uint64            `cbor:"12,keyasint,omitempty"`
 }
 
-// tells puts the digest of what the member then holds into a copy.
-func (c *Append) tells(s antientropy.Sums, older bool) {
-	c.Sum, c.Sums = s.Fold(), nil
-	if older {
-		c.Sums = &s
+// setDigest sets the digest of the records at the new position; withSums adds the digests by
+// range for members of older versions.
+func (a *Append) setDigest(sums antientropy.Sums, withSums bool) {
+	a.Sum, a.Sums = sums.Fold(), nil
+	if withSums {
+		a.Sums = &sums
 	}
 }
 
-// fits says whether digests are those that a copy tells.
-func (c *Append) fits(s antientropy.Sums) bool {
-	if c.Sum == 0 && c.Sums != nil {
-		return *c.Sums == s
+// matchesDigest reports whether a copy with these digests is the one that the message
+// describes.
+func (a *Append) matchesDigest(sums antientropy.Sums) bool {
+	if a.Sum == 0 && a.Sums != nil {
+		return *a.Sums == sums
 	}
-	return c.Sum == s.Fold()
+	return a.Sum == sums.Fold()
 }
 
-// Sure tells a member how long ago the owner knew that no other had taken its
-// place. It is told in durations: the member's own mark comes back with the time
-// for which the owner held it, so the member can date the word by its own clock
-// however long the message was on its way.
+// Sure tells a member how long ago the owner's ownership was last confirmed, and thus how old the
+// member's copy may be. It consists of durations: the member's own clock mark comes back with
+// the time for which the owner held it, so the member can date the confirmation by its own
+// clock, however long the message was in transit.
 type Sure struct {
-	Life uint64        `cbor:"1,keyasint"` // of the process that set the mark
+	Life uint64        `cbor:"1,keyasint"` // process that set the mark (Message.Life)
 	Mark time.Duration `cbor:"2,keyasint"`
 	Held time.Duration `cbor:"3,keyasint"`
 	Age  time.Duration `cbor:"4,keyasint"`
 }
 
-// AppendAck answers Append. If the member lags, Sums tell what it holds.
+// AppendAck answers Append. If the member lags behind, Sums are the digests of what it holds.
 type AppendAck struct {
 	Key      string            `cbor:"1,keyasint"`
 	Epoch    Epoch             `cbor:"2,keyasint"`
@@ -134,12 +143,12 @@
 	At       Position          `cbor:"5,keyasint"`
 	Round    uint64            `cbor:"6,keyasint,omitempty"`
 	Sums     *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Mark     time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, where it wants a Sure
+	Mark     time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this key
 	Outdated *Holding          `cbor:"9,keyasint,omitempty"` // the newer roster, if the owner's is older
 }
 
-// SnapshotChunk is a part of a snapshot: the records of some ranges as they stood at a
-// position. Once the member has all chunks of it, what it holds has the digests Sums.
+// SnapshotChunk is a part of a snapshot: the records of some ranges at a position. A member
+// that has applied all chunks has the digests Sums.
 type SnapshotChunk struct {
 	Key     string           `cbor:"1,keyasint"`
 	Epoch   Epoch            `cbor:"2,keyasint"`
@@ -148,7 +157,7 @@
 	Sums    antientropy.Sums `cbor:"5,keyasint"`
 	Index   int              `cbor:"6,keyasint,omitempty"`
 	Count   int              `cbor:"7,keyasint"`
-	Ranges  []int            `cbor:"8,keyasint,omitempty"` // of the whole snapshot
+	Ranges  []int            `cbor:"8,keyasint,omitempty"` // all ranges of the snapshot
 	Records []Record         `cbor:"9,keyasint,omitempty"`
 }
 
@@ -160,25 +169,26 @@
 	Next  int      `cbor:"4,keyasint,omitempty"`
 }
 
-// StateQuery asks a member where its copies stand on its disk.
+// StateQuery asks a member for the durable positions of its copies.
 type StateQuery struct {
 	Round   uint64   `cbor:"1,keyasint"`
-	Leaving bool     `cbor:"2,keyasint,omitempty"` // the sender is about to go
-	Roster  Position `cbor:"3,keyasint"`           // that the sender has taken
+	Leaving bool     `cbor:"2,keyasint,omitempty"` // the sender is about to leave
+	Roster  Position `cbor:"3,keyasint"`           // the sender's roster
 }
 
-// StateReport answers StateQuery: the roster that the member has taken, below which it
-// accepts nothing any more, and where each key stood then.
+// StateReport answers StateQuery: the member's roster, below which it no longer accepts
+// anything, and the positions of its copies under it.
 type StateReport struct {
 	Round  uint64   `cbor:"1,keyasint"`
 	Roster Position `cbor:"2,keyasint"`
 	Keys   []Stand  `cbor:"3,keyasint,omitempty"`
-	// Outdated is a newer roster, committed, for a sender that leaves: nobody copies to
-	// it once its seat has gone.
+	// Outdated is a newer, committed roster for a sender that is leaving: nothing is replicated
+	// to it any more once it has lost its seat.
 	Outdated *Holding `cbor:"4,keyasint,omitempty"`
 }
 
-// Stand is where a member's copy of a key stands.
+// Stand is the position of a member's copy of a key and the newest epoch that it has promised
+// to follow.
 type Stand struct {
 	Key      string   `cbor:"1,keyasint"`
 	Promised Epoch    `cbor:"2,keyasint"`
@@ -191,25 +201,28 @@
 	Records []Record `cbor:"4,keyasint,omitempty"`
 }
 
-// Found proposes the founding roster; without Records it only asks who is there.
+// Found proposes the initial roster of a new system. Without Records it only asks whether the
+// receiver is there.
 type Found struct {
 	At      Position `cbor:"1,keyasint"`
 	Records []Record `cbor:"2,keyasint"`
 }
 
-// Founded says that the founding roster is on the sender's disk, or, at the zero
-// position, that the sender is there and has none.
+// Founded acknowledges that the sender holds the initial roster durably. At the zero position
+// it only says that the sender is there and has no roster.
 type Founded struct {
 	At Position `cbor:"1,keyasint"`
-	// Relay says that the sender has no disk and can be no member. Appointed is the
-	// member that founds alone if all seeds are such; empty if it isn't known here.
+	// Relay says that the sender has no disk and can't be a member. Appointed is the member
+	// that it appoints as the only initial member in case all seeds are relays; empty if it
+	// isn't known here.
 	Relay     bool   `cbor:"2,keyasint,omitempty"`
 	Appointed string `cbor:"3,keyasint,omitempty"`
-	// Passive says that the sender may not propose: its disk tells of no first start.
+	// Passive says that the sender may not propose the initial roster because its disk holds no
+	// seeds of a first start.
 	Passive bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Transfer tells a member to take a key over at once.
+// Transfer asks a member to take over a key at once.
 type Transfer struct {
 	Key string `cbor:"1,keyasint"`
 }
@@ -217,27 +230,27 @@
 // Probe asks, after a start, which keys have an owner.
 type Probe struct{}
 
-// ProbeAck names the keys that the sender knows to have one. It is no promise;
-// it only spares the wait for an owner that is not there.
+// ProbeAck lists the keys that, as far as the sender knows, have an owner or an election under
+// way. It binds nobody; it only saves a restarted member the wait for owners that don't exist.
 type ProbeAck struct {
 	Owned []string `cbor:"1,keyasint,omitempty"`
 }
 
-// Join says that the sender has no seat: owners copy to it as a learner, and the
-// owner of the roster gives it a seat once it holds all that is committed.
+// Join says that the sender has no seat. Owners replicate to it as a learner, and the owner of
+// the roster gives it a seat once it holds everything that is committed.
 type Join struct{}
 
-// Envelope is a message to one member.
+// Envelope is a message with its receiver's address.
 type Envelope struct {
 	To  string
 	Msg Message
 }
 
-// The outcomes of a proposal or a read that did not succeed.
+// Errors of a proposal or a read.
 var (
 	ErrNotOwner = errors.New("not the owner of the key")
 	ErrNoQuorum = errors.New("no quorum")
-	ErrUnknown  = errors.New("no such member")
-	ErrTooFew   = errors.New("too few members would be left")
-	ErrAlive    = errors.New("the member is at work; stop it first")
+	ErrUnknown  = errors.New("the roster has no such member")
+	ErrTooFew   = errors.New("too few members would remain in the roster")
+	ErrAlive    = errors.New("the member is still running; stop it first")
 )
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -1,54 +1,55 @@
 package replication
 
-// This file holds reads and fencing: what a member may say of its copies, and how
-// sure it is.
+// This file holds reads and fencing: how fresh a member's copies are known to be, and since
+// when it has been the confirmed owner of a key.
 
 import "time"
 
-// Read calls done with nil once it is certain that no newer copy of the key
-// than the one in memory has been acknowledged.
+// Read calls done with nil once it is certain that no newer version of the key than the one in
+// memory has been acknowledged.
 func (m *Replica) Read(now time.Duration, name string, done func(error)) {
 	m.Propose(now, name, func(map[string]Record) ([]Record, error) { return nil, nil }, done)
 }
 
-// Current says at which time, on this member's clock, its committed copy of a key
-// was certainly the newest that anybody could have been told of.
+// Current returns a time on this member's clock as of which its committed copy of a key was
+// certainly the newest that anybody could have been told of.
 func (m *Replica) Current(name string) (time.Duration, bool) {
 	k := m.key(name)
-	if k.commit.Seq == 0 || k.commit != k.at && k.undo == nil {
+	if k.commit.Seq == 0 || k.commit != k.position && k.undo == nil {
 		return 0, false
 	}
-	if k.role == owns {
-		return k.sure, k.sure != unsure && k.commit.Epoch == k.mine
+	if k.role == roleOwner {
+		return k.confirmedAt, k.confirmedAt != neverConfirmed && k.commit.Epoch == k.ownEpoch
 	}
-	return k.current, k.current > 0
+	return k.freshAsOf, k.freshAsOf > 0
 }
 
-// unsure is the time at which an owner was last sure of itself, if it never was.
-const unsure time.Duration = -1
+// neverConfirmed is the value of confirmedAt while the ownership has not been confirmed yet.
+const neverConfirmed time.Duration = -1
 
-// Tenure is a member's ownership of a key.
+// Tenure describes a member's ownership of a key.
 type Tenure struct {
 	Epoch Epoch
 	Since time.Duration
-	Sure  time.Duration // then it was certain that there was no other owner
-	Heir  bool          // others may have owned the key before, with something in it
-	Free  time.Duration // no other was sure of itself later than this
+	Sure  time.Duration // when it was last certain that there was no other owner
+	Heir  bool          // the key had records when the ownership began, so others may have owned it before
+	Free  time.Duration // no earlier owner was confirmed later than this
 }
 
-// Tenure describes the ownership of a key that this member has and is sure of.
+// Tenure describes this member's ownership of a key. ok is false unless the ownership was
+// confirmed within the last Config.Vacant.
 func (m *Replica) Tenure(now time.Duration, name string) (t Tenure, ok bool) {
 	k := m.key(name)
-	return Tenure{k.mine, k.took, k.sure, k.heir, k.free}, k.role == owns && k.sure != unsure && now-k.sure <= m.cfg.Vacant
+	return Tenure{k.ownEpoch, k.ownerSince, k.confirmedAt, k.inherited, k.predecessorUntil}, k.role == roleOwner && k.confirmedAt != neverConfirmed && now-k.confirmedAt <= m.cfg.Vacant
 }
 
-// Committed gives the records of a key as they stood at the newest position that this
-// member knows to be committed. While a further step is under way that is a copy.
+// Committed returns the records of a key at the newest position that this member knows to be
+// committed. While a later change is not committed yet, the map is a copy.
 func (m *Replica) Committed(name string) (map[string]Record, Position, bool) {
 	k := m.key(name)
 	switch {
 	case k.commit.Seq == 0:
-	case k.commit == k.at:
+	case k.commit == k.position:
 		return k.Records, k.commit, true
 	case k.undo != nil:
 		out := make(map[string]Record, len(k.Records))
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -11,30 +11,30 @@
 	"madderwing/internal/antientropy"
 )
 
-// Config is what a member is told. The times are ratios to the settings'
-// bounds, worked out by the driver.
+// Config is the configuration of a member. The driver derives the durations from the bounds in
+// the settings.
 type Config struct {
 	Self      string
-	Life      uint64   // differs between any two lives of any processes
-	Identity  uint64   // for a disk that has none; differs between any two disks
+	Life      uint64   // unique to each process
+	Identity  uint64   // for a disk that has none yet; unique to each disk
 	Seeds     []string // sorted
 	Bootstrap bool
-	Empty     bool // the disk held nothing, or nothing that could be read
+	Empty     bool // the disk held nothing, or nothing readable
 	Keys      []string
-	Beat      time.Duration // between heartbeats of an owner
-	Vacant    time.Duration // silence after which a key is taken over
+	Beat      time.Duration // interval between an owner's heartbeats
+	Vacant    time.Duration // election timeout: silence after which a key is taken over
 	Patience  time.Duration // how long a proposal may wait
-	HandBack  time.Duration // calm after which a key goes back to its first heir; 0: never
+	HandBack  time.Duration // how long everything must be stable before a key goes back to its first successor; 0: never
 	Alive     func(id string) bool
-	Sure      []string // keys of which members must know how old their copy is
-	// SurePrefix begins the names of further such keys, which are made as they are needed;
-	// empty: there are none.
+	Sure      []string // keys whose members must know how fresh their copy is
+	// SurePrefix is the prefix of further such keys, which are created on demand; empty: there
+	// are none.
 	SurePrefix string
 
-	Faults int                    // how many members may be lost at once with all rules kept
-	Left   func(id string) bool   // the process at an address has said that it goes; nil: never known
-	Peers  func() []string        // control nodes known to be there, for a member without a seat; nil: none
-	Zone   func(id string) string // the zone of an address; nil or empty: not known
+	Faults int                    // how many members may be lost at once with all guarantees kept
+	Left   func(id string) bool   // the process at an address has announced that it left; nil: never known
+	Peers  func() []string        // known control nodes, for a member without a seat; nil: none
+	Zone   func(id string) string // zone of an address; nil or empty: not known
 }
 
 // Effects is what a member asks its driver to do.
@@ -43,140 +43,142 @@
 	Writes    []Write
 	Rewrite   bool     // the last write failed: write the whole state
 	Committed []string // keys with a newer committed copy
-	// Changed has, for each of them, the records that were committed since the last
-	// time; nil for a key of which that isn't known: any may have been.
+	// Changed holds, by key, the records committed since the last call of Take. A nil entry
+	// means that they are not known: any record may have changed.
 	Changed map[string][]Record
-	Notes   []string // what is worth a line in the log
+	Notes   []string // messages for the log
 }
 
 type role int
 
 const (
-	follows role = iota
-	asks
-	owns
+	roleFollower role = iota
+	roleCandidate
+	roleOwner
 )
 
-type key struct {
+// replicatedKey is this member's copy of a key and its role for that key.
+type replicatedKey struct {
 	name     string
-	promised Epoch
-	at       Position
+	promised Epoch    // the newest epoch that this member has promised to follow
+	position Position // of the copy
 	*antientropy.Set
-	commit   Position
-	heard    time.Duration // when the wait for a new owner began anew
-	heardAny bool
-	copied   time.Duration // when the owner was last heard
-	owned    bool          // an owner has been heard since the last promise to another
+	commit       Position      // the newest position known to be committed
+	lastContact  time.Duration // start of the election timeout: the last contact with an owner or candidate, or the end of this member's own role
+	hadContact   bool          // lastContact is set
+	ownerContact time.Duration // when the owner was last heard from
+	hasOwner     bool          // an owner has been heard from since the last vote for another member
 
-	// undo holds what the records that were changed since commit held then; a nil
-	// record was not there. It is nil where that isn't known.
+	// undo holds the earlier versions of the records changed since commit; nil for a record
+	// that did not exist. The map is nil if they are not known.
 	undo map[string]*Record
-	log  stepLog // the newest steps, for members that have missed some
+	log  entryLog // the newest log entries, for members that lag behind
 
-	role     role
-	preVote  bool // asks, but only whether it would be promised
-	mine     Epoch
-	floor    uint64 // epochs up to this number have been asked for by others
-	since    time.Duration
-	askedAt  time.Duration // when those who had not answered were last asked
-	promises map[string]*Vote
-	acks     map[string]Position // durable copies in my epoch
-	seen     map[string]time.Duration
-	rounds   map[string]uint64 // the newest round in which each confirmed my epoch
-	agreed   time.Duration     // when a quorum last answered in my epoch
-	waiters  []waiter
-	queue    []proposal
-	notUntil time.Duration
-	calmFrom time.Duration
-	sending  map[string]*sending // snapshots under way, by member
-	mended   map[string]mended   // what was last sent to members that lag
-	taking   *taking             // the snapshot that this member is taking in
+	role             role
+	preVote          bool                     // in a candidate: only a pre-vote so far
+	ownEpoch         Epoch                    // as candidate or owner
+	maxSeenEpoch     uint64                   // highest epoch number that other members have requested votes for
+	roleSince        time.Duration            // when the pre-vote, campaign or ownership began
+	votesRequestedAt time.Duration            // when votes were last requested
+	votes            map[string]*Vote         // granted votes, by member
+	acks             map[string]Position      // durable copies under ownEpoch, by member
+	ackedAt          map[string]time.Duration // when each member last answered under ownEpoch
+	confirmedRounds  map[string]uint64        // by member: the newest round in which it confirmed ownEpoch
+	quorumAt         time.Duration            // when a quorum last confirmed ownEpoch
+	waiters          []waiter
+	queue            []proposal
+	noElectionUntil  time.Duration
+	stableSince      time.Duration                // since when the conditions for handing the key back hold
+	outgoing         map[string]*outgoingSnapshot // snapshots being sent, by member
+	lastCatchUp      map[string]catchUpSent       // the last changes sent to members that lag behind, by member
+	incoming         *incomingSnapshot            // snapshot being received
 
-	wanted     bool          // members must know how old their copy is
-	sure       time.Duration // at that time no other could have committed anything
-	current    time.Duration // the same, as a member that follows knows it; 0: not
-	took       time.Duration // when this member became owner
-	firstRound uint64        // the first round that was begun since
-	spoke      time.Duration // when this member last confirmed an epoch, as a follower or as owner
-	free       time.Duration // until when at the latest another owner was sure of itself
-	frees      map[string]time.Duration
-	heirsOf    *seats // the roster that heirList is for
-	heirList   []string
-	heir       bool          // there were records when it did
-	born       time.Duration // when this member first heard of the key
+	trackFreshness   bool                     // members must know how fresh their copy is
+	confirmedAt      time.Duration            // as of then, no other member could have committed anything
+	freshAsOf        time.Duration            // as of then, a follower's committed copy was the newest; 0: not known
+	ownerSince       time.Duration            // when this member became owner
+	firstRound       uint64                   // the first round begun since then
+	lastConfirmSent  time.Duration            // when this member last confirmed an epoch, as a follower or as the owner
+	predecessorUntil time.Duration            // no earlier owner was confirmed later than this
+	quietSince       map[string]time.Duration // by voter: when it last confirmed another epoch
+	successorsFor    *seats                   // the roster that successorList was computed for
+	successorList    []string
+	inherited        bool          // there were records when this member became owner
+	knownSince       time.Duration // when this member first heard of the key
 }
 
-// Replica is one node's part in keeping the control state.
+// Replica is the state machine of one member.
 type Replica struct {
-	cfg      Config
-	self     string // its identity: see idOf
-	identity uint64
-	keys     map[string]*key
-	names    []string
-	founded  bool
-	now      time.Duration
-	fx       Effects
-	cached   *seats // the roster as it stands; nil: to be read anew
+	cfg          Config
+	self         string // its identity: see idOf
+	identity     uint64
+	keys         map[string]*replicatedKey
+	names        []string // of all keys, sorted
+	bootstrapped bool     // the system has a committed roster, or all initial members have it
+	now          time.Duration
+	effects      Effects // since the last call of Take
+	cachedSeats  *seats  // the current roster; nil: to be computed again
 
-	nextWrite uint64
-	after     map[uint64][]func()
-	firstOpen uint64
-	openSince time.Duration
+	lastWrite    uint64              // ID of the newest write
+	onDurable    map[uint64][]func() // by write ID: what to call once it is durable
+	firstPending uint64              // lowest ID of a write that is not durable yet
+	pendingSince time.Duration       // when the oldest pending write began to wait for the disk
 
-	enrolAt   time.Duration
-	foundAt   time.Duration
-	foundIDs  map[string]string // by address: who is there at the founding
-	foundAcks map[string]bool
-	relays    map[string]string // seeds without a disk, and whom they appoint
-	passive   map[string]bool   // seeds that may not propose the founding roster
-	// firstSeeds are the seeds of the system's first start, if this member was there; see founding.go.
-	firstSeeds []string
-	leaving    bool
-	began      bool
-	beganAt    time.Duration
-	lives      map[string]uint64        // the newest life of each member
-	proven     map[string]time.Duration // when the newest beat of the roster that each identity has answered was sent
-	newest     map[string]string        // by address: the identity that spoke last
-	learners   map[string]time.Duration // identities without a seat that want one, and when they said so
-	leavers    map[string]time.Duration // identities that leave, and when they said so last
-	hailed     map[string]map[string]bool
-	survey     *survey
-	round      uint64 // of surveys
+	nextJoinAt      time.Duration
+	nextBootstrapAt time.Duration
+	seedIDs         map[string]string // by address: identities of the seeds that have answered
+	bootstrapAcks   map[string]bool   // addresses of members that hold the initial roster
+	relays          map[string]string // seeds without a disk, and the member that each appoints
+	passive         map[string]bool   // seeds that may not propose the initial roster
+	// firstSeeds are the seeds of the system's first start, if this member took part in it; see
+	// bootstrap.go.
+	firstSeeds       []string
+	leaving          bool
+	started          bool
+	startedAt        time.Duration
+	incarnations     map[string]uint64          // by identity: the process (Message.Life) last heard from
+	rosterAnsweredAt map[string]time.Duration   // by identity: when the newest round of the roster that it has answered was sent
+	lastIdentity     map[string]string          // by address: the identity last heard from
+	learners         map[string]time.Duration   // identities without a seat that ask for one, and when they last did
+	leavers          map[string]time.Duration   // identities that are leaving, and when they last said so
+	probeAcks        map[string]map[string]bool // by address: the keys that have an owner
+	survey           *survey
+	surveyRound      uint64 // number of the newest survey round
 
-	beats heartbeats
-	peers map[string]*peer      // by address
-	marks map[string]mark       // by identity: what members want echoed
-	lists map[string]*ownerList // by address: what owners' heartbeats told
+	heartbeats heartbeatState
+	peers      map[string]*peer      // by address
+	clockMarks map[string]clockMark  // by identity: clock readings to return to members
+	ownerLists map[string]*ownerList // by address: lists received in owners' heartbeats
 }
 
-// NewReplica makes a member from what its disk held.
+// NewReplica creates a member from the contents of its disk.
 func NewReplica(cfg Config, disk map[string][]byte) (*Replica, error) {
-	m := &Replica{cfg: cfg, keys: map[string]*key{}, after: map[uint64][]func(){}, firstOpen: 1,
-		foundIDs: map[string]string{}, foundAcks: map[string]bool{}, relays: map[string]string{}, passive: map[string]bool{},
-		lives: map[string]uint64{}, proven: map[string]time.Duration{}, newest: map[string]string{},
-		learners: map[string]time.Duration{}, leavers: map[string]time.Duration{}, hailed: map[string]map[string]bool{},
-		beats: newHeartbeats(), peers: map[string]*peer{}, marks: map[string]mark{}, lists: map[string]*ownerList{}}
+	m := &Replica{cfg: cfg, keys: map[string]*replicatedKey{}, onDurable: map[uint64][]func(){}, firstPending: 1,
+		seedIDs: map[string]string{}, bootstrapAcks: map[string]bool{}, relays: map[string]string{}, passive: map[string]bool{},
+		incarnations: map[string]uint64{}, rosterAnsweredAt: map[string]time.Duration{}, lastIdentity: map[string]string{},
+		learners: map[string]time.Duration{}, leavers: map[string]time.Duration{}, probeAcks: map[string]map[string]bool{},
+		heartbeats: newHeartbeatState(), peers: map[string]*peer{}, clockMarks: map[string]clockMark{}, ownerLists: map[string]*ownerList{}}
 	for _, name := range append([]string{RosterKey}, cfg.Keys...) {
 		m.key(name)
 	}
 	for _, name := range cfg.Sure {
-		m.key(name).wanted = true
+		m.key(name).trackFreshness = true
 	}
-	for k, v := range disk {
+	for entryKey, value := range disk {
 		var err error
 		switch {
-		case k == nodeEntry:
-			var n nodeValue
-			err = cbor.Unmarshal(v, &n)
-			m.founded, m.identity, m.firstSeeds = n.Founded, n.Identity, n.FirstSeeds
-		case len(k) > len(metaPrefix) && k[:len(metaPrefix)] == metaPrefix:
-			var mv metaValue
-			err = cbor.Unmarshal(v, &mv)
-			kk := m.key(k[len(metaPrefix):])
-			kk.promised, kk.at, kk.commit = mv.Promised, mv.At, mv.Commit
-		case len(k) > len(recPrefix) && k[:len(recPrefix)] == recPrefix:
+		case entryKey == nodeEntryKey:
+			var node nodeValue
+			err = cbor.Unmarshal(value, &node)
+			m.bootstrapped, m.identity, m.firstSeeds = node.Bootstrapped, node.Identity, node.FirstSeeds
+		case len(entryKey) > len(metaPrefix) && entryKey[:len(metaPrefix)] == metaPrefix:
+			var meta metaValue
+			err = cbor.Unmarshal(value, &meta)
+			k := m.key(entryKey[len(metaPrefix):])
+			k.promised, k.position, k.commit = meta.Promised, meta.At, meta.Commit
+		case len(entryKey) > len(recordPrefix) && entryKey[:len(recordPrefix)] == recordPrefix:
 			var r storedRecord
-			if err = cbor.Unmarshal(v, &r); err == nil {
+			if err = cbor.Unmarshal(value, &r); err == nil {
 				m.key(r.Key).Put(r.Record)
 			}
 		}
@@ -185,23 +187,24 @@
 		}
 	}
 	if m.identity == 0 {
-		// The first use of this disk. Batches become durable in order, so no word
-		// that counts is given before the identity is.
+		// The first use of this disk. Batches become durable in order, so no message that
+		// counts is sent before the identity is durable.
 		m.identity = cfg.Identity
 		if cfg.Bootstrap && cfg.Empty {
 			m.firstSeeds = cfg.Seeds
 		}
-		m.write([]ledgerEntry{m.nodeEntry()}, nil)
+		m.write([]storageEntry{m.nodeEntry()}, nil)
 	}
 	m.self = idOf(cfg.Self, m.identity)
 	return m, nil
 }
 
-func (m *Replica) key(name string) *key {
+// key returns this member's copy of a key, and creates it if the key is new.
+func (m *Replica) key(name string) *replicatedKey {
 	k := m.keys[name]
 	if k == nil {
-		k = &key{name: name, Set: antientropy.NewSet(), born: m.now}
-		k.wanted = m.cfg.SurePrefix != "" && strings.HasPrefix(name, m.cfg.SurePrefix)
+		k = &replicatedKey{name: name, Set: antientropy.NewSet(), knownSince: m.now}
+		k.trackFreshness = m.cfg.SurePrefix != "" && strings.HasPrefix(name, m.cfg.SurePrefix)
 		m.keys[name] = k
 		m.names = append(m.names, name)
 		sort.Strings(m.names)
@@ -209,50 +212,50 @@
 	return k
 }
 
-// Take returns what is to be done since the last call.
+// Take returns the effects since the last call.
 func (m *Replica) Take() Effects {
 	m.flushHeartbeats()
-	fx := m.fx
-	m.fx = Effects{}
-	return fx
+	effects := m.effects
+	m.effects = Effects{}
+	return effects
 }
 
 func (m *Replica) send(to string, msg Message) {
 	msg.Life, msg.Identity, msg.Protocol = m.cfg.Life, m.identity, protocolHeartbeat
-	m.fx.Send = append(m.fx.Send, Envelope{to, msg})
+	m.effects.Send = append(m.effects.Send, Envelope{to, msg})
 }
 
-func (m *Replica) note(text string) { m.fx.Notes = append(m.fx.Notes, text) }
+func (m *Replica) note(text string) { m.effects.Notes = append(m.effects.Notes, text) }
 
-// idOf names a member: its address and the identity of its disk. A machine that has
-// lost its disk is another member at the same address.
+// idOf returns a member's identity: its address and the identity of its disk. A machine that
+// has lost its disk is another member at the same address.
 func idOf(address string, identity uint64) string {
 	if identity == 0 {
-		return address // of a version that had no identities
+		return address // of a version without identities
 	}
 	return address + "/" + strconv.FormatUint(identity, 16)
 }
 
-// Handle takes a message.
+// Handle processes a message.
 func (m *Replica) Handle(now time.Duration, from string, msg Message) {
 	m.now = now
 	id := idOf(from, msg.Identity)
-	m.lives[id], m.newest[from] = msg.Life, id
-	m.meet(from, id, msg)
+	m.incarnations[id], m.lastIdentity[from] = msg.Life, id
+	m.notePeer(from, id, msg)
 	if msg.Body != nil {
 		msg.Body.handle(m, sender{from, id, msg.Life})
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the time and does what is due.
 func (m *Replica) Tick(now time.Duration) {
 	m.now = now
-	if !m.began {
-		m.began, m.beganAt = true, now
+	if !m.started {
+		m.started, m.startedAt = true, now
 	}
-	m.tickFounding()
+	m.tickBootstrap()
 	if !m.mayOwn() {
-		m.enrol()
+		m.requestSeat()
 	}
 	if m.leaving {
 		m.tickLeaving()
@@ -260,67 +263,67 @@
 	if !m.mayOwn() {
 		m.resign()
 	}
-	if !m.inRoster() {
+	if !m.hasSeat() {
 		return
 	}
-	if now-m.beganAt < 2*m.cfg.Beat {
+	if now-m.startedAt < 2*m.cfg.Beat {
 		for _, to := range m.others() {
 			m.send(to, Message{Body: &Probe{}})
 		}
 	}
-	stuck := m.firstOpen <= m.nextWrite && now-m.openSince > m.cfg.Vacant/2
-	beats, alone := now-m.beats.beatAt >= m.cfg.Beat, m.decidesAlone()
-	m.forgetLists()
+	diskStalled := m.firstPending <= m.lastWrite && now-m.pendingSince > m.cfg.Vacant/2
+	heartbeatDue, alone := now-m.heartbeats.lastFullAt >= m.cfg.Beat, m.decidesAlone()
+	m.expireLists()
 	for _, name := range m.names {
 		k := m.keys[name]
-		m.expire(k)
+		m.expireWaiters(k)
 		switch k.role {
-		case owns:
-			if now-k.agreed > m.cfg.Vacant || stuck {
-				// Cut off, frozen for a while, or without a disk that answers.
-				if stuck {
-					m.yield(k)
+		case roleOwner:
+			if now-k.quorumAt > m.cfg.Vacant || diskStalled {
+				// The owner is cut off, was suspended for a while, or its disk doesn't respond.
+				if diskStalled {
+					m.transfer(k)
 				}
-				m.release(k, ErrNoQuorum)
-				k.notUntil = now + m.cfg.Vacant
-			} else if beats {
-				m.beats.dueAll = true
+				m.becomeFollower(k, ErrNoQuorum)
+				k.noElectionUntil = now + m.cfg.Vacant
+			} else if heartbeatDue {
+				m.heartbeats.dueAll = true
 				if alone {
-					m.advance(k) // no answer will come that confirms the epoch
+					m.advanceCommit(k) // no acknowledgement will arrive to confirm the epoch
 				}
 				m.handBack(k)
 			}
-		case asks:
-			if k.preVote && now-k.since > m.cfg.Beat || now-k.since > m.cfg.Vacant {
-				m.release(k, ErrNoQuorum)
-				k.notUntil = now + m.cfg.Beat*time.Duration(1+m.rank(k))/2
-			} else if k.promises[m.self] != nil && now-k.askedAt >= m.cfg.Beat/4 {
-				m.canvass(k) // a question or an answer may have been lost
+		case roleCandidate:
+			if k.preVote && now-k.roleSince > m.cfg.Beat || now-k.roleSince > m.cfg.Vacant {
+				m.becomeFollower(k, ErrNoQuorum)
+				k.noElectionUntil = now + m.cfg.Beat*time.Duration(1+m.rankAmongLive(k))/2
+			} else if k.votes[m.self] != nil && now-k.votesRequestedAt >= m.cfg.Beat/4 {
+				m.requestVotes(k) // a request or a vote may have been lost
 			}
-		case follows:
-			if k.heardAny && now-k.heard <= m.cfg.Vacant {
+		case roleFollower:
+			if k.hadContact && now-k.lastContact <= m.cfg.Vacant {
 				continue
 			}
-			wait := m.cfg.Vacant + time.Duration(m.rank(k))*m.cfg.Vacant/2
-			since := k.heard
-			if !k.heardAny {
-				// Just started: give an owner that is there time to say so.
-				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.place(k.name))*m.cfg.Vacant/4
-				since = m.beganAt
-				if k.born > m.beganAt {
-					// A key that nobody had before: nobody can have owned it, unless
-					// this member missed that; then the owner will say so.
-					wait = time.Duration(m.place(k.name)) * m.cfg.Vacant / 4
-					since = k.born
+			wait := m.cfg.Vacant + time.Duration(m.rankAmongLive(k))*m.cfg.Vacant/2
+			since := k.lastContact
+			if !k.hadContact {
+				// Just started: give an existing owner time to make itself known.
+				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.rankAmongAll(k.name))*m.cfg.Vacant/4
+				since = m.startedAt
+				if k.knownSince > m.startedAt {
+					// A new key can't have had an owner, unless this member missed that; then
+					// the owner will make itself known.
+					wait = time.Duration(m.rankAmongAll(k.name)) * m.cfg.Vacant / 4
+					since = k.knownSince
 				}
-				if m.ownerless(name) {
+				if m.probesFoundNoOwner(name) {
 					wait = 0
 				}
 			}
-			if !stuck && now-since > wait {
-				m.takeOver(k, false)
+			if !diskStalled && now-since > wait {
+				m.startElection(k, false)
 			}
 		}
 	}
-	m.reform()
+	m.tickRosterChange()
 }
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -73,7 +73,7 @@
 		if err := w.put(w.nodes[o], "x", uint64(8+i)); err == nil {
 			t.Fatalf("%s acknowledged without a majority of the seats", o)
 		}
-		if s := w.nodes[o].m.seats(); slices.Contains(s.all(), n.m.self) || !slices.Contains(s.after, former) {
+		if s := w.nodes[o].m.seats(); slices.Contains(s.all(), n.m.self) || !slices.Contains(s.newSeats, former) {
 			t.Fatalf("%s has the roster %+v", o, s)
 		}
 	}
@@ -192,10 +192,10 @@
 	} {
 		for n := 0; n <= c.members; n++ {
 			has := func(id string) bool { return int(id[0]-'a') < n }
-			if got := enough(ids[:c.members], false, has); got != (n >= c.promise) {
+			if got := hasQuorumOf(ids[:c.members], false, has); got != (n >= c.promise) {
 				t.Errorf("%d of %d promise: %v", n, c.members, got)
 			}
-			if got := enough(ids[:c.members], true, has); got != (n >= c.durable) {
+			if got := hasQuorumOf(ids[:c.members], true, has); got != (n >= c.durable) {
 				t.Errorf("%d of %d durable: %v", n, c.members, got)
 			}
 		}
@@ -285,7 +285,7 @@
 			t.Fatal("never retired")
 		}
 		for _, id := range w.ids {
-			if n := w.nodes[id]; n.up && n.m.keys[RosterKey].role == owns {
+			if n := w.nodes[id]; n.up && n.m.keys[RosterKey].role == roleOwner {
 				w.on(id, n.life, func() { n.m.Retire(w.now, gone, func(e error) { ok = ok || e == nil }) })
 			}
 		}
@@ -310,7 +310,7 @@
 	w.start(heir)
 	back := time.Duration(0)
 	for begin := w.now; back == 0 && w.now < begin+30*time.Second; w.run(w.now + 100*time.Millisecond) {
-		if w.nodes[heir].m.keys[testKey].role == owns {
+		if w.nodes[heir].m.keys[testKey].role == roleOwner {
 			back = w.now - begin
 		}
 	}
@@ -335,14 +335,14 @@
 	}
 	for _, id := range w.ids {
 		disk := w.nodes[id].disk
-		disk[nodeEntry] = marshal(nodeValue{Voting: true, Founded: true})
+		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
-			if len(name) > len(recPrefix) && name[:len(recPrefix)] == recPrefix && unmarshal(b, &r) && r.Key == RosterKey {
+			if len(name) > len(recordPrefix) && name[:len(recordPrefix)] == recordPrefix && unmarshal(b, &r) && r.Key == RosterKey {
 				delete(disk, name)
 				if !r.Record.Dropped {
 					r.Record.Name = addressOf(r.Record.Name)
-					disk[recPrefix+RosterKey+"/"+r.Record.Name] = marshal(r)
+					disk[recordPrefix+RosterKey+"/"+r.Record.Name] = marshal(r)
 				}
 			}
 		}
@@ -352,7 +352,7 @@
 	w.run(w.now + 8*time.Second)
 	for _, id := range w.ids {
 		s := w.nodes[id].m.seats()
-		if len(s.after) != 4 || s.joint || !slices.Contains(s.after, w.nodes[id].m.self) {
+		if len(s.newSeats) != 4 || s.joint || !slices.Contains(s.newSeats, w.nodes[id].m.self) {
 			t.Fatalf("%s has the roster %+v", id, s)
 		}
 	}
--- a/internal/replication/replicationtest/disk.go
+++ b/internal/replication/replicationtest/disk.go
@@ -2,10 +2,10 @@
 
 import "madderwing/internal/storage"
 
-// Disk is what a simulated disk holds durably.
+// Disk is the durable content of a simulated disk.
 type Disk map[string][]byte
 
-// Apply carries a write out.
+// Apply applies a batch of writes; a nil value deletes the key.
 func (d Disk) Apply(entries []storage.Entry) {
 	for _, e := range entries {
 		if e.Value == nil {
--- a/internal/replication/replicationtest/queue.go
+++ b/internal/replication/replicationtest/queue.go
@@ -1,6 +1,6 @@
-// Package replicationtest is support for tests: the parts of a simulated world of replicas
-// that know no replica, shared by the tests of the packages that run some. Only tests
-// import it.
+// Package replicationtest supports tests that simulate a network of replicas. It holds the
+// parts that don't depend on the replica itself, which the tests of several packages share.
+// Only tests import it.
 package replicationtest
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Queue holds the events of a simulated world in order of time. Those of one moment keep
-// the order in which they were added. The zero Queue is empty.
+// Queue holds the events of a simulation in order of time. Events at the same time keep the
+// order in which they were added. The zero Queue is empty.
 type Queue struct {
-	added  int
-	events eventHeap
+	nextOrder int
+	events    eventHeap
 }
 
-// Add enters an event that is due at a time.
+// Add schedules an event.
 func (q *Queue) Add(at time.Duration, run func()) {
-	q.added++
-	heap.Push(&q.events, event{at, q.added, run})
+	q.nextOrder++
+	heap.Push(&q.events, event{at, q.nextOrder, run})
 }
 
-// Run runs all events that are due until a time, those that they add included, and sets
-// now to the time of each before it runs, and to until at the end.
+// Run runs all events that are due until the given time, including those that they add. It sets
+// now to the time of each event before it runs, and to until at the end.
 func (q *Queue) Run(now *time.Duration, until time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e := heap.Pop(&q.events).(event)
@@ -38,7 +38,7 @@
 	run   func()
 }
 
-// eventHeap is a heap.Interface.
+// eventHeap implements heap.Interface.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- /dev/null
+++ b/internal/replication/roster_status.go
@@ -0,0 +1,96 @@
+package replication
+
+// This file holds the status of the roster, for operators.
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Standing is the status of the roster as one member sees it.
+type Standing struct {
+	Seats    []string       `json:"seats"` // each an address and the identity of a disk
+	Joint    bool           `json:"joint"` // a change is in progress
+	Learners []LearnerState `json:"learners"`
+	Bears    int            `json:"bears"`  // how many more of the members that seem alive may be lost now
+	Wanted   int            `json:"wanted"` // how many losses should be tolerated
+}
+
+// LearnerState is the status of a member without a seat. Behind is the number of keys owned by
+// this member of which the learner lacks the newest version; -1 if this member owns none.
+type LearnerState struct {
+	ID     string `json:"id"`
+	Behind int    `json:"behind"`
+}
+
+// Standing returns the status of the roster and the losses that it tolerates.
+func (m *Replica) Standing(now time.Duration) Standing {
+	m.now = now
+	s := m.seats()
+	out := Standing{Seats: s.all(), Joint: s.joint, Learners: []LearnerState{}, Wanted: m.cfg.Faults}
+	tolerance := func(seats []string) int {
+		live := 0
+		for _, seat := range seats {
+			if m.seatHeld(seat) {
+				live++
+			}
+		}
+		return live - ackQuorum(len(seats))
+	}
+	out.Bears = tolerance(s.newSeats)
+	if s.joint {
+		out.Bears = min(out.Bears, tolerance(s.oldSeats))
+	}
+	for _, id := range m.activeLearners() {
+		if slices.Contains(s.newSeats, id) {
+			continue
+		}
+		l := LearnerState{ID: id, Behind: -1}
+		for _, name := range m.names {
+			if k := m.keys[name]; k.role == roleOwner {
+				l.Behind = max(l.Behind, 0)
+				if k.acks[id] != k.position {
+					l.Behind++
+				}
+			}
+		}
+		out.Learners = append(out.Learners, l)
+	}
+	return out
+}
+
+// seatHeld reports whether the disk that a seat belongs to seems to be in use. A machine that
+// runs with another disk doesn't count until that disk has a seat of its own.
+func (m *Replica) seatHeld(seat string) bool {
+	id, address := m.holder(seat), addressOf(seat)
+	switch {
+	case id == m.self:
+		return true
+	case address == m.cfg.Self || !m.cfg.Alive(address):
+		return false
+	}
+	if last, heard := m.lastIdentity[address]; heard && last != id {
+		return false
+	}
+	return !slices.ContainsFunc(m.activeLearners(), func(other string) bool {
+		return other != id && addressOf(other) == address
+	})
+}
+
+// String returns the status in one line.
+func (s Standing) String() string {
+	var seats []string
+	for _, id := range s.Seats {
+		seats = append(seats, addressOf(id))
+	}
+	text := fmt.Sprintf("%d seats: %s", len(seats), strings.Join(seats, " "))
+	if s.Joint {
+		text += "; a change is in progress"
+	}
+	if n := len(s.Seats); n > 0 && n-ackQuorum(n) < s.Wanted {
+		text += fmt.Sprintf("; too few: the loss of %d is tolerated, of %d required", n-ackQuorum(n), s.Wanted)
+	}
+	return text
+}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -113,7 +113,7 @@
 		w.run(w.now + time.Duration(seed)*100*time.Millisecond)
 		var a *node
 		for _, id := range w.ids {
-			if n := w.nodes[id]; n != o && n.m.keys[RosterKey].role != owns {
+			if n := w.nodes[id]; n != o && n.m.keys[RosterKey].role != roleOwner {
 				a = n
 				break
 			}
@@ -153,7 +153,7 @@
 				w.run(w.now + 3*time.Second)
 				n := w.successor()
 				w.until(fmt.Sprintf("the newcomer of %d (seed %d, storm %v) has its seat", members, seed, stormy), 3*time.Second, func() string {
-					if n.m.mayOwn() && !n.m.seats().joint && n.m.keys[RosterKey].commit == n.m.keys[RosterKey].at {
+					if n.m.mayOwn() && !n.m.seats().joint && n.m.keys[RosterKey].commit == n.m.keys[RosterKey].position {
 						return ""
 					}
 					return fmt.Sprint(*n.m.seats())
@@ -172,7 +172,7 @@
 				keys := append([]string{RosterKey}, w.keys...)
 				before := map[string]Epoch{}
 				for _, key := range keys {
-					before[key] = w.holder(key).m.keys[key].mine
+					before[key] = w.holder(key).m.keys[key].ownEpoch
 				}
 				cut := w.nodes[w.ids[who]]
 				w.inject(failure{kind: k, who: who, count: 1, hold: 20 * time.Second})
@@ -183,15 +183,15 @@
 						for _, id := range w.ids {
 							n := w.nodes[id]
 							kk := n.m.keys[key]
-							served = served || kk.role == owns && w.clock(n)-kk.agreed <= testVacant && kk.commit.Epoch == kk.mine
+							served = served || kk.role == roleOwner && w.clock(n)-kk.quorumAt <= testVacant && kk.commit.Epoch == kk.ownEpoch
 						}
 						if !served {
 							if without[key] += 50 * time.Millisecond; without[key] > 2*testVacant {
 								t.Fatalf("%s had no owner for %v", key, without[key])
 							}
 						}
-						if o := w.holder(key); before[key].Owner != cut.id && o != nil && o.m.keys[key].mine != before[key] && w.now < begin+20*time.Second {
-							t.Fatalf("%v of %s was deposed by %v", before[key], key, o.m.keys[key].mine)
+						if o := w.holder(key); before[key].Owner != cut.id && o != nil && o.m.keys[key].ownEpoch != before[key] && w.now < begin+20*time.Second {
+							t.Fatalf("%v of %s was deposed by %v", before[key], key, o.m.keys[key].ownEpoch)
 						}
 					}
 				}
@@ -215,7 +215,7 @@
 			_ = w.put(n, "x", 2) // only the leaving member may hold it
 			w.on(n.id, n.life, func() { n.m.Leave(w.clock(n)) })
 			for end := w.now + 3*time.Second; w.now < end; w.run(w.now + 50*time.Millisecond) {
-				if n.m.MayGo(w.clock(n)) && n.m.inRoster() {
+				if n.m.MayGo(w.clock(n)) && n.m.hasSeat() {
 					t.Fatalf("%d members, seed %d: it may go with x=2 at %v", c.members, seed, w.holders("x", 2))
 				}
 			}
@@ -230,7 +230,7 @@
 			if took := w.now - begin; took > 4*time.Second {
 				t.Fatalf("%d members, seed %d: it waits for %v", c.members, seed, took)
 			}
-			if s := w.holder(RosterKey); s != nil && len(s.m.seats().after) > s.m.floor() && slices.Contains(s.m.seats().after, n.m.self) {
+			if s := w.holder(RosterKey); s != nil && len(s.m.seats().newSeats) > s.m.minSeats() && slices.Contains(s.m.seats().newSeats, n.m.self) {
 				t.Fatalf("%d members, seed %d: it may go with a seat that isn't needed", c.members, seed)
 			}
 		}
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -179,7 +179,7 @@
 		for i := 0; i < 10; i++ {
 			w.at(time.Duration(w.rng.Intn(2000))*time.Millisecond, func() {
 				for _, id := range w.ids {
-					if n := w.nodes[id]; n.m.keys[key] != nil && n.m.keys[key].role == owns {
+					if n := w.nodes[id]; n.m.keys[key] != nil && n.m.keys[key].role == roleOwner {
 						asked++
 						w.sent++
 						w.ask(id, key, "s0", w.floors[key+"/s0"]+w.sent, fmt.Sprint("calm", w.sent), func(uint64, error) {})
--- a/internal/replication/standing_test.go
+++ b/internal/replication/standing_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	w.run(held + 3*time.Second)
-	seated := slices.Contains(w.nodes[w.ids[0]].m.seats().after, lost.m.self)
+	seated := slices.Contains(w.nodes[w.ids[0]].m.seats().newSeats, lost.m.self)
 	if !seated || checked == 0 {
 		t.Fatalf("the new disk has a seat: %v, after %d checks", seated, checked)
 	}
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds the form in which a member stands on its disk.
+// This file holds how a member's state is stored on disk.
 
 import (
 	"time"
@@ -11,9 +11,9 @@
 	"madderwing/internal/storage"
 )
 
-type ledgerEntry = storage.Entry
+type storageEntry = storage.Entry
 
-// Write is a batch that the driver has to make durable, in order.
+// Write is a batch of entries that the driver has to make durable, in the order of the IDs.
 type Write struct {
 	ID      uint64
 	Entries []storage.Entry
@@ -26,17 +26,18 @@
 }
 
 type nodeValue struct {
-	Voting   bool   `cbor:"1,keyasint"` // read by versions before identities
-	Founded  bool   `cbor:"2,keyasint"`
-	Identity uint64 `cbor:"3,keyasint,omitempty"`
-	// FirstSeeds are the seeds of the system's first start, until the member has a roster.
+	Voting       bool   `cbor:"1,keyasint"` // read by versions without identities
+	Bootstrapped bool   `cbor:"2,keyasint"`
+	Identity     uint64 `cbor:"3,keyasint,omitempty"`
+	// FirstSeeds are the seeds of the system's first start. They are stored until the member
+	// has a roster.
 	FirstSeeds []string `cbor:"4,keyasint,omitempty"`
 }
 
 const (
-	nodeEntry  = "node"
-	metaPrefix = "meta/"
-	recPrefix  = "record/"
+	nodeEntryKey = "node"
+	metaPrefix   = "meta/"
+	recordPrefix = "record/"
 )
 
 type storedRecord struct {
@@ -44,48 +45,49 @@
 	Record Record `cbor:"2,keyasint"`
 }
 
-// write asks for entries to be made durable and calls then when they are.
+// write asks the driver to make entries durable, and calls then once they are.
 func (m *Replica) write(entries []storage.Entry, then func()) {
-	m.nextWrite++
-	if m.firstOpen == m.nextWrite {
-		m.openSince = m.now
+	m.lastWrite++
+	if m.firstPending == m.lastWrite {
+		m.pendingSince = m.now
 	}
-	m.fx.Writes = append(m.fx.Writes, Write{m.nextWrite, entries})
+	m.effects.Writes = append(m.effects.Writes, Write{m.lastWrite, entries})
 	if then != nil {
-		m.after[m.nextWrite] = append(m.after[m.nextWrite], then)
+		m.onDurable[m.lastWrite] = append(m.onDurable[m.lastWrite], then)
 	}
 }
 
-// settled calls then once everything that was asked for so far is durable.
-func (m *Replica) settled(then func()) {
-	if m.firstOpen > m.nextWrite {
+// whenDurable calls then once all writes requested so far are durable.
+func (m *Replica) whenDurable(then func()) {
+	if m.firstPending > m.lastWrite {
 		then()
 		return
 	}
-	m.after[m.nextWrite] = append(m.after[m.nextWrite], then)
+	m.onDurable[m.lastWrite] = append(m.onDurable[m.lastWrite], then)
 }
 
-// Durable tells that all writes up to id are on disk.
+// Durable reports that all writes up to id are durable.
 func (m *Replica) Durable(now time.Duration, id uint64) {
 	m.now = now
-	for ; m.firstOpen <= id; m.firstOpen++ {
-		thens := m.after[m.firstOpen]
-		delete(m.after, m.firstOpen)
-		m.openSince = now
+	for ; m.firstPending <= id; m.firstPending++ {
+		thens := m.onDurable[m.firstPending]
+		delete(m.onDurable, m.firstPending)
+		m.pendingSince = now
 		for _, then := range thens {
 			then()
 		}
 	}
 }
 
-// Failed tells that the disk refused a write; the whole state is written again
-// until that succeeds, and nothing is answered before.
+// Failed reports that a write failed. The whole state is written again until that succeeds;
+// messages that depend on it are sent only then.
 func (m *Replica) Failed(now time.Duration) {
 	m.now = now
-	m.fx.Rewrite = true
+	m.effects.Rewrite = true
 }
 
-// Snapshot is the member's whole state as entries.
+// Snapshot returns the member's whole state as entries, and the ID of the last write that it
+// includes.
 func (m *Replica) Snapshot() (entries []storage.Entry, upTo uint64) {
 	entries = append(entries, m.nodeEntry())
 	for _, name := range m.names {
@@ -95,7 +97,7 @@
 			entries = append(entries, k.entry(r))
 		}
 	}
-	return entries, m.nextWrite
+	return entries, m.lastWrite
 }
 
 var allRanges = antientropy.AllRanges()
@@ -109,29 +111,29 @@
 }
 
 func (m *Replica) nodeEntry() storage.Entry {
-	v := nodeValue{Voting: true, Founded: m.founded, Identity: m.identity}
-	if m.mayFound() {
+	v := nodeValue{Voting: true, Bootstrapped: m.bootstrapped, Identity: m.identity}
+	if m.mayBootstrap() {
 		v.FirstSeeds = m.firstSeeds
 	}
-	return storage.Entry{Key: nodeEntry, Value: marshal(v)}
+	return storage.Entry{Key: nodeEntryKey, Value: marshal(v)}
 }
 
-func (k *key) meta() storage.Entry {
-	return storage.Entry{Key: metaPrefix + k.name, Value: marshal(metaValue{k.promised, k.at, k.commit})}
+func (k *replicatedKey) meta() storage.Entry {
+	return storage.Entry{Key: metaPrefix + k.name, Value: marshal(metaValue{k.promised, k.position, k.commit})}
 }
 
-func (k *key) entry(r Record) storage.Entry {
-	e := storage.Entry{Key: recPrefix + k.name + "/" + r.Name}
+func (k *replicatedKey) entry(r Record) storage.Entry {
+	e := storage.Entry{Key: recordPrefix + k.name + "/" + r.Name}
 	if !r.Erased {
 		e.Value = marshal(storedRecord{k.name, r})
 	}
 	return e
 }
 
-// apply takes in the changes of a step from where the key stands, notes what they
-// undo, and returns the entries for the disk.
-func (m *Replica) apply(k *key, changes []Record) []storage.Entry {
-	if k.undo == nil && k.commit == k.at {
+// apply applies the changes of a log entry to the key's records, keeps the old versions in
+// undo, and returns the entries to store.
+func (m *Replica) apply(k *replicatedKey, changes []Record) []storage.Entry {
+	if k.undo == nil && k.commit == k.position {
 		k.undo = map[string]*Record{}
 	}
 	var out []storage.Entry
@@ -148,13 +150,14 @@
 		k.Put(r)
 		out = append(out, k.entry(r))
 	}
-	m.touched(k)
+	m.invalidateCaches(k)
 	return out
 }
 
-// replace makes the named ranges hold just the given records.
-func (m *Replica) replace(k *key, ranges []int, records []Record) []storage.Entry {
-	k.undo, k.log = nil, stepLog{}
+// replace makes the given ranges hold exactly the given records, and returns the entries to
+// store.
+func (m *Replica) replace(k *replicatedKey, ranges []int, records []Record) []storage.Entry {
+	k.undo, k.log = nil, entryLog{}
 	var out []storage.Entry
 	keep := map[string]bool{}
 	for _, r := range records {
@@ -163,20 +166,20 @@
 	for _, r := range k.Pick(ranges) {
 		if !keep[r.Name] {
 			k.Remove(r.Name)
-			out = append(out, storage.Entry{Key: recPrefix + k.name + "/" + r.Name})
+			out = append(out, storage.Entry{Key: recordPrefix + k.name + "/" + r.Name})
 		}
 	}
 	for _, r := range records {
 		k.Put(r)
 		out = append(out, k.entry(r))
 	}
-	m.touched(k)
+	m.invalidateCaches(k)
 	return out
 }
 
-// touched forgets what was worked out from a key's records.
-func (m *Replica) touched(k *key) {
+// invalidateCaches drops what was computed from a key's records.
+func (m *Replica) invalidateCaches(k *replicatedKey) {
 	if k.name == RosterKey {
-		m.cached = nil
+		m.cachedSeats = nil
 	}
 }
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -1,10 +1,10 @@
 package replication
 
-// This file holds what a member shows of itself.
+// This file holds what a member reports about its keys.
 
 import "time"
 
-// View is what a member shows of a key.
+// View is the status of a key as one member sees it.
 type View struct {
 	Key      string
 	Owner    string
@@ -16,27 +16,27 @@
 	HeardAgo time.Duration
 }
 
-// Owner is the member believed to own a key; empty while there is none.
+// Owner returns the address of the member believed to own a key; empty if none is known.
 func (m *Replica) Owner(now time.Duration, name string) string {
 	k := m.key(name)
-	if k.role == owns {
+	if k.role == roleOwner {
 		return m.cfg.Self
 	}
-	if k.role == asks || !k.heardAny || now-k.heard > m.cfg.Vacant || k.promised.Owner == m.cfg.Self {
+	if k.role == roleCandidate || !k.hadContact || now-k.lastContact > m.cfg.Vacant || k.promised.Owner == m.cfg.Self {
 		return ""
 	}
 	return k.promised.Owner
 }
 
-// Founder is the member to turn to for a key that, as far as this one knows, nobody has
-// owned yet; empty: it has, or there is nobody to turn to.
+// Founder returns the member to contact for a key that, as far as this member knows, has never
+// had an owner; empty if it has had one or no member is available.
 func (m *Replica) Founder(now time.Duration, name string) string {
 	m.now = now
-	return m.founder(m.key(name))
+	return m.initialOwner(m.key(name))
 }
 
-func (m *Replica) founder(k *key) string {
-	if k.heardAny || k.role != follows || k.promised != (Epoch{}) {
+func (m *Replica) initialOwner(k *replicatedKey) string {
+	if k.hadContact || k.role != roleFollower || k.promised != (Epoch{}) {
 		return ""
 	}
 	for _, id := range m.Heirs(k.name) {
@@ -47,18 +47,18 @@
 	return ""
 }
 
-// Keys names all keys that this member has heard of.
+// Keys returns the names of all keys that this member has heard of.
 func (m *Replica) Keys() []string { return append([]string(nil), m.names...) }
 
-// Voting says whether the member has a seat.
-func (m *Replica) Voting() bool { return m.inRoster() }
+// Voting reports whether the member has a seat.
+func (m *Replica) Voting() bool { return m.hasSeat() }
 
-// Views shows all keys.
+// Views returns the status of all keys.
 func (m *Replica) Views(now time.Duration) []View {
 	var out []View
 	for _, name := range m.names {
 		k := m.keys[name]
-		out = append(out, View{name, m.Owner(now, name), k.promised.N, k.at.Seq, k.commit.Seq, k.role == owns, len(k.Records), now - k.heard})
+		out = append(out, View{name, m.Owner(now, name), k.promised.N, k.position.Seq, k.commit.Seq, k.role == roleOwner, len(k.Records), now - k.lastContact})
 	}
 	return out
 }
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -1,28 +1,27 @@
 package replication
 
-// This file holds the messages between members as such: what all of them carry, which
-// handler takes each, and their form on the wire.
+// This file holds the message envelope, the handler for each message type, and the encoding.
 
 import "github.com/fxamacker/cbor/v2"
 
-// Message is what one member says to another.
+// Message is a message between members.
 type Message struct {
-	Life     uint64 // of the sender's process
-	Identity uint64 // of the sender's disk
-	Protocol uint64 // the newest that the sender understands
-	Body     Body   // nil: a kind that only newer versions know
+	Life     uint64 // the sender's process
+	Identity uint64 // the sender's disk
+	Protocol uint64 // the newest protocol version that the sender understands
+	Body     Body   // nil: a type that only newer versions know
 }
 
-// Body is one kind of message.
+// Body is the content of a message.
 type Body interface {
 	handle(m *Replica, from sender)
 }
 
-// sender is whom a message came from.
+// sender is the member that a message came from.
 type sender struct {
-	address string
-	id      string // see idOf
-	life    uint64
+	address     string
+	id          string // see idOf
+	incarnation uint64
 }
 
 func (b *VoteRequest) handle(m *Replica, from sender)   { m.onVoteRequest(from.address, b) }
@@ -31,7 +30,7 @@
 func (b *AppendAck) handle(m *Replica, from sender)     { m.onAppendAck(from.address, from.id, b) }
 func (b *Found) handle(m *Replica, from sender)         { m.onFound(from.address, b) }
 func (b *Founded) handle(m *Replica, from sender)       { m.onFounded(from.address, from.id, b) }
-func (b *Transfer) handle(m *Replica, _ sender)         { m.takeOver(m.key(b.Key), true) }
+func (b *Transfer) handle(m *Replica, _ sender)         { m.startElection(m.key(b.Key), true) }
 func (*Join) handle(m *Replica, from sender)            { m.onJoin(from.address, from.id) }
 func (*Probe) handle(m *Replica, from sender)           { m.onProbe(from.address) }
 func (b *ProbeAck) handle(m *Replica, from sender)      { m.onProbeAck(from.address, b) }
@@ -39,11 +38,11 @@
 func (b *SnapshotAck) handle(m *Replica, from sender)   { m.onSnapshotAck(from.address, from.id, b) }
 func (b *StateQuery) handle(m *Replica, from sender)    { m.onStateQuery(from.address, from.id, b) }
 func (b *StateReport) handle(m *Replica, from sender)   { m.onStateReport(from.id, b) }
-func (b *Heartbeat) handle(m *Replica, from sender)     { m.onHeartbeat(from.address, from.life, b) }
+func (b *Heartbeat) handle(m *Replica, from sender)     { m.onHeartbeat(from.address, from.incarnation, b) }
 func (b *HeartbeatAck) handle(m *Replica, from sender)  { m.onHeartbeatAck(from.address, from.id, b) }
 
-// wireMessage is a Message on the wire; one of the pointers is set. Numbers 5 and 6 were
-// used by whole copies, which snapshots replace.
+// wireMessage is the encoded form of Message; exactly one of the pointers is set. The numbers 5
+// and 6 were used for full copies, which snapshots replace; they must not be used again.
 type wireMessage struct {
 	VoteRequest   *VoteRequest   `cbor:"1,keyasint,omitempty"`
 	Vote          *Vote          `cbor:"2,keyasint,omitempty"`
@@ -66,7 +65,7 @@
 	Protocol      uint64         `cbor:"21,keyasint,omitempty"`
 }
 
-// MarshalCBOR writes a message in its form on the wire.
+// MarshalCBOR encodes a message.
 func (m Message) MarshalCBOR() ([]byte, error) {
 	w := wireMessage{Life: m.Life, Identity: m.Identity, Protocol: m.Protocol}
 	switch b := m.Body.(type) {
@@ -106,7 +105,7 @@
 	return cbor.Marshal(w)
 }
 
-// UnmarshalCBOR reads a message in its form on the wire.
+// UnmarshalCBOR decodes a message.
 func (m *Message) UnmarshalCBOR(data []byte) error {
 	var w wireMessage
 	if err := cbor.Unmarshal(data, &w); err != nil {
--- a/internal/replication/world_checks_test.go
+++ b/internal/replication/world_checks_test.go
@@ -13,13 +13,13 @@
 // committed in it.
 func (w *world) begins(n *node) {
 	for name, k := range n.m.keys {
-		if k.role != owns {
+		if k.role != roleOwner {
 			continue
 		}
-		if n.owning[name] == k.mine {
+		if n.owning[name] == k.ownEpoch {
 			continue
 		}
-		n.owning[name] = k.mine
+		n.owning[name] = k.ownEpoch
 		if !n.m.mayOwn() {
 			w.fatal("at %v %s owns %s without a seat", w.now, n.id, name)
 		}
@@ -30,9 +30,9 @@
 		for r, v := range k.Records {
 			base[r] = v
 		}
-		w.begun[name][k.mine] = base
-		if w.truthAt[name].Epoch.Less(k.mine) {
-			w.holds(fmt.Sprintf("%s, owner of %s in %v,", n.id, name, k.mine), name, base, w.truth[name])
+		w.begun[name][k.ownEpoch] = base
+		if w.truthAt[name].Epoch.Less(k.ownEpoch) {
+			w.holds(fmt.Sprintf("%s, owner of %s in %v,", n.id, name, k.ownEpoch), name, base, w.truth[name])
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	for _, key := range append([]string{RosterKey}, w.keys...) {
 		n := 0
 		for _, id := range w.ids {
-			if k := w.nodes[id].m.keys[key]; w.nodes[id].up && k.role == owns && k.commit == k.at || w.nodes[id].up && k.role == owns && k.commit.Epoch == k.mine {
+			if k := w.nodes[id].m.keys[key]; w.nodes[id].up && k.role == roleOwner && k.commit == k.position || w.nodes[id].up && k.role == roleOwner && k.commit.Epoch == k.ownEpoch {
 				n++
 			}
 		}
@@ -178,10 +178,10 @@
 	for _, id := range w.ids {
 		n := w.nodes[id]
 		s := n.m.seats()
-		if s.joint || len(s.after) != min(len(live), seatsMost) {
+		if s.joint || len(s.newSeats) != min(len(live), maxSeats) {
 			return fmt.Sprintf("%s has the roster %+v, at work are %v", id, *s, live)
 		}
-		for _, seat := range s.after {
+		for _, seat := range s.newSeats {
 			if !slices.Contains(live, seat) {
 				return fmt.Sprintf("%s has the roster %+v, at work are %v", id, *s, live)
 			}
--- a/internal/replication/world_disk_test.go
+++ b/internal/replication/world_disk_test.go
@@ -56,7 +56,7 @@
 func (w *world) holders(name string, v uint64) (ids []string) {
 	for _, id := range w.ids {
 		var r storedRecord
-		if b := w.nodes[id].disk[recPrefix+testKey+"/"+name]; b != nil && unmarshal(b, &r) && r.Record.Gen >= v {
+		if b := w.nodes[id].disk[recordPrefix+testKey+"/"+name]; b != nil && unmarshal(b, &r) && r.Record.Gen >= v {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/replication/world_failures_test.go
+++ b/internal/replication/world_failures_test.go
@@ -109,7 +109,7 @@
 	first := t.who % len(sound)
 	for i, n := range sound {
 		switch {
-		case t.aim == owner && n.m.keys[testKey].role == owns, t.aim == keeper && n.m.keys[RosterKey].role == owns:
+		case t.aim == owner && n.m.keys[testKey].role == roleOwner, t.aim == keeper && n.m.keys[RosterKey].role == roleOwner:
 			first = i
 		case t.aim == newcomer && n.id == w.ids[len(w.ids)-1]:
 			first = i
@@ -157,7 +157,7 @@
 			}
 			w.sent++
 			for _, id := range w.ids {
-				if n := w.nodes[id]; n.up && n.m.keys[testKey].role == owns {
+				if n := w.nodes[id]; n.up && n.m.keys[testKey].role == roleOwner {
 					v := w.sent
 					w.ask(id, testKey, "s"+strconv.Itoa(int(v%4)), v, fmt.Sprint("storm", v), func(uint64, error) {})
 				}
--- a/internal/replication/world_nodes_test.go
+++ b/internal/replication/world_nodes_test.go
@@ -248,7 +248,7 @@
 // holder is the node that owns a key; nil: none does.
 func (w *world) holder(key string) *node {
 	for _, id := range w.ids {
-		if n := w.nodes[id]; n.up && n.frozen <= w.now && n.m.keys[key] != nil && n.m.keys[key].role == owns {
+		if n := w.nodes[id]; n.up && n.frozen <= w.now && n.m.keys[key] != nil && n.m.keys[key].role == roleOwner {
 			return n
 		}
 	}
@@ -261,7 +261,7 @@
 	for end := w.now + 20*time.Second; w.now < end; {
 		w.run(w.now + 100*time.Millisecond)
 		for _, id := range w.ids {
-			if n := w.nodes[id]; n.up && n.frozen <= w.now && n.m.keys[testKey].role == owns && n.m.keys[testKey].commit == n.m.keys[testKey].at {
+			if n := w.nodes[id]; n.up && n.frozen <= w.now && n.m.keys[testKey].role == roleOwner && n.m.keys[testKey].commit == n.m.keys[testKey].position {
 				return n
 			}
 		}
@@ -317,9 +317,9 @@
 		if keeper != nil {
 			w.on(keeper.id, keeper.life, func() {
 				k := keeper.m.keys[RosterKey]
-				keeper.m.yield(k)
-				keeper.m.release(k, ErrNotOwner)
-				k.notUntil = w.clock(keeper) + time.Minute
+				keeper.m.transfer(k)
+				keeper.m.becomeFollower(k, ErrNotOwner)
+				k.noElectionUntil = w.clock(keeper) + time.Minute
 			})
 		}
 		return "it is the same"
