--- a/internal/antientropy/antientropy.go
+++ b/internal/antientropy/antientropy.go
@@ -18,7 +18,7 @@
 	Name    string `cbor:"1,keyasint"`
 	Gen     uint64 `cbor:"2,keyasint,omitempty"`
 	Rev     uint64 `cbor:"3,keyasint,omitempty"`
-	Dropped bool   `cbor:"4,keyasint,omitempty"`
+	Dropped bool   `cbor:"4,keyasint,omitempty"` // a tombstone: the record was removed
 	Data    []byte `cbor:"5,keyasint,omitempty"`
 	// Erased is set only in a change: the record is removed without leaving a dropped record.
 	Erased bool `cbor:"6,keyasint,omitempty"`
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -15,6 +15,7 @@
 	prime64  = 1099511628211
 )
 
+// hash continues the FNV-1a hash h with a text.
 func hash(h uint64, text string) uint64 {
 	for i := 0; i < len(text); i++ {
 		h = (h ^ uint64(text[i])) * prime64
@@ -46,6 +47,7 @@
 	candidate string
 }
 
+// compareWeights sorts by decreasing weight and, for equal weights, by name.
 func compareWeights(a, b weighted) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -30,7 +30,7 @@
 // Tenure describes a member's ownership of a key.
 type Tenure struct {
 	Epoch Epoch
-	Since time.Duration
+	Since time.Duration // when the member won the election
 	Sure  time.Duration // when it was last certain that there was no other owner
 	Heir  bool          // the key had records when the ownership began, so others may have owned it before
 	Free  time.Duration // no earlier owner was confirmed later than this
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -14,19 +14,19 @@
 // Config is the configuration of a member. The driver derives the durations from the bounds in
 // the settings.
 type Config struct {
-	Self      string
-	Life      uint64   // unique to each process
-	Identity  uint64   // for a disk that has none yet; unique to each disk
-	Seeds     []string // sorted
-	Bootstrap bool
-	Empty     bool // the disk held nothing, or nothing readable
-	Keys      []string
-	Beat      time.Duration // interval between an owner's heartbeats
-	Vacant    time.Duration // election timeout: silence after which a key is taken over
-	Patience  time.Duration // how long a proposal may wait
-	HandBack  time.Duration // how long everything must be stable before a key goes back to its first successor; 0: never
-	Alive     func(id string) bool
-	Sure      []string // keys whose members must know how fresh their copy is
+	Self      string               // the member's address
+	Life      uint64               // unique to each process
+	Identity  uint64               // for a disk that has none yet; unique to each disk
+	Seeds     []string             // sorted
+	Bootstrap bool                 // setting: with an empty disk, take part in the bootstrap of a new system
+	Empty     bool                 // the disk held nothing, or nothing readable
+	Keys      []string             // keys that exist from the start, besides the roster
+	Beat      time.Duration        // interval between an owner's heartbeats
+	Vacant    time.Duration        // election timeout: silence after which a key is taken over
+	Patience  time.Duration        // how long a proposal may wait
+	HandBack  time.Duration        // how long everything must be stable before a key goes back to its first successor; 0: never
+	Alive     func(id string) bool // whether the process at an address seems alive
+	Sure      []string             // keys whose members must know how fresh their copy is
 	// SurePrefix is the prefix of further such keys, which are created on demand; empty: there
 	// are none.
 	SurePrefix string
@@ -114,7 +114,7 @@
 	identity     uint64
 	keys         map[string]*replicatedKey
 	names        []string // of all keys, sorted
-	bootstrapped bool     // the system has a committed roster, or all initial members have it
+	bootstrapped bool     // a roster is committed, or all initial members hold the initial one
 	now          time.Duration
 	effects      Effects // since the last call of Take
 	cachedSeats  *seats  // the current roster; nil: to be computed again
--- a/internal/replication/replicationtest/queue.go
+++ b/internal/replication/replicationtest/queue.go
@@ -11,14 +11,14 @@
 // Queue holds the events of a simulation in order of time. Events at the same time keep the
 // order in which they were added. The zero Queue is empty.
 type Queue struct {
-	nextOrder int
+	lastOrder int
 	events    eventHeap
 }
 
 // Add schedules an event.
 func (q *Queue) Add(at time.Duration, run func()) {
-	q.nextOrder++
-	heap.Push(&q.events, event{at, q.nextOrder, run})
+	q.lastOrder++
+	heap.Push(&q.events, event{at, q.lastOrder, run})
 }
 
 // Run runs all events that are due until the given time, including those that they add. It sets
--- a/internal/replication/roster_change.go
+++ b/internal/replication/roster_change.go
@@ -76,9 +76,9 @@
 	case m.cfg.Left != nil && m.cfg.Left(address) && silence > m.cfg.Beat:
 		return true, true
 	}
-	// Every seat is sent a heartbeat at each interval, so a missing answer is strong evidence,
-	// even if no other member watches that one. The membership service's report (Alive) makes
-	// it stronger.
+	// Every seat is sent a heartbeat at each interval, so silence is strong evidence, even if
+	// no other member watches that seat's holder. If others don't see it alive either, less
+	// silence is enough.
 	gone = silence > m.cfg.Vacant && !m.cfg.Alive(address) || silence > 2*m.cfg.Vacant
 	return gone, gone && silence > 2*m.cfg.Vacant
 }
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -11,9 +11,9 @@
 	Epoch    uint64
 	Seq      uint64
 	Commit   uint64
-	Owning   bool
+	Owning   bool // this member is the owner
 	Records  int
-	HeardAgo time.Duration
+	HeardAgo time.Duration // since the last contact with an owner or candidate
 }
 
 // Owner returns the address of the member believed to own a key; empty if none is known.
