--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -14,7 +14,7 @@
 func TestWarmupLeft(t *testing.T) {
 	for told, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond,
 		"-1": -1, "NaN": -1, "1e300": -1, "Inf": -1, "soon": -1} {
-		left, ok := warmupLeft(http.Header{hWarmup: {told}})
+		left, ok := parseWarmupLeft(http.Header{hWarmup: {told}})
 		if ok != (want >= 0) || ok && left != want {
 			t.Errorf("%q: %v %v", told, left, ok)
 		}
@@ -24,13 +24,13 @@
 // take reads one answer as send does: its head, what is held of the body, and the rest.
 // Of the bytes it says how many belong to the answer.
 func take(in []byte, method string, used bool) (r *http.Response, body []byte, took int, err error) {
-	a := newAnswers(bytes.NewReader(in))
-	a.used = used
-	r, err = a.next(method, "one")
+	a := newResponseReader(bytes.NewReader(in))
+	a.reused = used
+	r, err = a.readHeadFor(method, "one")
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	body, whole, err := begin(r)
+	body, whole, err := readBodyStart(r)
 	if err == nil && !whole {
 		var rest []byte
 		rest, err = io.ReadAll(r.Body)
@@ -79,7 +79,7 @@
 		runtime.ReadMemStats(&before)
 		r, body, took, err := take(in, method, used)
 		runtime.ReadMemStats(&after)
-		if n := after.TotalAlloc - before.TotalAlloc; n > uint64(answerHead+answerHeld+64*len(in)) {
+		if n := after.TotalAlloc - before.TotalAlloc; n > uint64(maxResponseHead+maxHeldResponse+64*len(in)) {
 			t.Fatalf("%d bytes taken for %d", n, len(in))
 		}
 		if err != nil {
--- a/internal/proxy/callers_client_test.go
+++ b/internal/proxy/callers_client_test.go
@@ -39,7 +39,7 @@
 			q.left = 40
 		}
 	}
-	if q.size > bodyBuffered && r.IntN(2) == 0 {
+	if q.size > maxBufferedBody && r.IntN(2) == 0 {
 		q.hold, q.patience = r.IntN(50<<10)+1, 20*time.Millisecond
 		if actFor(s.seed, q.id, 1).early {
 			q.patience = 10 * time.Second
--- a/internal/proxy/callers_scene_test.go
+++ b/internal/proxy/callers_scene_test.go
@@ -134,7 +134,7 @@
 // bodyOf is the body that answers a request: it names the id, and its length follows
 // from it.
 func bodyOf(id string) string {
-	n := []int{0, 0, 3 << 10, answerHeld + 5000}[drawn(0, "body", id).IntN(4)]
+	n := []int{0, 0, 3 << 10, maxHeldResponse + 5000}[drawn(0, "body", id).IntN(4)]
 	return "id=" + id + ";" + strings.Repeat("0123456789abcdef", n/16)
 }
 
--- a/internal/proxy/callers_test.go
+++ b/internal/proxy/callers_test.go
@@ -126,7 +126,7 @@
 func TestReadingABodyDoesNotTouchTheAnswer(t *testing.T) {
 	f := newRig(t).handler
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		read := f.limits(func(x *Exchange) error {
+		read := f.limitBody(func(x *Exchange) error {
 			_, err := io.Copy(io.Discard, x.body)
 			return err
 		})
@@ -165,7 +165,7 @@
 		"interim answers": {"", "HTTP/1.1 103 Early\r\n\r\n"},
 	} {
 		e := &endless{text: c.text}
-		if _, err := newAnswers(io.MultiReader(strings.NewReader(c.head), e)).next("GET", "one"); err == nil || e.read > 2*answerHead {
+		if _, err := newResponseReader(io.MultiReader(strings.NewReader(c.head), e)).readHeadFor("GET", "one"); err == nil || e.read > 2*maxResponseHead {
 			t.Errorf("%s: %v after %d bytes", name, err, e.read)
 		}
 	}
--- a/internal/proxy/closewatch.go
+++ b/internal/proxy/closewatch.go
@@ -1,8 +1,8 @@
 package proxy
 
-// net/http reads from a client's connection during a request to see whether the client closes it,
-// but not while a body is still to be read from it, nor once the beginning of a further request has
-// come. The connections to which this applies are few, and are asked at intervals.
+// net/http reads from a client's connection during a request to notice when the client closes it, but
+// not while a request body is still to be read, nor once the first byte of a pipelined request has
+// arrived. These connections are few and are polled.
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// closeWatch asks the operating system at intervals whether clients have closed their connections.
-// Its goroutine runs only while there are any to ask about.
+// closeWatch polls connections for a close by the client, through the operating system. Its goroutine
+// runs only while there are connections to poll.
 type closeWatch struct {
 	interval time.Duration
 
@@ -29,7 +29,7 @@
 	return &closeWatch{interval: interval, conns: map[*clientConn]struct{}{}}
 }
 
-// add begins to ask about a connection.
+// add starts polling a connection.
 func (w *closeWatch) add(c *clientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,20 +40,20 @@
 	}
 }
 
-// remove asks about a connection no longer.
+// remove stops polling a connection.
 func (w *closeWatch) remove(c *clientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.conns, c)
 }
 
-// run asks until there is no connection left.
+// run polls the connections until none is left. The requests of a closed one are canceled.
 func (w *closeWatch) run() {
-	tick := time.NewTicker(w.interval)
-	defer tick.Stop()
-	for range tick.C {
-		conns, any := w.list()
-		if !any {
+	ticker := time.NewTicker(w.interval)
+	defer ticker.Stop()
+	for range ticker.C {
+		conns, found := w.snapshot()
+		if !found {
 			return
 		}
 		for _, c := range conns {
@@ -65,9 +65,9 @@
 	}
 }
 
-// list gives the connections to ask about; any is false, and the goroutine is to end, if there
-// are none.
-func (w *closeWatch) list() (conns []*clientConn, any bool) {
+// snapshot returns the connections to poll. If there are none, found is false and run must return, since
+// the next add starts a new goroutine.
+func (w *closeWatch) snapshot() (conns []*clientConn, found bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
@@ -77,14 +77,14 @@
 	return conns, w.running
 }
 
-// closedByPeer says whether the other side has closed or reset a connection, also when bytes that
-// it sent before are still to be read.
-func closedByPeer(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
+// closedByPeer reports whether the peer has closed or reset a connection, even if bytes that it sent
+// earlier are still unread.
+func closedByPeer(conn net.Conn) bool {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -97,10 +97,10 @@
 	return err == nil && closed
 }
 
-// connKey is the key of a request's clientConn in its context.
+// connKey is the context key of a request's clientConn.
 type connKey struct{}
 
-// connContext makes the context of all requests of a connection; see http.Server.ConnContext.
+// connContext returns the context for all requests of a connection; see http.Server.ConnContext.
 func connContext(ctx context.Context, c net.Conn) context.Context {
 	client, ok := c.(*clientConn)
 	if !ok {
@@ -110,8 +110,8 @@
 	return context.WithValue(ctx, connKey{}, client)
 }
 
-// connOf is the connection that a request came on; nil: it is not a Listener's.
+// connOf returns the connection of a request; nil if it did not come through a Listener.
 func connOf(r *http.Request) *clientConn {
-	c, _ := r.Context().Value(connKey{}).(*clientConn)
-	return c
+	conn, _ := r.Context().Value(connKey{}).(*clientConn)
+	return conn
 }
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -105,7 +105,7 @@
 		path, key       string
 		before, afterIt int
 	}{{"/get/x", "k2", 200, 200}, {"/nowhere/", "k2", 503, 404}, {"/get/x", "k9", 503, 401}} {
-		r.handler.complete.Store(false)
+		r.handler.tableComplete.Store(false)
 		if got := ask(c.path, c.key); got != c.before {
 			t.Errorf("%s %s, not complete: %d", c.path, c.key, got)
 		}
--- a/internal/proxy/dialing.go
+++ b/internal/proxy/dialing.go
@@ -3,26 +3,28 @@
 import "time"
 
 // A request that has not been sent to any upstream can be refused at any time, and its client may
-// do better elsewhere. Upstreams that take no connection must not hold it for long.
+// succeed at another gateway. Upstreams that accept no connection must therefore not delay it for long.
 
 const (
-	// dialsAssured is how many upstreams are dialled in any case: one that is silent is ordinary.
-	dialsAssured = 2
-	// dialsMost is how many are dialled if they fail fast.
-	dialsMost = 5
-	// dialShare is the part of a request's aim that one dial may take.
-	dialShare = 0.25
-	// dialHoldShare is the part of the aim after which no more than the assured dials are made.
-	dialHoldShare = 0.4
+	// minDials is the number of upstreams that are dialed however long a dial takes, since a single
+	// unresponsive upstream is nothing unusual.
+	minDials = 2
+	// maxDials is the number of upstreams that are dialed if the dials fail fast.
+	maxDials = 5
+	// dialTimeoutShare is the share of a request's target latency that one dial may take.
+	dialTimeoutShare = 0.25
+	// extraDialShare is the share of the target latency after which no dials beyond minDials are made.
+	extraDialShare = 0.4
 )
 
-// dialLimit is how long a request of the given aim waits for a connection. Below a quarter of
-// patience an upstream that is far away would be taken for a silent one.
-func dialLimit(aim, patience time.Duration) time.Duration {
-	return min(patience/2, max(time.Duration(float64(aim)*dialShare), patience/4))
+// dialTimeout returns how long a request with the given target latency waits for a connection. With
+// less than a quarter of the peer time-out, a distant upstream would be taken for an unresponsive one.
+func dialTimeout(targetLatency, peerTimeout time.Duration) time.Duration {
+	return min(peerTimeout/2, max(time.Duration(float64(targetLatency)*dialTimeoutShare), peerTimeout/4))
 }
 
-// dialAgain says whether another upstream is dialled for a request that has been held so long.
-func dialAgain(dialled int, held, aim time.Duration) bool {
-	return dialled < dialsAssured || dialled < dialsMost && held < time.Duration(float64(aim)*dialHoldShare)
+// mayDialAgain reports whether another upstream is dialed after so many failed dials, for a request that
+// arrived the elapsed time ago.
+func mayDialAgain(failedDials int, elapsed, targetLatency time.Duration) bool {
+	return failedDials < minDials || failedDials < maxDials && elapsed < time.Duration(float64(targetLatency)*extraDialShare)
 }
--- a/internal/proxy/dialing_test.go
+++ b/internal/proxy/dialing_test.go
@@ -25,8 +25,8 @@
 	}{
 		{aim: 1200 * time.Millisecond, dials: 2},
 		{aim: 600 * time.Millisecond, dials: 2},
-		{aim: 4 * time.Second, dials: dialsMost},
-		{aim: 600 * time.Millisecond, fast: true, dials: dialsMost},
+		{aim: 4 * time.Second, dials: maxDials},
+		{aim: 600 * time.Millisecond, fast: true, dials: maxDials},
 	} {
 		t.Run(fmt.Sprint(c.aim, c.fast), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -1,5 +1,5 @@
-// Package proxy carries the traffic: the HTTP server, the chain of
-// filters that a request passes, and the connections to upstreams.
+// Package proxy handles the HTTP traffic of a gateway: the server for clients, the chain of filters
+// that each request passes through, and the connections to upstreams.
 package proxy
 
 import (
@@ -14,61 +14,62 @@
 	"madderwing/internal/upstream"
 )
 
-// Dispatcher owns the balancer of upstreams: all that is done to it goes through its
-// queue of commands.
+// Dispatcher owns the load balancer. The balancer is not safe for concurrent use, so every call to it
+// is a command that Run executes on one goroutine.
 type Dispatcher struct {
-	balancer *upstream.Balancer
-	start    time.Time // what durations here count from
-	commands chan func(now time.Duration)
-	patience time.Duration // until a silent peer is given up
-	tick     time.Duration
-	connect  func(ctx context.Context, address string, limit time.Duration) (net.Conn, error)
-	closed   chan struct{}
+	balancer     *upstream.Balancer
+	epoch        time.Time // zero of the dispatcher's clock: the balancer's times are durations since it
+	commands     chan func(now time.Duration)
+	peerTimeout  time.Duration // time after which a peer that does not respond is given up
+	tickInterval time.Duration
+	connect      func(ctx context.Context, address string, limit time.Duration) (net.Conn, error)
+	closed       chan struct{}
 }
 
-// NewDispatcher makes the owner of a balancer.
-func NewDispatcher(balancer *upstream.Balancer, patience, tick time.Duration) *Dispatcher {
-	return NewDispatcherAt(time.Now(), balancer, patience, tick)
+// NewDispatcher returns a dispatcher for balancer whose clock starts now.
+func NewDispatcher(balancer *upstream.Balancer, peerTimeout, tickInterval time.Duration) *Dispatcher {
+	return NewDispatcherAt(time.Now(), balancer, peerTimeout, tickInterval)
 }
 
-// NewDispatcherAt makes one whose durations count from start.
-func NewDispatcherAt(start time.Time, balancer *upstream.Balancer, patience, tick time.Duration) *Dispatcher {
-	return &Dispatcher{balancer: balancer, start: start, commands: make(chan func(time.Duration), 1024), patience: patience, tick: tick,
-		connect: connect, closed: make(chan struct{})}
+// NewDispatcherAt returns a dispatcher whose clock started at epoch.
+func NewDispatcherAt(epoch time.Time, balancer *upstream.Balancer, peerTimeout, tickInterval time.Duration) *Dispatcher {
+	return &Dispatcher{balancer: balancer, epoch: epoch, commands: make(chan func(time.Duration), 1024), peerTimeout: peerTimeout, tickInterval: tickInterval,
+		connect: dialTCP, closed: make(chan struct{})}
 }
 
-// Close ends Run. What is handed to the dispatcher later is not carried out.
-func (f *Dispatcher) Close() { close(f.closed) }
+// Close ends Run. Commands that have not been executed by then are dropped.
+func (d *Dispatcher) Close() { close(d.closed) }
 
-// Do hands a command to the dispatcher.
-func (f *Dispatcher) Do(fn func(now time.Duration, s *upstream.Balancer)) {
-	f.commands <- func(now time.Duration) { fn(now, f.balancer) }
+// Do queues a command for the balancer and does not wait for its execution. It blocks while the queue
+// is full.
+func (d *Dispatcher) Do(command func(now time.Duration, b *upstream.Balancer)) {
+	d.commands <- func(now time.Duration) { command(now, d.balancer) }
 }
 
-// Run carries out commands until the dispatcher is closed.
-func (f *Dispatcher) Run() {
-	tick := time.NewTicker(f.tick)
-	defer tick.Stop()
+// Run executes commands, and what the balancer asks for in them, until the dispatcher is closed.
+func (d *Dispatcher) Run() {
+	ticker := time.NewTicker(d.tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-f.closed:
+		case <-d.closed:
 			return
-		case fn := <-f.commands:
-			fn(time.Since(f.start))
-		case <-tick.C:
-			f.balancer.Tick(time.Since(f.start))
+		case command := <-d.commands:
+			command(time.Since(d.epoch))
+		case <-ticker.C:
+			d.balancer.Tick(time.Since(d.epoch))
 		}
-		for _, u := range f.balancer.Trials {
-			go f.try(u, u.Address)
+		for _, u := range d.balancer.Trials {
+			go d.tryConnection(u, u.Address)
 		}
-		f.balancer.Trials = nil
-		for _, p := range f.balancer.Probes {
-			go f.probe(p)
+		d.balancer.Trials = nil
+		for _, probe := range d.balancer.Probes {
+			go d.probe(probe)
 		}
-		f.balancer.Probes = nil
-		if len(f.balancer.Closed) > 0 {
-			closed := f.balancer.Closed
-			f.balancer.Closed = nil
+		d.balancer.Probes = nil
+		if len(d.balancer.Closed) > 0 {
+			closed := d.balancer.Closed
+			d.balancer.Closed = nil
 			go func() {
 				for _, c := range closed {
 					c.Close()
@@ -78,110 +79,112 @@
 	}
 }
 
-// try opens a connection to an upstream that had failed.
-func (f *Dispatcher) try(u *upstream.Upstream, address string) {
-	conn, _ := f.dial(context.Background(), address, f.patience)
-	f.Do(func(now time.Duration, s *upstream.Balancer) {
+// tryConnection opens a connection to an upstream that had failed, and reports the result to the
+// balancer.
+func (d *Dispatcher) tryConnection(target *upstream.Upstream, address string) {
+	conn, _ := d.dial(context.Background(), address, d.peerTimeout)
+	d.Do(func(now time.Duration, b *upstream.Balancer) {
 		if conn != nil {
-			conn.Expires = now + 10*f.patience
+			conn.Expires = now + 10*d.peerTimeout
 		}
-		s.Tried(now, u, conn)
+		b.Tried(now, target, conn)
 	})
 }
 
-// probe asks an upstream how much longer it stays cold. An answer of another
-// life, or none, says nothing.
-func (f *Dispatcher) probe(p upstream.Probe) {
-	var left time.Duration
+// probe asks an upstream for its remaining warm-up time. A response from another instance, such as one
+// restarted at the same address, or no response counts as unknown.
+func (d *Dispatcher) probe(probe upstream.Probe) {
+	var remaining time.Duration
 	ok := false
-	if conn, err := f.dial(context.Background(), p.Address, f.patience); err == nil {
-		_ = conn.SetDeadline(time.Now().Add(2 * f.patience))
-		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", p.Path, p.Address); err == nil {
-			if res, err := conn.Reader.(*answers).head(http.MethodGet); err == nil {
-				left, ok = warmupLeft(res.Header)
-				ok = ok && res.StatusCode == http.StatusOK && res.Header.Get(hInstance) == p.ID
+	if conn, err := d.dial(context.Background(), probe.Address, d.peerTimeout); err == nil {
+		_ = conn.SetDeadline(time.Now().Add(2 * d.peerTimeout))
+		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", probe.Path, probe.Address); err == nil {
+			if res, err := conn.Reader.(*responseReader).readHead(http.MethodGet); err == nil {
+				remaining, ok = parseWarmupLeft(res.Header)
+				ok = ok && res.StatusCode == http.StatusOK && res.Header.Get(hInstance) == probe.ID
 				res.Body.Close()
 			}
 		}
 		conn.Close()
 	}
-	f.Do(func(now time.Duration, s *upstream.Balancer) { s.Probed(now, p.Upstream, left, ok) })
+	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Probed(now, probe.Upstream, remaining, ok) })
 }
 
-// warmupLeft is how much longer an upstream says that it stays cold: nothing, if it does
-// not say; not ok, if that is no time.
-func warmupLeft(h http.Header) (left time.Duration, ok bool) {
-	told := h.Get(hWarmup)
-	if told == "" {
+// parseWarmupLeft parses the remaining warm-up time in milliseconds; a missing header means zero. ok is
+// false if the value is invalid.
+func parseWarmupLeft(header http.Header) (remaining time.Duration, ok bool) {
+	value := header.Get(hWarmup)
+	if value == "" {
 		return 0, true
 	}
-	ms, err := strconv.ParseFloat(told, 64)
-	if err != nil || !(ms >= 0 && ms <= float64(warmupMost/time.Millisecond)) {
+	ms, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(ms >= 0 && ms <= float64(maxWarmup/time.Millisecond)) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// warmupMost is beyond any warm-up; no sum with it overflows.
-const warmupMost = 24 * time.Hour
+// maxWarmup is longer than any warm-up, and short enough that no sum with it overflows.
+const maxWarmup = 24 * time.Hour
 
-// connect opens a TCP connection, unless ctx ends before it is open.
-func connect(ctx context.Context, address string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, KeepAlive: -1}
-	return d.DialContext(ctx, "tcp4", address)
+func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-func (f *Dispatcher) dial(ctx context.Context, address string, limit time.Duration) (*upstream.Conn, error) {
-	c, err := f.connect(ctx, address, min(limit, f.patience))
+// dial opens a connection to an upstream, with time-outs that detect a peer that stops responding.
+func (d *Dispatcher) dial(ctx context.Context, address string, timeout time.Duration) (*upstream.Conn, error) {
+	conn, err := d.connect(ctx, address, min(timeout, d.peerTimeout))
 	if err != nil {
 		return nil, err
 	}
-	if t, ok := c.(*net.TCPConn); ok {
-		transport.SetUserTimeout(t, f.patience)
-		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1})
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		transport.SetUserTimeout(tcp, d.peerTimeout)
+		_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1})
 	}
-	return &upstream.Conn{Conn: c, Reader: newAnswers(c)}, nil
+	return &upstream.Conn{Conn: conn, Reader: newResponseReader(conn)}, nil
 }
 
-// claim asks for an upstream and waits for it, but no longer than patience, nor
-// when the client has gone.
-func (f *Dispatcher) claim(c *upstream.AcquireRequest, patience time.Duration, gone <-chan struct{}) upstream.SlotLease {
-	got := make(chan upstream.SlotLease, 1)
-	c.Give = func(g upstream.SlotLease) { got <- g }
-	f.Do(func(now time.Duration, s *upstream.Balancer) { s.Acquire(now, c) })
-	timer := time.NewTimer(max(0, patience))
+// acquire requests a slot at an upstream and waits for it until the timeout or until canceled is closed.
+// A lease whose Refused is not upstream.Granted says why there is none.
+func (d *Dispatcher) acquire(request *upstream.AcquireRequest, timeout time.Duration, canceled <-chan struct{}) upstream.SlotLease {
+	reply := make(chan upstream.SlotLease, 1)
+	request.Give = func(lease upstream.SlotLease) { reply <- lease }
+	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Acquire(now, request) })
+	timer := time.NewTimer(max(0, timeout))
 	defer timer.Stop()
 	select {
-	case g := <-got:
-		return g
+	case lease := <-reply:
+		return lease
 	case <-timer.C:
-	case <-gone:
+	case <-canceled:
 	}
-	f.Do(func(_ time.Duration, s *upstream.Balancer) { s.Withdraw(c) })
-	return <-got
+	d.Do(func(_ time.Duration, b *upstream.Balancer) { b.Withdraw(request) })
+	return <-reply
 }
 
-// untouched returns an upstream that was not sent anything.
-func (f *Dispatcher) untouched(g upstream.SlotLease) {
-	f.Do(func(now time.Duration, s *upstream.Balancer) { s.Release(now, g, g.Conn, upstream.Unused) })
+// releaseUnused returns a lease over which nothing was sent.
+func (d *Dispatcher) releaseUnused(lease upstream.SlotLease) {
+	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Release(now, lease, lease.Conn, upstream.Unused) })
 }
 
-// release returns an upstream; ask waits for word on whether it stands out by bad
-// answers.
-func (f *Dispatcher) release(g upstream.SlotLease, conn *upstream.Conn, idle time.Duration, how upstream.Outcome, told upstream.Told, ask bool) (odd bool) {
-	var said chan bool
-	if ask {
-		said = make(chan bool, 1)
+// release returns a lease, with its connection if that can be reused, and reports the outcome and load
+// of the upstream. With wantOutlier it waits for the balancer's verdict whether the upstream has
+// markedly more errors than others.
+func (d *Dispatcher) release(lease upstream.SlotLease, conn *upstream.Conn, idleTime time.Duration, outcome upstream.Outcome, load upstream.Told, wantOutlier bool) (outlier bool) {
+	var verdict chan bool
+	if wantOutlier {
+		verdict = make(chan bool, 1)
 	}
-	f.Do(func(now time.Duration, s *upstream.Balancer) {
+	d.Do(func(now time.Duration, b *upstream.Balancer) {
 		if conn != nil {
-			conn.Expires = now + idle
+			conn.Expires = now + idleTime
 		}
-		s.Tell(now, g.Upstream, told)
-		o := s.Release(now, g, conn, how)
-		if said != nil {
-			said <- o
+		b.Tell(now, lease.Upstream, load)
+		isOutlier := b.Release(now, lease, conn, outcome)
+		if verdict != nil {
+			verdict <- isOutlier
 		}
 	})
-	return ask && <-said
+	return wantOutlier && <-verdict
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds a request on its way through the chain of filters.
+// This file holds the state of one request and the chain of filters that it passes through.
 
 import (
 	"io"
@@ -11,61 +11,62 @@
 	"madderwing/internal/config"
 )
 
-// Exchange is one request on its way through the chain.
+// Exchange is the state of one request and its response while the chain handles it.
 type Exchange struct {
-	w        http.ResponseWriter
-	r        *http.Request
-	arrived  time.Time
-	deadline time.Time
-	aim      time.Duration
-	table    *config.Table
-	route    *config.Route
-	tenant   *config.Tenant
-	regions  []string
-	bound    bool // to regions
-	service  string
-	stratum  string
-	attempt  string
-	body     io.Reader // what the limits let through
-	hasBody  bool
-	chunked  bool
-	bodyCut  bool // its body was not read to the end
-	// bufferedBody is the whole body, if it is small; bodyPrefix the beginning of one that is not,
-	// and bodySent says that the rest of that has been read and sent on.
+	w              http.ResponseWriter
+	r              *http.Request
+	arrived        time.Time
+	deadline       time.Time
+	targetLatency  time.Duration
+	table          *config.Table
+	route          *config.Route
+	tenant         *config.Tenant
+	regions        []string
+	regionBound    bool // it may run in regions only
+	service        string
+	stratum        string
+	attemptID      string
+	body           io.Reader // the request body, limited to the allowed size
+	hasBody        bool
+	chunked        bool
+	bodyIncomplete bool // reading its body ended with an error
+	// bufferedBody is the whole request body if it is at most maxBufferedBody bytes. Of a larger one,
+	// bodyPrefix is the beginning, and bodySent is set once the rest has been read and sent.
 	bufferedBody []byte
 	bodyPrefix   []byte
 	bodySent     atomic.Bool
-	// fallback is an error of an upstream's own, passed on if no other upstream does better.
+	// fallback is an error response of an upstream, sent to the client if no other upstream gives a
+	// better one.
 	fallback *result
-	stage    stage // how far it has come
-	sent     bool  // an upstream may have got it
-	// reservation is the answer's place in the budget of the link.
+	stage    stage
+	sent     bool // an upstream may have received it
+	// reservation is the response's reservation in the link budget.
 	reservation *Reservation
 }
 
-// HandlerFunc deals with a request; an error is answered from the table of errors.
+// HandlerFunc handles a request. If it returns an error, the client gets the response that package
+// apierror defines for its kind.
 type HandlerFunc func(x *Exchange) error
 
-// Filter is a step before a handler.
+// Filter wraps a handler with a further step.
 type Filter func(next HandlerFunc) HandlerFunc
 
-// Chain puts filters before a handler, the first one outermost.
-func Chain(h HandlerFunc, filters ...Filter) HandlerFunc {
+// Chain wraps a handler with filters; the first filter runs first.
+func Chain(handler HandlerFunc, filters ...Filter) HandlerFunc {
 	for i := len(filters) - 1; i >= 0; i-- {
-		h = filters[i](h)
+		handler = filters[i](handler)
 	}
-	return h
+	return handler
 }
 
-// watchClose has the client's connection asked about while net/http does not look whether the
-// client closes it.
+// watchClose polls the client's connection for a close while net/http does not look for one.
 func (x *Exchange) watchClose() {
-	if c := connOf(x.r); c != nil {
-		c.watchClose()
+	if conn := connOf(x.r); conn != nil {
+		conn.watchClose()
 	}
 }
 
-// priority is the tenant's, where it has one, or the route's.
+// priority returns the tenant's priority if it has one, otherwise the route's.
 func (x *Exchange) priority() int {
 	if x.tenant != nil && x.tenant.Priority != nil {
 		return *x.tenant.Priority
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the filters of the chain that come before the balancer.
+// This file holds the filters that prepare a request before it is forwarded.
 
 import (
 	"errors"
@@ -16,105 +16,106 @@
 	"madderwing/internal/upstream"
 )
 
-// limits holds the body to what the operator allows.
-func (f *Handler) limits(next HandlerFunc) HandlerFunc {
+// limitBody enforces the configured limit on the size of the request body.
+func (h *Handler) limitBody(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		most := x.table.Limits.MaxBodyBytes
+		maxBytes := x.table.Limits.MaxBodyBytes
 		x.chunked = x.r.ContentLength < 0
 		x.hasBody = x.r.ContentLength != 0
-		if x.r.ContentLength > most {
-			return apierror.New(apierror.BodyTooLarge, "more than %d bytes", most)
+		if x.r.ContentLength > maxBytes {
+			return apierror.New(apierror.BodyTooLarge, "more than %d bytes", maxBytes)
 		}
-		// Without the writer: a body that is still being read when its answer is given
-		// may go beyond the limit just then, and would touch the answer's headers.
-		x.body = http.MaxBytesReader(nil, x.r.Body, most)
+		// No ResponseWriter is given: a body that is still being read may exceed the limit while the
+		// response is written, and MaxBytesReader would then modify its headers concurrently.
+		x.body = http.MaxBytesReader(nil, x.r.Body, maxBytes)
 		return next(x)
 	}
 }
 
-// route acts on the request's route.
-func (f *Handler) route(next HandlerFunc) HandlerFunc {
+// chooseService chooses the request's service and allowed regions by its route and tenant. Requests of
+// routes that are scheduled on this gateway's shard count as ordinary, others as exceptions.
+func (h *Handler) chooseService(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		var homes []string
+		var tenantResidency []string
 		if x.tenant != nil {
-			homes = x.tenant.Residency
+			tenantResidency = x.tenant.Residency
 		}
-		x.regions, x.bound = config.Regions(x.route.Residency, homes)
+		x.regions, x.regionBound = config.Regions(x.route.Residency, tenantResidency)
 		x.service = x.route.Choose(rand.Float64())
-		if s := x.route.Status; s.Phase == config.PhaseScheduled && int64(s.Shard) == f.shard.Load() {
-			f.Stats.Ordinary.Add(1)
+		if status := x.route.Status; status.Phase == config.PhaseScheduled && int64(status.Shard) == h.shard.Load() {
+			h.Stats.Ordinary.Add(1)
 		} else {
-			f.Stats.Exception.Add(1)
+			h.Stats.Exception.Add(1)
 		}
 		return next(x)
 	}
 }
 
-// deadline works out how long the request may take.
-func (f *Handler) deadline(next HandlerFunc) HandlerFunc {
+// setDeadline sets the request's deadline, which its Deadline-Left header may shorten, and its target
+// latency.
+func (h *Handler) setDeadline(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		limit := time.Duration(x.route.DeadlineS * float64(time.Second))
-		if ms, err := strconv.ParseFloat(x.r.Header.Get(hDeadline), 64); err == nil && ms >= 0 {
+		if ms, err := strconv.ParseFloat(x.r.Header.Get(hDeadlineLeft), 64); err == nil && ms >= 0 {
 			limit = min(limit, time.Duration(ms*float64(time.Millisecond)))
 		}
 		x.deadline = x.arrived.Add(limit)
-		x.aim = time.Duration(x.route.TargetLatencyS * float64(time.Second))
-		if x.aim <= 0 || x.aim > limit {
-			x.aim = limit
+		x.targetLatency = time.Duration(x.route.TargetLatencyS * float64(time.Second))
+		if x.targetLatency <= 0 || x.targetLatency > limit {
+			x.targetLatency = limit
 		}
 		return next(x)
 	}
 }
 
-// admit takes in the body, as far as it may be needed twice, and refuses what
-// has no time left.
-func (f *Handler) admit(next HandlerFunc) HandlerFunc {
+// bufferBody counts the request towards the retry budget of its service, reads as much of the body as is
+// kept for retries, and refuses the request if its deadline has passed.
+func (h *Handler) bufferBody(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		f.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Request(x.service) })
+		h.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Request(x.service) })
 		if x.hasBody {
-			if err := f.readBody(x); err != nil {
+			if err := h.readBody(x); err != nil {
 				return err
 			}
 		}
 		if time.Until(x.deadline) <= 0 {
-			return f.later(x, apierror.Expired)
+			return h.retryLater(x, apierror.Expired)
 		}
 		return next(x)
 	}
 }
 
-// readBody reads the body, or as much of it as is held, until the deadline.
-func (f *Handler) readBody(x *Exchange) error {
+// readBody reads up to maxBufferedBody bytes of the body, until the request's deadline.
+func (h *Handler) readBody(x *Exchange) error {
 	x.stage = stageBody
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(x.deadline)
-	held := make([]byte, 0, max(0, min(x.r.ContentLength, bodyBuffered))+512)
-	buf, err := readUpTo(held, x.body, bodyBuffered)
+	space := make([]byte, 0, max(0, min(x.r.ContentLength, maxBufferedBody))+512)
+	body, err := readUpTo(space, x.body, maxBufferedBody)
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err == io.EOF:
-		x.bufferedBody = buf
+		x.bufferedBody = body
 		return nil
 	case err == nil:
-		x.bodyPrefix = buf
+		x.bodyPrefix = body
 		return nil
 	}
-	x.bodyCut = true
-	switch large := apierror.TooLarge(err); {
-	case large != nil:
-		return large
+	x.bodyIncomplete = true
+	switch tooLarge := apierror.TooLarge(err); {
+	case tooLarge != nil:
+		return tooLarge
 	case isTimeout(err):
-		return f.later(x, apierror.Expired)
-	case brokenOff(err):
-		return f.leftUnsent(x)
+		return h.retryLater(x, apierror.Expired)
+	case connectionBroken(err):
+		return h.disconnectedBeforeSend(x)
 	}
-	return apierror.New(apierror.BadRequest, "body not read: %v", err)
+	return apierror.New(apierror.BadRequest, "reading the request body: %v", err)
 }
 
-// stratify names the request's stratum: within each, the arms of a rollout get their
-// shares. Where there are tenants that is their tier, or else the route; requests of
-// different kinds are never of one stratum.
-func (f *Handler) stratify(next HandlerFunc) HandlerFunc {
+// setStratum sets the request's stratum for rollouts: each arm of a rollout gets its share of the requests
+// in every stratum. A stratum is a route with its kind, and for requests of tenants also their priority.
+func (h *Handler) setStratum(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		x.stratum = x.route.Name + " " + x.route.RouteKind
 		if x.tenant != nil {
@@ -124,20 +125,19 @@
 	}
 }
 
-// brokenOff says whether a body could not be read because its client ended the connection.
-func brokenOff(err error) bool {
-	var op *net.OpError
-	return errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op)
+// connectionBroken reports whether reading a body failed because the client's connection ended.
+func connectionBroken(err error) bool {
+	var opErr *net.OpError
+	return errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &opErr)
 }
 
-// readUpTo reads into buf until it holds most bytes (no error) or the reader
-// ends (io.EOF).
-func readUpTo(buf []byte, r io.Reader, most int) ([]byte, error) {
-	for len(buf) < most {
+// readUpTo appends to buf until it holds limit bytes (nil error) or the reader ends (io.EOF).
+func readUpTo(buf []byte, r io.Reader, limit int) ([]byte, error) {
+	for len(buf) < limit {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
 		}
-		n, err := r.Read(buf[len(buf):min(cap(buf), most)])
+		n, err := r.Read(buf[len(buf):min(cap(buf), limit)])
 		buf = buf[:len(buf)+n]
 		if err != nil {
 			return buf, err
--- a/internal/proxy/finish.go
+++ b/internal/proxy/finish.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file ends a sending: what becomes of its connection, and what its answer tells of the upstream.
+// This file ends an attempt: it returns the connection and reports the outcome to the balancer.
 
 import (
 	"errors"
@@ -14,97 +14,99 @@
 	"madderwing/internal/upstream"
 )
 
-// finish gives the connection back, or closes it if it cannot serve again.
-func (f *Handler) finish(g upstream.SlotLease, res result, how upstream.Outcome) (odd bool) {
+// finish returns the lease with its connection, which is closed if it cannot be reused. outlier reports
+// whether the upstream has markedly more errors than others; it is determined for upstream.Poor only.
+func (h *Handler) finish(lease upstream.SlotLease, res result, outcome upstream.Outcome) (outlier bool) {
 	conn := res.conn
-	alone := res.unwatch == nil || res.unwatch()
-	keep := conn != nil && alone && res.broke == nil && res.response != nil && !res.response.Close && res.whole
-	var idle time.Duration
+	connIntact := res.stopClose == nil || res.stopClose()
+	keepConn := conn != nil && connIntact && res.err == nil && res.response != nil && !res.response.Close && res.complete
+	var idleTime time.Duration
 	switch {
-	case keep:
-		a := conn.Reader.(*answers)
-		keep, a.used = a.Buffered() == 0, true
-		idle = f.idleTime(res.response.Header)
-	case conn != nil && res.untried && res.left: // nothing was sent on it
-		keep, idle = true, 10*f.dispatcher.patience
-		if conn == g.Conn {
-			idle = conn.Expires - f.now()
+	case keepConn:
+		reader := conn.Reader.(*responseReader)
+		keepConn, reader.reused = reader.Buffered() == 0, true
+		idleTime = h.idleTime(res.response.Header)
+	case conn != nil && res.unsent && res.disconnected: // nothing was sent over it
+		keepConn, idleTime = true, 10*h.dispatcher.peerTimeout
+		if conn == lease.Conn {
+			idleTime = conn.Expires - h.now()
 		}
 	}
-	if !keep && conn != nil {
+	if !keepConn && conn != nil {
 		conn.Close()
 		conn = nil
 	}
 	if conn != nil {
 		_ = conn.SetDeadline(time.Time{})
 	}
-	var told upstream.Told
+	var load upstream.Told
 	if res.response != nil {
-		told = toldLoad(res.response.Header.Get(hLoad))
+		load = parseLoad(res.response.Header.Get(hLoad))
 	}
-	return f.dispatcher.release(g, conn, idle, how, told, how == upstream.Poor)
+	return h.dispatcher.release(lease, conn, idleTime, outcome, load, outcome == upstream.Poor)
 }
 
-// toldLoad reads what an upstream says of its own load: requests running, requests
-// waiting and slots.
-func toldLoad(line string) (t upstream.Told) {
-	parts := strings.Split(line, ",")
+// parseLoad parses Instance-Load, in which an upstream reports its own load as "running,waiting,slots".
+// The slots are not used. An invalid value gives a zero result, whose Known is false.
+func parseLoad(header string) (load upstream.Told) {
+	parts := strings.Split(header, ",")
 	if len(parts) != 3 {
-		return t
+		return load
 	}
-	var n [3]int
+	var values [3]int
 	for i, p := range parts {
-		v, err := strconv.Atoi(strings.TrimSpace(p))
-		if err != nil || v < 0 {
-			return t
+		value, err := strconv.Atoi(strings.TrimSpace(p))
+		if err != nil || value < 0 {
+			return load
 		}
-		n[i] = v
+		values[i] = value
 	}
-	return upstream.Told{Known: true, Running: n[0], Waiting: n[1]}
+	return upstream.Told{Known: true, Running: values[0], Waiting: values[1]}
 }
 
-// idleTime is how long an answer's connection may lie idle: some less than
-// its Keep-Alive says, since the upstream may close it from then on.
-func (f *Handler) idleTime(h http.Header) time.Duration {
-	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
-		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if n, err := strconv.Atoi(v); err == nil {
-				return time.Duration(n)*time.Second - f.dispatcher.patience
+// idleTime returns how long the connection of a response may stay idle: the time-out of its Keep-Alive
+// header less the peer time-out, so that it is not reused when the upstream may already close it.
+func (h *Handler) idleTime(header http.Header) time.Duration {
+	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
+		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
+			if seconds, err := strconv.Atoi(value); err == nil {
+				return time.Duration(seconds)*time.Second - h.dispatcher.peerTimeout
 			}
 		}
 	}
-	return 10 * f.dispatcher.patience
+	return 10 * h.dispatcher.peerTimeout
 }
 
 func isTimeout(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// silent says whether an error means that the peer's machine no longer answers.
-func silent(err error) bool {
+// peerUnresponsive reports whether an error means that the peer's machine no longer answers at all.
+func peerUnresponsive(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// quiet says whether an idle connection is still open and has sent nothing.
-func quiet(c *upstream.Conn) bool {
-	if c.Reader.(*answers).Buffered() > 0 {
+// idleAndOpen reports whether an idle connection is still open and has received nothing, by a
+// non-blocking read.
+func idleAndOpen(conn *upstream.Conn) bool {
+	if conn.Reader.(*responseReader).Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := conn.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	good := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, err := syscall.Read(int(fd), b[:])
-		good = n < 0 && (err == syscall.EAGAIN || err == syscall.EINTR)
+		open = n < 0 && (err == syscall.EAGAIN || err == syscall.EINTR)
 		return true
 	})
-	return err == nil && good
+	return err == nil && open
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -12,98 +12,100 @@
 	"madderwing/internal/upstream"
 )
 
-// Stats are a handler's counters.
+// Stats holds the counters of a Handler. Handler.Counters maps them to the names of the metrics.
 type Stats struct {
 	Requests, Ordinary, Exception, Served, Refused, Failed, Late atomic.Uint64
 	Tries, Repeats, Dials, Broken, Abroad                        atomic.Uint64
-	// LinkFull counts the long answers that were refused for want of room on the link.
-	LinkFull atomic.Uint64
-	left     leftStats
+	// LinkFull counts requests refused because the link had no capacity left for a long response.
+	LinkFull    atomic.Uint64
+	disconnects disconnectStats
 }
 
-// Handler serves clients.
+// Handler serves the clients' requests: it runs each through the filter chain and forwards it to an
+// upstream.
 type Handler struct {
-	dispatcher *Dispatcher
-	table      atomic.Pointer[config.Table]
-	shard      atomic.Int64
-	drain      atomic.Bool
-	complete   atomic.Bool // see SetComplete
-	chain      HandlerFunc
-	Stats      Stats
-	// arms splits the requests of services whose version changes.
+	dispatcher    *Dispatcher
+	table         atomic.Pointer[config.Table]
+	shard         atomic.Int64
+	draining      atomic.Bool
+	tableComplete atomic.Bool // see SetComplete
+	chain         HandlerFunc
+	Stats         Stats
+	// arms splits the requests of a service under rollout between its prior and its candidate version.
 	arms *rollout.Arms
-	// Pace is that of large answers; nil: none.
+	// Pace limits the rate of large responses; nil means no limit.
 	Pace *Pace
-	// Link bounds the long answers that are taken on; nil: nothing does.
+	// Link limits the bytes of long responses that are accepted at a time; nil means no limit.
 	Link *LinkBudget
-	// lease is until when, on the dispatcher's clock, keys may be relied on; nil where
-	// no word on them has to be global.
-	lease *atomic.Int64
-	// draw draws on a tenant's quota; nil where there are none.
-	draw DrawQuota
+	// keysValidUntil is the time on the dispatcher's clock, in nanoseconds, until which the API keys
+	// in the table may be trusted; nil if their revocation needs no confirmation by every gateway.
+	keysValidUntil *atomic.Int64
+	// drawQuota charges a tenant's quota; nil if quotas are not in use.
+	drawQuota DrawQuota
 }
 
-// NewHandler makes a handler over a dispatcher.
+// NewHandler returns a handler that gets its upstreams from dispatcher. Its table is empty until
+// SetTable is called.
 func NewHandler(dispatcher *Dispatcher, arms *rollout.Arms) *Handler {
-	f := &Handler{dispatcher: dispatcher, arms: arms}
-	f.shard.Store(-1)
-	f.table.Store((&config.Builder{}).Build(nil))
-	f.chain = Chain(f.balance, f.limits, f.reader, f.route, f.deadline, f.reserve, f.quota, f.admit, f.stratify)
-	return f
+	h := &Handler{dispatcher: dispatcher, arms: arms}
+	h.shard.Store(-1)
+	h.table.Store((&config.Builder{}).Build(nil))
+	h.chain = Chain(h.forward, h.limitBody, h.authenticate, h.chooseService, h.setDeadline, h.reserveLink, h.chargeQuota, h.bufferBody, h.setStratum)
+	return h
 }
 
-// SetTable puts another table in force.
-func (f *Handler) SetTable(t *config.Table) { f.table.Store(t) }
+// SetTable replaces the configuration table. Requests that have begun keep the table they started with.
+func (h *Handler) SetTable(t *config.Table) { h.table.Store(t) }
 
-// Table is the table in force.
-func (f *Handler) Table() *config.Table { return f.table.Load() }
+// Table returns the current configuration table.
+func (h *Handler) Table() *config.Table { return h.table.Load() }
 
-// SetShard says which shard this gateway belongs to.
-func (f *Handler) SetShard(n int) { f.shard.Store(int64(n)) }
+// SetShard sets the shard that this gateway belongs to.
+func (h *Handler) SetShard(n int) { h.shard.Store(int64(n)) }
 
-// SetComplete says that the table has been complete once. Before that, what it lacks may be on its
-// way: a route or a key that is not in it is no reason to refuse a request for good.
-func (f *Handler) SetComplete() { f.complete.Store(true) }
+// SetComplete records that the table has been complete once. Until then a missing route or key may
+// still arrive, so requests for it get a temporary error instead of a permanent one.
+func (h *Handler) SetComplete() { h.tableComplete.Store(true) }
 
-// Drain makes the handler close connections after their next answer, and wait for
-// every request that has been sent on.
-func (f *Handler) Drain() {
-	f.drain.Store(true)
-	f.Link.Leave(f.now())
-	f.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Leave() })
+// Drain prepares for the shutdown of the gateway: connections are closed after their next response,
+// and every request that was sent to an upstream is waited for.
+func (h *Handler) Drain() {
+	h.draining.Store(true)
+	h.Link.Leave(h.now())
+	h.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Leave() })
 }
 
-// lastOne has a connection closed after the answer that is about to be given, if this
-// gateway leaves or has not read all of the request: net/http would read the rest first, and
-// hold the answer back for as long as the client waits for it.
-func (f *Handler) lastOne(x *Exchange) {
-	if f.drain.Load() || x.bodyCut || x.bodyPrefix != nil && !x.bodySent.Load() {
+// closeAfterResponse makes net/http close the client's connection after the response if this gateway
+// is draining or has not read the whole request. In the latter case net/http would otherwise read the
+// rest of the body first and hold back the response while the client waits for it.
+func (h *Handler) closeAfterResponse(x *Exchange) {
+	if h.draining.Load() || x.bodyIncomplete || x.bodyPrefix != nil && !x.bodySent.Load() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.Stats.Requests.Add(1)
-	if c := connOf(r); c != nil {
-		c.begin()
-		defer c.end()
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.Stats.Requests.Add(1)
+	if conn := connOf(r); conn != nil {
+		conn.beginRequest()
+		defer conn.endRequest()
 	}
-	x := &Exchange{w: w, r: r, arrived: time.Now(), table: f.table.Load(), attempt: r.Header.Get(hAttempt)}
-	if err := f.chain(x); err != nil {
-		switch a := apierror.AnswerFor(apierror.KindOf(err)); {
-		case x.clientLeft() || apierror.KindOf(err) == apierror.ClientGone:
-			f.noteLeft(x)
-		case a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests:
-			f.Stats.Refused.Add(1)
-		case a.Status == http.StatusGatewayTimeout:
-			f.Stats.Late.Add(1)
+	x := &Exchange{w: w, r: r, arrived: time.Now(), table: h.table.Load(), attemptID: r.Header.Get(hAttempt)}
+	if err := h.chain(x); err != nil {
+		switch answer := apierror.AnswerFor(apierror.KindOf(err)); {
+		case x.clientDisconnected() || apierror.KindOf(err) == apierror.ClientGone:
+			h.countDisconnect(x)
+		case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
+			h.Stats.Refused.Add(1)
+		case answer.Status == http.StatusGatewayTimeout:
+			h.Stats.Late.Add(1)
 		default:
-			f.Stats.Failed.Add(1)
+			h.Stats.Failed.Add(1)
 		}
-		if x.attempt != "" {
-			w.Header().Set(hAttempt, x.attempt)
+		if x.attemptID != "" {
+			w.Header().Set(hAttempt, x.attemptID)
 		}
-		f.lastOne(x)
+		h.closeAfterResponse(x)
 		if apierror.KindOf(err) == apierror.BodyTooLarge {
 			w.Header().Set("Connection", "close")
 		}
@@ -111,29 +113,29 @@
 	}
 }
 
-// soon is the time within which a node that starts knows items and upstreams. Clients that
-// came back sooner would only spend their tries.
-func (f *Handler) soon() time.Duration { return 2 * f.dispatcher.patience }
+// startupRetryAfter is the time in which a starting node has received its configuration and upstreams.
+// Clients that retried sooner would only use up their retries.
+func (h *Handler) startupRetryAfter() time.Duration { return 2 * h.dispatcher.peerTimeout }
 
-// now is the time on the dispatcher's clock.
-func (f *Handler) now() time.Duration { return time.Since(f.dispatcher.start) }
+// now returns the time on the dispatcher's clock.
+func (h *Handler) now() time.Duration { return time.Since(h.dispatcher.epoch) }
 
-// later is an error that tells when to come back: in a part of the aim, spread
-// so that those who were turned away together do not return together.
-func (f *Handler) later(x *Exchange, kind apierror.Kind) error {
-	after := x.aim/8 + time.Duration(rand.Float64()*float64(x.aim/4))
+// retryLater returns an error of the given kind with a Retry-After of 1/8 to 3/8 of the target latency.
+// It is randomized so that requests refused together do not return together.
+func (h *Handler) retryLater(x *Exchange, kind apierror.Kind) error {
+	after := x.targetLatency/8 + time.Duration(rand.Float64()*float64(x.targetLatency/4))
 	return apierror.Later(kind, after, "%s", x.service)
 }
 
-// Counters are the handler's counters by name.
-func (f *Handler) Counters() map[string]uint64 {
-	s := &f.Stats
+// Counters returns the counters by the names under which the metrics report them.
+func (h *Handler) Counters() map[string]uint64 {
+	s := &h.Stats
 	counters := map[string]uint64{
 		"requests": s.Requests.Load(), "ordinary": s.Ordinary.Load(), "exception": s.Exception.Load(), "served": s.Served.Load(),
 		"refused": s.Refused.Load(), "failed": s.Failed.Load(), "late": s.Late.Load(), "tries": s.Tries.Load(),
 		"repeats": s.Repeats.Load(), "dials": s.Dials.Load(), "broken": s.Broken.Load(),
 		"abroad": s.Abroad.Load(), "linkFull": s.LinkFull.Load(),
 	}
-	s.left.addTo(counters)
+	s.disconnects.addTo(counters)
 	return counters
 }
--- a/internal/proxy/leaving_stages_test.go
+++ b/internal/proxy/leaving_stages_test.go
@@ -112,7 +112,7 @@
 	until(t, "its slot free", func() bool { return r.busySlots() == 0 })
 	r.handler.Link.mu.Lock()
 	defer r.handler.Link.mu.Unlock()
-	if held := r.handler.Link.begun + r.handler.Link.waiting; held != 0 {
+	if held := r.handler.Link.started + r.handler.Link.expected; held != 0 {
 		t.Errorf("%g bytes of the link are still held", held)
 	}
 }
@@ -142,13 +142,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		if err := p.take(ctx, 1<<10); err == nil {
+		if err := p.acquire(ctx, 1<<10); err == nil {
 			t.Fatal("a part was let go")
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ahead := time.Until(p.free); ahead > 2*time.Second {
+	if ahead := time.Until(p.nextFree); ahead > 2*time.Second {
 		t.Errorf("the pace is taken for %v", ahead)
 	}
 }
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -53,7 +53,7 @@
 // sawClientLeave says whether the handler knows that the newest request's client has left.
 func (r *leaveRig) sawClientLeave() bool {
 	x := r.newest.Load()
-	return x != nil && x.clientLeft()
+	return x != nil && x.clientDisconnected()
 }
 
 // request is the text of a request that may take minutes.
@@ -146,14 +146,14 @@
 }
 
 func TestWhatBecomesOfARequestWhoseClientLeaves(t *testing.T) {
-	kinds := map[string][stageCount]leaveAction{
-		"idempotent": {endUnsent, endUnsent, endUnsent, endUnsent, endSent, endSent},
-		"download":   {endUnsent, endUnsent, endUnsent, endUnsent, endSent, endSent},
-		"mutating":   {endUnsent, endUnsent, endUnsent, endUnsent, runToTheEnd, runToTheEnd},
+	kinds := map[string][stageCount]disconnectAction{
+		"idempotent": {dropUnsent, dropUnsent, dropUnsent, dropUnsent, abortSent, abortSent},
+		"download":   {dropUnsent, dropUnsent, dropUnsent, dropUnsent, abortSent, abortSent},
+		"mutating":   {dropUnsent, dropUnsent, dropUnsent, dropUnsent, runToCompletion, runToCompletion},
 	}
 	for kind, want := range kinds {
 		for at := range stageCount {
-			if got := onClientGone(&config.Route{RouteKind: kind}, at); got != want[at] {
+			if got := actionOnDisconnect(&config.Route{RouteKind: kind}, at); got != want[at] {
 				t.Errorf("%s, stage %s: %v, not %v", kind, stageNames[at], got, want[at])
 			}
 		}
@@ -182,9 +182,9 @@
 		{name: "further request, reset", request: request("GET", "/get/x", "one", ""), more: request("GET", "/get/y", "two", ""), leave: reset, stage: stageSent},
 		{name: "further request, body", request: request("POST", "/get/x", "one", strings.Repeat("y", 400<<10)), more: request("GET", "/get/y", "two", ""), stage: stageSent},
 		{name: "answer with a length has begun", request: request("GET", "/get/x", "one", ""),
-			prelude: begun + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10), stage: stageAnswer},
+			prelude: begun + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10), stage: stageResponse},
 		{name: "chunked answer has begun", request: request("GET", "/get/x", "one", ""),
-			prelude: begun + "Transfer-Encoding: chunked\r\n\r\n14000\r\n" + strings.Repeat("z", 80<<10) + "\r\n", stage: stageAnswer},
+			prelude: begun + "Transfer-Encoding: chunked\r\n\r\n14000\r\n" + strings.Repeat("z", 80<<10) + "\r\n", stage: stageResponse},
 		{name: "small beginning of an answer", request: request("GET", "/get/x", "one", ""),
 			prelude: begun + "Content-Length: 100000\r\n\r\nz", stage: stageSent},
 		{name: "gateway that leaves", request: request("GET", "/get/x", "one", ""), before: func(r *leaveRig) { r.handler.Drain() }, stage: stageSent},
@@ -201,7 +201,7 @@
 			} else {
 				until(t, "work", func() bool { return w.began.Load() == 1 })
 			}
-			if c.stage == stageAnswer {
+			if c.stage == stageResponse {
 				if _, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil {
 					t.Fatal(err)
 				}
@@ -355,7 +355,7 @@
 // No upstream is judged by what clients do: none is left alone, no time is learnt and no rollout
 // scored.
 func TestLeavingTellsNothingOfAnUpstream(t *testing.T) {
-	if got := scored(result{broke: net.ErrClosed, left: true}); got != rollout.Unscored {
+	if got := rolloutOutcome(result{err: net.ErrClosed, disconnected: true}); got != rollout.Unscored {
 		t.Errorf("scored %v", got)
 	}
 	w := newWorker(t, "u", "")
--- a/internal/proxy/linkbudget.go
+++ b/internal/proxy/linkbudget.go
@@ -6,142 +6,141 @@
 	"time"
 )
 
-// A process that is told to leave has graceS to finish, and its link carries only so many bytes
-// in that time. Answers that were taken on beyond that are cut off in the middle, and when a link
-// is shared fairly, all of them are. The bytes that are taken on are therefore bounded at all
-// times: a SIGTERM may come at any moment.
+// A process that is told to shut down has the time graceS to finish, in which its link can transfer a
+// limited number of bytes. If more are outstanding, responses are truncated, and on a link that is shared
+// fairly all of them are. The outstanding bytes are therefore limited at all times, since a SIGTERM may
+// arrive at any moment.
 
 const (
-	// graceShare is the part of graceS after which all long answers should be out.
+	// graceShare is the share of graceS in which all long responses should be transferred.
 	graceShare = 0.8
-	// queueShare is the part of graceS for which long answers, those still expected among them, may
-	// occupy the link before more are refused, while the process stays.
+	// queueShare is the share of graceS for which long responses, including expected ones, may occupy
+	// the link before further ones are refused, while the process is not shutting down.
 	queueShare = 0.5
-	// longAnswer is the size above which an answer is long. Shorter ones are passed on always.
-	longAnswer = 16 << 10
-	// unknownDownload is taken as the size of a download while none has been seen.
-	unknownDownload = 64 << 10
-	// estimateGain is the weight of the newest answer in an estimate.
+	// longResponse is the size in bytes above which a response is long. Shorter ones are never refused.
+	longResponse = 16 << 10
+	// defaultDownloadSize is the expected size in bytes of a download of a class without an estimate.
+	defaultDownloadSize = 64 << 10
+	// estimateGain is the weight of the latest response in an estimate.
 	estimateGain = 1. / 16
-	// maxEstimates bounds the estimates that are kept; above it all are learnt anew.
+	// maxEstimates is the number of estimates at which all are discarded before another is added.
 	maxEstimates = 4096
 )
 
-// AnswerClass names requests whose answers are alike in size.
+// AnswerClass identifies requests whose responses are of similar size.
 type AnswerClass struct {
 	Service  string
 	Download bool
 }
 
-// answerEstimate is what is expected of the next answer of a class.
-type answerEstimate struct {
-	bytes, deviation float64
-	delay            time.Duration // from admission to the head of the answer
+// responseEstimate is the estimate for the next response of a class, as moving averages.
+type responseEstimate struct {
+	bytes, deviation float64       // size, and its mean deviation
+	delay            time.Duration // from admission to the head of the response
 }
 
-// LinkBudget bounds the bytes of long answers that a gateway has taken on by what its link can
-// carry in the time that it has. All instants are on the clock of the caller. A nil budget
-// admits everything.
+// LinkBudget limits the outstanding bytes of long responses to what the gateway's link can transfer in
+// the time available. All times are on the caller's clock. A nil budget admits everything.
 type LinkBudget struct {
-	mu        sync.Mutex
-	bytesPerS float64
-	grace     time.Duration
-	leaving   bool
-	leaveBy   time.Duration // when all answers have to be out; only if leaving
-
-	waiting   float64 // bytes expected of requests whose answers have not begun
-	begun     float64 // bytes of answers that have begun and are not written yet
-	written   float64 // bytes that are written and still on their way at writtenAt
-	writtenAt time.Duration
-	estimates map[AnswerClass]answerEstimate
+	mu             sync.Mutex
+	bytesPerSecond float64
+	grace          time.Duration
+	shuttingDown   bool
+	finishBy       time.Duration // when all responses must have been transferred; valid while shuttingDown
+
+	expected   float64 // expected bytes of responses that have not started
+	started    float64 // unwritten bytes of responses that have started
+	buffered   float64 // bytes written to connections but not transferred yet, as of bufferedAt
+	bufferedAt time.Duration
+	estimates  map[AnswerClass]responseEstimate
 }
 
-// NewLinkBudget makes the budget of a link that carries so many bytes of long answers a second,
-// beside all that is short, for a process that has the given time to finish once it is told to
-// leave.
-func NewLinkBudget(bytesPerS float64, grace time.Duration) *LinkBudget {
-	return &LinkBudget{bytesPerS: bytesPerS, grace: grace, estimates: map[AnswerClass]answerEstimate{}}
+// NewLinkBudget returns the budget of a link that transfers bytesPerSecond of long responses beside all
+// short ones, for a process that has the time grace to finish once it is told to shut down.
+func NewLinkBudget(bytesPerSecond float64, grace time.Duration) *LinkBudget {
+	return &LinkBudget{bytesPerSecond: bytesPerSecond, grace: grace, estimates: map[AnswerClass]responseEstimate{}}
 }
 
-// Reservation is the place of one answer in the budget. A nil one stands for an answer that is
-// not bounded. Its methods are called from one goroutine at a time.
+// Reservation is the share of one response in the budget. A nil one is for a response without a limit.
+// Its methods must not be called concurrently.
 type Reservation struct {
-	budget   *LinkBudget
-	class    AnswerClass
-	admitted time.Duration
-	left     float64 // bytes still to be written
-	begun    bool
-	released bool
+	budget    *LinkBudget
+	class     AnswerClass
+	admitted  time.Duration
+	remaining float64 // bytes not written yet
+	started   bool
+	released  bool
 }
 
-// Leave says that the process was told to leave.
+// Leave notes that the process was told to shut down.
 func (b *LinkBudget) Leave(now time.Duration) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.leaving {
-		b.leaving, b.leaveBy = true, now+time.Duration(float64(b.grace)*graceShare)
+	if !b.shuttingDown {
+		b.shuttingDown, b.finishBy = true, now+time.Duration(float64(b.grace)*graceShare)
 	}
 }
 
-// Admit reserves room for the answer to a request that has to be answered by its deadline.
-// It is not ok if the request is a download whose answer could not be out in time; then it must
-// not be sent on. Of other requests only the answer tells that it is long; see Begin.
-func (b *LinkBudget) Admit(now time.Duration, class AnswerClass, deadline time.Duration) (r *Reservation, ok bool) {
+// Admit reserves room for the response to a request with the given deadline. ok is false if the request
+// is a download whose response could not be transferred in time; it must then not be sent. Whether the
+// response to another request is long is known only once it starts; see Begin.
+func (b *LinkBudget) Admit(now time.Duration, class AnswerClass, deadline time.Duration) (reservation *Reservation, ok bool) {
 	if b == nil {
 		return nil, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, known := b.estimates[class]
-	size := e.bytes + e.deviation
+	estimate, known := b.estimates[class]
+	size := estimate.bytes + estimate.deviation
 	if !known && class.Download {
-		size = unknownDownload
+		size = defaultDownloadSize
 	}
-	if class.Download && size > longAnswer && !b.admits(now, size, e.delay, deadline) {
+	if class.Download && size > longResponse && !b.fits(now, size, estimate.delay, deadline) {
 		return nil, false
 	}
-	b.waiting += size
-	return &Reservation{budget: b, class: class, admitted: now, left: size}, true
+	b.expected += size
+	return &Reservation{budget: b, class: class, admitted: now, remaining: size}, true
 }
 
-// admits says whether a long answer of the given size, that begins after the given delay, can be
-// out in time.
-func (b *LinkBudget) admits(now time.Duration, size float64, delay, deadline time.Duration) bool {
-	if b.leaving {
-		by := min(b.leaveBy, deadline)
-		return now+b.carry(b.outstanding(now)+b.waiting+size) <= by && now+delay+b.carry(size) <= by
+// fits reports whether a long response that has the given size and starts after delay can be transferred
+// in time.
+func (b *LinkBudget) fits(now time.Duration, size float64, delay, deadline time.Duration) bool {
+	if b.shuttingDown {
+		finishBy := min(b.finishBy, deadline)
+		return now+b.transferTime(b.untransferred(now)+b.expected+size) <= finishBy && now+delay+b.transferTime(size) <= finishBy
 	}
-	queue := b.outstanding(now)
-	if queue == 0 && b.waiting < size {
-		return true // whatever its size: it will have most of the link to itself
+	queued := b.untransferred(now)
+	if queued == 0 && b.expected < size {
+		return true // admitted at any size, as it will have most of the link to itself
 	}
-	// What is expected counts too: answers that wait on their way in begin only once the link has
-	// carried them, and would all have been admitted by then.
-	return b.carry(queue+b.waiting+size) <= min(time.Duration(float64(b.grace)*queueShare), deadline-now)
+	// Expected bytes count too: responses that queue on their way from the upstreams start only once the
+	// link has transferred them, and without this all of them would have been admitted by then.
+	return b.transferTime(queued+b.expected+size) <= min(time.Duration(float64(b.grace)*queueShare), deadline-now)
 }
 
-// carry is the time in which the link carries so many bytes.
-func (b *LinkBudget) carry(bytes float64) time.Duration {
-	return time.Duration(bytes / b.bytesPerS * float64(time.Second))
+// transferTime returns the time that the link needs for so many bytes.
+func (b *LinkBudget) transferTime(bytes float64) time.Duration {
+	return time.Duration(bytes / b.bytesPerSecond * float64(time.Second))
 }
 
-// outstanding is the bytes of the answers that have begun and that the link has not carried yet.
-// What is written may still lie in buffers, and is taken to leave at the link's rate.
-func (b *LinkBudget) outstanding(now time.Duration) float64 {
-	return b.begun + b.inBuffers(now)
+// untransferred returns the bytes of started responses that the link has not transferred yet.
+func (b *LinkBudget) untransferred(now time.Duration) float64 {
+	return b.started + b.bufferedBytes(now)
 }
 
-func (b *LinkBudget) inBuffers(now time.Duration) float64 {
-	return max(0, b.written-(now-b.writtenAt).Seconds()*b.bytesPerS)
+// bufferedBytes returns the written bytes that are still in buffers, assuming that they drain at the
+// link's rate.
+func (b *LinkBudget) bufferedBytes(now time.Duration) float64 {
+	return max(0, b.buffered-(now-b.bufferedAt).Seconds()*b.bytesPerSecond)
 }
 
-// Begin takes the size of the answer as its upstream tells it; negative: it does not. It says
-// whether the answer can be out before the process may have to end. One that is not is still
-// passed on if its request must not be answered otherwise: it may run once only, or the process was
-// told to leave, after which no request is given up that an upstream is at work on.
+// Begin notes that the response has started, with the size that its upstream announces (negative if
+// unknown). fits reports whether it can be transferred before the process may have to end. The caller
+// still passes on one that does not fit if it must not replace it by an error: the request may run only
+// once, or the process is shutting down, when no request that was sent to an upstream is given up.
 func (r *Reservation) Begin(now time.Duration, size int64) (fits bool) {
 	if r == nil {
 		return true
@@ -149,41 +148,41 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r.begun || r.released {
+	if r.started || r.released {
 		return true
 	}
-	b.waiting = max(0, b.waiting-r.left)
+	b.expected = max(0, b.expected-r.remaining)
 	if size >= 0 {
-		r.left = float64(size)
-		b.learn(r.class, r.left, now-r.admitted)
+		r.remaining = float64(size)
+		b.updateEstimate(r.class, r.remaining, now-r.admitted)
 	}
-	queue := b.outstanding(now)
-	by := now + time.Duration(float64(b.grace)*graceShare)
-	if b.leaving {
-		by = b.leaveBy
+	queued := b.untransferred(now)
+	finishBy := now + time.Duration(float64(b.grace)*graceShare)
+	if b.shuttingDown {
+		finishBy = b.finishBy
 	}
-	fits = r.left <= longAnswer || now+b.carry(queue+r.left) <= by || queue == 0 && !b.leaving
-	b.begun += r.left
-	r.begun = true
+	fits = r.remaining <= longResponse || now+b.transferTime(queued+r.remaining) <= finishBy || queued == 0 && !b.shuttingDown
+	b.started += r.remaining
+	r.started = true
 	return fits
 }
 
-// learn takes an answer into the estimate of its class.
-func (b *LinkBudget) learn(class AnswerClass, size float64, delay time.Duration) {
-	e, known := b.estimates[class]
+// updateEstimate updates the estimate of a class with the size and delay of a response.
+func (b *LinkBudget) updateEstimate(class AnswerClass, size float64, delay time.Duration) {
+	estimate, known := b.estimates[class]
 	if !known {
 		if len(b.estimates) >= maxEstimates {
 			clear(b.estimates)
 		}
-		e = answerEstimate{bytes: size, delay: delay}
+		estimate = responseEstimate{bytes: size, delay: delay}
 	}
-	e.deviation += (math.Abs(size-e.bytes) - e.deviation) * estimateGain
-	e.bytes += (size - e.bytes) * estimateGain
-	e.delay += time.Duration(float64(delay-e.delay) * estimateGain)
-	b.estimates[class] = e
+	estimate.deviation += (math.Abs(size-estimate.bytes) - estimate.deviation) * estimateGain
+	estimate.bytes += (size - estimate.bytes) * estimateGain
+	estimate.delay += time.Duration(float64(delay-estimate.delay) * estimateGain)
+	b.estimates[class] = estimate
 }
 
-// Wrote says that so many bytes of the answer have been written to the client's connection.
+// Wrote notes that n bytes of the response have been written to the client's connection.
 func (r *Reservation) Wrote(now time.Duration, n int) {
 	if r == nil {
 		return
@@ -191,15 +190,15 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.written, b.writtenAt = b.inBuffers(now)+float64(n), now
-	if r.begun {
-		done := min(r.left, float64(n))
-		r.left -= done
-		b.begun = max(0, b.begun-done)
+	b.buffered, b.bufferedAt = b.bufferedBytes(now)+float64(n), now
+	if r.started {
+		used := min(r.remaining, float64(n))
+		r.remaining -= used
+		b.started = max(0, b.started-used)
 	}
 }
 
-// Release gives back what the answer has not used.
+// Release returns the unused part of the reservation to the budget. Further calls have no effect.
 func (r *Reservation) Release() {
 	if r == nil {
 		return
@@ -211,9 +210,9 @@
 		return
 	}
 	r.released = true
-	if r.begun {
-		b.begun = max(0, b.begun-r.left)
+	if r.started {
+		b.started = max(0, b.started-r.remaining)
 	} else {
-		b.waiting = max(0, b.waiting-r.left)
+		b.expected = max(0, b.expected-r.remaining)
 	}
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,262 +13,264 @@
 	"madderwing/internal/config"
 )
 
-// Listener accepts clients' connections and hands each to a server that works by
-// the limits in force when it came.
+// Listener accepts the connections of clients. Each is served by an HTTP server with the limits that
+// applied when it was accepted.
 type Listener struct {
-	handler     *Handler
-	log         *slog.Logger
-	listener    net.Listener
-	most        int64
-	open        atomic.Int64
-	lastCame    atomic.Int64 // when the newest connection came, on the dispatcher's clock
-	connections sync.Map     // *clientConn -> nothing: the connections that are open
+	handler      *Handler
+	log          *slog.Logger
+	listener     net.Listener
+	maxConns     int64
+	openConns    atomic.Int64
+	lastAccepted atomic.Int64 // time of the latest accepted connection on the dispatcher's clock
+	conns        sync.Map     // set of *clientConn: the open connections
 
-	mu      sync.Mutex
-	current *httpServer
-	rooms   []*httpServer
-	closing bool
-	limits  config.Limits
-	// closes sees clients close connections where net/http does not look.
-	closes *closeWatch
+	mu            sync.Mutex
+	currentServer *limitedServer
+	servers       []*limitedServer
+	shuttingDown  bool
+	limits        config.Limits
+	// closeWatch notices closed connections where net/http does not look for them.
+	closeWatch *closeWatch
 }
 
-// httpServer is a server with its limits.
-type httpServer struct {
-	server *http.Server
-	conns  chan net.Conn
-	done   chan struct{}
-	once   sync.Once
-	addr   net.Addr
+// limitedServer is an HTTP server with fixed limits, and the net.Listener that feeds it connections.
+type limitedServer struct {
+	server   *http.Server
+	accepted chan net.Conn
+	done     chan struct{}
+	once     sync.Once
+	addr     net.Addr
 }
 
-func (r *httpServer) Accept() (net.Conn, error) {
+func (s *limitedServer) Accept() (net.Conn, error) {
 	select {
-	case c := <-r.conns:
-		return c, nil
-	case <-r.done:
+	case conn := <-s.accepted:
+		return conn, nil
+	case <-s.done:
 	}
-	// Nothing comes after done; what came before is still let in.
+	// No connection is queued after done is closed; those queued before are still accepted.
 	select {
-	case c := <-r.conns:
-		return c, nil
+	case conn := <-s.accepted:
+		return conn, nil
 	default:
 		return nil, net.ErrClosed
 	}
 }
 
-func (r *httpServer) Close() error {
-	r.once.Do(func() { close(r.done) })
+func (s *limitedServer) Close() error {
+	s.once.Do(func() { close(s.done) })
 	return nil
 }
 
-func (r *httpServer) Addr() net.Addr { return r.addr }
+func (s *limitedServer) Addr() net.Addr { return s.addr }
 
-// NewListener listens on address for up to most connections.
-func NewListener(address string, most int, handler *Handler, logger *slog.Logger) (*Listener, error) {
-	l, err := net.Listen("tcp4", address)
+// NewListener listens on address for up to maxConns connections at a time.
+func NewListener(address string, maxConns int, handler *Handler, logger *slog.Logger) (*Listener, error) {
+	tcp, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Listener{handler: handler, log: logger, listener: l, most: int64(most), closes: newCloseWatch(handler.dispatcher.tick)}
-	d.SetLimits(handler.Table().Limits)
-	return d, nil
+	l := &Listener{handler: handler, log: logger, listener: tcp, maxConns: int64(maxConns), closeWatch: newCloseWatch(handler.dispatcher.tickInterval)}
+	l.SetLimits(handler.Table().Limits)
+	return l, nil
 }
 
-// SetLimits makes new connections subject to other limits.
-func (d *Listener) SetLimits(l config.Limits) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closing || d.current != nil && l == d.limits {
+// SetLimits changes the limits for new connections.
+func (l *Listener) SetLimits(limits config.Limits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.shuttingDown || l.currentServer != nil && limits == l.limits {
 		return
 	}
-	d.limits = l
-	if d.current != nil {
-		// It takes no more; the connections that it has go on.
-		_ = d.current.Close()
+	l.limits = limits
+	if l.currentServer != nil {
+		// The previous server accepts no further connections and goes on serving those it has.
+		_ = l.currentServer.Close()
 	}
-	r := &httpServer{conns: make(chan net.Conn, 64), done: make(chan struct{}), addr: d.listener.Addr()}
-	r.server = &http.Server{
-		Handler:           d.handler,
-		ReadHeaderTimeout: time.Duration(l.HeaderTimeoutS * float64(time.Second)),
-		IdleTimeout:       time.Duration(l.IdleTimeoutS * float64(time.Second)),
-		MaxHeaderBytes:    l.MaxHeaderBytes,
-		ErrorLog:          slog.NewLogLogger(d.log.Handler(), slog.LevelDebug), // of clients that misbehave
-		ConnState:         d.state,
+	server := &limitedServer{accepted: make(chan net.Conn, 64), done: make(chan struct{}), addr: l.listener.Addr()}
+	server.server = &http.Server{
+		Handler:           l.handler,
+		ReadHeaderTimeout: time.Duration(limits.HeaderTimeoutS * float64(time.Second)),
+		IdleTimeout:       time.Duration(limits.IdleTimeoutS * float64(time.Second)),
+		MaxHeaderBytes:    limits.MaxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(l.log.Handler(), slog.LevelDebug), // errors of clients
+		ConnState:         l.connState,
 		ConnContext:       connContext,
 	}
-	d.current = r
-	d.rooms = append(d.rooms, r)
-	go func() { _ = r.server.Serve(r) }()
+	l.currentServer = server
+	l.servers = append(l.servers, server)
+	go func() { _ = server.server.Serve(server) }()
 }
 
-func (d *Listener) state(c net.Conn, s http.ConnState) {
-	if t, ok := c.(*clientConn); ok {
-		switch s {
+// connState tracks the state of a connection; see http.Server.ConnState.
+func (l *Listener) connState(c net.Conn, state http.ConnState) {
+	if client, ok := c.(*clientConn); ok {
+		switch state {
 		case http.StateIdle, http.StateNew:
-			t.rest(s == http.StateIdle)
+			client.markIdle(state == http.StateIdle)
 		case http.StateActive:
-			t.headRead.Store(true)
+			client.headRead.Store(true)
 		case http.StateClosed, http.StateHijacked:
-			d.open.Add(-1)
-			d.connections.Delete(t)
-			d.closes.remove(t)
-			t.cancel()
+			l.openConns.Add(-1)
+			l.conns.Delete(client)
+			l.closeWatch.remove(client)
+			client.cancel()
 		}
 	}
 }
 
 // Serve accepts connections until the listener is closed.
-func (d *Listener) Serve() error {
+func (l *Listener) Serve() error {
 	for {
-		c, err := d.listener.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			time.Sleep(d.handler.dispatcher.patience / 10)
+			time.Sleep(l.handler.dispatcher.peerTimeout / 10)
 			continue
 		}
-		if d.open.Load() >= d.most {
-			// Closed unread, so the client may go elsewhere at once.
+		if l.openConns.Load() >= l.maxConns {
+			// Nothing is read from it, so the client may retry at another gateway at once.
 			c.Close()
 			continue
 		}
-		d.open.Add(1)
-		d.lastCame.Store(int64(d.handler.now()))
-		g := &clientConn{Conn: c, closes: d.closes, cancel: func() {}}
-		d.connections.Store(g, nil)
-		d.mu.Lock()
-		d.current.conns <- g
-		d.mu.Unlock()
+		l.openConns.Add(1)
+		l.lastAccepted.Store(int64(l.handler.now()))
+		client := &clientConn{Conn: c, closeWatch: l.closeWatch, cancel: func() {}}
+		l.conns.Store(client, nil)
+		l.mu.Lock()
+		l.currentServer.accepted <- client
+		l.mu.Unlock()
 	}
 }
 
-// Shutdown takes no more connections, ends those that lie idle, and waits for the
-// requests under way. net/http's own Shutdown is not used: it may close a connection
-// whose next request has just been read.
-func (d *Listener) Shutdown(ctx context.Context) {
-	d.mu.Lock()
-	d.closing = true
-	rooms := d.rooms
-	d.mu.Unlock()
-	d.listener.Close()
-	began := time.Now()
-	tick := time.NewTicker(d.handler.dispatcher.patience / 20)
-	defer tick.Stop()
-	for d.open.Load() > 0 && ctx.Err() == nil {
-		d.connections.Range(func(g, _ any) bool {
-			// One that has sent nothing yet is given the time that it needs to.
-			g.(*clientConn).retire(time.Since(began) > 2*d.handler.dispatcher.patience)
+// Shutdown stops accepting connections, closes idle ones, and waits for active requests until ctx ends.
+// http.Server.Shutdown is not used, since it may close a connection whose next request has just been
+// read.
+func (l *Listener) Shutdown(ctx context.Context) {
+	l.mu.Lock()
+	l.shuttingDown = true
+	servers := l.servers
+	l.mu.Unlock()
+	l.listener.Close()
+	started := time.Now()
+	ticker := time.NewTicker(l.handler.dispatcher.peerTimeout / 20)
+	defer ticker.Stop()
+	for l.openConns.Load() > 0 && ctx.Err() == nil {
+		l.conns.Range(func(conn, _ any) bool {
+			// A new connection gets some time to send its first request.
+			conn.(*clientConn).retire(time.Since(started) > 2*l.handler.dispatcher.peerTimeout)
 			return true
 		})
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 		}
 	}
-	for _, r := range rooms {
-		_ = r.server.Close()
+	for _, server := range servers {
+		_ = server.server.Close()
 	}
 }
 
-// Quiet is for how long no connection has come.
-func (d *Listener) Quiet() time.Duration { return d.handler.now() - time.Duration(d.lastCame.Load()) }
+// Quiet returns the time since a connection was last accepted.
+func (l *Listener) Quiet() time.Duration {
+	return l.handler.now() - time.Duration(l.lastAccepted.Load())
+}
 
-// Open is the number of connections.
-func (d *Listener) Open() int64 { return d.open.Load() }
+// Open returns the number of open connections.
+func (l *Listener) Open() int64 { return l.openConns.Load() }
 
-// clientConn is a client's connection. It answers a header that does not arrive in
-// time, which net/http closes without a word.
+// clientConn is a client's connection. If a request's header does not arrive in time, it sends a 408
+// response; net/http would close the connection without one.
 type clientConn struct {
 	net.Conn
-	read     atomic.Int64 // bytes of the request that comes next or is under way
-	headRead atomic.Bool
-	serving  atomic.Bool // a handler is at work on a request
-	watched  atomic.Bool // closes asks whether the client has closed it
-	closes   *closeWatch
-	cancel   context.CancelFunc // ends the context of its requests
+	bytesRead  atomic.Int64 // bytes of the current or next request
+	headRead   atomic.Bool
+	serving    atomic.Bool // a handler is running
+	watched    atomic.Bool // closeWatch polls it
+	closeWatch *closeWatch
+	cancel     context.CancelFunc // cancels the context of its requests
 
 	mu      sync.Mutex
-	old     bool // it has had an answer
-	resting bool // nothing of the next request has been read
-	retired bool // nothing is to be read any more
+	reused  bool // it has carried a request and its response
+	idle    bool // no byte of the next request has been read
+	retired bool // no further request is to be read
 }
 
-const tooSlow = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const headerTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-func (g *clientConn) Read(b []byte) (int, error) {
-	n, err := g.Conn.Read(b)
+func (c *clientConn) Read(buf []byte) (int, error) {
+	n, err := c.Conn.Read(buf)
 	if n > 0 {
-		g.mu.Lock()
-		g.resting = false
-		g.mu.Unlock()
-		g.read.Add(int64(n))
+		c.mu.Lock()
+		c.idle = false
+		c.mu.Unlock()
+		c.bytesRead.Add(int64(n))
 	}
-	if n == 1 && len(b) == 1 && g.serving.Load() {
-		// net/http asks for a single byte only to see whether the client is still there. It has
-		// come, of a further request, and net/http does not look again during this one.
-		g.watchClose()
+	if n == 1 && len(buf) == 1 && c.serving.Load() {
+		// net/http reads a single byte in the background to detect a disconnect. This one belongs to
+		// a pipelined request, and net/http does not look again during the current one.
+		c.watchClose()
 	}
-	if err != nil && isTimeout(err) && !g.headRead.Load() && g.read.Load() > 0 {
-		_ = g.Conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-		_, _ = g.Conn.Write([]byte(tooSlow))
+	if err != nil && isTimeout(err) && !c.headRead.Load() && c.bytesRead.Load() > 0 {
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
+		_, _ = c.Conn.Write([]byte(headerTimeoutResponse))
 	}
 	return n, err
 }
 
-// begin notes that a handler is at work on a request.
-func (g *clientConn) begin() { g.serving.Store(true) }
+func (c *clientConn) beginRequest() { c.serving.Store(true) }
 
-// end notes that it has ended.
-func (g *clientConn) end() {
-	g.serving.Store(false)
-	if g.watched.CompareAndSwap(true, false) {
-		g.closes.remove(g)
+// endRequest marks the end of the request's handler and stops polling for a close.
+func (c *clientConn) endRequest() {
+	c.serving.Store(false)
+	if c.watched.CompareAndSwap(true, false) {
+		c.closeWatch.remove(c)
 	}
 }
 
-// watchClose has the connection asked about until the request under way has ended.
-func (g *clientConn) watchClose() {
-	if g.watched.CompareAndSwap(false, true) {
-		g.closes.add(g)
+// watchClose polls the connection for a close until the current request has ended.
+func (c *clientConn) watchClose() {
+	if c.watched.CompareAndSwap(false, true) {
+		c.closeWatch.add(c)
 	}
 }
 
-// rest notes that the connection waits for a request: its first, or another.
-func (g *clientConn) rest(old bool) {
-	g.read.Store(0)
-	g.headRead.Store(false)
-	g.mu.Lock()
-	g.old, g.resting = old, true
-	g.mu.Unlock()
+// markIdle notes that the connection waits for a request; reused is false for its first.
+func (c *clientConn) markIdle(reused bool) {
+	c.bytesRead.Store(0)
+	c.headRead.Store(false)
+	c.mu.Lock()
+	c.reused, c.idle = reused, true
+	c.mu.Unlock()
 }
 
-// retire ends a connection that waits for a request of which nothing has been read.
-// What has been read is answered.
-func (g *clientConn) retire(also bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.resting && !g.retired && (g.old || also) {
-		g.retired = true
-		_ = g.Conn.SetReadDeadline(time.Unix(1, 0))
+// retire ends an idle connection by a read deadline in the past. A request of which a byte has been
+// read is still answered. Connections without a request so far are retired only with includeNew.
+func (c *clientConn) retire(includeNew bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.idle && !c.retired && (c.reused || includeNew) {
+		c.retired = true
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// SetReadDeadline sets no other deadline on a connection that nothing is to be read from.
-func (g *clientConn) SetReadDeadline(t time.Time) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.retired && g.resting {
+// SetReadDeadline keeps the deadline of a retired connection, which net/http would otherwise replace.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.retired && c.idle {
 		return nil
 	}
-	return g.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline: see SetReadDeadline.
-func (g *clientConn) SetDeadline(t time.Time) error {
-	if err := g.SetReadDeadline(t); err != nil {
+// SetDeadline sets both deadlines; for the read deadline see SetReadDeadline.
+func (c *clientConn) SetDeadline(t time.Time) error {
+	if err := c.SetReadDeadline(t); err != nil {
 		return err
 	}
-	return g.Conn.SetWriteDeadline(t)
+	return c.Conn.SetWriteDeadline(t)
 }
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// On a narrow link a few large answers make a line in which everything small waits
-// behind them, for a second and more. Large answers are therefore passed on in small
-// parts and at a pace a little below the link's, so that the line at the link stays
-// short and what is small goes by. All large answers of a gateway share one pace.
+// On a slow link a few large responses fill the send queue, and small ones wait behind them for a second
+// and more. Large responses are therefore written in small chunks at a rate slightly below that of the
+// link, which keeps the queue short. All large responses of a gateway share one rate.
 
 const (
-	paceFrom = 16 << 10 // answers above this are paced
-	pacePart = 4 << 10  // bytes passed on at a time
+	paceThreshold = 16 << 10 // size in bytes above which a response is paced
+	paceChunk     = 4 << 10  // bytes written at a time
 )
 
-// Pace is the rate at which large answers are passed on.
+// Pace limits the total rate at which large responses are written. A nil Pace does not limit it.
 type Pace struct {
-	perByte time.Duration
-	mu      sync.Mutex
-	free    time.Time // when what has been let go will have left
+	timePerByte time.Duration
+	mu          sync.Mutex
+	nextFree    time.Time // when the bytes granted so far will have been sent
 }
 
-// NewPace makes a pace of so many bytes a second.
-func NewPace(perS float64) *Pace {
+// NewPace returns a limit of bytesPerSecond.
+func NewPace(bytesPerSecond float64) *Pace {
 	p := &Pace{}
-	p.SetRate(perS)
+	p.SetRate(bytesPerSecond)
 	return p
 }
 
-// SetRate changes the pace to so many bytes a second. A nil pace has none.
-func (p *Pace) SetRate(perS float64) {
+// SetRate changes the limit.
+func (p *Pace) SetRate(bytesPerSecond float64) {
 	if p == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.perByte = time.Duration(float64(time.Second) / perS)
+	p.timePerByte = time.Duration(float64(time.Second) / bytesPerSecond)
 }
 
-// take waits until n bytes more may leave, or ctx ends: then they are not to leave any more.
-func (p *Pace) take(ctx context.Context, n int) error {
+// acquire waits until n more bytes may be written. If ctx ends before, it returns an error and they must
+// not be written.
+func (p *Pace) acquire(ctx context.Context, n int) error {
 	p.mu.Lock()
 	now := time.Now()
-	if p.free.Before(now) {
-		p.free = now
+	if p.nextFree.Before(now) {
+		p.nextFree = now
 	}
-	wait := p.free.Sub(now)
-	cost := time.Duration(n) * p.perByte
-	p.free = p.free.Add(cost)
+	wait := p.nextFree.Sub(now)
+	cost := time.Duration(n) * p.timePerByte
+	p.nextFree = p.nextFree.Add(cost)
 	p.mu.Unlock()
 	if wait <= 0 {
 		return ctx.Err()
@@ -63,26 +63,26 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	p.free = p.free.Add(-cost) // for those that come
+	p.nextFree = p.nextFree.Add(-cost) // returns the share that is not used
 	p.mu.Unlock()
 	return ctx.Err()
 }
 
-// write passes bytes of an answer of the given size on, until ctx ends; a nil pace does so at once.
-func (p *Pace) write(ctx context.Context, w io.Writer, b []byte, size int64) error {
-	if p == nil || size >= 0 && size <= paceFrom {
-		_, err := w.Write(b)
+// write writes a part of a response whose body has the given size (negative if unknown), until ctx ends.
+func (p *Pace) write(ctx context.Context, w io.Writer, data []byte, size int64) error {
+	if p == nil || size >= 0 && size <= paceThreshold {
+		_, err := w.Write(data)
 		return err
 	}
-	for len(b) > 0 {
-		part := b[:min(len(b), pacePart)]
-		if err := p.take(ctx, len(part)); err != nil {
+	for len(data) > 0 {
+		chunk := data[:min(len(data), paceChunk)]
+		if err := p.acquire(ctx, len(chunk)); err != nil {
 			return err
 		}
-		if _, err := w.Write(part); err != nil {
+		if _, err := w.Write(chunk); err != nil {
 			return err
 		}
-		b = b[len(part):]
+		data = data[len(chunk):]
 	}
 	return nil
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -411,7 +411,7 @@
 	for n := range 300 {
 		near, far := net.Pipe()
 		g := &clientConn{Conn: near}
-		g.rest(true)
+		g.markIdle(true)
 		read := make(chan int, 1)
 		go func() {
 			b := make([]byte, 4)
--- a/internal/proxy/reserve.go
+++ b/internal/proxy/reserve.go
@@ -7,29 +7,31 @@
 	"madderwing/internal/apierror"
 )
 
-// routeDownload is the kind of routes with long answers.
+// routeDownload is the kind of routes whose responses are expected to be long.
 const routeDownload = "download"
 
-// reserve refuses a request whose long answer the link could not carry in time.
-func (f *Handler) reserve(next HandlerFunc) HandlerFunc {
+// reserveLink reserves room for the response in the link budget, and refuses a request whose long response
+// the link could not transfer in time.
+func (h *Handler) reserveLink(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		class := AnswerClass{Service: x.service, Download: x.route.RouteKind == routeDownload}
-		r, ok := f.Link.Admit(f.now(), class, x.deadline.Sub(f.dispatcher.start))
+		reservation, ok := h.Link.Admit(h.now(), class, x.deadline.Sub(h.dispatcher.epoch))
 		if !ok {
-			f.Stats.LinkFull.Add(1)
-			return f.elsewhere(x)
+			h.Stats.LinkFull.Add(1)
+			return h.linkOverloaded(x)
 		}
-		x.reservation = r
-		defer r.Release()
+		x.reservation = reservation
+		defer reservation.Release()
 		return next(x)
 	}
 }
 
-// elsewhere is the error for a request that this gateway's link has no room for, and another's may.
-func (f *Handler) elsewhere(x *Exchange) error {
-	if !f.drain.Load() {
-		return f.later(x, apierror.Overloaded)
+// linkOverloaded returns the error for a request whose response this gateway's link has no capacity for.
+// Another gateway's may have.
+func (h *Handler) linkOverloaded(x *Exchange) error {
+	if !h.draining.Load() {
+		return h.retryLater(x, apierror.Overloaded)
 	}
-	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.aim)) // the others are there at once
+	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.targetLatency)) // a short one: while this gateway drains, the others can serve it at once
 	return apierror.Later(apierror.Overloaded, after, "%s", x.service)
 }
--- a/internal/proxy/retire_test.go
+++ b/internal/proxy/retire_test.go
@@ -28,7 +28,7 @@
 	} {
 		near, far := net.Pipe()
 		g := &clientConn{Conn: near}
-		g.rest(c.old)
+		g.markIdle(c.old)
 		if c.begun {
 			go func() { _, _ = io.WriteString(far, "1") }()
 			_, _ = g.Read(make([]byte, 1))
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -88,7 +88,7 @@
 	var mu sync.Mutex
 	var left []time.Duration
 	answer := func(c net.Conn, r *http.Request, _ int) bool {
-		ms, err := strconv.Atoi(r.Header.Get(hDeadline))
+		ms, err := strconv.Atoi(r.Header.Get(hDeadlineLeft))
 		if err != nil {
 			t.Errorf("Deadline-Left: %v", err)
 		}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file sends a request to an upstream and reads the beginning of its answer.
+// This file sends a request to an upstream and reads the beginning of its response.
 
 import (
 	"bytes"
@@ -13,94 +13,97 @@
 	"madderwing/internal/upstream"
 )
 
-// result is how one sending went.
+// result is the result of one attempt at an upstream.
 type result struct {
-	response *http.Response
-	conn     *upstream.Conn
-	start    []byte // the beginning of the body, or all of it if whole
-	whole    bool
-	broke    error // no answer, or a broken one
-	untried  bool  // the upstream certainly has not got the request
-	late     bool  // the deadline passed
-	left     bool  // the client left, and the sending was ended for that
-	client   error // why the request could not be sent whole, if that is known
-	// unwatch ends the closing of the connection when the client leaves, and says whether the
-	// connection was left alone; nil: nothing closes it.
-	unwatch func() bool
+	response       *http.Response
+	conn           *upstream.Conn
+	bodyStart      []byte // the beginning of the body; all of it if complete
+	complete       bool
+	err            error // why there is no valid response
+	unsent         bool  // the upstream has certainly not received the request
+	deadlinePassed bool
+	disconnected   bool  // the attempt was ended because the client disconnected
+	requestErr     error // why the request could not be sent completely, if known
+	// stopClose cancels the closing of the connection on a disconnect of the client, and reports false
+	// if it has been closed already. It is nil if nothing closes the connection.
+	stopClose func() bool
 }
 
-// size is the length of an answer's body, -1 if that is not known yet.
-func (r result) size() int64 {
-	if r.whole {
-		return int64(len(r.start))
+// bodySize returns the length of the response's body, -1 if it is not known yet.
+func (r result) bodySize() int64 {
+	if r.complete {
+		return int64(len(r.bodyStart))
 	}
 	return r.response.ContentLength
 }
 
 const (
-	bodyBuffered = 256 << 10 // request bodies up to this size are held for a second upstream
-	answerHead   = 256 << 10 // the head of an answer, with interim answers, may be no larger
-	answerHeld   = 64 << 10  // answers up to this size are read whole before they are passed on
-	sentAtOnce   = 16 << 10  // bodies up to this size are sent together with the head
+	maxBufferedBody = 256 << 10 // request bodies up to this many bytes are kept for retries
+	maxResponseHead = 256 << 10 // limit in bytes of a response's head, 1xx responses included
+	maxHeldResponse = 64 << 10  // response bodies up to this many bytes are read completely before any is passed on
+	maxSingleWrite  = 16 << 10  // request bodies up to this many bytes are written together with the head
 )
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// send writes the request to an upstream and reads its answer.
-func (f *Handler) send(x *Exchange, g upstream.SlotLease) (res result) {
-	conn, failed := f.connectionFor(x, g)
+// send sends the request to the upstream of a lease and reads the beginning of its response.
+func (h *Handler) send(x *Exchange, lease upstream.SlotLease) (res result) {
+	conn, failed := h.connection(x, lease)
 	if failed != nil {
 		return *failed
 	}
 	x.stage, x.sent = stageSent, true
 	_ = conn.SetDeadline(x.deadline)
-	g.Hold.On(conn)
-	res.conn, res.unwatch = conn, x.closeWhenClientLeaves(conn)
-	defer func() { res.left = res.broke != nil && x.endsWithClient() && x.clientLeft() }()
-	sent, ok := f.transmit(x, g.ID, &res)
-	if ok {
-		f.receive(x, g, sent, &res)
+	lease.Hold.On(conn)
+	res.conn, res.stopClose = conn, x.closeOnDisconnect(conn)
+	defer func() { res.disconnected = res.err != nil && x.abortsOnDisconnect() && x.clientDisconnected() }()
+	sent, written := h.writeRequest(x, lease.ID, &res)
+	if written {
+		h.readResponse(x, lease, sent, &res)
 	}
 	return res
 }
 
-// connectionFor gives the connection that a request is sent over: the idle one that came with the
-// slot if it can still be used, or a new one. failed says why nothing is to be sent.
-func (f *Handler) connectionFor(x *Exchange, g upstream.SlotLease) (conn *upstream.Conn, failed *result) {
-	conn = g.Conn
-	if conn != nil && (x.attempt == "" || g.Upstream.Nameless.Load() || !quiet(conn)) {
+// connection returns the connection to send a request over: the idle one of the lease if it is still
+// usable, otherwise a new one. A connection that has been used before needs an Attempt-Id and an
+// upstream that returns it: without one, a late response to an earlier request could be mistaken for
+// the response to this one. failed is set if nothing is to be sent.
+func (h *Handler) connection(x *Exchange, lease upstream.SlotLease) (conn *upstream.Conn, failed *result) {
+	conn = lease.Conn
+	if conn != nil && (x.attemptID == "" || lease.Upstream.Nameless.Load() || !idleAndOpen(conn)) {
 		conn.Close()
 		conn = nil
 	}
 	if conn == nil {
 		x.stage = stageDial
 		var err error
-		limit := min(dialLimit(x.aim, f.dispatcher.patience), time.Until(x.deadline))
-		if conn, err = f.dispatcher.dial(x.r.Context(), g.Address, limit); err != nil {
-			return nil, &result{broke: err, untried: true, left: x.clientLeft()}
+		timeout := min(dialTimeout(x.targetLatency, h.dispatcher.peerTimeout), time.Until(x.deadline))
+		if conn, err = h.dispatcher.dial(x.r.Context(), lease.Address, timeout); err != nil {
+			return nil, &result{err: err, unsent: true, disconnected: x.clientDisconnected()}
 		}
-		f.Stats.Dials.Add(1)
+		h.Stats.Dials.Add(1)
 	}
-	if x.clientLeft() {
-		return nil, &result{conn: conn, untried: true, left: true}
+	if x.clientDisconnected() {
+		return nil, &result{conn: conn, unsent: true, disconnected: true}
 	}
 	if time.Until(x.deadline) < time.Millisecond {
-		return nil, &result{conn: conn, broke: os.ErrDeadlineExceeded, untried: true, late: true}
+		return nil, &result{conn: conn, err: os.ErrDeadlineExceeded, unsent: true, deadlinePassed: true}
 	}
 	return conn, nil
 }
 
-// transmit sends the request over the connection of a result; a long body is sent in the background.
-// sent tells once how that ended. ok is false if the connection took nothing.
-func (f *Handler) transmit(x *Exchange, id string, res *result) (sent chan error, ok bool) {
+// writeRequest writes the request to the connection in res; a long body is written in the background.
+// sent receives the result of the write once. written is false if the write failed and no response is
+// to be expected; res then holds the error, and unsent if not a byte was written.
+func (h *Handler) writeRequest(x *Exchange, instance string, res *result) (sent chan error, written bool) {
 	conn := res.conn
-	head := buffers.Get().(*bytes.Buffer)
+	head := headBuffers.Get().(*bytes.Buffer)
 	head.Reset()
-	defer buffers.Put(head)
-	x.writeHead(head, id, time.Until(x.deadline))
+	defer headBuffers.Put(head)
+	x.writeHead(head, instance, time.Until(x.deadline))
 	sent = make(chan error, 1)
-	if x.hasBody && (x.bufferedBody == nil || len(x.bufferedBody) > sentAtOnce) {
-		x.watchClose() // until all of the body is read, net/http does not see the client leave
+	if x.hasBody && (x.bufferedBody == nil || len(x.bufferedBody) > maxSingleWrite) {
+		x.watchClose() // net/http does not notice a disconnect until all of the body is read
 		go x.streamInBackground(conn, bytes.Clone(head.Bytes()), sent)
 		return sent, true
 	}
@@ -109,7 +112,7 @@
 	}
 	n, err := conn.Write(head.Bytes())
 	if err != nil && (n == 0 || !x.hasBody) {
-		res.broke, res.untried = err, n == 0
+		res.err, res.unsent = err, n == 0
 		conn.Close()
 		return nil, false
 	}
@@ -117,54 +120,54 @@
 	return sent, true
 }
 
-// streamInBackground sends the head and a long body, and tells how that ended.
+// streamInBackground writes the head and a long body, and reports the result on sent.
 func (x *Exchange) streamInBackground(conn net.Conn, head []byte, sent chan<- error) {
-	err := x.stream(conn, head)
+	err := x.streamRequest(conn, head)
 	x.bodySent.Store(err == nil)
 	sent <- err
 	if err != nil {
-		conn.Close() // the upstream must not take the part for the whole
+		conn.Close() // the upstream must not take a truncated body for a complete one
 	}
 }
 
-// receive reads the head of the answer, and of its body what is held before any of it is passed on.
-func (f *Handler) receive(x *Exchange, g upstream.SlotLease, sent <-chan error, res *result) {
+// readResponse reads the head of the response and up to maxHeldResponse bytes of its body into res.
+func (h *Handler) readResponse(x *Exchange, lease upstream.SlotLease, sent <-chan error, res *result) {
 	conn := res.conn
-	r, err := conn.Reader.(*answers).next(x.r.Method, x.attempt)
+	response, err := conn.Reader.(*responseReader).readHeadFor(x.r.Method, x.attemptID)
 	switch {
-	case err == errNameless, err == nil && r.Header.Get(hAttempt) != x.attempt:
-		g.Upstream.Nameless.Store(true)
-	case err == nil && refused(r):
-		g.Upstream.Nameless.Store(false)
+	case err == errNoAttemptID, err == nil && response.Header.Get(hAttempt) != x.attemptID:
+		lease.Upstream.Nameless.Store(true)
+	case err == nil && notExecuted(response):
+		lease.Upstream.Nameless.Store(false)
 	}
 	if err != nil {
-		res.broke, res.late = err, isTimeout(err) && time.Until(x.deadline) <= 0
+		res.err, res.deadlinePassed = err, isTimeout(err) && time.Until(x.deadline) <= 0
 		select {
-		case res.client = <-sent: // it may be the client's body that broke off
+		case res.requestErr = <-sent: // the cause may be that the client's body ended early
 		default:
 		}
 		conn.Close()
 		return
 	}
-	res.response = r
-	g.Hold.On(nil) // it answers, and that is not to be cut short
-	// Read what fits, so that an answer cut short can be told from a whole one
-	// before the client sees any of it.
-	res.start, res.whole, err = begin(r)
+	res.response = response
+	lease.Hold.On(nil) // a response has begun; the balancer must not interrupt it
+	// Read as much as is held back, so that a truncated response is recognized before any of it reaches
+	// the client.
+	res.bodyStart, res.complete, err = readBodyStart(response)
 	if err != nil {
-		res.broke, res.late = err, isTimeout(err) && time.Until(x.deadline) <= 0
+		res.err, res.deadlinePassed = err, isTimeout(err) && time.Until(x.deadline) <= 0
 		conn.Close()
 		return
 	}
-	if !res.whole {
-		f.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.Answering(now, g) })
+	if !res.complete {
+		h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.Answering(now, lease) })
 	}
 	select {
 	case err := <-sent:
 		if err != nil {
-			r.Close = true
+			response.Close = true
 		}
 	default:
-		r.Close = true // the answer came before the request was all sent
+		response.Close = true // the response came before the request was sent completely
 	}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the filters for tenants' keys and quotas.
+// This file holds the filters for the API keys and quotas of tenants.
 
 import (
 	"context"
@@ -12,70 +12,71 @@
 	"madderwing/internal/quota"
 )
 
-// unknown refuses a request for what the table lacks, for good once the table has been complete.
-func (f *Handler) unknown(forGood error) error {
-	if f.complete.Load() {
-		return forGood
+// missingFromTable returns the error for a request whose route or key is not in the table: permanent once
+// the table has been complete, until then a temporary one.
+func (h *Handler) missingFromTable(permanent error) error {
+	if h.tableComplete.Load() {
+		return permanent
 	}
-	return apierror.Later(apierror.NoConfiguration, f.soon(), "this node does not know all items yet")
+	return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has not received its whole configuration yet")
 }
 
-// DrawQuota draws one request on its tenant's quota, in the time given or until ctx ends. refused
-// is the error to answer with, apierror.Internal for none; giveBack returns what was drawn.
+// DrawQuota charges one request to its tenant's quota, within limit or until ctx ends. refused is the
+// kind of error to respond with, apierror.Internal for none. giveBack refunds the charge.
 type DrawQuota func(ctx context.Context, tenant string, limit time.Duration) (giveBack func(), refused apierror.Kind)
 
-// LeaseKeys makes the handler rely on keys only until the time, in nanoseconds on the
-// dispatcher's clock, that lease holds.
-func (f *Handler) LeaseKeys(lease *atomic.Int64) { f.lease = lease }
+// LeaseKeys makes the handler trust API keys only until the time in lease, which is in nanoseconds on
+// the dispatcher's clock and extended by the caller.
+func (h *Handler) LeaseKeys(lease *atomic.Int64) { h.keysValidUntil = lease }
 
-// DrawOn makes the handler draw requests on their tenants' quotas.
-func (f *Handler) DrawOn(draw DrawQuota) { f.draw = draw }
+// DrawOn makes the handler charge requests to the quotas of their tenants through draw.
+func (h *Handler) DrawOn(draw DrawQuota) { h.drawQuota = draw }
 
-// Confirmed says whether keys may be relied on now.
-func (f *Handler) Confirmed() bool {
-	return f.lease == nil || int64(time.Since(f.dispatcher.start)) < f.lease.Load()
+// Confirmed reports whether API keys may be trusted now: they need no lease, or theirs has not expired.
+func (h *Handler) Confirmed() bool {
+	return h.keysValidUntil == nil || int64(time.Since(h.dispatcher.epoch)) < h.keysValidUntil.Load()
 }
 
-// reader finds out who asks. Where there are tenants every request needs a key,
-// but on public routes; it is answered for only while the keys are confirmed.
-func (f *Handler) reader(next HandlerFunc) HandlerFunc {
+// authenticate finds the request's route and tenant. If tenants are configured, every request needs a key,
+// except on public routes. While the keys are not confirmed, all requests are refused.
+func (h *Handler) authenticate(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		if !x.table.Known {
-			return apierror.Later(apierror.NoConfiguration, f.soon(), "this node knows no items yet")
+			return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has received no configuration yet")
 		}
-		path, _, _ := strings.Cut(x.target(), "?")
+		path, _, _ := strings.Cut(x.requestTarget(), "?")
 		x.route = x.table.Lookup(x.r.Host, path)
-		if x.table.Tenants || f.lease != nil {
-			if !f.Confirmed() {
-				return apierror.Later(apierror.KeysUnconfirmed, f.dispatcher.patience, "out of touch")
+		if x.table.Tenants || h.keysValidUntil != nil {
+			if !h.Confirmed() {
+				return apierror.Later(apierror.KeysUnconfirmed, h.dispatcher.peerTimeout, "API keys not confirmed recently")
 			}
 			x.tenant = x.table.Readers[quota.Key(x.r.Header)]
 			if x.tenant == nil && x.table.Tenants && (x.route == nil || !x.route.Public) {
-				return f.unknown(apierror.New(apierror.UnknownKey, "a tenant's key is needed"))
+				return h.missingFromTable(apierror.New(apierror.UnknownKey, "an API key is required"))
 			}
 		}
 		if x.route == nil {
-			return f.unknown(apierror.New(apierror.UnknownRoute, "%s%s", x.r.Host, x.r.URL.Path))
+			return h.missingFromTable(apierror.New(apierror.UnknownRoute, "%s%s", x.r.Host, x.r.URL.Path))
 		}
 		return next(x)
 	}
 }
 
-// quota draws the request on its tenant's quota. What was drawn goes back if the request is not
-// sent to any upstream.
-func (f *Handler) quota(next HandlerFunc) HandlerFunc {
+// chargeQuota charges the request to its tenant's quota, and refunds it if the request was not sent to
+// any upstream.
+func (h *Handler) chargeQuota(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		if x.tenant == nil || x.tenant.RatePerS <= 0 || f.draw == nil {
+		if x.tenant == nil || x.tenant.RatePerS <= 0 || h.drawQuota == nil {
 			return next(x)
 		}
 		x.stage = stageQuota
-		giveBack, refused := f.draw(x.r.Context(), x.tenant.Name, x.aim/4)
-		if refused != apierror.Internal {
-			return f.later(x, refused)
+		refund, refusal := h.drawQuota(x.r.Context(), x.tenant.Name, x.targetLatency/4)
+		if refusal != apierror.Internal {
+			return h.retryLater(x, refusal)
 		}
 		defer func() {
 			if !x.sent {
-				giveBack()
+				refund()
 			}
 		}()
 		return next(x)
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -62,7 +62,7 @@
 	} {
 		lease.Store(0)
 		if c.leased {
-			lease.Store(int64(time.Since(r.dispatcher.start) + time.Hour))
+			lease.Store(int64(time.Since(r.dispatcher.epoch) + time.Hour))
 		}
 		drawn, asked, returned = c.draw, "", 0
 		before := len(up.requests())
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the form in which a request goes to an upstream.
+// This file encodes a request for the connection to an upstream.
 
 import (
 	"bufio"
@@ -14,107 +14,109 @@
 	"time"
 )
 
-// The headers that are madderwing's concern.
+// The headers that madderwing defines.
 const (
-	hAttempt  = "Attempt-Id"
-	hDeadline = "Deadline-Left"
-	hTarget   = "Target-Instance"
-	hSeal     = "Server-Seal"
-	hNotRun   = "Not-Executed"
-	hInstance = "Instance-Id"
-	hWarmup   = "Warmup-Left"
-	hTenant   = "Tenant"
-	hLoad     = "Instance-Load"
+	hAttempt        = "Attempt-Id"
+	hDeadlineLeft   = "Deadline-Left"
+	hTargetInstance = "Target-Instance"
+	hSeal           = "Server-Seal"
+	hNotExecuted    = "Not-Executed"
+	hInstance       = "Instance-Id"
+	hWarmup         = "Warmup-Left"
+	hTenant         = "Tenant"
+	hLoad           = "Instance-Load"
 )
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop holds the hop-by-hop headers, which apply to one connection and are not forwarded.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// connectionNamed lists the headers that Connection names.
-func connectionNamed(h http.Header) map[string]bool {
-	var out map[string]bool
+// connectionHeaders returns the headers listed in Connection, which are hop-by-hop too.
+func connectionHeaders(h http.Header) map[string]bool {
+	var headers map[string]bool
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if name != "" && name != "Close" && name != "Keep-Alive" {
-				if out == nil {
-					out = map[string]bool{}
+				if headers == nil {
+					headers = map[string]bool{}
 				}
-				out[name] = true
+				headers[name] = true
 			}
 		}
 	}
-	return out
+	return headers
 }
 
-// target is the request's path and query as the client sent them.
-func (x *Exchange) target() string {
+// requestTarget returns the request's path and query exactly as the client sent them.
+func (x *Exchange) requestTarget() string {
 	if strings.HasPrefix(x.r.RequestURI, "/") {
 		return x.r.RequestURI
 	}
 	return x.r.URL.RequestURI()
 }
 
-func (x *Exchange) writeHead(b *bytes.Buffer, id string, left time.Duration) {
+// writeHead writes the request line and the headers. instance is the upstream instance it is meant for.
+func (x *Exchange) writeHead(buf *bytes.Buffer, instance string, remaining time.Duration) {
 	r := x.r
-	b.WriteString(r.Method)
-	b.WriteByte(' ')
-	b.WriteString(x.target())
-	b.WriteString(" HTTP/1.1\r\nHost: ")
-	b.WriteString(r.Host)
-	b.WriteString("\r\n")
-	named := connectionNamed(r.Header)
+	buf.WriteString(r.Method)
+	buf.WriteByte(' ')
+	buf.WriteString(x.requestTarget())
+	buf.WriteString(" HTTP/1.1\r\nHost: ")
+	buf.WriteString(r.Host)
+	buf.WriteString("\r\n")
+	perConnection := connectionHeaders(r.Header)
 	for name, values := range r.Header {
-		if hopByHop[name] || named[name] || name == hDeadline || name == hTarget || name == "Content-Length" || name == "Expect" {
+		if hopByHop[name] || perConnection[name] || name == hDeadlineLeft || name == hTargetInstance || name == "Content-Length" || name == "Expect" {
 			continue
 		}
 		if x.table.Tenants && (name == hTenant || name == "Authorization") {
-			continue // the key is ours to know, and the tenant ours to name
+			continue // upstreams must not see the API key, and only the gateway sets the tenant
 		}
 		for _, v := range values {
-			b.WriteString(name)
-			b.WriteString(": ")
-			b.WriteString(v)
-			b.WriteString("\r\n")
+			buf.WriteString(name)
+			buf.WriteString(": ")
+			buf.WriteString(v)
+			buf.WriteString("\r\n")
 		}
 	}
-	b.WriteString(hDeadline)
-	b.WriteString(": ")
-	b.WriteString(strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	b.WriteString("\r\n" + hTarget + ": ")
-	b.WriteString(id)
+	buf.WriteString(hDeadlineLeft)
+	buf.WriteString(": ")
+	buf.WriteString(strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	buf.WriteString("\r\n" + hTargetInstance + ": ")
+	buf.WriteString(instance)
 	if x.tenant != nil {
-		b.WriteString("\r\n" + hTenant + ": ")
-		b.WriteString(x.tenant.Name)
+		buf.WriteString("\r\n" + hTenant + ": ")
+		buf.WriteString(x.tenant.Name)
 	}
 	switch {
 	case x.chunked:
-		b.WriteString("\r\nTransfer-Encoding: chunked")
+		buf.WriteString("\r\nTransfer-Encoding: chunked")
 	case x.hasBody || r.Header.Get("Content-Length") != "":
-		b.WriteString("\r\nContent-Length: ")
-		b.WriteString(strconv.FormatInt(r.ContentLength, 10))
+		buf.WriteString("\r\nContent-Length: ")
+		buf.WriteString(strconv.FormatInt(r.ContentLength, 10))
 	}
-	b.WriteString("\r\n\r\n")
+	buf.WriteString("\r\n\r\n")
 }
 
+// writeBufferedBody writes the whole buffered body, chunked if the client's request was.
 func (x *Exchange) writeBufferedBody(w io.Writer) {
 	if !x.chunked {
 		_, _ = w.Write(x.bufferedBody)
 		return
 	}
-	c := httputil.NewChunkedWriter(w)
+	chunked := httputil.NewChunkedWriter(w)
 	if len(x.bufferedBody) > 0 {
-		_, _ = c.Write(x.bufferedBody)
+		_, _ = chunked.Write(x.bufferedBody)
 	}
-	_ = c.Close()
+	_ = chunked.Close()
 	_, _ = io.WriteString(w, "\r\n")
 }
 
-// stream sends the head and a body that is too large to be sent with it.
-func (x *Exchange) stream(conn net.Conn, head []byte) error {
+// streamRequest writes the head and a body that is too long for a single write with it.
+func (x *Exchange) streamRequest(conn net.Conn, head []byte) error {
 	w := bufio.NewWriterSize(conn, 16<<10)
 	_, _ = w.Write(head)
 	if x.bufferedBody != nil {
@@ -123,11 +125,11 @@
 	}
 	body := io.MultiReader(bytes.NewReader(x.bodyPrefix), x.body)
 	if x.chunked {
-		c := httputil.NewChunkedWriter(w)
-		if _, err := io.Copy(c, body); err != nil {
+		chunked := httputil.NewChunkedWriter(w)
+		if _, err := io.Copy(chunked, body); err != nil {
 			return err
 		}
-		_ = c.Close()
+		_ = chunked.Close()
 		_, _ = io.WriteString(w, "\r\n")
 		return w.Flush()
 	}
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -16,48 +16,48 @@
 
 // Call asks a peer and waits for its answer, which takes the place of what answer points
 // to. ErrUnreachable: there was none, and the peer may have acted all the same.
-func (c *Endpoint) Call(ctx context.Context, to, kind string, body, answer any) error {
-	b, err := cbor.Marshal(body)
+func (e *Endpoint) Call(ctx context.Context, to, kind string, body, answer any) error {
+	encoded, err := cbor.Marshal(body)
 	if err != nil {
 		return err
 	}
-	id := c.next.Add(1)
-	ch := make(chan frame, 1)
-	l := c.link(to)
-	c.mu.Lock()
-	c.waiting[id] = question{l, ch}
-	c.mu.Unlock()
+	id := e.nextID.Add(1)
+	replies := make(chan frame, 1)
+	link := e.link(to)
+	e.mu.Lock()
+	e.calls[id] = pendingCall{link, replies}
+	e.mu.Unlock()
 	defer func() {
-		c.mu.Lock()
-		delete(c.waiting, id)
-		c.mu.Unlock()
+		e.mu.Lock()
+		delete(e.calls, id)
+		e.mu.Unlock()
 	}()
-	if !l.offer(encode(frame{From: c.self, Kind: kind, ID: id, Body: b})) {
+	if !link.enqueue(encodeFrame(frame{From: e.self, Kind: kind, ID: id, Body: encoded})) {
 		return ErrUnreachable
 	}
-	f, err := await(ctx, ch, l.done)
+	reply, err := awaitReply(ctx, replies, link.done)
 	switch {
 	case err != nil:
 		return err
-	case f.Fault != "":
-		return Fault(f.Fault)
+	case reply.Fault != "":
+		return Fault(reply.Fault)
 	case answer == nil:
 		return nil
 	}
 	reflect.ValueOf(answer).Elem().SetZero() // fields that the answer leaves out are zero
-	return cbor.Unmarshal(f.Body, answer)
+	return cbor.Unmarshal(reply.Body, answer)
 }
 
 // await waits for an answer until the link or the time for it ends.
-func await(ctx context.Context, answer <-chan frame, ended <-chan struct{}) (frame, error) {
+func awaitReply(ctx context.Context, reply <-chan frame, ended <-chan struct{}) (frame, error) {
 	select {
-	case f := <-answer:
+	case f := <-reply:
 		return f, nil
 	case <-ended:
 	case <-ctx.Done():
 	}
 	select {
-	case f := <-answer: // it came at the same moment
+	case f := <-reply: // it came at the same moment
 		return f, nil
 	default:
 		return frame{}, ErrUnreachable
--- a/internal/transport/callers_test.go
+++ b/internal/transport/call_test.go
@@ -16,23 +16,23 @@
 )
 
 // peer is a stand-in that takes connections and answers their frames as it likes.
-type peer struct {
+type fakePeer struct {
 	net.Listener
-	frames chan arrived
+	frames chan receivedFrame
 }
 
-type arrived struct {
+type receivedFrame struct {
 	frame
 	conn net.Conn
 }
 
-func newPeer(t *testing.T) *peer {
+func newFakePeer(t *testing.T) *fakePeer {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{l, make(chan arrived, 1000)}
+	p := &fakePeer{l, make(chan receivedFrame, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -47,7 +47,7 @@
 					if err != nil {
 						return
 					}
-					p.frames <- arrived{f, conn}
+					p.frames <- receivedFrame{f, conn}
 				}
 			}()
 		}
@@ -55,14 +55,14 @@
 	return p
 }
 
-func reply(id uint64, text string) []byte {
+func encodeReply(id uint64, text string) []byte {
 	b, _ := cbor.Marshal(text)
-	return encode(frame{Kind: "echo", ID: id, Reply: true, Body: b})
+	return encodeFrame(frame{Kind: "echo", ID: id, Reply: true, Body: b})
 }
 
 // An answer is taken only from the connection that the question went out on, and once.
-func TestAnAnswerIsTakenOnlyFromThePeerAsked(t *testing.T) {
-	a, p, other := start(t), newPeer(t), newPeer(t)
+func TestReplyAcceptedOnlyFromTheCalledPeer(t *testing.T) {
+	a, p, other := startEndpoint(t), newFakePeer(t), newFakePeer(t)
 	a.Start()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -74,30 +74,30 @@
 	}
 	defer inbound.Close()
 	for name, send := range map[string]func(id uint64){
-		"another peer":      func(id uint64) { _, _ = fromOther.conn.Write(reply(id, "foreign")) },
-		"one that calls us": func(id uint64) { _, _ = inbound.Write(reply(id, "foreign")) },
+		"another peer":      func(id uint64) { _, _ = fromOther.conn.Write(encodeReply(id, "foreign")) },
+		"one that calls us": func(id uint64) { _, _ = inbound.Write(encodeReply(id, "foreign")) },
 		"a datagram": func(id uint64) {
 			c, _ := net.Dial("udp4", a.Self())
-			_, _ = c.Write(reply(id, "foreign")[4:])
+			_, _ = c.Write(encodeReply(id, "foreign")[4:])
 			c.Close()
 		},
 		"nobody else": func(uint64) {},
 	} {
-		got := make(chan string, 1)
+		received := make(chan string, 1)
 		go func() {
 			var answer string
 			if err := a.Call(ctx, p.Addr().String(), "echo", "x", &answer); err != nil {
 				answer = err.Error()
 			}
-			got <- answer
+			received <- answer
 		}()
-		q := <-p.frames
-		send(q.ID)
-		for name != "nobody else" && a.Strays.Load() == 0 && len(got) == 0 && ctx.Err() == nil {
+		call := <-p.frames
+		send(call.ID)
+		for name != "nobody else" && a.Strays.Load() == 0 && len(received) == 0 && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
-		_, _ = q.conn.Write(append(reply(q.ID+1, "foreign"), reply(q.ID, "own")...))
-		if answer := <-got; answer != "own" {
+		_, _ = call.conn.Write(append(encodeReply(call.ID+1, "foreign"), encodeReply(call.ID, "own")...))
+		if answer := <-received; answer != "own" {
 			t.Errorf("%s: the caller got %q", name, answer)
 		}
 		a.Strays.Store(0)
@@ -106,11 +106,11 @@
 
 // A peer that answers by the caller's address may answer a question of its former
 // life; the new life's calls must have other ids.
-func TestIDsDoNotRepeatOverLives(t *testing.T) {
-	p := newPeer(t)
+func TestCallIDsDifferAcrossRestarts(t *testing.T) {
+	p := newFakePeer(t)
 	seen := map[uint64]bool{}
-	for life := range 8 {
-		a := start(t)
+	for restart := range 8 {
+		a := startEndpoint(t)
 		a.Start()
 		for range 4 {
 			got := make(chan string, 1)
@@ -121,17 +121,17 @@
 				}
 				got <- answer
 			}()
-			q := <-p.frames
-			if seen[q.ID] {
-				t.Fatalf("life %d asks with an id of a former life", life)
+			call := <-p.frames
+			if seen[call.ID] {
+				t.Fatalf("life %d asks with an id of a former life", restart)
 			}
 			for id := range seen {
-				_, _ = q.conn.Write(reply(id, "late"))
+				_, _ = call.conn.Write(encodeReply(id, "late"))
 			}
-			seen[q.ID] = true
-			_, _ = q.conn.Write(reply(q.ID, "own"))
+			seen[call.ID] = true
+			_, _ = call.conn.Write(encodeReply(call.ID, "own"))
 			if answer := <-got; answer != "own" {
-				t.Fatalf("life %d: the caller got %q", life, answer)
+				t.Fatalf("life %d: the caller got %q", restart, answer)
 			}
 		}
 		a.Close()
@@ -140,51 +140,51 @@
 
 // An answer that came whole counts, also if the connection ends or the time is up at
 // the same moment: its caller must not have to ask again.
-func TestAnAnswerCountsThoughTheConnectionEnds(t *testing.T) {
-	over, cancel := context.WithCancel(context.Background())
+func TestReplyIsDeliveredWhenTheConnectionEndsAtTheSameTime(t *testing.T) {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	ended := make(chan struct{})
 	close(ended)
 	for round := range 100 {
 		got := make(chan frame, 1)
 		got <- frame{ID: 1}
-		if f, err := await(over, got, ended); err != nil || f.ID != 1 {
+		if f, err := awaitReply(canceled, got, ended); err != nil || f.ID != 1 {
 			t.Fatalf("round %d: %v", round, err)
 		}
 	}
-	if _, err := await(context.Background(), make(chan frame), ended); !errors.Is(err, ErrUnreachable) {
+	if _, err := awaitReply(context.Background(), make(chan frame), ended); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("no answer, and none can come: %v", err)
 	}
 }
 
 // An answer takes the place of what its variable held, of which nothing may be left: a
 // call that is made again must not answer with parts of the call before.
-func TestAnAnswerLeavesNothingOfTheOneBefore(t *testing.T) {
+func TestReplyOverwritesTheWholeTarget(t *testing.T) {
 	type verdict struct {
 		Fault bool   `cbor:"1,keyasint,omitempty"`
 		Body  []byte `cbor:"2,keyasint,omitempty"`
 	}
-	a, b := start(t), start(t)
+	a, b := startEndpoint(t), startEndpoint(t)
 	b.Handle("judge", func(string, []byte) (any, error) { return verdict{}, nil })
 	a.Start()
 	b.Start()
-	v := verdict{Fault: true, Body: []byte("before")}
-	if err := a.Call(context.Background(), b.Self(), "judge", "x", &v); err != nil || v.Fault || v.Body != nil {
-		t.Errorf("%v, %+v", err, v)
+	reply := verdict{Fault: true, Body: []byte("before")}
+	if err := a.Call(context.Background(), b.Self(), "judge", "x", &reply); err != nil || reply.Fault || reply.Body != nil {
+		t.Errorf("%v, %+v", err, reply)
 	}
 }
 
 // A length that is told but does not come must not cost memory.
-func TestAFrameTakesMemoryAsItComes(t *testing.T) {
+func TestReadFrameAllocatesAsBytesArrive(t *testing.T) {
 	head := make([]byte, 4, 1<<10)
-	binary.BigEndian.PutUint32(head, maxFrame)
+	binary.BigEndian.PutUint32(head, maxFrameSize)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := readFrame(bufio.NewReader(bytes.NewReader(append(head, "little"...)))); err == nil {
 		t.Fatal("a frame cut short was taken for whole")
 	}
 	runtime.ReadMemStats(&after)
-	if n := after.TotalAlloc - before.TotalAlloc; n > maxFrame/8 {
+	if n := after.TotalAlloc - before.TotalAlloc; n > maxFrameSize/8 {
 		t.Errorf("%d bytes for a frame of which ten came", n)
 	}
 }
@@ -193,7 +193,7 @@
 // that came are worth, and takes for a frame only what is there whole.
 func FuzzReadFrame(f *testing.F) {
 	body, _ := cbor.Marshal("x")
-	whole := encode(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
+	whole := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add(append(append([]byte(nil), whole...), whole...))
@@ -204,27 +204,27 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReader(bytes.NewReader(in))
-		left := in
+		remaining := in
 		for {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			got, err := readFrame(r)
 			runtime.ReadMemStats(&after)
-			if n := after.TotalAlloc - before.TotalAlloc; n > firstRead+uint64(16*len(in))+64<<10 {
+			if n := after.TotalAlloc - before.TotalAlloc; n > initialReadSize+uint64(16*len(in))+64<<10 {
 				t.Fatalf("%d bytes taken for %d", n, len(in))
 			}
 			if err != nil {
-				if !errors.Is(err, errGarbage) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				if !errors.Is(err, errUndecodable) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 					t.Fatal(err)
 				}
 				return
 			}
-			if len(left) < 4 || int(binary.BigEndian.Uint32(left)) > len(left)-4 {
+			if len(remaining) < 4 || int(binary.BigEndian.Uint32(remaining)) > len(remaining)-4 {
 				t.Fatalf("a frame cut short is taken for whole: %+v", got)
 			}
-			part := left[4 : 4+binary.BigEndian.Uint32(left)]
-			left = left[4+len(part):]
-			if len(got.Body) > len(part) || len(got.From)+len(got.Kind)+len(got.Fault) > 2*len(part) {
+			payload := remaining[4 : 4+binary.BigEndian.Uint32(remaining)]
+			remaining = remaining[4+len(payload):]
+			if len(got.Body) > len(payload) || len(got.From)+len(got.Kind)+len(got.Fault) > 2*len(payload) {
 				t.Fatalf("more came out than went in: %+v", got)
 			}
 		}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -22,40 +22,40 @@
 
 // question is a call that waits for its answer, which comes over the link that the
 // question went out on or not at all.
-type question struct {
-	link   *link
-	answer chan frame
+type pendingCall struct {
+	link  *link
+	reply chan frame
 }
 
-var errGarbage = errors.New("not a frame")
+var errUndecodable = errors.New("not a frame")
 
 // readFrame reads one frame; errGarbage: what came is none. Any other error is the
 // reader's.
 func readFrame(r *bufio.Reader) (f frame, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return f, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > maxFrame {
-		return f, errGarbage
+	n := binary.BigEndian.Uint32(header[:])
+	if n > maxFrameSize {
+		return f, errUndecodable
 	}
 	var buf []byte
 	for have := 0; have < int(n); have = len(buf) {
 		// No more at a time than has come already: a length alone costs little.
-		part := min(int(n)-have, max(have, firstRead))
-		buf = append(make([]byte, 0, have+part), buf...)[:have+part]
+		chunk := min(int(n)-have, max(have, initialReadSize))
+		buf = append(make([]byte, 0, have+chunk), buf...)[:have+chunk]
 		if _, err := io.ReadFull(r, buf[have:]); err != nil {
 			return f, err
 		}
 	}
 	if cbor.Unmarshal(buf, &f) != nil {
-		return f, errGarbage
+		return f, errUndecodable
 	}
 	return f, nil
 }
 
-func encode(f frame) []byte {
+func encodeFrame(f frame) []byte {
 	b, err := cbor.Marshal(f)
 	if err != nil {
 		return nil
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -13,42 +13,42 @@
 	"golang.org/x/sys/unix"
 )
 
-func (c *Endpoint) accept() {
+func (e *Endpoint) accept() {
 	for {
-		conn, err := c.listener.Accept()
+		conn, err := e.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(c.patience / 10)
+			time.Sleep(e.peerTimeout / 10)
 			continue
 		}
-		c.mu.Lock()
-		if c.closed {
-			c.mu.Unlock()
+		e.mu.Lock()
+		if e.closed {
+			e.mu.Unlock()
 			conn.Close()
 			return
 		}
-		c.inbound[conn] = struct{}{}
-		c.mu.Unlock()
-		l := &link{c: c, conn: conn, out: make(chan []byte, queueLen), done: make(chan struct{})}
-		c.tune(conn)
+		e.inbound[conn] = struct{}{}
+		e.mu.Unlock()
+		l := &link{endpoint: e, conn: conn, queue: make(chan []byte, sendQueueLen), done: make(chan struct{})}
+		e.configure(conn)
 		go l.write(conn)
 		go func() {
-			c.read(conn, l)
+			e.read(conn, l)
 			l.stop()
 			conn.Close()
-			c.mu.Lock()
-			delete(c.inbound, conn)
-			c.mu.Unlock()
+			e.mu.Lock()
+			delete(e.inbound, conn)
+			e.mu.Unlock()
 		}()
 	}
 }
 
-func (c *Endpoint) tune(conn net.Conn) {
+func (e *Endpoint) configure(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
-		SetUserTimeout(t, c.patience)
-		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: max(time.Second, c.patience), Interval: time.Second, Count: 2})
+		SetUserTimeout(t, e.peerTimeout)
+		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: max(time.Second, e.peerTimeout), Interval: time.Second, Count: 2})
 	}
 }
 
@@ -64,39 +64,39 @@
 }
 
 // read takes frames from a connection until it ends or sends garbage.
-func (c *Endpoint) read(conn net.Conn, back *link) {
+func (e *Endpoint) read(conn net.Conn, origin *link) {
 	r := bufio.NewReaderSize(conn, 8<<10)
 	for {
-		c.used(conn)
+		e.extendIdleDeadline(conn)
 		f, err := readFrame(r)
 		if err != nil {
-			if errors.Is(err, errGarbage) {
-				c.garbage(conn.RemoteAddr().String())
+			if errors.Is(err, errUndecodable) {
+				e.countUndecodable(conn.RemoteAddr().String())
 			}
 			return
 		}
-		c.dispatch(f, back)
+		e.dispatch(f, origin)
 	}
 }
 
 // used lets a connection's idle time begin anew.
-func (c *Endpoint) used(conn net.Conn) {
-	if c.IdleTimeout > 0 {
-		_ = conn.SetReadDeadline(time.Now().Add(c.IdleTimeout))
+func (e *Endpoint) extendIdleDeadline(conn net.Conn) {
+	if e.IdleTimeout > 0 {
+		_ = conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	}
 }
 
-func (c *Endpoint) link(to string) *link {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l := c.links[to]
+func (e *Endpoint) link(to string) *link {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	l := e.links[to]
 	if l == nil {
-		l = &link{c: c, out: make(chan []byte, queueLen), done: make(chan struct{})}
-		if c.closed {
+		l = &link{endpoint: e, queue: make(chan []byte, sendQueueLen), done: make(chan struct{})}
+		if e.closed {
 			l.stop()
 			return l
 		}
-		c.links[to] = l
+		e.links[to] = l
 		go l.dial(to)
 	}
 	return l
@@ -104,23 +104,23 @@
 
 // link is one connection and the frames that wait for it.
 type link struct {
-	c    *Endpoint
-	conn net.Conn
-	out  chan []byte
-	done chan struct{}
-	once sync.Once
+	endpoint *Endpoint
+	conn     net.Conn
+	queue    chan []byte
+	done     chan struct{}
+	once     sync.Once
 }
 
 func (l *link) stop() { l.once.Do(func() { close(l.done) }) }
 
-func (l *link) offer(b []byte) bool {
+func (l *link) enqueue(data []byte) bool {
 	select {
 	case <-l.done:
 		return false
 	default:
 	}
 	select {
-	case l.out <- b:
+	case l.queue <- data:
 		return true
 	default:
 		return false
@@ -128,47 +128,47 @@
 }
 
 func (l *link) dial(to string) {
-	c := l.c
-	d := net.Dialer{Timeout: c.patience / 3}
-	conn, err := d.Dial("tcp4", to)
+	e := l.endpoint
+	dialer := net.Dialer{Timeout: e.peerTimeout / 3}
+	conn, err := dialer.Dial("tcp4", to)
 	if err == nil {
-		c.tune(conn)
+		e.configure(conn)
 		go func() {
-			c.read(conn, l)
+			e.read(conn, l)
 			l.stop()
 		}()
 		l.write(conn)
 		conn.Close()
 	}
 	l.stop()
-	c.mu.Lock()
-	if c.links[to] == l {
-		delete(c.links, to)
+	e.mu.Lock()
+	if e.links[to] == l {
+		delete(e.links, to)
 	}
-	c.mu.Unlock()
+	e.mu.Unlock()
 }
 
 func (l *link) write(conn net.Conn) {
 	defer conn.Close()
 	for {
 		select {
-		case b := <-l.out:
-			for more := true; more && len(b) < 32<<10; {
+		case data := <-l.queue:
+			for draining := true; draining && len(data) < 32<<10; {
 				select {
-				case next := <-l.out:
-					b = append(b, next...)
+				case next := <-l.queue:
+					data = append(data, next...)
 				default:
-					more = false
+					draining = false
 				}
 			}
-			_ = conn.SetWriteDeadline(time.Now().Add(2 * l.c.patience))
-			if _, err := conn.Write(b); err != nil {
+			_ = conn.SetWriteDeadline(time.Now().Add(2 * l.endpoint.peerTimeout))
+			if _, err := conn.Write(data); err != nil {
 				l.stop()
 				return
 			}
-			l.c.used(conn)
-			l.c.BytesSent.Add(uint64(len(b)))
-			l.c.FramesSent.Add(1)
+			l.endpoint.extendIdleDeadline(conn)
+			l.endpoint.BytesSent.Add(uint64(len(data)))
+			l.endpoint.FramesSent.Add(1)
 		case <-l.done:
 			return
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,13 +14,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func start(t *testing.T) *Endpoint {
+func startEndpoint(t *testing.T) *Endpoint {
 	t.Helper()
-	c, err := New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
+	e, err := New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.HandleSlow("echo", func(_ string, body []byte) (any, error) {
+	e.HandleSlow("echo", func(_ string, body []byte) (any, error) {
 		var s string
 		if err := cbor.Unmarshal(body, &s); err != nil {
 			return nil, err
@@ -30,12 +30,12 @@
 		}
 		return s, nil
 	})
-	t.Cleanup(c.Close)
-	return c
+	t.Cleanup(e.Close)
+	return e
 }
 
-func TestCallsAndWhatBecomesOfThem(t *testing.T) {
-	a, b := start(t), start(t)
+func TestCallAndDatagram(t *testing.T) {
+	a, b := startEndpoint(t), startEndpoint(t)
 	got := make(chan string, 4)
 	for _, c := range []*Endpoint{a, b} {
 		c.Handle("note", func(from string, body []byte) (any, error) {
@@ -68,44 +68,44 @@
 	}
 }
 
-func TestGarbageEndsTheConnectionAndIsCounted(t *testing.T) {
-	c, other := start(t), start(t)
+func TestUndecodableFrameClosesTheConnectionAndIsCounted(t *testing.T) {
+	e, other := startEndpoint(t), startEndpoint(t)
 	var lines strings.Builder
-	c.log = slog.New(slog.NewTextHandler(&lines, nil))
-	c.Start()
+	e.log = slog.New(slog.NewTextHandler(&lines, nil))
+	e.Start()
 	other.Start()
-	frame := func(b []byte) []byte {
+	withLength := func(b []byte) []byte {
 		out := make([]byte, 4)
 		binary.BigEndian.PutUint32(out, uint32(len(b)))
 		return append(out, b...)
 	}
-	for name, text := range map[string][]byte{
-		"not CBOR":     frame([]byte("GET / HTTP/1.1")),
-		"another type": frame([]byte{0x82, 0x01, 0x02}),
+	for name, input := range map[string][]byte{
+		"not CBOR":     withLength([]byte("GET / HTTP/1.1")),
+		"another type": withLength([]byte{0x82, 0x01, 0x02}),
 		"too long":     {0xff, 0xff, 0xff, 0xff},
 	} {
-		before := c.Undecoded.Load()
-		conn, err := net.Dial("tcp4", c.Self())
+		before := e.Undecoded.Load()
+		conn, err := net.Dial("tcp4", e.Self())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = conn.Write(text)
+		_, _ = conn.Write(input)
 		if n, err := io.Copy(io.Discard, conn); n != 0 || isTimeout(err) {
 			t.Fatalf("%s: %d bytes, %v", name, n, err)
 		}
 		conn.Close()
-		if c.Undecoded.Load() != before+1 {
+		if e.Undecoded.Load() != before+1 {
 			t.Errorf("%s: not counted", name)
 		}
 	}
 	var answer string
-	if err := other.Call(context.Background(), c.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
+	if err := other.Call(context.Background(), e.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
 		t.Errorf("another peer is harmed: %v", err)
 	}
-	c.garbageMu.Lock()
-	defer c.garbageMu.Unlock()
-	if n := strings.Count(lines.String(), "\n"); n != 1 || c.garbageMore != 2 {
-		t.Errorf("%d lines for three frames, %d left to tell: %s", n, c.garbageMore, lines.String())
+	e.undecodableMu.Lock()
+	defer e.undecodableMu.Unlock()
+	if n := strings.Count(lines.String(), "\n"); n != 1 || e.undecodableUnlogged != 2 {
+		t.Errorf("%d lines for three frames, %d left to tell: %s", n, e.undecodableUnlogged, lines.String())
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	a, b := start(t), start(t)
+	a, b := startEndpoint(t), startEndpoint(t)
 	b.IdleTimeout = 20 * time.Millisecond
 	a.Start()
 	b.Start()
@@ -145,27 +145,27 @@
 }
 
 // deadlines counts how often a read deadline is set.
-type deadlines struct {
+type deadlineRecorder struct {
 	net.Conn
 	set chan struct{}
 }
 
-func (d deadlines) SetReadDeadline(time.Time) error {
+func (d deadlineRecorder) SetReadDeadline(time.Time) error {
 	d.set <- struct{}{}
 	return nil
 }
 
 // What is sent counts as use: who waits for an answer keeps the connection.
-func TestSendingIsUse(t *testing.T) {
-	m := start(t)
-	m.IdleTimeout = time.Hour
-	here, there := net.Pipe()
-	defer there.Close()
-	l := &link{c: m, out: make(chan []byte, 1), done: make(chan struct{})}
-	conn := deadlines{here, make(chan struct{}, 1)}
+func TestSendingExtendsTheIdleDeadline(t *testing.T) {
+	e := startEndpoint(t)
+	e.IdleTimeout = time.Hour
+	local, remote := net.Pipe()
+	defer remote.Close()
+	l := &link{endpoint: e, queue: make(chan []byte, 1), done: make(chan struct{})}
+	conn := deadlineRecorder{local, make(chan struct{}, 1)}
 	go l.write(conn)
-	l.offer([]byte("x"))
-	if _, err := io.ReadFull(there, make([]byte, 1)); err != nil {
+	l.enqueue([]byte("x"))
+	if _, err := io.ReadFull(remote, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	select {
