--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file matches answers to the calls that asked for them.
+// This file makes calls to peers and matches replies to them.
 
 import (
 	"context"
@@ -9,13 +9,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Fault is an error that the peer's handler returned.
+// Fault is an error that the handler at the peer returned.
 type Fault string
 
 func (f Fault) Error() string { return string(f) }
 
-// Call asks a peer and waits for its answer, which takes the place of what answer points
-// to. ErrUnreachable: there was none, and the peer may have acted all the same.
+// Call sends a request to a peer, waits for its reply and decodes it into answer, replacing all that
+// answer points to; a nil answer discards the reply. ErrUnreachable means that there was no reply; the
+// peer may have carried out the request nevertheless.
 func (e *Endpoint) Call(ctx context.Context, to, kind string, body, answer any) error {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -44,21 +45,21 @@
 	case answer == nil:
 		return nil
 	}
-	reflect.ValueOf(answer).Elem().SetZero() // fields that the answer leaves out are zero
+	reflect.ValueOf(answer).Elem().SetZero() // a field that the reply omits must be zero
 	return cbor.Unmarshal(reply.Body, answer)
 }
 
-// await waits for an answer until the link or the time for it ends.
-func awaitReply(ctx context.Context, reply <-chan frame, ended <-chan struct{}) (frame, error) {
+// awaitReply waits for a reply until the link or ctx ends.
+func awaitReply(ctx context.Context, replies <-chan frame, ended <-chan struct{}) (frame, error) {
 	select {
-	case f := <-reply:
-		return f, nil
+	case reply := <-replies:
+		return reply, nil
 	case <-ended:
 	case <-ctx.Done():
 	}
 	select {
-	case f := <-reply: // it came at the same moment
-		return f, nil
+	case reply := <-replies: // it arrived at the same moment
+		return reply, nil
 	default:
 		return frame{}, ErrUnreachable
 	}
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// peer is a stand-in that takes connections and answers their frames as it likes.
+// fakePeer accepts connections and delivers their frames to the test, which sends the replies.
 type fakePeer struct {
 	net.Listener
 	frames chan receivedFrame
@@ -60,28 +60,28 @@
 	return encodeFrame(frame{Kind: "echo", ID: id, Reply: true, Body: b})
 }
 
-// An answer is taken only from the connection that the question went out on, and once.
+// A reply is accepted only over the connection on which the call was sent, and only once.
 func TestReplyAcceptedOnlyFromTheCalledPeer(t *testing.T) {
 	a, p, other := startEndpoint(t), newFakePeer(t), newFakePeer(t)
 	a.Start()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	go func() { _ = a.Call(ctx, other.Addr().String(), "echo", "x", nil) }()
-	fromOther := <-other.frames // a connection of ours to another peer
+	fromOther := <-other.frames // its connection is one that a opened to another peer
 	inbound, err := net.Dial("tcp4", a.Self())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer inbound.Close()
 	for name, send := range map[string]func(id uint64){
-		"another peer":      func(id uint64) { _, _ = fromOther.conn.Write(encodeReply(id, "foreign")) },
-		"one that calls us": func(id uint64) { _, _ = inbound.Write(encodeReply(id, "foreign")) },
-		"a datagram": func(id uint64) {
+		"from another called peer":   func(id uint64) { _, _ = fromOther.conn.Write(encodeReply(id, "foreign")) },
+		"over an inbound connection": func(id uint64) { _, _ = inbound.Write(encodeReply(id, "foreign")) },
+		"in a datagram": func(id uint64) {
 			c, _ := net.Dial("udp4", a.Self())
 			_, _ = c.Write(encodeReply(id, "foreign")[4:])
 			c.Close()
 		},
-		"nobody else": func(uint64) {},
+		"no foreign reply": func(uint64) {},
 	} {
 		received := make(chan string, 1)
 		go func() {
@@ -93,19 +93,19 @@
 		}()
 		call := <-p.frames
 		send(call.ID)
-		for name != "nobody else" && a.Strays.Load() == 0 && len(received) == 0 && ctx.Err() == nil {
+		for name != "no foreign reply" && a.Strays.Load() == 0 && len(received) == 0 && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		_, _ = call.conn.Write(append(encodeReply(call.ID+1, "foreign"), encodeReply(call.ID, "own")...))
 		if answer := <-received; answer != "own" {
-			t.Errorf("%s: the caller got %q", name, answer)
+			t.Errorf("%s: Call returned %q, want own", name, answer)
 		}
 		a.Strays.Store(0)
 	}
 }
 
-// A peer that answers by the caller's address may answer a question of its former
-// life; the new life's calls must have other ids.
+// A peer may reply late to a call that was made before the caller restarted at the same address. The
+// calls after the restart must have other IDs.
 func TestCallIDsDifferAcrossRestarts(t *testing.T) {
 	p := newFakePeer(t)
 	seen := map[uint64]bool{}
@@ -123,7 +123,7 @@
 			}()
 			call := <-p.frames
 			if seen[call.ID] {
-				t.Fatalf("life %d asks with an id of a former life", restart)
+				t.Fatalf("restart %d: a call has an ID that was used before the restart", restart)
 			}
 			for id := range seen {
 				_, _ = call.conn.Write(encodeReply(id, "late"))
@@ -131,15 +131,15 @@
 			seen[call.ID] = true
 			_, _ = call.conn.Write(encodeReply(call.ID, "own"))
 			if answer := <-got; answer != "own" {
-				t.Fatalf("life %d: the caller got %q", restart, answer)
+				t.Fatalf("restart %d: Call returned %q, want own", restart, answer)
 			}
 		}
 		a.Close()
 	}
 }
 
-// An answer that came whole counts, also if the connection ends or the time is up at
-// the same moment: its caller must not have to ask again.
+// A complete reply is delivered even if the connection or the context ends at the same moment, so that the
+// caller does not have to retry.
 func TestReplyIsDeliveredWhenTheConnectionEndsAtTheSameTime(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -153,12 +153,12 @@
 		}
 	}
 	if _, err := awaitReply(context.Background(), make(chan frame), ended); !errors.Is(err, ErrUnreachable) {
-		t.Errorf("no answer, and none can come: %v", err)
+		t.Errorf("link ended without a reply: got %v, want ErrUnreachable", err)
 	}
 }
 
-// An answer takes the place of what its variable held, of which nothing may be left: a
-// call that is made again must not answer with parts of the call before.
+// A reply replaces the previous value of its target completely: a retried call must not return parts of
+// the reply before.
 func TestReplyOverwritesTheWholeTarget(t *testing.T) {
 	type verdict struct {
 		Fault bool   `cbor:"1,keyasint,omitempty"`
@@ -170,27 +170,27 @@
 	b.Start()
 	reply := verdict{Fault: true, Body: []byte("before")}
 	if err := a.Call(context.Background(), b.Self(), "judge", "x", &reply); err != nil || reply.Fault || reply.Body != nil {
-		t.Errorf("%v, %+v", err, reply)
+		t.Errorf("got error %v, reply %+v, want a zero reply", err, reply)
 	}
 }
 
-// A length that is told but does not come must not cost memory.
+// An announced length must not make the reader allocate memory for bytes that have not arrived.
 func TestReadFrameAllocatesAsBytesArrive(t *testing.T) {
 	head := make([]byte, 4, 1<<10)
 	binary.BigEndian.PutUint32(head, maxFrameSize)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := readFrame(bufio.NewReader(bytes.NewReader(append(head, "little"...)))); err == nil {
-		t.Fatal("a frame cut short was taken for whole")
+		t.Fatal("a truncated frame was accepted")
 	}
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > maxFrameSize/8 {
-		t.Errorf("%d bytes for a frame of which ten came", n)
+		t.Errorf("allocated %d bytes for a truncated frame of ten bytes", n)
 	}
 }
 
-// FuzzReadFrame: whatever comes, reading ends, takes no more memory than the bytes
-// that came are worth, and takes for a frame only what is there whole.
+// FuzzReadFrame checks that for any input reading ends, allocates memory in proportion to the input only,
+// and accepts complete frames only.
 func FuzzReadFrame(f *testing.F) {
 	body, _ := cbor.Marshal("x")
 	whole := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
@@ -211,7 +211,7 @@
 			got, err := readFrame(r)
 			runtime.ReadMemStats(&after)
 			if n := after.TotalAlloc - before.TotalAlloc; n > initialReadSize+uint64(16*len(in))+64<<10 {
-				t.Fatalf("%d bytes taken for %d", n, len(in))
+				t.Fatalf("allocated %d bytes for an input of %d", n, len(in))
 			}
 			if err != nil {
 				if !errors.Is(err, errUndecodable) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -220,12 +220,12 @@
 				return
 			}
 			if len(remaining) < 4 || int(binary.BigEndian.Uint32(remaining)) > len(remaining)-4 {
-				t.Fatalf("a frame cut short is taken for whole: %+v", got)
+				t.Fatalf("a truncated frame was accepted: %+v", got)
 			}
 			payload := remaining[4 : 4+binary.BigEndian.Uint32(remaining)]
 			remaining = remaining[4+len(payload):]
 			if len(got.Body) > len(payload) || len(got.From)+len(got.Kind)+len(got.Fault) > 2*len(payload) {
-				t.Fatalf("more came out than went in: %+v", got)
+				t.Fatalf("the decoded frame is larger than its input: %+v", got)
 			}
 		}
 	})
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -1,6 +1,7 @@
 package transport
 
-// This file holds the form of messages on a connection and in a datagram.
+// This file encodes and decodes messages. On a connection each frame is preceded by its length as a
+// 32-bit big-endian number; a datagram holds one frame without a length.
 
 import (
 	"bufio"
@@ -11,6 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// frame is a message or a reply. ID is zero if no reply is wanted; Fault is the error of a reply.
 type frame struct {
 	From  string          `cbor:"1,keyasint"`
 	Kind  string          `cbor:"2,keyasint"`
@@ -20,17 +22,17 @@
 	Body  cbor.RawMessage `cbor:"6,keyasint,omitempty"`
 }
 
-// question is a call that waits for its answer, which comes over the link that the
-// question went out on or not at all.
+// pendingCall is a call that waits for its reply. A reply is accepted only from the link over which the
+// call was sent.
 type pendingCall struct {
 	link  *link
 	reply chan frame
 }
 
-var errUndecodable = errors.New("not a frame")
+var errUndecodable = errors.New("undecodable frame")
 
-// readFrame reads one frame; errGarbage: what came is none. Any other error is the
-// reader's.
+// readFrame reads one frame. errUndecodable means that the input is not a valid frame; any other error is
+// the reader's.
 func readFrame(r *bufio.Reader) (f frame, err error) {
 	var header [4]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -42,7 +44,8 @@
 	}
 	var buf []byte
 	for have := 0; have < int(n); have = len(buf) {
-		// No more at a time than has come already: a length alone costs little.
+		// The buffer at most doubles with the bytes received, so that an announced length alone does not
+		// make this node allocate much memory.
 		chunk := min(int(n)-have, max(have, initialReadSize))
 		buf = append(make([]byte, 0, have+chunk), buf...)[:have+chunk]
 		if _, err := io.ReadFull(r, buf[have:]); err != nil {
@@ -55,6 +58,7 @@
 	return f, nil
 }
 
+// encodeFrame returns the frame with its length in front, nil if it cannot be encoded.
 func encodeFrame(f frame) []byte {
 	b, err := cbor.Marshal(f)
 	if err != nil {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file holds the connections to peers and the queues before them.
+// This file holds the connections to peers and their send queues.
 
 import (
 	"bufio"
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// accept serves the connections that peers open, until the endpoint is closed.
 func (e *Endpoint) accept() {
 	for {
 		conn, err := e.listener.Accept()
@@ -45,25 +46,26 @@
 	}
 }
 
+// configure sets the time-outs that detect a peer that stops responding.
 func (e *Endpoint) configure(conn net.Conn) {
-	if t, ok := conn.(*net.TCPConn); ok {
-		SetUserTimeout(t, e.peerTimeout)
-		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: max(time.Second, e.peerTimeout), Interval: time.Second, Count: 2})
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		SetUserTimeout(tcp, e.peerTimeout)
+		_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: max(time.Second, e.peerTimeout), Interval: time.Second, Count: 2})
 	}
 }
 
-// SetUserTimeout bounds how long sent bytes may stay unacknowledged.
-func SetUserTimeout(t *net.TCPConn, d time.Duration) {
-	raw, err := t.SyscallConn()
+// SetUserTimeout sets how long sent bytes may stay unacknowledged before the connection fails.
+func SetUserTimeout(conn *net.TCPConn, timeout time.Duration) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d/time.Millisecond))
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 	})
 }
 
-// read takes frames from a connection until it ends or sends garbage.
+// read dispatches the frames of a connection until it ends or sends an undecodable one.
 func (e *Endpoint) read(conn net.Conn, origin *link) {
 	r := bufio.NewReaderSize(conn, 8<<10)
 	for {
@@ -79,13 +81,14 @@
 	}
 }
 
-// used lets a connection's idle time begin anew.
+// extendIdleDeadline restarts the idle time-out of a connection.
 func (e *Endpoint) extendIdleDeadline(conn net.Conn) {
 	if e.IdleTimeout > 0 {
 		_ = conn.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	}
 }
 
+// link returns the link to a peer, and starts to connect it if there is none.
 func (e *Endpoint) link(to string) *link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,17 +105,18 @@
 	return l
 }
 
-// link is one connection and the frames that wait for it.
+// link is one connection with its queue of encoded frames. It is not reopened once it has ended.
 type link struct {
 	endpoint *Endpoint
 	conn     net.Conn
 	queue    chan []byte
-	done     chan struct{}
+	done     chan struct{} // closed when the link has ended
 	once     sync.Once
 }
 
 func (l *link) stop() { l.once.Do(func() { close(l.done) }) }
 
+// enqueue queues an encoded frame, and reports false if the link has ended or its queue is full.
 func (l *link) enqueue(data []byte) bool {
 	select {
 	case <-l.done:
@@ -127,6 +131,7 @@
 	}
 }
 
+// dial connects the link and serves it until it ends.
 func (l *link) dial(to string) {
 	e := l.endpoint
 	dialer := net.Dialer{Timeout: e.peerTimeout / 3}
@@ -148,6 +153,8 @@
 	e.mu.Unlock()
 }
 
+// write sends queued frames until the link ends. Frames that are waiting are combined into one write, to
+// which further ones are added while it is below 32 KiB.
 func (l *link) write(conn net.Conn) {
 	defer conn.Close()
 	for {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport carries messages between the system's own nodes: CBOR frames
-// over kept TCP connections, and single CBOR datagrams over UDP. Delivery is
-// best effort; those who need an answer ask again.
+// Package transport carries messages between the nodes of the system: as CBOR frames over persistent TCP
+// connections, and as single CBOR datagrams over UDP. Delivery is best effort; callers that need a reply
+// have to retry.
 package transport
 
 import (
@@ -16,16 +16,16 @@
 )
 
 const (
-	maxFrameSize    = 48 << 20 // a frame above this is taken for garbage
-	initialReadSize = 1 << 20  // of a frame, this much memory is taken before any of it has come
-	maxDatagramSize = 1400     // a datagram above this goes over TCP instead
-	sendQueueLen    = 256      // frames that may wait for one peer
+	maxFrameSize    = 48 << 20 // bytes; a longer frame is undecodable
+	initialReadSize = 1 << 20  // bytes allocated for a frame before any of it has arrived
+	maxDatagramSize = 1400     // bytes; a longer message goes over TCP
+	sendQueueLen    = 256      // frames that may be queued on one link
 )
 
-// ErrUnreachable says that a peer gave no answer.
-var ErrUnreachable = errors.New("peer unreachable")
+// ErrUnreachable means that a peer did not reply.
+var ErrUnreachable = errors.New("no reply from peer")
 
-// Handler takes a message. What it returns is sent back if the peer asked.
+// Handler handles a message. Its result is sent to the peer if the message is a call.
 type Handler func(from string, body []byte) (any, error)
 
 // Endpoint sends and receives the messages of one node.
@@ -36,13 +36,13 @@
 	listener    net.Listener
 	udp         *net.UDPConn
 
-	// IdleTimeout is the time after which a connection that carried nothing is
-	// closed; 0: never. It is set before Start.
+	// IdleTimeout is the time after which an idle connection is closed; 0 means never. It must be set
+	// before Start.
 	IdleTimeout time.Duration
 
 	mu       sync.Mutex
 	handlers map[string]registration
-	// Intercept, where it is set before handlers are named, is put before each of them.
+	// Intercept, if set, wraps each handler that is registered afterwards.
 	Intercept func(kind string, next Handler) Handler
 	links     map[string]*link
 	calls     map[uint64]pendingCall
@@ -50,12 +50,12 @@
 	closed    bool
 
 	undecodableMu       sync.Mutex
-	undecodableLoggedAt time.Time // when garbage was last logged
-	undecodableUnlogged int       // frames since
+	undecodableLoggedAt time.Time // time of the last log line
+	undecodableUnlogged int       // undecodable frames since then
 
 	nextID     atomic.Uint64
-	Strays     atomic.Uint64 // answers that nobody waited for
-	Undecoded  atomic.Uint64 // frames that could not be read
+	Strays     atomic.Uint64 // replies to no pending call
+	Undecoded  atomic.Uint64 // frames and message bodies that could not be decoded
 	BytesSent  atomic.Uint64
 	FramesSent atomic.Uint64
 }
@@ -65,7 +65,8 @@
 	async  bool
 }
 
-// New listens on address. A peer that is silent for patience is given up.
+// New returns an endpoint that listens on address for TCP and UDP. peerTimeout is the time after which a
+// peer that does not respond is given up.
 func New(address string, peerTimeout time.Duration, logger *slog.Logger) (*Endpoint, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -78,7 +79,8 @@
 			e := &Endpoint{self: listener.Addr().String(), peerTimeout: peerTimeout, log: logger, listener: listener, udp: udp,
 				handlers: map[string]registration{}, links: map[string]*link{},
 				calls: map[uint64]pendingCall{}, inbound: map[net.Conn]struct{}{}}
-			// Answers to a former life's calls must not look like answers to this one's.
+			// IDs start at random: replies to calls of an earlier process at this address must not match
+			// calls of this one.
 			e.nextID.Store(rand.Uint64() >> 1)
 			return e, nil
 		}
@@ -87,11 +89,11 @@
 	return nil, err
 }
 
-// Self is this node's address.
+// Self returns this node's address.
 func (e *Endpoint) Self() string { return e.self }
 
-// Handle names the handler of a kind of message. It runs on the reader's
-// goroutine and may not block.
+// Handle registers the handler for a kind of message. It runs on the goroutine that reads the connection
+// and must not block.
 func (e *Endpoint) Handle(kind string, fn Handler) { e.handle(kind, fn, false) }
 
 func (e *Endpoint) handle(kind string, fn Handler, async bool) {
@@ -101,8 +103,8 @@
 	e.handlers[kind] = registration{fn, async}
 }
 
-// On names the handler of a kind of message of type T, to which there is no
-// answer. What cannot be decoded is counted and dropped.
+// On registers a handler for a kind of message whose body is a T. It returns no result. Messages that
+// cannot be decoded are counted and dropped.
 func On[T any](e *Endpoint, kind string, fn func(from string, msg T)) {
 	e.Handle(kind, func(from string, body []byte) (any, error) {
 		var msg T
@@ -115,16 +117,16 @@
 	})
 }
 
-// HandleSlow names a handler that may block.
+// HandleSlow registers a handler that may block; each message is handled on a goroutine of its own.
 func (e *Endpoint) HandleSlow(kind string, fn Handler) { e.handle(kind, fn, true) }
 
-// Start begins to take messages; handlers are named before.
+// Start begins to receive messages. Handlers must be registered before.
 func (e *Endpoint) Start() {
 	go e.accept()
 	go e.readDatagrams()
 }
 
-// Close ends all connections.
+// Close stops listening and closes all connections.
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -139,11 +141,12 @@
 	e.udp.Close()
 }
 
-// garbageEvery is the time, in patiences, for which one line on garbage is enough.
+// undecodableLogInterval is the minimum time between two log lines about undecodable frames, as a
+// multiple of the peer time-out.
 const undecodableLogInterval = 10
 
-// garbage counts a frame that cannot be read. A peer that sends nothing else must
-// not fill the log.
+// countUndecodable counts an undecodable frame. Log lines about them are rate-limited, since a peer that
+// sends nothing else must not flood the log.
 func (e *Endpoint) countUndecodable(from string) {
 	e.Undecoded.Add(1)
 	e.undecodableMu.Lock()
@@ -156,6 +159,7 @@
 	}
 }
 
+// readDatagrams dispatches datagrams until the endpoint is closed.
 func (e *Endpoint) readDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -175,6 +179,8 @@
 	}
 }
 
+// dispatch delivers a reply to its pending call, or runs the handler of a message. origin is the link that
+// the frame came from, nil for a datagram; replies go back over it.
 func (e *Endpoint) dispatch(f frame, origin *link) {
 	if f.Reply {
 		e.mu.Lock()
@@ -190,12 +196,12 @@
 		call.reply <- f
 		return
 	}
-	handler, ok := e.handlers[f.Kind]
+	registered, ok := e.handlers[f.Kind]
 	if !ok {
 		return
 	}
 	run := func() {
-		result, err := handler.handle(f.From, f.Body)
+		result, err := registered.handle(f.From, f.Body)
 		if f.ID == 0 || origin == nil {
 			return
 		}
@@ -211,14 +217,14 @@
 			origin.enqueue(b)
 		}
 	}
-	if handler.async {
+	if registered.async {
 		go run()
 	} else {
 		run()
 	}
 }
 
-// Send passes a message on without waiting. It may be lost.
+// Send queues a message to a peer over TCP without waiting. The message may be lost.
 func (e *Endpoint) Send(to, kind string, body any) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -229,7 +235,7 @@
 	}
 }
 
-// Toss sends a message as a datagram if it fits into one.
+// Toss sends a message as a datagram, or over TCP if it does not fit into one. The message may be lost.
 func (e *Endpoint) Toss(to, kind string, body any) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -37,26 +37,26 @@
 func TestCallAndDatagram(t *testing.T) {
 	a, b := startEndpoint(t), startEndpoint(t)
 	got := make(chan string, 4)
-	for _, c := range []*Endpoint{a, b} {
-		c.Handle("note", func(from string, body []byte) (any, error) {
+	for _, e := range []*Endpoint{a, b} {
+		e.Handle("note", func(from string, body []byte) (any, error) {
 			var s string
 			_ = cbor.Unmarshal(body, &s)
 			got <- from + " " + s[:1]
 			return nil, nil
 		})
-		c.Start()
+		e.Start()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var answer string
 	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
-		t.Fatalf("%v %q", err, answer)
+		t.Fatalf("got error %v, reply %q, want hello", err, answer)
 	}
 	var fault Fault
 	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "told to" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want the handler's as a Fault", err)
 	}
-	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // one fits a datagram, one does not
+	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // the second does not fit into a datagram
 		a.Toss(b.Self(), "note", body)
 		if s := <-got; s != a.Self()+" "+body[:1] {
 			t.Fatalf("got %q", s)
@@ -64,7 +64,7 @@
 	}
 	b.Close()
 	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); !errors.Is(err, ErrUnreachable) {
-		t.Fatalf("a peer that is gone: %v", err)
+		t.Fatalf("call to a closed peer: got %v, want ErrUnreachable", err)
 	}
 }
 
@@ -91,21 +91,21 @@
 		}
 		_, _ = conn.Write(input)
 		if n, err := io.Copy(io.Discard, conn); n != 0 || isTimeout(err) {
-			t.Fatalf("%s: %d bytes, %v", name, n, err)
+			t.Fatalf("%s: read %d bytes, %v, want a closed connection", name, n, err)
 		}
 		conn.Close()
 		if e.Undecoded.Load() != before+1 {
-			t.Errorf("%s: not counted", name)
+			t.Errorf("%s: not counted as undecodable", name)
 		}
 	}
 	var answer string
 	if err := other.Call(context.Background(), e.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
-		t.Errorf("another peer is harmed: %v", err)
+		t.Errorf("another peer cannot call any more: %v", err)
 	}
 	e.undecodableMu.Lock()
 	defer e.undecodableMu.Unlock()
 	if n := strings.Count(lines.String(), "\n"); n != 1 || e.undecodableUnlogged != 2 {
-		t.Errorf("%d lines for three frames, %d left to tell: %s", n, e.undecodableUnlogged, lines.String())
+		t.Errorf("%d log lines and %d unlogged frames after three undecodable ones, want 1 and 2: %s", n, e.undecodableUnlogged, lines.String())
 	}
 }
 
@@ -126,9 +126,9 @@
 		defer a.mu.Unlock()
 		return len(a.links)
 	}
-	for _, asks := range []bool{true, false, true} { // each opens another
+	for _, calls := range []bool{true, false, true} { // each round opens a new connection
 		l := a.link(b.Self())
-		for err := errors.New("not yet"); asks && err != nil; {
+		for err := errors.New("not yet"); calls && err != nil; {
 			if err = a.Call(ctx, b.Self(), "echo", "hello", nil); ctx.Err() != nil {
 				t.Fatal(err)
 			}
@@ -136,7 +136,7 @@
 		select {
 		case <-l.done:
 		case <-ctx.Done():
-			t.Fatal("an idle connection stays")
+			t.Fatal("an idle connection stays open")
 		}
 		for open() > 0 {
 			time.Sleep(time.Millisecond)
@@ -144,7 +144,7 @@
 	}
 }
 
-// deadlines counts how often a read deadline is set.
+// deadlineRecorder signals when a read deadline is set.
 type deadlineRecorder struct {
 	net.Conn
 	set chan struct{}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// What is sent counts as use: who waits for an answer keeps the connection.
+// Sending counts as activity, so that a connection on which a reply is awaited is not closed as idle.
 func TestSendingExtendsTheIdleDeadline(t *testing.T) {
 	e := startEndpoint(t)
 	e.IdleTimeout = time.Hour
@@ -171,7 +171,7 @@
 	select {
 	case <-conn.set:
 	case <-time.After(10 * time.Second):
-		t.Error("the idle time goes on")
+		t.Error("sending did not extend the idle deadline")
 	}
 	l.stop()
 }
