--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -14,7 +14,7 @@
 func TestWarmupLeft(t *testing.T) {
 	for told, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond,
 		"-1": -1, "NaN": -1, "1e300": -1, "Inf": -1, "soon": -1} {
-		left, ok := parseWarmupLeft(http.Header{hWarmup: {told}})
+		left, ok := parseWarmupLeft(http.Header{headerWarmupLeft: {told}})
 		if ok != (want >= 0) || ok && left != want {
 			t.Errorf("%q: %v %v", told, left, ok)
 		}
@@ -85,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		if id := r.Header.Get(hAttempt); id != "one" && (id != "" || used || r.StatusCode < 300) {
+		if id := r.Header.Get(headerAttemptID); id != "one" && (id != "" || used || r.StatusCode < 300) {
 			t.Fatalf("an answer to %q is taken", id)
 		}
 		if r.StatusCode < 200 || r.StatusCode > 999 {
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -42,7 +42,8 @@
 		}
 		request := &upstream.AcquireRequest{Service: x.service, Version: arm.Version(), Priority: x.priority(), Avoid: tried, Retry: sent > 0,
 			Regions: x.regions, Bound: x.regionBound, Aim: x.targetLatency}
-		if x.route.Repeatable() && x.bodyPrefix == nil && sent+1 < maxAttempts { // the balancer may interrupt the wait only if the request can be retried
+		// The balancer may interrupt the wait for a response only if the request can be retried.
+		if x.route.Repeatable() && x.bodyPrefix == nil && sent+1 < maxAttempts {
 			request.Hold = &upstream.WaitHandle{}
 		}
 		x.stage = stageQueue
@@ -221,7 +222,7 @@
 	case http.StatusMisdirectedRequest:
 		return true
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest:
-		return r.Header.Get(hNotExecuted) != ""
+		return r.Header.Get(headerNotExecuted) != ""
 	}
 	return false
 }
@@ -229,7 +230,7 @@
 // sealed reports whether a successful response carries Server-Seal, the mark that it comes from the
 // upstream itself, and does not contradict it by Not-Executed.
 func sealed(r *http.Response) bool {
-	return r.Header.Get(hSeal) != "" && r.Header.Get(hNotExecuted) == ""
+	return r.Header.Get(headerServerSeal) != "" && r.Header.Get(headerNotExecuted) == ""
 }
 
 // impliesNotExecuted reports whether clients take a status to mean that the request was not executed.
--- a/internal/proxy/callers_client_test.go
+++ b/internal/proxy/callers_client_test.go
@@ -147,7 +147,7 @@
 			c = nil
 			continue
 		}
-		if id := res.Header.Get(hAttempt); id != q.id {
+		if id := res.Header.Get(headerAttemptID); id != q.id {
 			wrong("%s got an answer to %q: %d %.60q", q.id, id, res.StatusCode, body)
 		}
 		for _, m := range idNamed.FindAllSubmatch(body[:min(len(body), 100)], -1) {
@@ -157,7 +157,7 @@
 		}
 		switch res.StatusCode {
 		case 200:
-			if string(body) != bodyOf(q.id) || res.Header.Get(hSeal) != "s" {
+			if string(body) != bodyOf(q.id) || res.Header.Get(headerServerSeal) != "s" {
 				wrong("%s got a 200 with %d bytes, %.60q", q.id, len(body), body)
 			}
 		case 429, 503, 408, 421:
--- a/internal/proxy/callers_scene_test.go
+++ b/internal/proxy/callers_scene_test.go
@@ -200,7 +200,7 @@
 		if err != nil {
 			return
 		}
-		id := r.Header.Get(hAttempt)
+		id := r.Header.Get(headerAttemptID)
 		s.mu.Lock()
 		s.came[id]++
 		n := s.came[id]
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -22,7 +22,7 @@
 	commands     chan func(now time.Duration)
 	peerTimeout  time.Duration // time after which a peer that does not respond is given up
 	tickInterval time.Duration
-	connect      func(ctx context.Context, address string, limit time.Duration) (net.Conn, error)
+	connect      func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 	closed       chan struct{}
 }
 
@@ -46,7 +46,8 @@
 	d.commands <- func(now time.Duration) { command(now, d.balancer) }
 }
 
-// Run executes commands, and what the balancer asks for in them, until the dispatcher is closed.
+// Run executes commands until the dispatcher is closed. After each it starts the trial connections and
+// probes that the balancer requests, and closes the connections that it discards.
 func (d *Dispatcher) Run() {
 	ticker := time.NewTicker(d.tickInterval)
 	defer ticker.Stop()
@@ -59,8 +60,8 @@
 		case <-ticker.C:
 			d.balancer.Tick(time.Since(d.epoch))
 		}
-		for _, u := range d.balancer.Trials {
-			go d.tryConnection(u, u.Address)
+		for _, target := range d.balancer.Trials {
+			go d.tryConnection(target, target.Address)
 		}
 		d.balancer.Trials = nil
 		for _, probe := range d.balancer.Probes {
@@ -101,7 +102,7 @@
 		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", probe.Path, probe.Address); err == nil {
 			if res, err := conn.Reader.(*responseReader).readHead(http.MethodGet); err == nil {
 				remaining, ok = parseWarmupLeft(res.Header)
-				ok = ok && res.StatusCode == http.StatusOK && res.Header.Get(hInstance) == probe.ID
+				ok = ok && res.StatusCode == http.StatusOK && res.Header.Get(headerInstanceID) == probe.ID
 				res.Body.Close()
 			}
 		}
@@ -113,7 +114,7 @@
 // parseWarmupLeft parses the remaining warm-up time in milliseconds; a missing header means zero. ok is
 // false if the value is invalid.
 func parseWarmupLeft(header http.Header) (remaining time.Duration, ok bool) {
-	value := header.Get(hWarmup)
+	value := header.Get(headerWarmupLeft)
 	if value == "" {
 		return 0, true
 	}
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -56,7 +56,7 @@
 func (h *Handler) setDeadline(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		limit := time.Duration(x.route.DeadlineS * float64(time.Second))
-		if ms, err := strconv.ParseFloat(x.r.Header.Get(hDeadlineLeft), 64); err == nil && ms >= 0 {
+		if ms, err := strconv.ParseFloat(x.r.Header.Get(headerDeadlineLeft), 64); err == nil && ms >= 0 {
 			limit = min(limit, time.Duration(ms*float64(time.Millisecond)))
 		}
 		x.deadline = x.arrived.Add(limit)
@@ -72,7 +72,7 @@
 // kept for retries, and refuses the request if its deadline has passed.
 func (h *Handler) bufferBody(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		h.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Request(x.service) })
+		h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.Request(x.service) })
 		if x.hasBody {
 			if err := h.readBody(x); err != nil {
 				return err
--- a/internal/proxy/finish.go
+++ b/internal/proxy/finish.go
@@ -41,7 +41,7 @@
 	}
 	var load upstream.Told
 	if res.response != nil {
-		load = parseLoad(res.response.Header.Get(hLoad))
+		load = parseLoad(res.response.Header.Get(headerInstanceLoad))
 	}
 	return h.dispatcher.release(lease, conn, idleTime, outcome, load, outcome == upstream.Poor)
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -14,8 +14,13 @@
 
 // Stats holds the counters of a Handler. Handler.Counters maps them to the names of the metrics.
 type Stats struct {
+	// Requests counts all requests. Ordinary and Exception count them by route; see chooseService. The
+	// others count by result: Served a response was passed on, Refused status 503 or 429, Late status
+	// 504, Failed other errors.
 	Requests, Ordinary, Exception, Served, Refused, Failed, Late atomic.Uint64
-	Tries, Repeats, Dials, Broken, Abroad                        atomic.Uint64
+	// Tries counts attempts at upstreams, Repeats retries among them, Dials new connections, Broken invalid
+	// or truncated responses, Abroad attempts in another region.
+	Tries, Repeats, Dials, Broken, Abroad atomic.Uint64
 	// LinkFull counts requests refused because the link had no capacity left for a long response.
 	LinkFull    atomic.Uint64
 	disconnects disconnectStats
@@ -55,7 +60,7 @@
 }
 
 // SetTable replaces the configuration table. Requests that have begun keep the table they started with.
-func (h *Handler) SetTable(t *config.Table) { h.table.Store(t) }
+func (h *Handler) SetTable(table *config.Table) { h.table.Store(table) }
 
 // Table returns the current configuration table.
 func (h *Handler) Table() *config.Table { return h.table.Load() }
@@ -72,7 +77,7 @@
 func (h *Handler) Drain() {
 	h.draining.Store(true)
 	h.Link.Leave(h.now())
-	h.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) { s.Leave() })
+	h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.Leave() })
 }
 
 // closeAfterResponse makes net/http close the client's connection after the response if this gateway
@@ -90,7 +95,7 @@
 		conn.beginRequest()
 		defer conn.endRequest()
 	}
-	x := &Exchange{w: w, r: r, arrived: time.Now(), table: h.table.Load(), attemptID: r.Header.Get(hAttempt)}
+	x := &Exchange{w: w, r: r, arrived: time.Now(), table: h.table.Load(), attemptID: r.Header.Get(headerAttemptID)}
 	if err := h.chain(x); err != nil {
 		switch answer := apierror.AnswerFor(apierror.KindOf(err)); {
 		case x.clientDisconnected() || apierror.KindOf(err) == apierror.ClientGone:
@@ -103,7 +108,7 @@
 			h.Stats.Failed.Add(1)
 		}
 		if x.attemptID != "" {
-			w.Header().Set(hAttempt, x.attemptID)
+			w.Header().Set(headerAttemptID, x.attemptID)
 		}
 		h.closeAfterResponse(x)
 		if apierror.KindOf(err) == apierror.BodyTooLarge {
@@ -129,13 +134,13 @@
 
 // Counters returns the counters by the names under which the metrics report them.
 func (h *Handler) Counters() map[string]uint64 {
-	s := &h.Stats
+	stats := &h.Stats
 	counters := map[string]uint64{
-		"requests": s.Requests.Load(), "ordinary": s.Ordinary.Load(), "exception": s.Exception.Load(), "served": s.Served.Load(),
-		"refused": s.Refused.Load(), "failed": s.Failed.Load(), "late": s.Late.Load(), "tries": s.Tries.Load(),
-		"repeats": s.Repeats.Load(), "dials": s.Dials.Load(), "broken": s.Broken.Load(),
-		"abroad": s.Abroad.Load(), "linkFull": s.LinkFull.Load(),
+		"requests": stats.Requests.Load(), "ordinary": stats.Ordinary.Load(), "exception": stats.Exception.Load(), "served": stats.Served.Load(),
+		"refused": stats.Refused.Load(), "failed": stats.Failed.Load(), "late": stats.Late.Load(), "tries": stats.Tries.Load(),
+		"repeats": stats.Repeats.Load(), "dials": stats.Dials.Load(), "broken": stats.Broken.Load(),
+		"abroad": stats.Abroad.Load(), "linkFull": stats.LinkFull.Load(),
 	}
-	s.disconnects.addTo(counters)
+	stats.disconnects.addTo(counters)
 	return counters
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -186,9 +186,9 @@
 type clientConn struct {
 	net.Conn
 	bytesRead  atomic.Int64 // bytes of the current or next request
-	headRead   atomic.Bool
-	serving    atomic.Bool // a handler is running
-	watched    atomic.Bool // closeWatch polls it
+	headRead   atomic.Bool  // the head of the current request has been read
+	serving    atomic.Bool  // a handler is running
+	watched    atomic.Bool  // closeWatch polls it
 	closeWatch *closeWatch
 	cancel     context.CancelFunc // cancels the context of its requests
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%s is missing: %q", want, head)
 		}
 	}
-	if res.Header.Get(hSeal) != "s" || res.Header.Get("Content-Type") != "" || res.Header.Get("Content-Encoding") != "" {
+	if res.Header.Get(headerServerSeal) != "s" || res.Header.Get("Content-Type") != "" || res.Header.Get("Content-Encoding") != "" {
 		t.Errorf("answer's headers: %v", res.Header)
 	}
 }
@@ -109,7 +109,7 @@
 			r := newRig(t, u)
 			for i := 0; i < 3; i++ {
 				res, body, err := r.say(t, "GET", get("/get/x"))
-				if err != nil || res.StatusCode != 200 || body != "right" || res.Header.Get(hSeal) != "s" {
+				if err != nil || res.StatusCode != 200 || body != "right" || res.Header.Get(headerServerSeal) != "s" {
 					t.Fatalf("%d: %v %v %q", i, err, res, body)
 				}
 			}
--- a/internal/proxy/reserve.go
+++ b/internal/proxy/reserve.go
@@ -32,6 +32,7 @@
 	if !h.draining.Load() {
 		return h.retryLater(x, apierror.Overloaded)
 	}
-	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.targetLatency)) // a short one: while this gateway drains, the others can serve it at once
+	// The delay is short: another gateway can serve the request at once.
+	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.targetLatency))
 	return apierror.Later(apierror.Overloaded, after, "%s", x.service)
 }
--- a/internal/proxy/responsereader.go
+++ b/internal/proxy/responsereader.go
@@ -57,7 +57,7 @@
 	}
 	// A response with a status of 300 or above may lack the Attempt-Id. On a reused connection it may
 	// then be left over from an earlier request, so it is not accepted there.
-	switch id := response.Header.Get(hAttempt); {
+	switch id := response.Header.Get(headerAttemptID); {
 	case id == attempt:
 	case id != "" || response.StatusCode < 300:
 		return nil, errOtherAttemptID
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -33,7 +33,7 @@
 type answerFn func(c net.Conn, r *http.Request, n int) bool
 
 func ok(r *http.Request, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get(hAttempt), len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get(headerAttemptID), len(body), body)
 }
 
 func newUpstream(t *testing.T, id string, answer answerFn) *server {
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -88,7 +88,7 @@
 	var mu sync.Mutex
 	var left []time.Duration
 	answer := func(c net.Conn, r *http.Request, _ int) bool {
-		ms, err := strconv.Atoi(r.Header.Get(hDeadlineLeft))
+		ms, err := strconv.Atoi(r.Header.Get(headerDeadlineLeft))
 		if err != nil {
 			t.Errorf("Deadline-Left: %v", err)
 		}
@@ -151,7 +151,7 @@
 			t.Errorf("%s: %v %v", name, err, res)
 			continue
 		}
-		if res.Header.Get(hSeal) != "" || res.Header.Get("X-Theirs") != "" || !strings.HasPrefix(body, "{") {
+		if res.Header.Get(headerServerSeal) != "" || res.Header.Get("X-Theirs") != "" || !strings.HasPrefix(body, "{") {
 			t.Errorf("%s: %v %q", name, res.Header, body)
 		}
 	}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -135,7 +135,7 @@
 	conn := res.conn
 	response, err := conn.Reader.(*responseReader).readHeadFor(x.r.Method, x.attemptID)
 	switch {
-	case err == errNoAttemptID, err == nil && response.Header.Get(hAttempt) != x.attemptID:
+	case err == errNoAttemptID, err == nil && response.Header.Get(headerAttemptID) != x.attemptID:
 		lease.Upstream.Nameless.Store(true)
 	case err == nil && notExecuted(response):
 		lease.Upstream.Nameless.Store(false)
@@ -160,7 +160,7 @@
 		return
 	}
 	if !res.complete {
-		h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.Answering(now, lease) })
+		h.dispatcher.Do(func(now time.Duration, b *upstream.Balancer) { b.Answering(now, lease) })
 	}
 	select {
 	case err := <-sent:
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -21,9 +21,9 @@
 	return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has not received its whole configuration yet")
 }
 
-// DrawQuota charges one request to its tenant's quota, within limit or until ctx ends. refused is the
-// kind of error to respond with, apierror.Internal for none. giveBack refunds the charge.
-type DrawQuota func(ctx context.Context, tenant string, limit time.Duration) (giveBack func(), refused apierror.Kind)
+// DrawQuota charges one request to its tenant's quota, within timeout or until ctx ends. refusal is
+// the kind of error to respond with, apierror.Internal for none. refund takes the charge back.
+type DrawQuota func(ctx context.Context, tenant string, timeout time.Duration) (refund func(), refusal apierror.Kind)
 
 // LeaseKeys makes the handler trust API keys only until the time in lease, which is in nanoseconds on
 // the dispatcher's clock and extended by the caller.
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -16,15 +16,15 @@
 
 // The headers that madderwing defines.
 const (
-	hAttempt        = "Attempt-Id"
-	hDeadlineLeft   = "Deadline-Left"
-	hTargetInstance = "Target-Instance"
-	hSeal           = "Server-Seal"
-	hNotExecuted    = "Not-Executed"
-	hInstance       = "Instance-Id"
-	hWarmup         = "Warmup-Left"
-	hTenant         = "Tenant"
-	hLoad           = "Instance-Load"
+	headerAttemptID      = "Attempt-Id"      // set by the client; an upstream repeats it in its response
+	headerDeadlineLeft   = "Deadline-Left"   // milliseconds until the deadline of the request
+	headerTargetInstance = "Target-Instance" // the instance that the request is meant for; another one responds with status 421
+	headerServerSeal     = "Server-Seal"     // marks a successful response as the upstream's own
+	headerNotExecuted    = "Not-Executed"    // marks a response whose request was not executed
+	headerInstanceID     = "Instance-Id"     // the instance that responds to a probe
+	headerWarmupLeft     = "Warmup-Left"     // milliseconds until the instance is warmed up
+	headerTenant         = "Tenant"          // the tenant of the request, set by the gateway
+	headerInstanceLoad   = "Instance-Load"   // the load of the instance; see parseLoad
 )
 
 // hopByHop holds the hop-by-hop headers, which apply to one connection and are not forwarded.
@@ -34,9 +34,9 @@
 }
 
 // connectionHeaders returns the headers listed in Connection, which are hop-by-hop too.
-func connectionHeaders(h http.Header) map[string]bool {
+func connectionHeaders(header http.Header) map[string]bool {
 	var headers map[string]bool
-	for _, line := range h["Connection"] {
+	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if name != "" && name != "Close" && name != "Keep-Alive" {
@@ -69,10 +69,10 @@
 	buf.WriteString("\r\n")
 	perConnection := connectionHeaders(r.Header)
 	for name, values := range r.Header {
-		if hopByHop[name] || perConnection[name] || name == hDeadlineLeft || name == hTargetInstance || name == "Content-Length" || name == "Expect" {
+		if hopByHop[name] || perConnection[name] || name == headerDeadlineLeft || name == headerTargetInstance || name == "Content-Length" || name == "Expect" {
 			continue
 		}
-		if x.table.Tenants && (name == hTenant || name == "Authorization") {
+		if x.table.Tenants && (name == headerTenant || name == "Authorization") {
 			continue // upstreams must not see the API key, and only the gateway sets the tenant
 		}
 		for _, v := range values {
@@ -82,13 +82,13 @@
 			buf.WriteString("\r\n")
 		}
 	}
-	buf.WriteString(hDeadlineLeft)
+	buf.WriteString(headerDeadlineLeft)
 	buf.WriteString(": ")
 	buf.WriteString(strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
-	buf.WriteString("\r\n" + hTargetInstance + ": ")
+	buf.WriteString("\r\n" + headerTargetInstance + ": ")
 	buf.WriteString(instance)
 	if x.tenant != nil {
-		buf.WriteString("\r\n" + hTenant + ": ")
+		buf.WriteString("\r\n" + headerTenant + ": ")
 		buf.WriteString(x.tenant.Name)
 	}
 	switch {
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -15,8 +15,8 @@
 func (f Fault) Error() string { return string(f) }
 
 // Call sends a request to a peer, waits for its reply and decodes it into answer, replacing all that
-// answer points to; a nil answer discards the reply. ErrUnreachable means that there was no reply; the
-// peer may have carried out the request nevertheless.
+// answer points to; a nil answer discards the reply. After ErrUnreachable the peer may have
+// executed the request nevertheless.
 func (e *Endpoint) Call(ctx context.Context, to, kind string, body, answer any) error {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -22,7 +22,7 @@
 	sendQueueLen    = 256      // frames that may be queued on one link
 )
 
-// ErrUnreachable means that a peer did not reply.
+// ErrUnreachable means that a peer did not reply, or that the call could not be queued.
 var ErrUnreachable = errors.New("no reply from peer")
 
 // Handler handles a message. Its result is sent to the peer if the message is a call.
@@ -57,12 +57,13 @@
 	Strays     atomic.Uint64 // replies to no pending call
 	Undecoded  atomic.Uint64 // frames and message bodies that could not be decoded
 	BytesSent  atomic.Uint64
-	FramesSent atomic.Uint64
+	FramesSent atomic.Uint64 // writes to connections and datagrams; frames combined into a write count once
 }
 
+// registration is the handler for a kind of message.
 type registration struct {
 	handle Handler
-	async  bool
+	async  bool // run it on a goroutine of its own
 }
 
 // New returns an endpoint that listens on address for TCP and UDP. peerTimeout is the time after which a
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -26,7 +26,7 @@
 			return nil, err
 		}
 		if s == "fail" {
-			return nil, errors.New("told to")
+			return nil, errors.New("requested failure")
 		}
 		return s, nil
 	})
@@ -53,13 +53,13 @@
 		t.Fatalf("got error %v, reply %q, want hello", err, answer)
 	}
 	var fault Fault
-	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "told to" {
+	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "requested failure" {
 		t.Fatalf("got error %v, want the handler's as a Fault", err)
 	}
 	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // the second does not fit into a datagram
 		a.Toss(b.Self(), "note", body)
 		if s := <-got; s != a.Self()+" "+body[:1] {
-			t.Fatalf("got %q", s)
+			t.Fatalf("got message %q", s)
 		}
 	}
 	b.Close()
@@ -80,9 +80,9 @@
 		return append(out, b...)
 	}
 	for name, input := range map[string][]byte{
-		"not CBOR":     withLength([]byte("GET / HTTP/1.1")),
-		"another type": withLength([]byte{0x82, 0x01, 0x02}),
-		"too long":     {0xff, 0xff, 0xff, 0xff},
+		"not CBOR":    withLength([]byte("GET / HTTP/1.1")),
+		"no CBOR map": withLength([]byte{0x82, 0x01, 0x02}),
+		"too long":    {0xff, 0xff, 0xff, 0xff},
 	} {
 		before := e.Undecoded.Load()
 		conn, err := net.Dial("tcp4", e.Self())
@@ -128,7 +128,7 @@
 	}
 	for _, calls := range []bool{true, false, true} { // each round opens a new connection
 		l := a.link(b.Self())
-		for err := errors.New("not yet"); calls && err != nil; {
+		for err := errors.New("no call yet"); calls && err != nil; {
 			if err = a.Call(ctx, b.Self(), "echo", "hello", nil); ctx.Err() != nil {
 				t.Fatal(err)
 			}
