--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -1,7 +1,7 @@
 package proxy
 
 // This file decides how a request continues when its client disconnects, and counts such requests.
-// The context of the request is the one source for it: net/http cancels it when it sees the connection
+// Whether the client is connected is known from the context of its request alone: net/http cancels it when it sees the connection
 // close, closeWatch does where net/http does not look.
 
 import (
@@ -55,7 +55,7 @@
 
 // disconnectStats counts the requests whose clients disconnected.
 type disconnectStats struct {
-	ended [stageCount]atomic.Uint64 // requests that ended for it, by the stage they had reached
+	ended [stageCount]atomic.Uint64 // requests that ended because of it, by the stage they had reached
 	// ranToCompletion counts requests of routes that may run only once, which were completed.
 	ranToCompletion atomic.Uint64
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -15,8 +15,8 @@
 // copyBufferSize is the number of bytes read from a response's body at a time.
 const copyBufferSize = 16 << 10
 
-// respond passes a response to the client. If the response is truncated, the panic makes net/http abort
-// the client's connection, so that the response does not look complete.
+// respond passes a response to the client. If the client does not get all of it, the panic makes net/http
+// abort the client's connection, so that the response does not look complete.
 func (h *Handler) respond(x *Exchange, lease upstream.SlotLease, res result) {
 	x.stage = stageResponse
 	h.copyHeader(x, res.response)
--- a/internal/proxy/responsereader.go
+++ b/internal/proxy/responsereader.go
@@ -42,15 +42,15 @@
 var (
 	errHeadTooLarge   = errors.New("response head too large")
 	errInvalidStatus  = errors.New("response with an invalid status")
-	errNoAttemptID    = errors.New("response without an Attempt-Id on a reused connection")
-	errOtherAttemptID = errors.New("response with the Attempt-Id of another request")
+	errNoAttemptID    = errors.New("error response without an Attempt-Id on a reused connection")
+	errWrongAttemptID = errors.New("response does not carry the Attempt-Id of the request")
 	errNoBodyLength   = errors.New("response without a body length")
 	errProtocolSwitch = errors.New("unrequested protocol switch")
 )
 
 // readHeadFor reads the head of the response to the request with the given method and Attempt-Id, and
 // checks that it belongs to that request. 1xx responses are skipped; the body is not read.
-func (r *responseReader) readHeadFor(method, attempt string) (*http.Response, error) {
+func (r *responseReader) readHeadFor(method, attemptID string) (*http.Response, error) {
 	response, err := r.readHead(method)
 	if err != nil {
 		return nil, err
@@ -58,9 +58,9 @@
 	// A response with a status of 300 or above may lack the Attempt-Id. On a reused connection it may
 	// then be left over from an earlier request, so it is not accepted there.
 	switch id := response.Header.Get(headerAttemptID); {
-	case id == attempt:
+	case id == attemptID:
 	case id != "" || response.StatusCode < 300:
-		return nil, errOtherAttemptID
+		return nil, errWrongAttemptID
 	case r.reused:
 		return nil, errNoAttemptID
 	}
