--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -150,7 +150,7 @@
 // request may be retried at another upstream. A server error of a rollout's candidate is retried, since
 // the prior version may succeed.
 func (h *Handler) handleResult(x *Exchange, lease upstream.SlotLease, res result, arm *rollout.Sample) (retry bool, err error) {
-	defer arm.End(rollout.Unscored) // deferred, as the response is read to its end only below
+	defer arm.End(rollout.Unscored) // deferred: the response is read to its end by one of the calls below
 	repeatable := x.route.Repeatable()
 	if res.disconnected {
 		h.finish(lease, res, upstream.Abandoned)
