--- a/internal/proxy/callers_scene_test.go
+++ b/internal/proxy/callers_scene_test.go
@@ -134,7 +134,7 @@
 // bodyOf is the body that answers a request: it names the id, and its length follows
 // from it.
 func bodyOf(id string) string {
-	n := []int{0, 0, 3 << 10, answerHeld + 5000}[drawn(0, "body", id).IntN(4)]
+	n := []int{0, 0, 3 << 10, maxHeldResponse + 5000}[drawn(0, "body", id).IntN(4)]
 	return "id=" + id + ";" + strings.Repeat("0123456789abcdef", n/16)
 }
 
@@ -200,7 +200,7 @@
 		if err != nil {
 			return
 		}
-		id := r.Header.Get(hAttempt)
+		id := r.Header.Get(headerAttemptID)
 		s.mu.Lock()
 		s.came[id]++
 		n := s.came[id]
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,98 +14,98 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func start(t *testing.T) *Endpoint {
+func startEndpoint(t *testing.T) *Endpoint {
 	t.Helper()
-	c, err := New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
+	e, err := New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.HandleSlow("echo", func(_ string, body []byte) (any, error) {
+	e.HandleSlow("echo", func(_ string, body []byte) (any, error) {
 		var s string
 		if err := cbor.Unmarshal(body, &s); err != nil {
 			return nil, err
 		}
 		if s == "fail" {
-			return nil, errors.New("told to")
+			return nil, errors.New("requested failure")
 		}
 		return s, nil
 	})
-	t.Cleanup(c.Close)
-	return c
+	t.Cleanup(e.Close)
+	return e
 }
 
-func TestCallsAndWhatBecomesOfThem(t *testing.T) {
-	a, b := start(t), start(t)
+func TestCallAndDatagram(t *testing.T) {
+	a, b := startEndpoint(t), startEndpoint(t)
 	got := make(chan string, 4)
-	for _, c := range []*Endpoint{a, b} {
-		c.Handle("note", func(from string, body []byte) (any, error) {
+	for _, e := range []*Endpoint{a, b} {
+		e.Handle("note", func(from string, body []byte) (any, error) {
 			var s string
 			_ = cbor.Unmarshal(body, &s)
 			got <- from + " " + s[:1]
 			return nil, nil
 		})
-		c.Start()
+		e.Start()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var answer string
 	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
-		t.Fatalf("%v %q", err, answer)
+		t.Fatalf("got error %v, reply %q, want hello", err, answer)
 	}
 	var fault Fault
-	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "told to" {
-		t.Fatalf("got %v", err)
+	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "requested failure" {
+		t.Fatalf("got error %v, want the handler's as a Fault", err)
 	}
-	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // one fits a datagram, one does not
+	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // the second does not fit into a datagram
 		a.Toss(b.Self(), "note", body)
 		if s := <-got; s != a.Self()+" "+body[:1] {
-			t.Fatalf("got %q", s)
+			t.Fatalf("got message %q", s)
 		}
 	}
 	b.Close()
 	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); !errors.Is(err, ErrUnreachable) {
-		t.Fatalf("a peer that is gone: %v", err)
+		t.Fatalf("call to a closed peer: got %v, want ErrUnreachable", err)
 	}
 }
 
-func TestGarbageEndsTheConnectionAndIsCounted(t *testing.T) {
-	c, other := start(t), start(t)
+func TestUndecodableFrameClosesTheConnectionAndIsCounted(t *testing.T) {
+	e, other := startEndpoint(t), startEndpoint(t)
 	var lines strings.Builder
-	c.log = slog.New(slog.NewTextHandler(&lines, nil))
-	c.Start()
+	e.log = slog.New(slog.NewTextHandler(&lines, nil))
+	e.Start()
 	other.Start()
-	frame := func(b []byte) []byte {
+	withLength := func(b []byte) []byte {
 		out := make([]byte, 4)
 		binary.BigEndian.PutUint32(out, uint32(len(b)))
 		return append(out, b...)
 	}
-	for name, text := range map[string][]byte{
-		"not CBOR":     frame([]byte("GET / HTTP/1.1")),
-		"another type": frame([]byte{0x82, 0x01, 0x02}),
-		"too long":     {0xff, 0xff, 0xff, 0xff},
+	for name, input := range map[string][]byte{
+		"not CBOR":    withLength([]byte("GET / HTTP/1.1")),
+		"no CBOR map": withLength([]byte{0x82, 0x01, 0x02}),
+		"too long":    {0xff, 0xff, 0xff, 0xff},
 	} {
-		before := c.Undecoded.Load()
-		conn, err := net.Dial("tcp4", c.Self())
+		before := e.Undecoded.Load()
+		conn, err := net.Dial("tcp4", e.Self())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = conn.Write(text)
+		_, _ = conn.Write(input)
 		if n, err := io.Copy(io.Discard, conn); n != 0 || isTimeout(err) {
-			t.Fatalf("%s: %d bytes, %v", name, n, err)
+			t.Fatalf("%s: read %d bytes, %v, want a closed connection", name, n, err)
 		}
 		conn.Close()
-		if c.Undecoded.Load() != before+1 {
-			t.Errorf("%s: not counted", name)
+		if e.Undecoded.Load() != before+1 {
+			t.Errorf("%s: not counted as undecodable", name)
 		}
 	}
 	var answer string
-	if err := other.Call(context.Background(), c.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
-		t.Errorf("another peer is harmed: %v", err)
+	if err := other.Call(context.Background(), e.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
+		t.Errorf("another peer cannot call any more: %v", err)
 	}
-	c.garbageMu.Lock()
-	defer c.garbageMu.Unlock()
-	if n := strings.Count(lines.String(), "\n"); n != 1 || c.garbageMore != 2 {
-		t.Errorf("%d lines for three frames, %d left to tell: %s", n, c.garbageMore, lines.String())
+	e.undecodableMu.Lock()
+	defer e.undecodableMu.Unlock()
+	if n := strings.Count(lines.String(), "\n"); n != 1 || e.undecodableUnlogged != 2 {
+		t.Errorf("%d log lines and %d unlogged frames after three undecodable ones, want 1 and 2: %s", n, e.undecodableUnlogged, lines.String())
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	a, b := start(t), start(t)
+	a, b := startEndpoint(t), startEndpoint(t)
 	b.IdleTimeout = 20 * time.Millisecond
 	a.Start()
 	b.Start()
@@ -126,9 +126,9 @@
 		defer a.mu.Unlock()
 		return len(a.links)
 	}
-	for _, asks := range []bool{true, false, true} { // each opens another
+	for _, calls := range []bool{true, false, true} { // each round opens a new connection
 		l := a.link(b.Self())
-		for err := errors.New("not yet"); asks && err != nil; {
+		for err := errors.New("no call yet"); calls && err != nil; {
 			if err = a.Call(ctx, b.Self(), "echo", "hello", nil); ctx.Err() != nil {
 				t.Fatal(err)
 			}
@@ -136,7 +136,7 @@
 		select {
 		case <-l.done:
 		case <-ctx.Done():
-			t.Fatal("an idle connection stays")
+			t.Fatal("an idle connection stays open")
 		}
 		for open() > 0 {
 			time.Sleep(time.Millisecond)
@@ -144,34 +144,34 @@
 	}
 }
 
-// deadlines counts how often a read deadline is set.
-type deadlines struct {
+// deadlineRecorder signals when a read deadline is set.
+type deadlineRecorder struct {
 	net.Conn
 	set chan struct{}
 }
 
-func (d deadlines) SetReadDeadline(time.Time) error {
+func (d deadlineRecorder) SetReadDeadline(time.Time) error {
 	d.set <- struct{}{}
 	return nil
 }
 
-// What is sent counts as use: who waits for an answer keeps the connection.
-func TestSendingIsUse(t *testing.T) {
-	m := start(t)
-	m.IdleTimeout = time.Hour
-	here, there := net.Pipe()
-	defer there.Close()
-	l := &link{c: m, out: make(chan []byte, 1), done: make(chan struct{})}
-	conn := deadlines{here, make(chan struct{}, 1)}
+// Sending counts as activity, so that a connection on which a reply is awaited is not closed as idle.
+func TestSendingExtendsTheIdleDeadline(t *testing.T) {
+	e := startEndpoint(t)
+	e.IdleTimeout = time.Hour
+	local, remote := net.Pipe()
+	defer remote.Close()
+	l := &link{endpoint: e, queue: make(chan []byte, 1), done: make(chan struct{})}
+	conn := deadlineRecorder{local, make(chan struct{}, 1)}
 	go l.write(conn)
-	l.offer([]byte("x"))
-	if _, err := io.ReadFull(there, make([]byte, 1)); err != nil {
+	l.enqueue([]byte("x"))
+	if _, err := io.ReadFull(remote, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-conn.set:
 	case <-time.After(10 * time.Second):
-		t.Error("the idle time goes on")
+		t.Error("sending did not extend the idle deadline")
 	}
 	l.stop()
 }
