--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -26,16 +26,16 @@
 	orders        *orderController
 	coordination  *coordinator
 
-	calls, refused, noQuorum atomic.Uint64 // of operators
+	calls, refused, withoutQuorum atomic.Uint64 // of operators
 }
 
 // overview is all that there is to show.
 func (c *administration) overview(now time.Duration) *Overview {
-	o := &Overview{Node: c.set.Node, Voting: c.member.Voting(), Contact: c.contact.state(now), Roster: c.member.Standing(now),
-		Duties: c.election.States(now), Listing: c.list.stand.Version, Upstreams: c.list.stand.All(now),
-		Keys: c.keys(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.inDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
-	list := c.reg.List()
-	labels := list.Shards(c.opt.Shards)
+	o := &Overview{Node: c.settings.Node, Voting: c.member.Voting(), Contact: c.contact.state(now), Roster: c.member.Standing(now),
+		Duties: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
+		Keys: c.keys(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
+	list := c.membership.List()
+	labels := list.Shards(c.options.Shards)
 	o.Members = c.members(list, labels)
 	o.Delivery = c.delivery.states(list)
 	o.Routes, o.Shards = c.placement.states(list, labels)
@@ -82,10 +82,10 @@
 // counters are those of this control node since its start.
 func (c *administration) counters(now time.Duration) map[string]uint64 {
 	return map[string]uint64{
-		"orders": c.calls.Load(), "ordersRefused": c.refused.Load(), "ordersNoQuorum": c.noQuorum.Load(),
-		"platformCalls": c.list.polls.Load(), "platformErrors": c.list.errors.Load(),
+		"orders": c.calls.Load(), "ordersRefused": c.refused.Load(), "ordersNoQuorum": c.withoutQuorum.Load(),
+		"platformCalls": c.list.platformCalls.Load(), "platformErrors": c.list.platformErrors.Load(),
 		"bindings": c.placement.scheduler.Bound, "bindingErrors": c.placement.scheduler.Errors, "watchers": uint64(c.delivery.watchers.Count(now)),
-		"framesSent": c.post.FramesSent.Load(), "bytesSent": c.post.BytesSent.Load(), "framesUndecoded": c.post.Undecoded.Load(),
+		"framesSent": c.endpoint.FramesSent.Load(), "bytesSent": c.endpoint.BytesSent.Load(), "framesUndecoded": c.endpoint.Undecoded.Load(),
 	}
 }
 
@@ -93,7 +93,7 @@
 // address.
 func (c *administration) retire(caller context.Context, node string) error {
 	address := node
-	for _, n := range c.reg.List().Nodes {
+	for _, n := range c.membership.List().Nodes {
 		if n.Plane == membership.Control && n.Name == node {
 			address = n.Address
 		}
@@ -108,7 +108,7 @@
 // metrics gives the counters in the text form that monitoring systems scrape.
 func (c *administration) metrics() []byte {
 	ch := make(chan *Overview, 1)
-	c.do(func(now time.Duration) { ch <- c.overview(now) })
+	c.enqueue(func(now time.Duration) { ch <- c.overview(now) })
 	o := <-ch
 	watchers := o.Counters["watchers"]
 	delete(o.Counters, "watchers")
@@ -117,7 +117,7 @@
 	metrics.Gauge(&b, "control", "watchers", watchers)
 	owned := uint64(0)
 	for _, k := range o.Keys {
-		if k.Owner == c.post.Self() {
+		if k.Owner == c.endpoint.Self() {
 			owned++
 		}
 	}
@@ -143,16 +143,16 @@
 	metrics.Gauge(&b, "control", "routes", uint64(len(o.Routes)))
 	metrics.Gauge(&b, "control", "upstreams", uint64(len(o.Upstreams)))
 	metrics.Gauge(&b, "control", "gateways", uint64(len(o.Delivery)))
-	metrics.Gauge(&b, "control", "gatewaysCurrent", uint64(len(o.Delivery)-len(o.behind())))
+	metrics.Gauge(&b, "control", "gatewaysCurrent", uint64(len(o.Delivery)-len(o.gatewaysBehind())))
 	c.coordination.currentState().writeMetrics(&b)
 	return b.Bytes()
 }
 
 // page gives one of the read-only views.
-func (c *administration) page(page string, q url.Values) ([]byte, error) {
+func (c *administration) page(page string, query url.Values) ([]byte, error) {
 	ch := make(chan *Overview, 1)
-	c.do(func(now time.Duration) { ch <- c.overview(now) })
-	v, err := (<-ch).view(page, q)
+	c.enqueue(func(now time.Duration) { ch <- c.overview(now) })
+	v, err := (<-ch).view(page, query)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -13,18 +13,18 @@
 // configuration is the committed configuration as this control node shows it to gateways: the
 // records of all keys that hold items, evacuations or rollouts.
 type configuration struct {
-	shown   *antientropy.Set
-	changes delivery.ChangeLog // of what is shown
-	reader  config.Reader
+	published *antientropy.Set
+	changes   delivery.ChangeLog // of what is shown
+	reader    config.Reader
 }
 
-func newConfiguration() *configuration { return &configuration{shown: antientropy.NewSet()} }
+func newConfiguration() *configuration { return &configuration{published: antientropy.NewSet()} }
 
 // merge takes over the committed records that are newer than what is shown, and returns them.
 func (c *configuration) merge(records []config.Record) (taken []config.Record) {
 	for _, r := range records {
-		if old, have := c.shown.Records[r.Name]; !have || r.Newer(old) {
-			c.changes.Put(c.shown, r)
+		if old, have := c.published.Records[r.Name]; !have || r.Newer(old) {
+			c.changes.Put(c.published, r)
 			taken = append(taken, r)
 		}
 	}
@@ -34,29 +34,29 @@
 // replace makes the configuration's own records that are shown just those that are committed,
 // without what has been forgotten, and says whether that changed anything.
 func (c *configuration) replace(committed map[string]config.Record) (changed bool) {
-	return config.Replace(c.shown, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
+	return config.Replace(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
 }
 
 // routes are the routes that are shown, with their placement.
-func (c *configuration) routes() []*config.Route { return c.reader.List(c.shown.Records) }
+func (c *configuration) routes() []*config.Route { return c.reader.List(c.published.Records) }
 
 // hasService says whether a service is configured, as far as is known here.
 func (c *configuration) hasService(name string) bool {
-	return config.HasService(c.shown.Records, name)
+	return config.HasService(c.published.Records, name)
 }
 
 // evacuated names the zones that are evacuated, in order.
 func (c *configuration) evacuated() []string {
-	return c.zonesOf(func(r config.Record) bool { return !r.Dropped })
+	return c.zonesWhere(func(r config.Record) bool { return !r.Dropped })
 }
 
-// inDoubt names the zones that are evacuated though all evacuations may have been withdrawn.
-func (c *configuration) inDoubt() []string { return c.zonesOf(config.InDoubt) }
+// evacuatedInDoubt names the zones that are evacuated though all evacuations may have been withdrawn.
+func (c *configuration) evacuatedInDoubt() []string { return c.zonesWhere(config.InDoubt) }
 
-// zonesOf names the zones whose records are so, in order.
-func (c *configuration) zonesOf(is func(config.Record) bool) []string {
+// zonesWhere names the zones whose records are so, in order.
+func (c *configuration) zonesWhere(is func(config.Record) bool) []string {
 	out := []string{}
-	for name, r := range c.shown.Records {
+	for name, r := range c.published.Records {
 		if zone, ok := strings.CutPrefix(name, config.EvacuationPrefix); ok && is(r) {
 			out = append(out, zone)
 		}
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// contactPart is the part of contactS for which the word of a majority counts: three
+// contactFraction is the part of contactS for which the word of a majority counts: three
 // beats. A copy's age is between one beat and two while nothing is amiss.
-const contactPart = 0.5
+const contactFraction = 0.5
 
 // contact is how lately a majority stood behind the items that this control node shows. It
 // rests on what a member can say of its copies (replication.Replica.Current), which is
@@ -20,36 +20,36 @@
 // merely asked to become owners, or for messages that waited while this process was
 // frozen; and a process that has just started has none.
 type contact struct {
-	bound time.Duration
-	keys  []string // that all items are shown from
-	at    map[string]time.Duration
-	least atomic.Int64 // of at; 0: of some key nothing is known yet
+	maxAge      time.Duration
+	keys        []string // that all items are shown from
+	confirmedAt map[string]time.Duration
+	oldest      atomic.Int64 // of at; 0: of some key nothing is known yet
 
-	in   bool          // as last logged
-	from time.Duration // since then
+	loggedFresh bool          // as last logged
+	loggedAt    time.Duration // since then
 }
 
 func newContact(bound time.Duration, keys []string) *contact {
-	return &contact{bound: bound, keys: keys, at: map[string]time.Duration{}}
+	return &contact{maxAge: bound, keys: keys, confirmedAt: map[string]time.Duration{}}
 }
 
-// look takes over when the copies that are shown now were certainly the newest; ok is
+// update takes over when the copies that are shown now were certainly the newest; ok is
 // false for one that cannot be told. It is called once those copies are shown.
-func (c *contact) look(current func(key string) (at time.Duration, ok bool)) {
+func (c *contact) update(current func(key string) (at time.Duration, ok bool)) {
 	least := time.Duration(math.MaxInt64)
 	for _, key := range c.keys {
 		if at, ok := current(key); ok {
-			c.at[key] = max(at, 1)
+			c.confirmedAt[key] = max(at, 1)
 		}
-		least = min(least, c.at[key])
+		least = min(least, c.confirmedAt[key])
 	}
-	c.least.Store(int64(least))
+	c.oldest.Store(int64(least))
 }
 
 // age is how old the items are at most; without any contact in this life, at least as
 // old as the process, and known is false. Any goroutine may ask.
 func (c *contact) age(now time.Duration) (age time.Duration, known bool) {
-	at := time.Duration(c.least.Load())
+	at := time.Duration(c.oldest.Load())
 	return max(0, now-at), at > 0
 }
 
@@ -60,24 +60,24 @@
 }
 
 // fresh says whether this control node is in contact with a majority.
-func (c *contact) fresh(now time.Duration) bool { return c.within(now, c.bound) }
+func (c *contact) fresh(now time.Duration) bool { return c.within(now, c.maxAge) }
 
 // logSeconds is a duration as the log shows it, in seconds to the tenth.
 func logSeconds(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 
-// tell logs one line when contact is lost, and one when it is there again.
-func (c *contact) tell(now time.Duration, to *slog.Logger) {
-	if c.fresh(now) == c.in {
+// logChange logs one line when contact is lost, and one when it is there again.
+func (c *contact) logChange(now time.Duration, to *slog.Logger) {
+	if c.fresh(now) == c.loggedFresh {
 		return
 	}
-	c.in = !c.in
-	if c.in {
-		to.Info("in contact with a majority", "afterS", logSeconds(now-c.from))
+	c.loggedFresh = !c.loggedFresh
+	if c.loggedFresh {
+		to.Info("in contact with a majority", "afterS", logSeconds(now-c.loggedAt))
 	} else {
 		age, _ := c.age(now)
 		to.Warn("out of contact with a majority", "itemsAgeS", logSeconds(age))
 	}
-	c.from = now
+	c.loggedAt = now
 }
 
 // Contact is a control node's contact with a majority as the administration API shows it.
@@ -92,8 +92,8 @@
 	return Contact{c.fresh(now), known, math.Round(age.Seconds()*1000) / 1000}
 }
 
-// stamp tells in the standard header how old a view is, in whole seconds.
-func (c *contact) stamp(now time.Duration, h http.Header) {
+// setAgeHeader tells in the standard header how old a view is, in whole seconds.
+func (c *contact) setAgeHeader(now time.Duration, h http.Header) {
 	age, _ := c.age(now)
 	h.Set("Age", strconv.Itoa(int(math.Ceil(age.Seconds()))))
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -17,7 +17,7 @@
 const (
 	testContactS = 3 * time.Second
 	testBeat     = testContactS / 6
-	testBound    = time.Duration(contactPart * float64(testContactS))
+	testBound    = time.Duration(contactFraction * float64(testContactS))
 	testStep     = 10 * time.Millisecond
 )
 
@@ -68,7 +68,7 @@
 	x.life++
 	keys := []string{config.Key, config.EvacuationPrefix + "z"}
 	m, err := replication.NewReplica(replication.Config{Self: id, Life: x.life, Seeds: w.ids, Bootstrap: first, Empty: len(x.disk) == 0,
-		Keys: keys, Sure: keys, Faults: 2, Identity: w.rng.Uint64() | 1, Beat: testBeat, Vacant: time.Duration(vacantPart * float64(testContactS)), Patience: time.Second,
+		Keys: keys, Sure: keys, Faults: 2, Identity: w.rng.Uint64() | 1, Beat: testBeat, Vacant: time.Duration(ownerTimeoutFraction * float64(testContactS)), Patience: time.Second,
 		Alive: func(string) bool { return true }}, x.disk)
 	if err != nil {
 		w.t.Fatal(err)
@@ -123,7 +123,7 @@
 	if records, _, ok := x.m.Committed(config.Key); ok {
 		x.shown = maps.Clone(records)
 	}
-	x.c.look(x.m.Current)
+	x.c.update(x.m.Current)
 }
 
 // run lets time pass. A change is proposed to whoever owns the configuration ten times a
@@ -322,8 +322,8 @@
 		if x.b > 0 {
 			at["b"] = x.b
 		}
-		c.look(current)
-		c.tell(x.now, to)
+		c.update(current)
+		c.logChange(x.now, to)
 		age, known := c.age(x.now)
 		if lines := strings.Count(text.String(), "\n"); c.fresh(x.now) != x.fresh || known && age != x.age || !known && x.fresh || lines != x.lines {
 			t.Errorf("%v: fresh %v, age %v, %d lines; want %+v", x.now, c.fresh(x.now), age, lines, x)
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -9,14 +9,14 @@
 	"madderwing/internal/config"
 )
 
-// maxCall bounds the body of a call to control.
-const maxCall = 16 << 20
+// maxCallBody bounds the body of a call to control.
+const maxCallBody = 16 << 20
 
 // control serves the operator's calls.
 func (n *Node) control(zones []string) http.Handler {
-	known := map[string]bool{}
+	knownZones := map[string]bool{}
 	for _, z := range zones {
-		known[z] = true
+		knownZones[z] = true
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if isCoordination(r.URL.Path) {
@@ -24,11 +24,11 @@
 			return
 		}
 		n.administration.calls.Add(1)
-		body, err := n.serve(r, known)
+		body, err := n.serve(r, knownZones)
 		if err != nil {
 			n.administration.refused.Add(1)
 			if apierror.KindOf(err) == apierror.NoQuorum {
-				n.administration.noQuorum.Add(1)
+				n.administration.withoutQuorum.Add(1)
 			}
 			apierror.Write(w, err)
 			return
@@ -36,22 +36,22 @@
 		if r.URL.Path != "/metrics" {
 			w.Header().Set("Content-Type", "application/json")
 		}
-		if view(r) {
-			n.contact.stamp(n.now(), w.Header())
+		if isView(r) {
+			n.contact.setAgeHeader(n.now(), w.Header())
 		}
 		_, _ = w.Write(body)
 	})
 }
 
-// view says whether a call is answered from what this control node holds, however old: the
+// isView says whether a call is answered from what this control node holds, however old: the
 // views for operators. All others wait for a majority's word.
-func view(r *http.Request) bool {
+func isView(r *http.Request) bool {
 	page, admin := strings.CutPrefix(r.URL.Path, "/v1/admin/")
 	return r.URL.Path == "/metrics" || admin && r.Method == http.MethodGet && !strings.HasPrefix(page, "rollouts/")
 }
 
 func readCall(r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCall))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCallBody))
 	if err != nil {
 		if large := apierror.TooLarge(err); large != nil {
 			return nil, large
@@ -62,7 +62,7 @@
 }
 
 func (n *Node) serve(r *http.Request, zones map[string]bool) ([]byte, error) {
-	ok := []byte("{}\n")
+	emptyObject := []byte("{}\n")
 	switch path := r.URL.Path; {
 	case path == "/v1/config":
 		switch r.Method {
@@ -81,11 +81,11 @@
 				n.log.control.Warn("configuration not taken", "error", err)
 				return nil, err
 			}
-			return ok, nil
+			return emptyObject, nil
 		}
 		return nil, apierror.New(apierror.WrongMethod, "%s on %s", r.Method, path)
 	case strings.HasPrefix(path, "/v1/evacuation/"):
-		return ok, n.evacuate(r, strings.TrimPrefix(path, "/v1/evacuation/"), zones)
+		return emptyObject, n.evacuate(r, strings.TrimPrefix(path, "/v1/evacuation/"), zones)
 	case path == "/v1/rollouts" || strings.HasPrefix(path, "/v1/rollouts/"):
 		return n.rollouts.serve(r, strings.TrimPrefix(strings.TrimPrefix(path, "/v1/rollouts"), "/"))
 	case path == "/metrics" && r.Method == http.MethodGet:
@@ -104,7 +104,7 @@
 	case strings.HasPrefix(path, "/v1/admin/rollouts/") && r.Method == http.MethodGet:
 		return n.rollouts.stateAtController(r.Context(), strings.TrimPrefix(path, "/v1/admin/rollouts/"))
 	case strings.HasPrefix(path, "/v1/admin/members/") && r.Method == http.MethodDelete:
-		return ok, n.administration.retire(r.Context(), strings.TrimPrefix(path, "/v1/admin/members/"))
+		return emptyObject, n.administration.retire(r.Context(), strings.TrimPrefix(path, "/v1/admin/members/"))
 	case path == "/v1/admin/resolve" && n.registry != nil && r.Method == http.MethodGet:
 		q := r.URL.Query()
 		return n.registry.directory.Ask(q.Get("name"), q.Get("region"), q.Get("zone"))
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -23,24 +23,24 @@
 const coordinationKind = "coordination"
 
 // A caller gives up after a second of silence (callerPatience). Within coordinationLimit it
-// has an answer, forwarding included. A call begins at the owner within beginLimit, and the
+// has an answer, forwarding included. A call begins at the owner within startLimit, and the
 // owner answers within executionLimit after that.
 const (
-	coordinationLimit = callerPatience * 4 / 5
-	beginLimit        = coordinationLimit * 9 / 10
-	executionLimit    = (coordinationLimit - beginLimit) / 2
+	coordinationLimit = callerTimeout * 4 / 5
+	startLimit        = coordinationLimit * 9 / 10
+	executionLimit    = (coordinationLimit - startLimit) / 2
 )
 
 // Parts of contactS: the pause before a call is tried again, and the time between two
 // sweeps of a partition.
 const (
-	coordinationPausePart = 1.0 / 100
-	sweepPart             = 1.0
+	coordinationPauseFraction = 1.0 / 100
+	sweepFraction             = 1.0
 )
 
-// historyRetentions is for how long history is kept, in retentions. Watches that were
+// historyRetentionFactor is for how long history is kept, in retentions. Watches that were
 // given a revision late, and puts that come again, find it for longer than retentionS.
-const historyRetentions = 1.5
+const historyRetentionFactor = 1.5
 
 // Shares of the disk that all partitions together may fill, and of that for history.
 // diskRoom bounds what they and the catalogue fill together.
@@ -61,7 +61,7 @@
 	owners    ownerFinder
 	keys      func() []string // of the control state; on the loop of the replica
 	transport *transport.Endpoint
-	run       func(func(now time.Duration)) // on the loop of the replica
+	enqueue   func(func(now time.Duration)) // on the loop of the replica
 	inContact func(now time.Duration) bool
 	pause     time.Duration // before a call is tried again
 	retry     time.Duration // after which a refused caller may come again
@@ -75,24 +75,24 @@
 	clocksMutex sync.Mutex
 	clocks      *coordination.PeerClocks
 
-	calls, watching atomic.Int64  // that wait here
-	closed          chan struct{} // when the node begins to leave
-	stats           coordinationStats
+	activeCalls, activeWatches atomic.Int64  // that wait here
+	leaving                    chan struct{} // when the node begins to leave
+	statistics                 coordinationStats
 }
 
 // serverConfig is the configuration of a node's coordination server.
-func serverConfig(set *settings.Settings, self string, life uint64, clock func() time.Duration, logger *slog.Logger) coordination.ServerConfig {
-	diskMb := cmp.Or(set.Limits.DiskMb, defaultDiskMb)
+func serverConfig(cfg *settings.Settings, self string, life uint64, clock func() time.Duration, logger *slog.Logger) coordination.ServerConfig {
+	diskMb := cmp.Or(cfg.Limits.DiskMb, defaultDiskMb)
 	bytes := int(diskMb * (1 << 20) * coordinationDiskShare / coordination.Partitions)
 	return coordination.ServerConfig{
 		Self: self, Life: life, Clock: clock, Log: logger,
 		Limits: coordination.Limits{
-			History:      time.Duration(historyRetentions * float64(set.Retention())),
+			History:      time.Duration(historyRetentionFactor * float64(cfg.Retention())),
 			Bytes:        bytes,
 			HistoryBytes: int(float64(bytes) * historyShare),
 		},
-		Sweep:     settings.Seconds(set.Bounds.ContactS * sweepPart),
-		Freshness: settings.Seconds(set.Bounds.ContactS * contactPart),
+		Sweep:     settings.Seconds(cfg.Bounds.ContactS * sweepFraction),
+		Freshness: settings.Seconds(cfg.Bounds.ContactS * contactFraction),
 	}
 }
 
@@ -157,14 +157,14 @@
 // attempt tries a call once that came at the time begin.
 func (c *coordinator) attempt(caller context.Context, key string, call coordination.Call, begin time.Duration) coordination.Result {
 	found := make(chan string, 1)
-	c.run(func(now time.Duration) {
+	c.enqueue(func(now time.Duration) {
 		found <- cmp.Or(c.owners.Owner(now, key), c.owners.Founder(now, key))
 	})
 	owner := <-found
 	if owner == "" || caller.Err() != nil {
 		return coordination.Result{Effect: coordination.NotDone}
 	}
-	deadline := begin + beginLimit
+	deadline := begin + startLimit
 	if owner == c.transport.Self() {
 		return c.execute(caller, call, coordination.ClockReading{Life: c.server.Clock().Life, Time: deadline})
 	}
@@ -197,7 +197,7 @@
 func (c *coordinator) execute(caller context.Context, call coordination.Call, deadline coordination.ClockReading) coordination.Result {
 	results := make(chan coordination.Result, 1)
 	execution := coordination.NewExecution(call, deadline, func(r coordination.Result) { results <- r })
-	c.run(func(now time.Duration) { c.server.Execute(now, execution) })
+	c.enqueue(func(now time.Duration) { c.server.Execute(now, execution) })
 	timer := time.NewTimer(max(0, deadline.Time-c.clock()) + executionLimit)
 	defer timer.Stop()
 	select {
@@ -221,4 +221,4 @@
 var errShutdown = errors.New("this node is about to leave")
 
 // close ends the watches; further ones are refused.
-func (c *coordinator) close() { close(c.closed) }
+func (c *coordinator) close() { close(c.leaving) }
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -26,8 +26,8 @@
 }
 
 type callCount struct {
-	number uint64
-	wait   time.Duration // of all together
+	count uint64
+	wait  time.Duration // of all together
 }
 
 func newCoordinationStats() coordinationStats {
@@ -41,7 +41,7 @@
 	if s.calls[kind] == nil {
 		s.calls[kind] = &callCount{}
 	}
-	s.calls[kind].number++
+	s.calls[kind].count++
 	s.calls[kind].wait += wait
 }
 
@@ -58,8 +58,8 @@
 	defer s.mu.Unlock()
 	out := []CallState{}
 	for kind, c := range s.calls {
-		mean := c.wait.Seconds() * 1000 / float64(c.number)
-		out = append(out, CallState{kind.operation, kind.status, c.number, mean})
+		mean := c.wait.Seconds() * 1000 / float64(c.count)
+		out = append(out, CallState{kind.operation, kind.status, c.count, mean})
 	}
 	sort.Slice(out, func(i, j int) bool {
 		a, b := out[i], out[j]
@@ -107,7 +107,7 @@
 
 // state describes the partitions with the given keys. It runs on the loop of the replica.
 func (c *coordinator) state(now time.Duration, keys []string) CoordinationState {
-	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.watching.Load(), Waiting: c.calls.Load(), Calls: c.stats.states()}
+	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.activeWatches.Load(), Waiting: c.activeCalls.Load(), Calls: c.statistics.states()}
 	for _, key := range keys {
 		p := PartitionState{Partition: key, Owner: c.owners.Owner(now, key), Here: c.server.Owns(now, key)}
 		if partition := c.server.Partition(now, key); partition != nil {
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -118,11 +118,11 @@
 		t.Error("before the tick after a stall")
 	}
 	tick()
-	now += wakeTime / 2
+	now += resumeWindow / 2
 	if !c.stalled() {
 		t.Error("a moment after the stall")
 	}
-	now += wakeTime
+	now += resumeWindow
 	if c.stalled() {
 		t.Error("later")
 	}
@@ -154,7 +154,7 @@
 		begin := time.Now()
 		attempts := 0
 		c := &coordinator{owners: noOwner{}, pause: time.Millisecond, clock: func() time.Duration { return time.Since(begin) },
-			run: func(fn func(time.Duration)) { attempts++; fn(time.Since(begin)) }}
+			enqueue: func(fn func(time.Duration)) { attempts++; fn(time.Since(begin)) }}
 		caller, leave := context.WithTimeout(t.Context(), coordinationLimit/4)
 		defer leave()
 		result := c.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
@@ -172,7 +172,7 @@
 // A call that has not begun when its caller leaves never does.
 func TestACallDoesNotBeginWithoutItsCaller(t *testing.T) {
 	var queue []func(time.Duration)
-	c := &coordinator{clock: func() time.Duration { return time.Minute }, run: func(fn func(time.Duration)) { queue = append(queue, fn) },
+	c := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
 		server: coordination.NewServer(coordination.ServerConfig{Self: "self", Life: 1, Clock: func() time.Duration { return time.Minute },
 			Log: slog.New(slog.DiscardHandler), Limits: coordination.Limits{Bytes: 1 << 20, HistoryBytes: 1 << 20, History: time.Minute}}, loneReplica{})}
 	draw := coordination.Call{Operation: coordination.Draw, Name: "n"}
@@ -183,7 +183,7 @@
 		t.Errorf("%+v", got)
 	}
 	results := make(chan coordination.Result, 1)
-	c.run(func(now time.Duration) {
+	c.enqueue(func(now time.Duration) {
 		c.server.Execute(now, coordination.NewExecution(draw, deadline, func(r coordination.Result) { results <- r }))
 	})
 	for _, fn := range queue {
@@ -196,7 +196,7 @@
 
 func TestWatchesEndWhenTheNodeLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &coordinator{run: func(fn func(time.Duration)) { fn(time.Minute) }, closed: make(chan struct{}), stats: newCoordinationStats(), retry: time.Second,
+		c := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retry: time.Second,
 			server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
 		answers := make(chan *httptest.ResponseRecorder, 1)
 		ask := func() {
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -50,24 +50,24 @@
 		c.serveWatch(w, r, name)
 		return
 	}
-	came := arrivalOf(r)
+	arrived := arrivalOf(r)
 	call, err := readCoordinationCall(r)
 	if err != nil {
-		c.stats.count("refused", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
+		c.statistics.count("refused", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
 		apierror.Write(w, err)
 		return
 	}
-	status := c.serveCall(w, r, came, call)
-	c.stats.count(call.Operation.String(), status, time.Since(came.read))
+	status := c.serveCall(w, r, arrived, call)
+	c.statistics.count(call.Operation.String(), status, time.Since(arrived.read))
 }
 
 // serveCall carries a call out, writes its answer and gives the status of that.
-func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, came arrival, call coordination.Call) int {
-	defer c.calls.Add(-1)
-	if c.calls.Add(1) > maxWaitingCalls {
+func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, arrived arrival, call coordination.Call) int {
+	defer c.activeCalls.Add(-1)
+	if c.activeCalls.Add(1) > maxWaitingCalls {
 		return writeFault(w, apierror.Later(apierror.TooMany, c.retry, "%d calls wait here", maxWaitingCalls))
 	}
-	if c.stalls.stalled() || came.age() > stallLimit {
+	if c.stalls.stalled() || arrived.age() > stallLimit {
 		return writeFault(w, apierror.Later(apierror.NoQuorum, c.retry, "this process stood still"))
 	}
 	result := c.submit(r.Context(), call)
@@ -243,7 +243,7 @@
 	begin := time.Now()
 	after, wait, err := readWatch(r, group)
 	if err != nil {
-		c.stats.count("watch", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
+		c.statistics.count("watch", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
 		apierror.Write(w, err)
 		return
 	}
@@ -255,7 +255,7 @@
 	} else {
 		writeJSON(w, status, newWatchAnswer(result))
 	}
-	c.stats.count("watch", status, time.Since(begin))
+	c.statistics.count("watch", status, time.Since(begin))
 }
 
 // watchAnswer is the body of the answer to a watch.
@@ -275,12 +275,12 @@
 // boundedWatch refuses watches beyond the bound, and those that come to a node that leaves.
 func (c *coordinator) boundedWatch(r *http.Request, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	select {
-	case <-c.closed:
+	case <-c.leaving:
 		return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retry, "%v", errShutdown)
 	default:
 	}
-	defer c.watching.Add(-1)
-	if c.watching.Add(1) > maxWatches {
+	defer c.activeWatches.Add(-1)
+	if c.activeWatches.Add(1) > maxWatches {
 		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retry, "%d watches wait here", maxWatches)
 	}
 	return c.watchGroup(r.Context(), group, after, wait)
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -18,21 +18,21 @@
 // whose transport has not started.
 func newCoordinator(env *environment) *coordinator {
 	logger := logging.For(logging.Coordination)
-	config := serverConfig(env.set, env.post.Self(), env.life, env.now, logger)
-	config.Limits.HasRoom = env.room.has
+	config := serverConfig(env.settings, env.endpoint.Self(), env.life, env.now, logger)
+	config.Limits.HasRoom = env.room.fits
 	return &coordinator{
-		owners: env.member, keys: env.member.Keys, transport: env.post, run: env.do, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
-		pause: settings.Seconds(coordinationPausePart * env.set.Bounds.ContactS), retry: env.set.Beat(),
+		owners: env.member, keys: env.member.Keys, transport: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retry: env.settings.Beat(),
 		server: coordination.NewServer(config, env.member),
-		clocks: coordination.NewPeerClocks(), closed: make(chan struct{}),
-		stats: newCoordinationStats(),
+		clocks: coordination.NewPeerClocks(), leaving: make(chan struct{}),
+		statistics: newCoordinationStats(),
 	}
 }
 
 // currentState describes coordination as this node sees it.
 func (c *coordinator) currentState() CoordinationState {
 	result := make(chan CoordinationState, 1)
-	c.run(func(now time.Duration) {
+	c.enqueue(func(now time.Duration) {
 		var keys []string
 		for _, key := range c.keys() {
 			if strings.HasPrefix(key, coordination.KeyPrefix) {
--- a/internal/controlplane/coordination_watch.go
+++ b/internal/controlplane/coordination_watch.go
@@ -27,7 +27,7 @@
 			return coordination.WatchResult{Revision: w.Least}, nil
 		}
 	}
-	c.run(func(time.Duration) { c.server.Watch(w) })
+	c.enqueue(func(time.Duration) { c.server.Watch(w) })
 	result := c.awaitWatch(ctx, w, results, wait-time.Since(begin))
 	switch {
 	case result.Err == nil:
@@ -41,7 +41,7 @@
 // fresh says whether the copy of a group here is recent.
 func (c *coordinator) fresh(group string) bool {
 	fresh := make(chan bool, 1)
-	c.run(func(now time.Duration) { fresh <- c.server.Fresh(now, group) })
+	c.enqueue(func(now time.Duration) { fresh <- c.server.Fresh(now, group) })
 	return <-fresh
 }
 
@@ -54,8 +54,8 @@
 		return result
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-c.closed:
+	case <-c.leaving:
 	}
-	c.run(func(time.Duration) { c.server.EndWatch(w) })
+	c.enqueue(func(time.Duration) { c.server.EndWatch(w) })
 	return <-results
 }
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -10,10 +10,10 @@
 	"madderwing/internal/upstream"
 )
 
-// issueMax is about how many bytes of items are sent to a watcher at once. It asks
+// maxIssueBytes is about how many bytes of items are sent to a watcher at once. It asks
 // for the rest when it has them, so what is sent twice because it took longer than a
 // beat on a narrow link is never more than that.
-const issueMax = 64 << 10
+const maxIssueBytes = 64 << 10
 
 // deliveryController brings the configuration and the list to those who watch this control
 // node, and gathers what they tell of themselves.
@@ -21,132 +21,132 @@
 	*environment
 	configuration *configuration
 	list          *listController
-	led           func() bool // whether the rollouts under way have controllers at work
-
-	sender   delivery.Sender // of the configuration
-	watchers delivery.Watchers
-	told     map[string]toldAt // by other control nodes
-	tellAt   time.Duration     // when the others are to be told next
-	loads    upstream.Loads    // of all gateways
-	holds    map[string]uint64 // gateway -> digest of the items that it has in force
+	rolloutsLed   func() bool // whether the rollouts under way have controllers at work
+
+	sender      delivery.Sender // of the configuration
+	watchers    delivery.Watchers
+	peerReports map[string]peerReport // by other control nodes
+	reportAt    time.Duration         // when the others are to be told next
+	loads       upstream.Loads        // of all gateways
+	itemDigests map[string]uint64     // gateway -> digest of the items that it has in force
 }
 
-// toldAt is what another control node told, and when.
-type toldAt struct {
-	at   time.Duration
-	told delivery.Told
+// peerReport is what another control node told, and when.
+type peerReport struct {
+	received time.Duration
+	report   delivery.Told
 }
 
 func newDeliveryController(env *environment, shown *configuration, list *listController, led func() bool) *deliveryController {
-	c := &deliveryController{environment: env, configuration: shown, list: list, led: led, told: map[string]toldAt{},
+	c := &deliveryController{environment: env, configuration: shown, list: list, rolloutsLed: led, peerReports: map[string]peerReport{},
 		sender: delivery.Sender{Log: &shown.changes}}
-	c.watchers.Forget = 4 * env.set.Beat()
+	c.watchers.Forget = 4 * env.settings.Beat()
 	return c
 }
 
 // handle takes the messages of watchers and of other control nodes.
 func (c *deliveryController) handle() {
-	transport.On(c.post, delivery.WatchKind, func(from string, w delivery.Watch) {
-		c.offer(func(now time.Duration) { c.watched(now, from, w) })
+	transport.On(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
+		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
 	})
-	transport.On(c.post, delivery.ToldKind, func(from string, t delivery.Told) {
-		c.offer(func(now time.Duration) { c.told[from] = toldAt{now, t} })
+	transport.On(c.endpoint, delivery.ToldKind, func(from string, t delivery.Told) {
+		c.tryEnqueue(func(now time.Duration) { c.peerReports[from] = peerReport{now, t} })
 	})
 }
 
-// watched answers a watcher.
-func (c *deliveryController) watched(now time.Duration, from string, w delivery.Watch) {
-	if c.list.known(now).Foreign(w.Listing) {
+// handleWatch answers a watcher.
+func (c *deliveryController) handleWatch(now time.Duration, from string, w delivery.Watch) {
+	if c.list.newestKnown(now).Foreign(w.Listing) {
 		c.election.Raise(dutyList, w.Listing.Term)
 	}
-	c.list.mark(now, from, w)
-	has, guessed := c.watchers.Believe(now, from, w, c.set.Beat())
+	c.list.noteWatcherClock(now, from, w)
+	has, guessed := c.watchers.Believe(now, from, w, c.settings.Beat())
 	c.watchers.Note(now, from, has)
-	c.watchers.Note(now, from, c.issueTo(now, from, has, true, guessed))
+	c.watchers.Note(now, from, c.sendUpdate(now, from, has, true, guessed))
 	c.watchers.Holds(from, w)
 }
 
 // tick is due at every tick of the pump.
 func (c *deliveryController) tick(now time.Duration) {
-	if now >= c.tellAt {
-		c.tellAt = now + c.set.Beat()
-		c.tell(now)
+	if now >= c.reportAt {
+		c.reportAt = now + c.settings.Beat()
+		c.exchangeReports(now)
 	}
 }
 
-// tell passes on to the other control nodes what those who watch this one have told,
+// exchangeReports passes on to the other control nodes what those who watch this one have told,
 // and puts that together with what the others have.
-func (c *deliveryController) tell(now time.Duration) {
+func (c *deliveryController) exchangeReports(now time.Duration) {
 	mine := c.watchers.Told(now)
-	c.loads, c.holds = upstream.Loads{}, map[string]uint64{}
-	c.add(mine)
+	c.loads, c.itemDigests = upstream.Loads{}, map[string]uint64{}
+	c.addReport(mine)
 	for _, id := range c.member.Everyone() {
-		if id == c.post.Self() {
+		if id == c.endpoint.Self() {
 			continue
 		}
 		if len(mine.Holds) > 0 {
-			c.post.Toss(id, delivery.ToldKind, mine)
+			c.endpoint.Toss(id, delivery.ToldKind, mine)
 		}
-		if t, ok := c.told[id]; ok && now-t.at < c.watchers.Forget {
-			c.add(t.told)
+		if t, ok := c.peerReports[id]; ok && now-t.received < c.watchers.Forget {
+			c.addReport(t.report)
 		}
 	}
 }
 
-// add adds what one control node told to what is known of all gateways.
-func (c *deliveryController) add(t delivery.Told) {
+// addReport adds what one control node told to what is known of all gateways.
+func (c *deliveryController) addReport(t delivery.Told) {
 	c.loads.Add(t.Loads)
 	for id, digest := range t.Holds {
-		if have, ok := c.holds[id]; !ok || have != c.configuration.shown.Sums.Fold() {
-			c.holds[id] = digest // a gateway watches two; the newer word counts
+		if have, ok := c.itemDigests[id]; !ok || have != c.configuration.published.Sums.Fold() {
+			c.itemDigests[id] = digest // a gateway watches two; the newer word counts
 		}
 	}
 }
 
-// issue sends every watcher what it lacks.
-func (c *deliveryController) issue(now time.Duration) {
+// sendUpdates sends every watcher what it lacks.
+func (c *deliveryController) sendUpdates(now time.Duration) {
 	c.watchers.Each(now, func(to string, has delivery.Watch) delivery.Watch {
-		return c.issueTo(now, to, has, false, true)
+		return c.sendUpdate(now, to, has, false, true)
 	})
-	if term, mine := c.election.Holds(now, dutyList); mine && c.list.stand.Version.Term == term {
+	if term, mine := c.election.Holds(now, dutyList); mine && c.list.snapshot.Version.Term == term {
 		for _, id := range c.member.Everyone() {
-			if _, watching := c.watchers.Has(id); !watching && id != c.post.Self() {
-				c.watchers.Note(now, id, c.issueTo(now, id, delivery.Watch{}, false, true))
+			if _, watching := c.watchers.Has(id); !watching && id != c.endpoint.Self() {
+				c.watchers.Note(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
 			}
 		}
 	}
 }
 
-// confirmList tells the control nodes that have the list as of when it holds.
-func (c *deliveryController) confirmList(now time.Duration) {
-	for id, mark := range c.list.marks {
+// confirmListAge tells the control nodes that have the list as of when it holds.
+func (c *deliveryController) confirmListAge(now time.Duration) {
+	for id, mark := range c.list.watcherClocks {
 		if now-mark.at > c.watchers.Forget {
-			delete(c.list.marks, id)
-		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.stand.Version {
-			c.post.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listed(id)})
+			delete(c.list.watcherClocks, id)
+		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.snapshot.Version {
+			c.endpoint.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listedFor(id)})
 		}
 	}
 }
 
-// issueTo sends a watcher what it lacks, always or only if it lacks something, and returns what
+// sendUpdate sends a watcher what it lacks, always or only if it lacks something, and returns what
 // it has then. guessed says that what it has is not its own word.
-func (c *deliveryController) issueTo(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
-	shown := c.configuration.shown
+func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
+	shown := c.configuration.published
 	fresh := c.contact.fresh(now)
-	out := delivery.Issue{Fresh: fresh, Led: fresh && c.led()}
+	out := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
 	whole := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference goes a few ranges at a time; the watcher says
 		// again what it has.
-		has = c.sender.Bring(shown, has, issueMax, &out)
+		has = c.sender.Bring(shown, has, maxIssueBytes, &out)
 		whole = *has.Sums == shown.Sums
 	}
-	if l := c.list.stand.Since(now, has.Listing); l != nil {
+	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
 		out.Listing = l
 		has.Listing = l.Version
 	}
 	if always || out.Listing != nil {
-		out.Listed = c.list.listed(to)
+		out.Listed = c.list.listedFor(to)
 	}
 	if always {
 		out.Loads = c.loads
@@ -155,7 +155,7 @@
 		}
 	}
 	if always || !out.Empty() {
-		c.post.Send(to, delivery.IssueKind, out)
+		c.endpoint.Send(to, delivery.IssueKind, out)
 	}
 	if !out.Empty() {
 		c.watchers.Sent(now, to)
@@ -166,10 +166,10 @@
 // states shows how far the gateways have the newest items in force.
 func (c *deliveryController) states(list *membership.List) []Delivery {
 	out := []Delivery{}
-	newest := c.configuration.shown.Sums.Fold()
+	newest := c.configuration.published.Sums.Fold()
 	for _, n := range list.Nodes {
 		if n.Plane == membership.Data && n.State <= membership.Suspect {
-			digest, heard := c.holds[n.Address]
+			digest, heard := c.itemDigests[n.Address]
 			out = append(out, Delivery{n.Name, n.Zone, heard, heard && digest == newest})
 		}
 	}
--- a/internal/controlplane/delivery_test.go
+++ b/internal/controlplane/delivery_test.go
@@ -14,11 +14,11 @@
 func TestTheNewerWordOnAGatewayCounts(t *testing.T) {
 	shown := newConfiguration()
 	shown.merge([]config.Record{{Name: "route/r", Gen: 1}})
-	newest := shown.shown.Sums.Fold()
+	newest := shown.published.Sums.Fold()
 	for _, words := range [][2]uint64{{newest, newest + 1}, {newest + 1, newest}} {
-		c := &deliveryController{configuration: shown, loads: upstream.Loads{}, holds: map[string]uint64{}}
+		c := &deliveryController{configuration: shown, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
 		for _, digest := range words {
-			c.add(delivery.Told{Holds: map[string]uint64{"10.0.0.1:1": digest}})
+			c.addReport(delivery.Told{Holds: map[string]uint64{"10.0.0.1:1": digest}})
 		}
 		list := &membership.List{Nodes: []membership.Node{
 			{Address: "10.0.0.1:1", Name: "g1", Zone: "north", Plane: membership.Data},
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -17,16 +17,16 @@
 
 // lockDisk takes the data directory for this process. While another has it, perhaps the one before
 // that is about to end, it is tried again, with a pause.
-func lockDisk(ctx context.Context, set *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
-	for waits := false; ; waits = true {
-		lock, err := storage.LockDir(set.DataDir)
+func lockDisk(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
+	for waiting := false; ; waiting = true {
+		lock, err := storage.LockDir(cfg.DataDir)
 		if !errors.Is(err, storage.ErrInUse) {
 			return lock, err
 		}
-		if !waits {
+		if !waiting {
 			logger.Warn("waiting for the data directory", "error", err)
 		}
-		if !pauseFor(ctx, set.Beat()/2) {
+		if !pauseFor(ctx, cfg.Beat()/2) {
 			return nil, ctx.Err()
 		}
 	}
@@ -35,22 +35,22 @@
 // openStore opens the state on disk. A disk that refuses what a start has to
 // write is tried again, with a pause; other faults need somebody's hands and are
 // returned. storage.ErrDamaged comes with a store that is empty.
-func openStore(ctx context.Context, set *settings.Settings, logger *slog.Logger) (*storage.Store, map[string][]byte, error) {
-	room := int64(set.Limits.DiskMb * (1 << 20))
-	last := ""
+func openStore(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Store, map[string][]byte, error) {
+	room := int64(cfg.Limits.DiskMb * (1 << 20))
+	lastError := ""
 	for {
-		store, state, err := storage.Open(set.DataDir, room, logger)
+		store, state, err := storage.Open(cfg.DataDir, room, logger)
 		if err == nil || errors.Is(err, storage.ErrDamaged) {
 			return store, state, err
 		}
 		if errors.Is(err, storage.ErrNewerFormat) || errors.Is(err, fs.ErrPermission) || errors.Is(err, fs.ErrNotExist) {
 			return nil, nil, err
 		}
-		if err.Error() != last {
+		if err.Error() != lastError {
 			logger.Warn("state not durable yet, trying again", "error", err)
-			last = err.Error()
+			lastError = err.Error()
 		}
-		if !pauseFor(ctx, set.Beat()/2) {
+		if !pauseFor(ctx, cfg.Beat()/2) {
 			return nil, nil, ctx.Err()
 		}
 	}
@@ -59,9 +59,9 @@
 // writeJob is a batch to be made durable, or the whole state: that holds all
 // that was asked for up to its id, so also every job that was put before it.
 type writeJob struct {
-	entries []storage.Entry
-	id      uint64
-	whole   bool
+	entries    []storage.Entry
+	id         uint64
+	wholeState bool
 }
 
 // store is what writes need of a storage.Store.
@@ -73,13 +73,13 @@
 
 // writer carries jobs out, in order.
 type writer struct {
-	store  store
-	failed bool // a job was refused: nothing is written before the whole state
-	asked  bool // the whole state was asked for and is not here yet
+	store            store
+	refused          bool // a job was refused: nothing is written before the whole state
+	rewriteRequested bool // the whole state was asked for and is not here yet
 }
 
-// written says what came of some jobs.
-type written struct {
+// writeOutcome says what came of some jobs.
+type writeOutcome struct {
 	durable uint64        // all jobs up to this id are; 0: no more than before
 	rewrite rewriteChoice // whether the whole state has to be put next
 	err     error         // if it is news
@@ -95,56 +95,56 @@
 
 // write carries out jobs that waited together, as one batch. After a refusal it
 // drops all jobs up to the whole state, which holds them too.
-func (w *writer) write(jobs []writeJob) written {
+func (w *writer) write(jobs []writeJob) writeOutcome {
 	var entries []storage.Entry
-	whole := false
+	wholeState := false
 	for _, job := range jobs {
-		if job.whole {
-			entries, whole, w.asked = nil, true, false
+		if job.wholeState {
+			entries, wholeState, w.rewriteRequested = nil, true, false
 		}
 		entries = append(entries, job.entries...)
 	}
 	var err error
 	switch {
-	case whole:
+	case wholeState:
 		err = w.store.Rewrite(entries)
-	case w.failed:
-		return written{}
+	case w.refused:
+		return writeOutcome{}
 	default:
 		err = w.store.Write(entries)
 	}
-	w.failed = err != nil
+	w.refused = err != nil
 	if err != nil {
 		if errors.Is(err, storage.ErrRoom) {
-			return written{0, w.ask(rewriteNow), err}
+			return writeOutcome{0, w.requestRewrite(rewriteNow), err}
 		}
-		return written{0, w.ask(rewriteLater), err}
+		return writeOutcome{0, w.requestRewrite(rewriteLater), err}
 	}
-	done := written{durable: jobs[len(jobs)-1].id}
-	if !whole && w.store.Full() {
-		done.rewrite = w.ask(rewriteNow)
+	done := writeOutcome{durable: jobs[len(jobs)-1].id}
+	if !wholeState && w.store.Full() {
+		done.rewrite = w.requestRewrite(rewriteNow)
 	}
 	return done
 }
 
-// ask asks for the whole state unless that is on its way: what is written or
+// requestRewrite asks for the whole state unless that is on its way: what is written or
 // refused before it comes is in it.
-func (w *writer) ask(when rewriteChoice) rewriteChoice {
-	if w.asked {
+func (w *writer) requestRewrite(when rewriteChoice) rewriteChoice {
+	if w.rewriteRequested {
 		return noRewrite
 	}
-	w.asked = true
+	w.rewriteRequested = true
 	return when
 }
 
-// keep owns the store: it writes batches in order and reports when they are
+// runStore owns the store: it writes batches in order and reports when they are
 // durable. Batches that wait are written together. When none has come for a while,
 // the store notes that all is synced.
-func (n *Node) keep(open *storage.Store) {
+func (n *Node) runStore(open *storage.Store) {
 	defer open.Close()
 	w := writer{store: open}
 	for {
-		jobs, state := n.writes.take(n.set.Beat() / 2)
+		jobs, state := n.writes.take(n.settings.Beat() / 2)
 		switch state {
 		case queueClosed:
 			return
@@ -164,9 +164,9 @@
 }
 
 // reportWritten tells the replica what came of some jobs.
-func (n *Node) reportWritten(done written) {
+func (n *Node) reportWritten(done writeOutcome) {
 	if done.durable > 0 || done.rewrite == rewriteNow {
-		n.do(func(now time.Duration) {
+		n.enqueue(func(now time.Duration) {
 			if done.durable > 0 {
 				n.member.Durable(now, done.durable)
 			}
@@ -177,20 +177,20 @@
 	}
 	if done.rewrite == rewriteLater {
 		go func() {
-			time.Sleep(n.set.Beat() / 2)
-			n.do(func(now time.Duration) { n.member.Failed(now) })
+			time.Sleep(n.settings.Beat() / 2)
+			n.enqueue(func(now time.Duration) { n.member.Failed(now) })
 		}()
 	}
 }
 
-// jobs is the queue of the store's goroutine. It has no bound, so that a disk
+// writeQueue is the queue of the store's goroutine. It has no bound, so that a disk
 // that hangs never holds up those who write.
-type jobs struct {
-	mu      sync.Mutex
-	list    []writeJob
-	closed  bool
-	changed chan struct{} // holds a token after a change
-	resting bool          // idleness was reported and no job came since
+type writeQueue struct {
+	mu           sync.Mutex
+	pending      []writeJob
+	closed       bool
+	changed      chan struct{} // holds a token after a change
+	idleReported bool          // idleness was reported and no job came since
 }
 
 // queueState is what take found.
@@ -202,23 +202,23 @@
 	queueClosed
 )
 
-func newJobs() *jobs { return &jobs{changed: make(chan struct{}, 1)} }
+func newWriteQueue() *writeQueue { return &writeQueue{changed: make(chan struct{}, 1)} }
 
-func (j *jobs) put(job writeJob) {
+func (j *writeQueue) put(job writeJob) {
 	j.mu.Lock()
-	j.list = append(j.list, job)
+	j.pending = append(j.pending, job)
 	j.mu.Unlock()
 	j.signal()
 }
 
-func (j *jobs) close() {
+func (j *writeQueue) close() {
 	j.mu.Lock()
 	j.closed = true
 	j.mu.Unlock()
 	j.signal()
 }
 
-func (j *jobs) signal() {
+func (j *writeQueue) signal() {
 	select {
 	case j.changed <- struct{}{}:
 	default:
@@ -227,32 +227,32 @@
 
 // take waits for jobs and returns all there are. Once after jobs, when none has
 // come for the given time, it says that the queue is idle.
-func (j *jobs) take(idleAfter time.Duration) ([]writeJob, queueState) {
+func (j *writeQueue) take(idleAfter time.Duration) ([]writeJob, queueState) {
 	var idle <-chan time.Time // never, if idleness was reported
 	for {
-		list, closed := j.drain()
+		list, closed := j.takeAll()
 		switch {
 		case len(list) > 0:
-			j.resting = false
+			j.idleReported = false
 			return list, queueHasJobs
 		case closed:
 			return nil, queueClosed
 		}
-		if idle == nil && !j.resting {
+		if idle == nil && !j.idleReported {
 			idle = time.After(idleAfter)
 		}
 		select {
 		case <-j.changed:
 		case <-idle:
-			j.resting = true
+			j.idleReported = true
 			return nil, queueIdle
 		}
 	}
 }
 
-func (j *jobs) drain() (list []writeJob, closed bool) {
+func (j *writeQueue) takeAll() (list []writeJob, closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	list, j.list = j.list, nil
+	list, j.pending = j.pending, nil
 	return list, j.closed
 }
--- a/internal/controlplane/disk_room.go
+++ b/internal/controlplane/disk_room.go
@@ -15,33 +15,33 @@
 // holds it can still be rewritten. The goroutine that owns the store keeps it up to
 // date, others ask it.
 type diskRoom struct {
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
 // update takes over what the store holds.
 func (d *diskRoom) update(store *storage.Store) {
-	d.left.Store(int64(float64(store.Disk())*storage.RewritableFill) - store.Live())
+	d.remaining.Store(int64(float64(store.Disk())*storage.RewritableFill) - store.Live())
 }
 
-// has says whether so many bytes may be added; what makes the state no larger always may.
-func (d *diskRoom) has(bytes int) bool { return bytes <= 0 || int64(bytes) <= d.left.Load() }
+// fits says whether so many bytes may be added; what makes the state no larger always may.
+func (d *diskRoom) fits(bytes int) bool { return bytes <= 0 || int64(bytes) <= d.remaining.Load() }
 
 // admit refuses changes that the disk has no room for.
 func (d *diskRoom) admit(have records, changes []replication.Record) error {
 	bytes := 0
 	for _, r := range changes {
-		bytes += size(r)
+		bytes += recordSize(r)
 		if old, ok := have[r.Name]; ok {
-			bytes -= size(old)
+			bytes -= recordSize(old)
 		}
 	}
-	if d.has(bytes) {
+	if d.fits(bytes) {
 		return nil
 	}
-	return apierror.New(apierror.BodyTooLarge, "the control state would grow by %d bytes, and the disk has room for %d", bytes, max(0, d.left.Load()))
+	return apierror.New(apierror.BodyTooLarge, "the control state would grow by %d bytes, and the disk has room for %d", bytes, max(0, d.remaining.Load()))
 }
 
-func size(r replication.Record) int {
+func recordSize(r replication.Record) int {
 	if r.Erased {
 		return 0
 	}
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -68,7 +68,7 @@
 	}
 	whole := func(id uint64, keys ...string) writeJob {
 		j := job(id, keys...)
-		j.whole = true
+		j.wholeState = true
 		return j
 	}
 	io := errors.New("refused")
@@ -77,10 +77,10 @@
 		refuse error
 		full   bool
 		did    string
-		want   written
+		want   writeOutcome
 	}
 	ok := func(id uint64, did string, jobs ...writeJob) step {
-		return step{jobs, nil, false, did, written{durable: id}}
+		return step{jobs, nil, false, did, writeOutcome{durable: id}}
 	}
 	for _, c := range []struct {
 		name  string
@@ -94,37 +94,37 @@
 			ok(3, "rewrite a b c", job(1, "a"), whole(2, "a", "b"), job(3, "c"))}},
 		{"the newer of two", []step{ok(4, "rewrite a c d", whole(1, "a"), job(2, "b"), whole(3, "a", "c"), job(4, "d"))}},
 		{"refused, and nothing durable before the whole state", []step{
-			{[]writeJob{job(1, "a")}, io, false, "write a", written{0, rewriteLater, io}},
-			{[]writeJob{job(2, "b")}, nil, false, "", written{}},
-			{[]writeJob{job(3, "c")}, nil, true, "", written{}},
+			{[]writeJob{job(1, "a")}, io, false, "write a", writeOutcome{0, rewriteLater, io}},
+			{[]writeJob{job(2, "b")}, nil, false, "", writeOutcome{}},
+			{[]writeJob{job(3, "c")}, nil, true, "", writeOutcome{}},
 			ok(3, "rewrite a b c", whole(3, "a", "b", "c")),
 			ok(4, "write d", job(4, "d"))}},
 		{"refused again and again", []step{
-			{[]writeJob{job(1, "a")}, io, false, "write a", written{0, rewriteLater, io}},
-			{[]writeJob{whole(1, "a"), job(2, "b")}, io, false, "rewrite a b", written{0, rewriteLater, io}},
-			{[]writeJob{job(3, "c")}, nil, false, "", written{}},
-			{[]writeJob{whole(3, "a", "b", "c")}, io, false, "rewrite a b c", written{0, rewriteLater, io}},
+			{[]writeJob{job(1, "a")}, io, false, "write a", writeOutcome{0, rewriteLater, io}},
+			{[]writeJob{whole(1, "a"), job(2, "b")}, io, false, "rewrite a b", writeOutcome{0, rewriteLater, io}},
+			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
+			{[]writeJob{whole(3, "a", "b", "c")}, io, false, "rewrite a b c", writeOutcome{0, rewriteLater, io}},
 			ok(5, "rewrite a b c d e", job(4, "d"), whole(4, "a", "b", "c", "d"), job(5, "e"))}},
 		{"a state that was put before a refused batch does not stand for it", []step{
-			{[]writeJob{job(1, "a")}, nil, true, "write a", written{1, rewriteNow, nil}},
+			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
 			ok(1, "rewrite a", whole(1, "a")),
-			{[]writeJob{job(2, "b")}, io, false, "write b", written{0, rewriteLater, io}},
-			{[]writeJob{job(3, "c")}, nil, false, "", written{}},
+			{[]writeJob{job(2, "b")}, io, false, "write b", writeOutcome{0, rewriteLater, io}},
+			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
 			ok(3, "rewrite a b c", whole(3, "a", "b", "c"))}},
 		{"no room: the whole state at once", []step{
-			{[]writeJob{job(1, "a")}, storage.ErrRoom, false, "write a", written{0, rewriteNow, storage.ErrRoom}},
+			{[]writeJob{job(1, "a")}, storage.ErrRoom, false, "write a", writeOutcome{0, rewriteNow, storage.ErrRoom}},
 			ok(1, "rewrite a", whole(1, "a"))}},
 		{"full: asked for once", []step{
-			{[]writeJob{job(1, "a")}, nil, true, "write a", written{1, rewriteNow, nil}},
-			{[]writeJob{job(2, "b")}, nil, true, "write b", written{2, noRewrite, nil}},
-			{[]writeJob{job(3, "c")}, io, true, "write c", written{0, noRewrite, io}},
+			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
+			{[]writeJob{job(2, "b")}, nil, true, "write b", writeOutcome{2, noRewrite, nil}},
+			{[]writeJob{job(3, "c")}, io, true, "write c", writeOutcome{0, noRewrite, io}},
 			ok(3, "rewrite a b c", whole(3, "a", "b", "c")),
-			{[]writeJob{job(4, "d")}, nil, true, "write d", written{4, rewriteNow, nil}}}},
+			{[]writeJob{job(4, "d")}, nil, true, "write d", writeOutcome{4, rewriteNow, nil}}}},
 		{"full though just rewritten: not again before a change", []step{
-			{[]writeJob{whole(1, "a")}, nil, true, "rewrite a", written{1, noRewrite, nil}}}},
+			{[]writeJob{whole(1, "a")}, nil, true, "rewrite a", writeOutcome{1, noRewrite, nil}}}},
 		{"a rewrite that was to make room is refused", []step{
-			{[]writeJob{job(1, "a")}, nil, true, "write a", written{1, rewriteNow, nil}},
-			{[]writeJob{whole(1, "a"), job(2, "b")}, io, true, "rewrite a b", written{0, rewriteLater, io}},
+			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
+			{[]writeJob{whole(1, "a"), job(2, "b")}, io, true, "rewrite a b", writeOutcome{0, rewriteLater, io}},
 			ok(2, "rewrite a b", whole(2, "a", "b"))}},
 	} {
 		s := &memoryStore{t: t, state: map[string]string{}}
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -17,17 +17,17 @@
 // alone runs the state machines and touches what the controllers hold; all others hand
 // it commands.
 type environment struct {
-	set      *settings.Settings
-	opt      Options
-	post     *transport.Endpoint
-	reg      *membership.Service
-	start    time.Time
-	life     uint64 // tells this life of the process from others
-	contact  *contact
-	stalls   *stallDetector
-	commands chan func(now time.Duration)
-	log      loggers
-	room     diskRoom
+	settings   *settings.Settings
+	options    Options
+	endpoint   *transport.Endpoint
+	membership *membership.Service
+	startedAt  time.Time
+	life       uint64 // tells this life of the process from others
+	contact    *contact
+	stalls     *stallDetector
+	queue      chan func(now time.Duration)
+	log        loggers
+	room       diskRoom
 
 	// Owned by the pump's goroutine.
 	member   *replication.Replica
@@ -46,23 +46,23 @@
 		rollout: logging.For(logging.Rollout)}
 }
 
-// do hands a command to the pump.
-func (e *environment) do(fn func(now time.Duration)) { e.commands <- fn }
+// enqueue hands a command to the pump.
+func (e *environment) enqueue(fn func(now time.Duration)) { e.queue <- fn }
 
-// offer hands a command to the pump unless its queue is full.
-func (e *environment) offer(fn func(now time.Duration)) {
+// tryEnqueue hands a command to the pump unless its queue is full.
+func (e *environment) tryEnqueue(fn func(now time.Duration)) {
 	select {
-	case e.commands <- fn:
+	case e.queue <- fn:
 	default:
 	}
 }
 
 // now is the time on this process's clock, which begins with its life.
-func (e *environment) now() time.Duration { return time.Since(e.start) }
+func (e *environment) now() time.Duration { return time.Since(e.startedAt) }
 
-// lately says that this control node was in contact with a majority within contactS, or has
+// recentlyInContact says that this control node was in contact with a majority within contactS, or has
 // not been up for longer than that.
-func (e *environment) lately(now time.Duration) bool {
-	contactS := settings.Seconds(e.set.Bounds.ContactS)
+func (e *environment) recentlyInContact(now time.Duration) bool {
+	contactS := settings.Seconds(e.settings.Bounds.ContactS)
 	return now < contactS || e.contact.within(now, contactS)
 }
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -15,9 +15,9 @@
 
 // evacuate serves the operators' calls on a zone: POST evacuates it, DELETE withdraws that.
 func (n *Node) evacuate(r *http.Request, zone string, zones map[string]bool) error {
-	came := arrivalOf(r)
-	on := r.Method == http.MethodPost
-	if !on && r.Method != http.MethodDelete {
+	arrived := arrivalOf(r)
+	evacuating := r.Method == http.MethodPost
+	if !evacuating && r.Method != http.MethodDelete {
 		return apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	}
 	if !zones[zone] {
@@ -28,24 +28,24 @@
 		return apierror.New(apierror.UnknownZone, "%q", zone)
 	}
 	key := config.EvacuationPrefix + zone
-	basis, err := n.basis(came, func() uint64 { return n.configuration.shown.Records[key].Gen })
+	basis, err := n.orderBasis(arrived, func() uint64 { return n.configuration.published.Records[key].Gen })
 	if err != nil {
 		return err
 	}
-	if _, err := n.orders.submit(r.Context(), order{Key: key, Evacuate: &on, Basis: basis}); err != nil {
+	if _, err := n.orders.submit(r.Context(), order{Key: key, Evacuate: &evacuating, Basis: basis}); err != nil {
 		return err
 	}
-	n.log.control.Info("evacuation changed", "zone", zone, "evacuated", on, "caller", r.RemoteAddr)
+	n.log.control.Info("evacuation changed", "zone", zone, "evacuated", evacuating, "caller", r.RemoteAddr)
 	return nil
 }
 
 // evacuations remembers when orders on zones were first seen carried out, and since when it
 // is open whether a zone's evacuation stands.
 type evacuations struct {
-	repeatSpan time.Duration // for which an order may come again
-	doubtSpan  time.Duration // after which a zone in doubt is taken back
-	seen       map[uint64]time.Duration
-	doubts     map[string]doubt // by record
+	repeatWindow time.Duration // for which an order may come again
+	maxDoubt     time.Duration // after which a zone in doubt is taken back
+	seenAt       map[uint64]time.Duration
+	doubts       map[string]doubt // by record
 }
 
 // doubt is a generation of a zone's record that leaves it open whether an evacuation stands.
@@ -54,39 +54,39 @@
 	since      time.Duration
 }
 
-// doubtPart is the part of recoveryS for which a zone stays evacuated in doubt. An owner is to
+// doubtFraction is the part of recoveryS for which a zone stays evacuated in doubt. An owner is to
 // be found in the rest of it.
-const doubtPart = 0.8
+const doubtFraction = 0.8
 
 func newEvacuations(bounds settings.Bounds) *evacuations {
 	recoveryS := cmp.Or(bounds.RecoveryS, 3*bounds.AckS)
-	return &evacuations{repeatSpan: settings.Seconds(bounds.AckS) + callerPatience, doubtSpan: settings.Seconds(doubtPart * recoveryS),
-		seen: map[uint64]time.Duration{}, doubts: map[string]doubt{}}
+	return &evacuations{repeatWindow: settings.Seconds(bounds.AckS) + callerTimeout, maxDoubt: settings.Seconds(doubtFraction * recoveryS),
+		seenAt: map[uint64]time.Duration{}, doubts: map[string]doubt{}}
 }
 
 // recent says of an order that a record names whether its operator may still send it again. One
 // that was not seen yet was carried out a moment ago.
 func (e *evacuations) recent(now time.Duration) func(id uint64) bool {
 	return func(id uint64) bool {
-		at, ok := e.seen[id]
-		return !ok || now-at <= e.repeatSpan
+		at, ok := e.seenAt[id]
+		return !ok || now-at <= e.repeatWindow
 	}
 }
 
-// committed notes the records of zones among those that have come to be shown.
-func (e *evacuations) committed(now time.Duration, records []config.Record) {
+// recordsPublished notes the records of zones among those that have come to be shown.
+func (e *evacuations) recordsPublished(now time.Duration, records []config.Record) {
 	for _, r := range records {
 		if strings.HasPrefix(r.Name, config.EvacuationPrefix) {
-			e.saw(now, r)
+			e.recordPublished(now, r)
 		}
 	}
 }
 
-// saw notes a record of a zone.
-func (e *evacuations) saw(now time.Duration, r config.Record) {
+// recordPublished notes a record of a zone.
+func (e *evacuations) recordPublished(now time.Duration, r config.Record) {
 	for _, id := range config.EvacuationOrders(r) {
-		if _, ok := e.seen[id]; !ok {
-			e.seen[id] = now
+		if _, ok := e.seenAt[id]; !ok {
+			e.seenAt[id] = now
 		}
 	}
 	if config.InDoubt(r) {
@@ -106,27 +106,27 @@
 			}
 		}
 	}
-	maps.DeleteFunc(e.seen, func(id uint64, _ time.Duration) bool { return !named[id] })
+	maps.DeleteFunc(e.seenAt, func(id uint64, _ time.Duration) bool { return !named[id] })
 }
 
-// overdue gives the zones' records that have been in doubt for long enough, with their generations:
+// takeOverdue gives the zones' records that have been in doubt for long enough, with their generations:
 // each once in a while, as long as it stays so.
-func (e *evacuations) overdue(now time.Duration) map[string]uint64 {
+func (e *evacuations) takeOverdue(now time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
 	for name, d := range e.doubts {
-		if now-d.since >= e.doubtSpan {
+		if now-d.since >= e.maxDoubt {
 			out[name] = d.generation
-			e.doubts[name] = doubt{d.generation, now - e.doubtSpan + callerPatience}
+			e.doubts[name] = doubt{d.generation, now - e.maxDoubt + callerTimeout}
 		}
 	}
 	return out
 }
 
-// endDoubts takes zones back that have been in doubt for long enough, where this control node
+// endOverdueDoubts takes zones back that have been in doubt for long enough, where this control node
 // owns their keys. It runs on the pump's goroutine.
-func (c *orderController) endDoubts(now time.Duration) {
-	for name, generation := range c.evacuations.overdue(now) {
-		if c.member.Owner(now, name) != c.post.Self() {
+func (c *orderController) endOverdueDoubts(now time.Duration) {
+	for name, generation := range c.evacuations.takeOverdue(now) {
+		if c.member.Owner(now, name) != c.endpoint.Self() {
 			continue
 		}
 		c.member.Propose(now, name, func(have map[string]replication.Record) ([]replication.Record, error) {
--- a/internal/controlplane/evacuations_test.go
+++ b/internal/controlplane/evacuations_test.go
@@ -46,8 +46,8 @@
 			}
 			for _, r := range changes {
 				have[r.Name] = r
-				both[0].saw(st.at, r)
-				both[1].saw(st.at, r)
+				both[0].recordPublished(st.at, r)
+				both[1].recordPublished(st.at, r)
 			}
 			r := have[config.EvacuationPrefix+"z"]
 			if r.Dropped == st.evacuated || config.InDoubt(r) != st.inDoubt {
@@ -63,22 +63,22 @@
 	const name = config.EvacuationPrefix + "z"
 	e := newEvacuations(settings.Bounds{AckS: 5, RecoveryS: 15})
 	doubtful := config.Record{Name: name, Gen: 4, Data: []byte{1, 0}} // possible, not certain
-	e.saw(0, doubtful)
+	e.recordPublished(0, doubtful)
 	for _, c := range []struct {
 		at    time.Duration
 		ended bool
 	}{{11 * s, false}, {12 * s, true}, {12*s + time.Millisecond, false}, {13 * s, true}} {
-		if _, ended := e.overdue(c.at)[name]; ended != c.ended {
+		if _, ended := e.takeOverdue(c.at)[name]; ended != c.ended {
 			t.Errorf("at %v: ended is %v", c.at, ended)
 		}
 	}
 	doubtful.Gen = 5
-	e.saw(14*s, doubtful)
-	if len(e.overdue(25*s)) > 0 || e.overdue(26 * s)[name] != 5 {
+	e.recordPublished(14*s, doubtful)
+	if len(e.takeOverdue(25*s)) > 0 || e.takeOverdue(26 * s)[name] != 5 {
 		t.Error("a further order does not begin the time anew")
 	}
-	e.saw(27*s, config.Record{Name: name, Gen: 6, Dropped: true})
-	if len(e.overdue(60*s)) > 0 {
+	e.recordPublished(27*s, config.Record{Name: name, Gen: 6, Dropped: true})
+	if len(e.takeOverdue(60*s)) > 0 {
 		t.Error("what is taken back is in doubt")
 	}
 }
@@ -154,7 +154,7 @@
 				n.stoppedUntil = w.now + w.draw(200*time.Millisecond, 6*time.Second)
 			} else if w.random.Float64() < 0.3 { // news is a little late
 				n.known = w.record[zoneName]
-				n.evacuations.saw(w.now, n.known)
+				n.evacuations.recordPublished(w.now, n.known)
 			}
 		}
 	}
@@ -207,10 +207,10 @@
 	for _, r := range changes {
 		w.record[r.Name] = r
 		w.nodes[w.owner].known = r
-		owner.saw(w.now, r)
+		owner.recordPublished(w.now, r)
 	}
 	w.note("carried out: evacuate %v, generation %d, in doubt %v", c.order.Evacuate, w.record[zoneName].Gen, config.InDoubt(w.record[zoneName]))
-	if !c.lost && c.by.sent == c.sent && w.now-c.arrives < callerPatience {
+	if !c.lost && c.by.sent == c.sent && w.now-c.arrives < callerTimeout {
 		c.by.acked = true
 	}
 }
@@ -236,7 +236,7 @@
 		id := config.EvacuationOrderID(w.random.Uint64(), p.evacuate)
 		w.flights = append(w.flights, &zoneCall{by: p, order: config.EvacuationOrder{Zone: "z", Evacuate: p.evacuate, ID: id},
 			sent: p.sent, node: w.random.IntN(len(w.nodes)), arrives: w.now + time.Millisecond, lost: lost})
-		p.nextTry = w.now + callerPatience + 50*time.Millisecond
+		p.nextTry = w.now + callerTimeout + 50*time.Millisecond
 		if lost && w.random.Float64() < 0.5 {
 			p.nextTry = w.now + 100*time.Millisecond // its connection ends
 		}
@@ -257,11 +257,11 @@
 	if w.now < owner.stoppedUntil {
 		return
 	}
-	for name, generation := range owner.evacuations.overdue(w.now) {
+	for name, generation := range owner.evacuations.takeOverdue(w.now) {
 		for _, r := range config.EndDoubt(w.record, name, generation) {
 			w.note("the doubt is ended")
 			w.record[name] = r
-			owner.evacuations.saw(w.now, r)
+			owner.evacuations.recordPublished(w.now, r)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 				generation, quiet = g, w.now
 			}
 			standing := slices.ContainsFunc(w.people, func(p *zoneOperator) bool { return p.standing })
-			doubt := w.nodes[0].evacuations.doubtSpan
+			doubt := w.nodes[0].evacuations.maxDoubt
 			if standing && !w.evacuated() && (operators == 1 || !slices.ContainsFunc(w.log, func(l string) bool { return strings.HasSuffix(l, "doubt is ended") })) {
 				t.Errorf("seed %d, %d operators: the zone is open while an evacuation stands:\n%s", seed, operators, strings.Join(w.log, "\n"))
 			}
--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -33,7 +33,7 @@
 func (lost) Error() string { return "cut" }
 
 func init() {
-	listen = func(address string, patience time.Duration, logger *slog.Logger) (*transport.Endpoint, error) {
+	newEndpoint = func(address string, patience time.Duration, logger *slog.Logger) (*transport.Endpoint, error) {
 		m, err := transport.New(address, patience, logger)
 		if err != nil {
 			return nil, err
--- a/internal/controlplane/forget_test.go
+++ b/internal/controlplane/forget_test.go
@@ -31,7 +31,7 @@
 		a := &Node{environment: &environment{member: member}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
 		a.rollouts = newRolloutController(a.environment, a.configuration, nil, nil)
 		a.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
-		shown := a.configuration.shown
+		shown := a.configuration.published
 		shown.Put(kept)
 		settle := func(show bool) {
 			for fx := member.Take(); len(fx.Writes)+len(fx.Committed) > 0; fx = member.Take() {
@@ -41,9 +41,9 @@
 				for _, key := range fx.Committed {
 					switch {
 					case every:
-						a.show(key, fx.Changed[key])
+						a.publish(key, fx.Changed[key])
 					case show:
-						a.show(key, nil)
+						a.publish(key, nil)
 					}
 				}
 			}
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -15,13 +15,13 @@
 // The version that a service has on the list is that of most of its upstreams.
 func TestVersionsOnTheList(t *testing.T) {
 	c := &listController{}
-	c.stand.Update(0, 1, 1, []upstream.Instance{{ID: "1", Service: "a", Version: "v1"}, {ID: "2", Service: "a", Version: "v2"},
+	c.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "1", Service: "a", Version: "v1"}, {ID: "2", Service: "a", Version: "v2"},
 		{ID: "3", Service: "a", Version: "v2"}, {ID: "4", Service: "b", Version: "v1"}})
 	want := map[string]listedVersions{
 		"a": {"v2", map[string]int{"v1": 1, "v2": 2}},
 		"b": {"v1", map[string]int{"v1": 1}},
 	}
-	if got := c.versions(); !reflect.DeepEqual(got, want) {
+	if got := c.serviceVersions(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -32,10 +32,10 @@
 	elector := election.New(election.Config{Self: self, Duties: []string{dutyList}, Lease: time.Hour,
 		Roster: func() []string { return all }, Alive: func(string) bool { return true }})
 	elector.Handle(0, holder, election.Message{Duty: dutyList, Term: 1})
-	env := &environment{set: &settings.Settings{CloudAPI: settings.CloudAPI{RatePerS: 44}, Bounds: settings.Bounds{DrainS: 2.5, ContactS: 3}, FaultBudget: settings.FaultBudget{Machines: 1}},
+	env := &environment{settings: &settings.Settings{CloudAPI: settings.CloudAPI{RatePerS: 44}, Bounds: settings.Bounds{DrainS: 2.5, ContactS: 3}, FaultBudget: settings.FaultBudget{Machines: 1}},
 		election: elector, log: newLoggers(), contact: newContact(time.Hour, nil)}
 	list := newListController(env)
-	list.changed, list.polled = func(time.Duration) {}, func(time.Duration) {}
+	list.onChange, list.onRead = func(time.Duration) {}, func(time.Duration) {}
 	return list, elector
 }
 
@@ -80,19 +80,19 @@
 		list, _ := newListOf(c.self, "a", all...)
 		now := 20 * time.Second
 		if !c.isCut {
-			list.contact.least.Store(int64(now))
+			list.contact.oldest.Store(int64(now))
 		}
-		list.stand.Update(0, 1, 1, nil)
-		list.asOf, list.calls, list.took = now-c.age, c.calls, c.took
+		list.snapshot.Update(0, 1, 1, nil)
+		list.validAt, list.readingCalls, list.readingTime = now-c.age, c.calls, c.took
 		if c.ownTook > 0 {
 			list.deputy.reading = listReading{began: now - time.Second - c.ownTook, end: now - time.Second}
 		}
-		list.deputize(now - ms)
-		if list.pollAt != 0 {
+		list.readAsDeputy(now - ms)
+		if list.readAt != 0 {
 			t.Errorf("%s: reads after a standstill, before it has heard the news", name)
 		}
-		list.deputize(now)
-		if reads := list.pollAt != 0; reads != c.reads {
+		list.readAsDeputy(now)
+		if reads := list.readAt != 0; reads != c.reads {
 			t.Errorf("%s: reads %v", name, reads)
 		}
 	}
@@ -103,25 +103,25 @@
 func TestAsOfWhenTheListHolds(t *testing.T) {
 	holder, _ := newListOf("a", "a", "a", "b")
 	other, _ := newListOf("b", "a", "a", "b")
-	holder.stand.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
-	holder.asOf = 100 * time.Second // by its clock
+	holder.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
+	holder.validAt = 100 * time.Second // by its clock
 	// The other's clock shows 5 s as it asks, the holder's 101 s as that comes.
-	holder.mark(101*time.Second, "b", delivery.Watch{Asked: 5 * time.Second})
-	tells := func() *delivery.Listed { return holder.listed("b") }
-	other.issued(9*time.Second, delivery.Issue{Listing: holder.stand.Since(0, upstream.Version{}), Listed: tells()})
-	if other.asOf != 4*time.Second {
-		t.Errorf("the list holds as of %v, want 4s", other.asOf)
+	holder.noteWatcherClock(101*time.Second, "b", delivery.Watch{Asked: 5 * time.Second})
+	tells := func() *delivery.Listed { return holder.listedFor("b") }
+	other.handleIssue(9*time.Second, delivery.Issue{Listing: holder.snapshot.Since(0, upstream.Version{}), Listed: tells()})
+	if other.validAt != 4*time.Second {
+		t.Errorf("the list holds as of %v, want 4s", other.validAt)
 	}
-	holder.asOf = 103 * time.Second
-	other.issued(9*time.Second, delivery.Issue{Listed: tells()})
-	if other.asOf != 7*time.Second {
-		t.Errorf("after another reading the list holds as of %v, want 7s", other.asOf)
+	holder.validAt = 103 * time.Second
+	other.handleIssue(9*time.Second, delivery.Issue{Listed: tells()})
+	if other.validAt != 7*time.Second {
+		t.Errorf("after another reading the list holds as of %v, want 7s", other.validAt)
 	}
-	holder.stand.Update(0, 1, 1, nil)
-	holder.asOf = 104 * time.Second
-	other.issued(9*time.Second, delivery.Issue{Listed: tells()})
-	if other.asOf != 7*time.Second {
-		t.Errorf("a list that has not come holds as of %v", other.asOf)
+	holder.snapshot.Update(0, 1, 1, nil)
+	holder.validAt = 104 * time.Second
+	other.handleIssue(9*time.Second, delivery.Issue{Listed: tells()})
+	if other.validAt != 7*time.Second {
+		t.Errorf("a list that has not come holds as of %v", other.validAt)
 	}
 }
 
@@ -129,11 +129,11 @@
 // reading.
 func TestWhoseReadingCounts(t *testing.T) {
 	list, elector := newListOf("b", "a", "a", "b", "c")
-	list.stand.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
-	list.asOf = time.Second
+	list.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
+	list.validAt = time.Second
 	reading := listReading{instances: []upstream.Instance{{ID: "2"}}, began: 4 * time.Second, end: 5 * time.Second}
-	list.take(5*time.Second, reading)
-	if all := list.stand.All(0); len(all) != 1 || all[0].ID != "1" {
+	list.accept(5*time.Second, reading)
+	if all := list.snapshot.All(0); len(all) != 1 || all[0].ID != "1" {
 		t.Errorf("a deputy's own reading counts: %v", all)
 	}
 	if p := list.progress(); p.Known != time.Second || p.Own != 4*time.Second || p.Limit != 1250*time.Millisecond {
@@ -146,11 +146,11 @@
 		elector.Handle(now, "c", election.Message{Duty: dutyList, Term: 2, Vote: true, OK: true, Ask: true})
 		elector.Handle(now, "c", election.Message{Duty: dutyList, Term: 2, Vote: true, OK: true})
 		if _, holds := elector.Holds(now, dutyList); holds {
-			list.won(now)
+			list.dutyWon(now)
 			break
 		}
 	}
-	if all := list.stand.All(0); len(all) != 1 || all[0].ID != "2" || list.stand.Version.Term != 2 || list.asOf != 4*time.Second {
-		t.Errorf("the new holder shows %v as of %v under %+v", all, list.asOf, list.stand.Version)
+	if all := list.snapshot.All(0); len(all) != 1 || all[0].ID != "2" || list.snapshot.Version.Term != 2 || list.validAt != 4*time.Second {
+		t.Errorf("the new holder shows %v as of %v under %+v", all, list.validAt, list.snapshot.Version)
 	}
 }
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -31,13 +31,13 @@
 		"a change":          {order{Patch: []byte(items)}, "025842" + hex.EncodeToString([]byte(items)), &patchTask{}},
 		"an evacuation":     {order{Evacuate: &on, ID: 9}, "03f50809", &evacuationTask{}},
 		"bindings":          {order{Bind: []placement.Order{{}}}, "", &bindTask{}},
-		"a read":            {order{Read: true}, "05f5", &questionTask{}},
+		"a read":            {order{Read: true}, "05f5", &readTask{}},
 		"a plan":            {order{Plan: []byte(items)}, "075842" + hex.EncodeToString([]byte(items)), &planTask{}},
 		"a rollout":         {order{Rollout: &rollout.Ask{}}, "", beginTask{}},
 		"a reversal":        {order{Abort: true}, "0bf5", abortTask{}},
-		"standing versions": {order{Adopt: map[string]rollout.Standing{"a": {}}, Saw: map[string]uint64{"a": 2}}, "", adoptTask{}},
-		"all of a rollout":  {order{Show: true}, "0ef5", &showTask{}},
-		"a service":         {order{Service: "a"}, "0f6161", &questionTask{}},
+		"standing versions": {order{Adopt: map[string]rollout.Standing{"a": {}}, SeenGenerations: map[string]uint64{"a": 2}}, "", adoptTask{}},
+		"all of a rollout":  {order{ShowState: true}, "0ef5", &showTask{}},
+		"a service":         {order{Service: "a"}, "0f6161", &readTask{}},
 		"a confirmation":    {order{}, "", confirmTask{}},
 		"an empty plan":     {order{Plan: []byte{}}, "", confirmTask{}}, // is not sent
 	} {
@@ -72,15 +72,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		env := &environment{set: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 10}}, member: member, start: time.Now(), commands: make(chan func(time.Duration))}
+		env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 10}}, member: member, startedAt: time.Now(), queue: make(chan func(time.Duration))}
 		asked := 0
 		go func() {
-			for fn := range env.commands {
+			for fn := range env.queue {
 				asked++
 				fn(env.now())
 			}
 		}()
-		defer close(env.commands)
+		defer close(env.queue)
 		orders := &orderController{environment: env}
 		caller, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	const at = 10 * time.Second
-	env := &environment{set: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5, RevokeS: 1, RevocationGlobal: true}}, member: member, start: time.Now().Add(-at)}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5, RevokeS: 1, RevocationGlobal: true}}, member: member, startedAt: time.Now().Add(-at)}
 	for name, c := range map[string]struct {
 		text    string
 		revokes bool
@@ -126,13 +126,13 @@
 		if c.bounded {
 			orders.revocations = &revocations{environment: env}
 			if c.ago > 0 {
-				orders.revocations.note(at - c.ago)
+				orders.revocations.noteRevocation(at - c.ago)
 			}
 		}
-		var answers []verdict
-		task := &patchTask{orders: orders, asked: asked, revokes: c.revokes}
-		task.finish(0, env.now(), func(v verdict) { answers = append(answers, v) })
-		if len(answers) != 1 || answers[0].Fault != c.held {
+		var answers []orderReply
+		task := &patchTask{orders: orders, requested: asked, revokes: c.revokes}
+		task.finish(0, env.now(), func(v orderReply) { answers = append(answers, v) })
+		if len(answers) != 1 || answers[0].Failed != c.held {
 			t.Errorf("%s: %+v", name, answers)
 		}
 	}
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -20,81 +20,81 @@
 	configuration *configuration
 	submit        submitFunc
 
-	scheduler placement.Scheduler
-	pending   bool // routes, shards or the duty have changed since the last look
+	scheduler        placement.Scheduler
+	reconcilePending bool // routes, shards or the duty have changed since the last look
 
-	changed bool          // since it was last looked whether routes wait for a binding
-	waiting bool          // some did then
-	asOf    time.Duration // when none was last known to wait
-	checkAt time.Duration // when to look again
+	recheck       bool          // since it was last looked whether routes wait for a binding
+	waiting       bool          // some did then
+	noneWaitingAt time.Duration // when none was last known to wait
+	checkAt       time.Duration // when to look again
 }
 
 func newPlacementController(env *environment, shown *configuration, submit submitFunc) *placementController {
 	c := &placementController{environment: env, configuration: shown, submit: submit}
-	c.scheduler = placement.Scheduler{Strategy: &placement.RoundRobin{}, Relist: env.opt.Relist, Pause: 2 * env.set.Beat(), Create: c.bind}
+	c.scheduler = placement.Scheduler{Strategy: &placement.RoundRobin{}, Relist: env.options.Relist, Pause: 2 * env.settings.Beat(), Create: c.bind}
 	return c
 }
 
-// look has the routes looked at once the command under way has run.
-func (c *placementController) look() { c.pending, c.changed = true, true }
+// requestReconcile has the routes looked at once the command under way has run.
+func (c *placementController) requestReconcile() { c.reconcilePending, c.recheck = true, true }
 
 // tick is due at every tick of the pump.
 func (c *placementController) tick(now time.Duration) {
-	c.pending = c.pending || c.scheduler.Due(now)
-	c.lookForWaiting(now)
+	c.reconcilePending = c.reconcilePending || c.scheduler.Due(now)
+	c.checkWaiting(now)
 }
 
-// lookForWaiting looks, once a beat at the most, whether any route waits for its binding.
-func (c *placementController) lookForWaiting(now time.Duration) {
-	if now >= c.checkAt && (c.changed || c.waiting) {
-		c.checkAt, c.changed = now+c.set.Beat(), false
+// checkWaiting looks, once a beat at the most, whether any route waits for its binding.
+func (c *placementController) checkWaiting(now time.Duration) {
+	if now >= c.checkAt && (c.recheck || c.waiting) {
+		c.checkAt, c.recheck = now+c.settings.Beat(), false
 		c.waiting = placement.Waiting(c.configuration.routes(), c.shards())
 	}
 	if !c.waiting {
-		c.asOf = now
+		c.noneWaitingAt = now
 	}
 }
 
 // progress tells how far the binding of routes has come here. Any control node in contact could bind those
 // that wait.
 func (c *placementController) progress(now time.Duration) election.Progress {
-	own := c.asOf
-	if c.waiting && c.lately(now) {
+	own := c.noneWaitingAt
+	if c.waiting && c.recentlyInContact(now) {
 		own = now
 	}
-	return election.Progress{Known: c.asOf, Own: own, Limit: settings.Seconds(c.set.Bounds.AckS)}
+	return election.Progress{Known: c.noneWaitingAt, Own: own, Limit: settings.Seconds(c.settings.Bounds.AckS)}
 }
 
 // dutyChanged makes the scheduler begin anew.
 func (c *placementController) dutyChanged() {
 	c.scheduler.Reset()
-	c.look()
+	c.requestReconcile()
 }
 
 // reconcile looks at the routes if that is due here, and says whether it did.
 func (c *placementController) reconcile(now time.Duration) bool {
-	if !c.pending {
+	if !c.reconcilePending {
 		return false
 	}
-	c.pending = false
+	c.reconcilePending = false
 	if _, mine := c.election.Holds(now, dutyPlacement); !mine {
 		return false
 	}
-	c.scheduler.Reconcile(now, c.configuration.routes(), c.shards(), c.look)
+	c.scheduler.Reconcile(now, c.configuration.routes(), c.shards(), c.requestReconcile)
 	return true
 }
 
 // shards counts the working gateways of each shard.
 func (c *placementController) shards() []placement.Shard {
-	list := c.reg.List()
-	labels := list.Shards(c.opt.Shards)
+	list := c.membership.List()
+	labels := list.Shards(c.options.Shards)
 	zones := map[int][]string{}
 	for _, n := range list.Live(membership.Data) {
 		if !n.Draining {
 			zones[labels[n.Address]] = append(zones[labels[n.Address]], n.Zone)
 		}
 	}
-	return placement.Shards(c.opt.Shards, zones)
+	return placement.Shards(c.options.Shards, zones)
 }
 
 // bind creates bindings at the owner of the configuration.
@@ -115,14 +115,14 @@
 				errs[i] = apierror.New(apierror.Conflict, "route %s", orders[i].Binding.Route)
 			}
 		}
-		c.do(func(time.Duration) { done(errs) })
+		c.enqueue(func(time.Duration) { done(errs) })
 	}()
 }
 
 // states shows the routes, and the shards with their gateways.
 func (c *placementController) states(list *membership.List, labels map[string]int) ([]RouteState, []ShardState) {
-	routes, shards := []RouteState{}, make([]ShardState, c.opt.Shards)
-	zones := make([]map[string]bool, c.opt.Shards)
+	routes, shards := []RouteState{}, make([]ShardState, c.options.Shards)
+	zones := make([]map[string]bool, c.options.Shards)
 	for i := range shards {
 		shards[i] = ShardState{Label: i, Gateways: []string{}}
 		zones[i] = map[string]bool{}
--- a/internal/controlplane/pump.go
+++ b/internal/controlplane/pump.go
@@ -11,15 +11,15 @@
 	"madderwing/internal/transport"
 )
 
-// pump owns the state machines: it runs one command at a time and carries out
+// runEventLoop owns the state machines: it runs one command at a time and carries out
 // what they ask for.
-func (n *Node) pump(stop chan struct{}) {
-	ticker := time.NewTicker(n.set.Beat() / 5)
+func (n *Node) runEventLoop(stop chan struct{}) {
+	ticker := time.NewTicker(n.settings.Beat() / 5)
 	defer ticker.Stop()
 	for {
 		var fn func(time.Duration)
 		select {
-		case fn = <-n.commands:
+		case fn = <-n.queue:
 		case <-ticker.C:
 			fn = n.tick
 		case <-stop:
@@ -28,8 +28,8 @@
 		}
 		now := n.now()
 		fn(now)
-		n.settle(now)
-		n.contact.look(n.member.Current)
+		n.applyEffects(now)
+		n.contact.update(n.member.Current)
 	}
 }
 
@@ -43,23 +43,23 @@
 		n.quotas.tick(now)
 	}
 	n.rollouts.tick(now)
-	n.orders.endDoubts(now)
+	n.orders.endOverdueDoubts(now)
 	n.coordination.tick(now)
-	n.contact.tell(now, n.log.control)
+	n.contact.logChange(now, n.log.control)
 	n.placement.tick(now)
 }
 
-// settle carries out what the state machines want done.
-func (n *Node) settle(now time.Duration) {
+// applyEffects carries out what the state machines want done.
+func (n *Node) applyEffects(now time.Duration) {
 	for again := true; again; {
-		n.settleReplica(now)
-		again = n.settleDuties(now)
+		n.applyReplicaEffects(now)
+		again = n.applyElectionEffects(now)
 		again = n.placement.reconcile(now) || again
 	}
 }
 
-// settleReplica sends and writes what the replica asks for, and shows what has been committed.
-func (n *Node) settleReplica(now time.Duration) {
+// applyReplicaEffects sends and writes what the replica asks for, and shows what has been committed.
+func (n *Node) applyReplicaEffects(now time.Duration) {
 	effects := n.member.Take()
 	byPeer := map[string][]replication.Message{}
 	var order []string
@@ -70,7 +70,7 @@
 		byPeer[e.To] = append(byPeer[e.To], e.Msg)
 	}
 	for _, to := range order {
-		n.post.Send(to, replicationKind, byPeer[to])
+		n.endpoint.Send(to, replicationKind, byPeer[to])
 	}
 	for _, w := range effects.Writes {
 		n.writes.put(writeJob{w.Entries, w.ID, false})
@@ -84,21 +84,21 @@
 	}
 	changed := false
 	for _, key := range effects.Committed {
-		changed = n.show(key, effects.Changed[key]) || changed
+		changed = n.publish(key, effects.Changed[key]) || changed
 	}
 	if changed {
-		n.placement.look()
-		n.delivery.issue(now)
+		n.placement.requestReconcile()
+		n.delivery.sendUpdates(now)
 		n.configurationChanged()
 	}
 }
 
-// settleDuties sends what the election of duties asks for, and takes up or gives up duties. It says
+// applyElectionEffects sends what the election of duties asks for, and takes up or gives up duties. It says
 // whether there were any.
-func (n *Node) settleDuties(now time.Duration) bool {
+func (n *Node) applyElectionEffects(now time.Duration) bool {
 	out, duties := n.election.Take()
 	for _, e := range out {
-		n.post.Send(e.To, electionKind, e.Msg)
+		n.endpoint.Send(e.To, electionKind, e.Msg)
 	}
 	for _, on := range n.election.TakeHandOns() {
 		n.log.election.Warn("duty handed on, its holder's result is too old", "duty", on.Duty, "from", on.From, "to", on.To,
@@ -116,26 +116,26 @@
 			n.placement.dutyChanged()
 		case dutyList:
 			if mine {
-				n.list.won(now)
+				n.list.dutyWon(now)
 			}
 		}
 	}
 	return len(duties) > 0
 }
 
-// showAll takes over what the disk held, also of keys that were made as they were needed.
-func (n *Node) showAll() {
+// publishAll takes over what the disk held, also of keys that were made as they were needed.
+func (n *Node) publishAll() {
 	for _, key := range n.member.Keys() {
-		n.show(key, nil)
+		n.publish(key, nil)
 	}
 }
 
-// show takes over the committed records of a key into what the gateways may see: those
+// publish takes over the committed records of a key into what the gateways may see: those
 // that have changed, or all if changed is nil.
-func (n *Node) show(key string, records []replication.Record) bool {
+func (n *Node) publish(key string, records []replication.Record) bool {
 	if key == replication.RosterKey {
-		if r := n.member.Standing(n.now()).String(); r != n.rosterTold {
-			n.rosterTold = r
+		if r := n.member.Standing(n.now()).String(); r != n.loggedRoster {
+			n.loggedRoster = r
 			n.log.replication.Info("roster changed", "roster", r)
 		}
 		return false
@@ -153,21 +153,21 @@
 			records = append(records, r)
 		}
 	}
-	if key == config.Key && config.RaisesHorizon(n.configuration.shown.Records, records) {
-		return n.showWhole()
+	if key == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
+		return n.republishConfiguration()
 	}
 	taken := n.configuration.merge(records)
-	n.rollouts.saw(taken)
-	n.evacuations.committed(n.now(), taken)
+	n.rollouts.recordsPublished(taken)
+	n.evacuations.recordsPublished(n.now(), taken)
 	if strings.HasPrefix(key, config.EvacuationPrefix) {
-		n.evacuations.forget(n.configuration.shown.Records)
+		n.evacuations.forget(n.configuration.published.Records)
 	}
 	return len(taken) > 0
 }
 
-// showWhole shows all that is committed of the configuration, and nothing else of it. Where
+// republishConfiguration shows all that is committed of the configuration, and nothing else of it. Where
 // that can't be told now, the member gives all of it with its next commit.
-func (n *Node) showWhole() bool {
+func (n *Node) republishConfiguration() bool {
 	committed, _, ok := n.member.Committed(config.Key)
 	return ok && n.configuration.replace(committed)
 }
@@ -178,21 +178,21 @@
 		n.quotas.setConfiguration()
 	}
 	if n.registry != nil {
-		n.registry.setConfiguration(n.configuration.shown.Records)
+		n.registry.setConfiguration(n.configuration.published.Records)
 	}
 }
 
 // handle takes the messages of other control nodes and of gateways.
 func (n *Node) handle() {
-	transport.On(n.post, replicationKind, func(from string, msgs []replication.Message) {
-		n.offer(func(now time.Duration) {
+	transport.On(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
+		n.tryEnqueue(func(now time.Duration) {
 			for _, m := range msgs {
 				n.member.Handle(now, from, m)
 			}
 		})
 	})
-	transport.On(n.post, electionKind, func(from string, m election.Message) {
-		n.offer(func(now time.Duration) { n.election.Handle(now, from, m) })
+	transport.On(n.endpoint, electionKind, func(from string, m election.Message) {
+		n.tryEnqueue(func(now time.Duration) { n.election.Handle(now, from, m) })
 	})
 	n.list.handle()
 	n.delivery.handle()
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -18,50 +18,50 @@
 	*environment
 	configuration *configuration
 
-	lender   *quota.Allocator
-	purse    *quota.LocalQuota
-	quotas   map[string]quota.Quota // of the tenants, as configured
-	reportAt time.Duration          // when the next report to the allocator is due
-	recallAt time.Duration          // when silent branches may be called again
-	lentBy   string                 // the allocator that was last reported to
+	allocator   *quota.Allocator
+	local       *quota.LocalQuota
+	configured  map[string]quota.Quota // of the tenants, as configured
+	reportAt    time.Duration          // when the next report to the allocator is due
+	recallAt    time.Duration          // when silent branches may be called again
+	allocatorID string                 // the allocator that was last reported to
 	// reportWhole says that the next report names all shares.
 	reportWhole bool
-	seated      map[string]time.Duration // when a branch was last seen to have a seat
+	lastSeated  map[string]time.Duration // when a branch was last seen to have a seat
 }
 
 func newQuotaController(env *environment, shown *configuration) *quotaController {
-	c := &quotaController{environment: env, configuration: shown, seated: map[string]time.Duration{}}
-	b := env.set.Bounds
-	c.lender = quota.NewAllocator(quota.AllocatorConfig{Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack,
-		Window: settings.Seconds(b.QuotaWindowS), Life: settings.Seconds(b.ContactS * 0.7), Sure: settings.Seconds(b.ContactS * vacantPart),
+	c := &quotaController{environment: env, configuration: shown, lastSeated: map[string]time.Duration{}}
+	bounds := env.settings.Bounds
+	c.allocator = quota.NewAllocator(quota.AllocatorConfig{Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack,
+		Window: settings.Seconds(bounds.QuotaWindowS), Life: settings.Seconds(bounds.ContactS * 0.7), Sure: settings.Seconds(bounds.ContactS * ownerTimeoutFraction),
 		Branches: c.branches})
-	c.purse = quota.NewLocalQuota(env.life, rand.Uint64(), settings.Seconds(b.ContactS/20))
+	c.local = quota.NewLocalQuota(env.life, rand.Uint64(), settings.Seconds(bounds.ContactS/20))
 	return c
 }
 
 // handle takes the messages of allocators, branches and gateways.
 func (c *quotaController) handle() {
-	transport.On(c.post, delivery.ReportKind, func(from string, r quota.Report) {
-		c.offer(func(now time.Duration) { c.lendTo(now, from, r) })
+	transport.On(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
+		c.tryEnqueue(func(now time.Duration) { c.handleReport(now, from, r) })
 	})
-	transport.On(c.post, delivery.RecallKind, func(from string, r quota.Recall) {
-		c.offer(func(now time.Duration) { c.recalled(now, from, r) })
+	transport.On(c.endpoint, delivery.RecallKind, func(from string, r quota.Recall) {
+		c.tryEnqueue(func(now time.Duration) { c.handleRecall(now, from, r) })
 	})
-	transport.On(c.post, delivery.AllocationKind, func(_ string, l quota.Allocation) {
-		c.offer(func(now time.Duration) { c.lent(now, l) })
+	transport.On(c.endpoint, delivery.AllocationKind, func(_ string, l quota.Allocation) {
+		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, l) })
 	})
-	transport.On(c.post, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
-		c.offer(func(now time.Duration) { c.drawFor(now, from, d) })
+	transport.On(c.endpoint, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
+		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, d) })
 	})
-	transport.On(c.post, delivery.ReturnKind, func(_ string, r quota.Return) {
-		c.offer(func(now time.Duration) { c.purse.GiveBack(now, r.Life, r.Tenant) })
+	transport.On(c.endpoint, delivery.ReturnKind, func(_ string, r quota.Return) {
+		c.tryEnqueue(func(now time.Duration) { c.local.GiveBack(now, r.Life, r.Tenant) })
 	})
 }
 
 // tick is due at every tick of the pump.
 func (c *quotaController) tick(now time.Duration) {
-	c.lend(now)
-	c.branch(now)
+	c.updateAllocator(now)
+	c.updateBranch(now)
 }
 
 // branches are the control nodes that may hold shares: the members, and those whose seats have
@@ -69,19 +69,19 @@
 func (c *quotaController) branches() []string {
 	out := c.member.Roster()
 	now := c.now()
-	for id, at := range c.seated {
+	for id, at := range c.lastSeated {
 		switch {
 		case slices.Contains(out, id):
-			c.seated[id] = now
-		case now-at <= settings.Seconds(c.set.Bounds.ContactS):
+			c.lastSeated[id] = now
+		case now-at <= settings.Seconds(c.settings.Bounds.ContactS):
 			out = append(out, id)
 		default:
-			delete(c.seated, id)
+			delete(c.lastSeated, id)
 		}
 	}
 	for _, id := range out {
-		if _, ok := c.seated[id]; !ok {
-			c.seated[id] = now
+		if _, ok := c.lastSeated[id]; !ok {
+			c.lastSeated[id] = now
 		}
 	}
 	slices.Sort(out)
@@ -90,122 +90,122 @@
 
 // setConfiguration takes over the tenants' quotas.
 func (c *quotaController) setConfiguration() {
-	c.quotas = config.Quotas(c.configuration.shown.Records, &c.configuration.reader)
-	c.purse.SetLimits(c.quotas)
+	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.reader)
+	c.local.SetLimits(c.configured)
 }
 
-// lend begins or ends lending with the ownership of the configuration.
-func (c *quotaController) lend(now time.Duration) {
-	t, ok := c.member.Tenure(now, config.Key)
+// updateAllocator begins or ends lending with the ownership of the configuration.
+func (c *quotaController) updateAllocator(now time.Duration) {
+	tenure, ok := c.member.Tenure(now, config.Key)
 	if !ok {
-		c.lender.End()
+		c.allocator.End()
 		return
 	}
-	if last, lending := c.lender.Lending(); !lending || last != t.Epoch {
-		c.lender.Begin(now, t.Epoch, t.Free, t.Heir)
+	if last, lending := c.allocator.Lending(); !lending || last != tenure.Epoch {
+		c.allocator.Begin(now, tenure.Epoch, tenure.Free, tenure.Heir)
 		c.recallAt = 0
-		c.reportTo(now, c.post.Self()) // its own branch is the first to be heard
+		c.switchAllocator(now, c.endpoint.Self()) // its own branch is the first to be heard
 	}
-	c.lender.Tick(now)
-	if silent := c.lender.Silent(); len(silent) > 0 && now >= c.recallAt {
-		c.recallAt = now + c.set.Beat()/5
+	c.allocator.Tick(now)
+	if silent := c.allocator.Silent(); len(silent) > 0 && now >= c.recallAt {
+		c.recallAt = now + c.settings.Beat()/5
 		for _, id := range silent {
-			c.post.Send(id, delivery.RecallKind, quota.Recall{Term: t.Epoch})
+			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: tenure.Epoch})
 		}
 	}
 }
 
-// lendTo answers a branch's report.
-func (c *quotaController) lendTo(now time.Duration, from string, r quota.Report) {
-	c.lend(now)
-	t, ok := c.member.Tenure(now, config.Key)
+// handleReport answers a branch's report.
+func (c *quotaController) handleReport(now time.Duration, from string, r quota.Report) {
+	c.updateAllocator(now)
+	tenure, ok := c.member.Tenure(now, config.Key)
 	if !ok {
 		return
 	}
-	loan, ok := c.lender.Report(now, t.Sure, from, r, c.quotas)
+	allocation, ok := c.allocator.Report(now, tenure.Sure, from, r, c.configured)
 	switch {
 	case !ok:
-	case from == c.post.Self():
-		c.lent(now, loan)
+	case from == c.endpoint.Self():
+		c.handleAllocation(now, allocation)
 	default:
-		c.post.Send(from, delivery.AllocationKind, loan)
+		c.endpoint.Send(from, delivery.AllocationKind, allocation)
 	}
 }
 
-// recalled takes an allocator's call for a report.
-func (c *quotaController) recalled(now time.Duration, from string, r quota.Recall) {
-	if c.purse.Heeds(c.post.Self(), from, r.Term) {
-		c.lender.End()
-		c.reportTo(now, from)
+// handleRecall takes an allocator's call for a report.
+func (c *quotaController) handleRecall(now time.Duration, from string, r quota.Recall) {
+	if c.local.Heeds(c.endpoint.Self(), from, r.Term) {
+		c.allocator.End()
+		c.switchAllocator(now, from)
 	}
 }
 
-// reportTo makes the next report one of all shares to an allocator, due at once.
-func (c *quotaController) reportTo(now time.Duration, lender string) {
-	c.lentBy, c.reportWhole, c.reportAt = lender, true, now
+// switchAllocator makes the next report one of all shares to an allocator, due at once.
+func (c *quotaController) switchAllocator(now time.Duration, allocatorID string) {
+	c.allocatorID, c.reportWhole, c.reportAt = allocatorID, true, now
 }
 
-// branch reports to the allocator at every beat, and at once to a new one.
-func (c *quotaController) branch(now time.Duration) {
-	c.purse.Expire(now)
+// updateBranch reports to the allocator at every beat, and at once to a new one.
+func (c *quotaController) updateBranch(now time.Duration) {
+	c.local.Expire(now)
 	// A control node that has lost its memory knows no owner; the allocator calls it.
-	if owner := c.member.Owner(now, config.Key); owner != "" && owner != c.lentBy {
-		c.reportTo(now, owner)
+	if owner := c.member.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
+		c.switchAllocator(now, owner)
 	}
 	if now >= c.reportAt {
-		c.reportAt, c.reportWhole = now+c.set.Beat(), true
-		c.report(now)
+		c.reportAt, c.reportWhole = now+c.settings.Beat(), true
+		c.sendReport(now)
 	}
 }
 
-// report reports to the allocator, unless its last answer is still awaited.
-func (c *quotaController) report(now time.Duration) {
-	if c.lentBy == "" || c.purse.Awaits(now) {
+// sendReport reports to the allocator, unless its last answer is still awaited.
+func (c *quotaController) sendReport(now time.Duration) {
+	if c.allocatorID == "" || c.local.Awaits(now) {
 		return
 	}
-	r := c.purse.Report(now, c.reportWhole)
+	r := c.local.Report(now, c.reportWhole)
 	c.reportWhole = false
-	if c.lentBy == c.post.Self() {
-		c.lendTo(now, c.lentBy, r)
+	if c.allocatorID == c.endpoint.Self() {
+		c.handleReport(now, c.allocatorID, r)
 	} else {
-		c.post.Send(c.lentBy, delivery.ReportKind, r)
+		c.endpoint.Send(c.allocatorID, delivery.ReportKind, r)
 	}
 }
 
-// lent takes the allocator's answer.
-func (c *quotaController) lent(now time.Duration, l quota.Allocation) {
-	c.purse.Lent(now, l)
-	if c.reportWhole || c.purse.Waiting() {
-		c.report(now)
+// handleAllocation takes the allocator's answer.
+func (c *quotaController) handleAllocation(now time.Duration, allocation quota.Allocation) {
+	c.local.Lent(now, allocation)
+	if c.reportWhole || c.local.Waiting() {
+		c.sendReport(now)
 	}
 }
 
-// drawFor draws on a tenant's quota for a gateway.
-func (c *quotaController) drawFor(now time.Duration, from string, d quota.AcquireRequest) {
+// acquireFor draws on a tenant's quota for a gateway.
+func (c *quotaController) acquireFor(now time.Duration, from string, request quota.AcquireRequest) {
 	// Lent shares lapse by themselves; that a tenant has no limit may be no longer so.
-	if c.purse.Unlimited(d.Tenant) && !c.lately(now) {
-		c.post.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: d.Seq, Away: true})
+	if c.local.Unlimited(request.Tenant) && !c.recentlyInContact(now) {
+		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, Away: true})
 		return
 	}
-	ask := c.purse.Take(now, d.Tenant, func(g quota.Grant) {
-		c.post.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: d.Seq, OK: g == quota.Granted, Away: g == quota.Unknown, Life: c.purse.Life})
+	needsReport := c.local.Take(now, request.Tenant, func(g quota.Grant) {
+		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, OK: g == quota.Granted, Away: g == quota.Unknown, Life: c.local.Life})
 	})
-	if ask {
-		c.report(now)
+	if needsReport {
+		c.sendReport(now)
 	}
 }
 
 // states shows the tenants, without their keys, and who lends their quotas.
 func (c *quotaController) states() (tenants []TenantState, quotas *Quotas) {
-	for _, t := range config.Tenants(c.configuration.shown.Records, &c.configuration.reader) {
+	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.reader) {
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
 	}
-	quotas = &Quotas{Lender: c.lentBy}
-	if _, lending := c.lender.Lending(); lending {
-		quotas.Silent = c.lender.Silent()
+	quotas = &Quotas{Lender: c.allocatorID}
+	if _, lending := c.allocator.Lending(); lending {
+		quotas.Silent = c.allocator.Silent()
 		for _, t := range tenants {
 			if t.RatePerS > 0 {
-				quotas.Loans = append(quotas.Loans, c.lender.State(t.Name, quota.Quota{Rate: t.RatePerS, Burst: t.Burst}))
+				quotas.Loans = append(quotas.Loans, c.allocator.State(t.Name, quota.Quota{Rate: t.RatePerS, Burst: t.Burst}))
 			}
 		}
 	}
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -23,7 +23,7 @@
 
 func newRegistryController(env *environment) *registryController {
 	c := &registryController{environment: env}
-	c.directory = registry.NewDirectory(answerLife(env.set.Bounds), func(host string) []string {
+	c.directory = registry.NewDirectory(answerTTL(env.settings.Bounds), func(host string) []string {
 		if t := c.table.Load(); t != nil {
 			return t.Residency(host)
 		}
@@ -32,13 +32,13 @@
 	// While an owner is replaced, which takes less than contactS, its answers go on: they
 	// rest on what nodes say of themselves. So do those of a control node that has just started.
 	// The control nodes of a side that was cut off end.
-	c.directory.InContact = func() bool { return c.lately(c.now()) }
+	c.directory.InContact = func() bool { return c.recentlyInContact(c.now()) }
 	return c
 }
 
-// answerLife is for how long a client may rely on an answer. A gateway that leaves is missing from
+// answerTTL is for how long a client may rely on an answer. A gateway that leaves is missing from
 // the answers for longer than that before it stops taking connections.
-func answerLife(b settings.Bounds) (life time.Duration) {
+func answerTTL(b settings.Bounds) (life time.Duration) {
 	life = settings.Seconds(b.GraceS * 0.4)
 	if b.TTLMaxS > 0 {
 		life = min(life, settings.Seconds(b.TTLMaxS))
@@ -48,7 +48,7 @@
 
 // setNodes takes over the list of nodes. Any goroutine may call it.
 func (c *registryController) setNodes(l *membership.List) {
-	c.directory.SetGateways(openGateways(c.set, l))
+	c.directory.SetGateways(listedGateways(c.settings, l))
 }
 
 // setConfiguration takes over what of the configuration concerns clients.
@@ -56,8 +56,8 @@
 	c.table.Store(c.tables.Build(records))
 }
 
-// openGateways lists the gateways that clients may be sent to.
-func openGateways(set *settings.Settings, l *membership.List) (out []registry.Gateway) {
+// listedGateways lists the gateways that clients may be sent to.
+func listedGateways(cfg *settings.Settings, l *membership.List) (out []registry.Gateway) {
 	for _, n := range l.Nodes {
 		if n.Plane != membership.Data || n.State > membership.Suspect || n.Front == 0 {
 			continue
@@ -67,7 +67,7 @@
 			continue
 		}
 		out = append(out, registry.Gateway{Address: net.JoinHostPort(host, strconv.Itoa(int(n.Front))), Zone: n.Zone,
-			Region: set.RegionOf(n.Zone), Open: n.State == membership.Alive && !n.Draining})
+			Region: cfg.RegionOf(n.Zone), Open: n.State == membership.Alive && !n.Draining})
 	}
 	return out
 }
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -17,7 +17,7 @@
 	node := func(address, zone string, plane membership.Plane, state membership.State, draining bool, front uint16) membership.Node {
 		return membership.Node{Address: address, Zone: zone, Plane: plane, State: state, Draining: draining, Front: front}
 	}
-	got := openGateways(set, &membership.List{Nodes: []membership.Node{
+	got := listedGateways(set, &membership.List{Nodes: []membership.Node{
 		node("10.0.0.1:7001", "north", membership.Data, membership.Alive, false, 80),
 		node("10.0.0.2:7001", "south", membership.Data, membership.Suspect, false, 80),
 		node("10.0.0.3:7001", "south", membership.Data, membership.Alive, true, 80),
@@ -47,7 +47,7 @@
 		{settings.Bounds{GraceS: 10, TTLMaxS: 3}, 3 * time.Second},
 		{settings.Bounds{GraceS: 10, TTLMaxS: 30}, 4 * time.Second},
 	} {
-		if got := answerLife(c.bounds); got != c.want {
+		if got := answerTTL(c.bounds); got != c.want {
 			t.Errorf("%+v: %v", c.bounds, got)
 		}
 	}
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -26,71 +26,71 @@
 // in no list, and redirects the operators' calls to a control node at work. It does nothing
 // between calls.
 type relay struct {
-	pick  func(caller context.Context, key string) string
-	known func() []membership.Node
-	port  string        // of control, on all machines
-	drain time.Duration // for which the rest of a call's body is read
-	later time.Duration // after which a caller may come again
-	log   *slog.Logger
+	pick        func(caller context.Context, key string) string
+	known       func() []membership.Node
+	port        string        // of control, on all machines
+	bodyTimeout time.Duration // for which the rest of a call's body is read
+	retryAfter  time.Duration // after which a caller may come again
+	log         *slog.Logger
 
 	calls, redirected, refused atomic.Uint64
-	away                       atomic.Bool // the last call found no control node
+	unreachable                atomic.Bool // the last call found no control node
 }
 
 // runRelay serves until ctx ends.
-func runRelay(ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings) error {
-	beat := set.Beat()
-	post, err := transport.New(set.ControlAddress(set.IP), beat, logging.For(logging.Transport))
+func runRelay(ctx context.Context, cfg *settings.Settings, reload <-chan *settings.Settings) error {
+	beat := cfg.Beat()
+	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), beat, logging.For(logging.Transport))
 	if err != nil {
 		return err
 	}
-	defer post.Close()
-	post.IdleTimeout = 2 * beat
-	_, port, err := net.SplitHostPort(set.Bind.Control)
+	defer endpoint.Close()
+	endpoint.IdleTimeout = 2 * beat
+	_, port, err := net.SplitHostPort(cfg.Bind.Control)
 	if err != nil {
 		return err
 	}
-	p := newPicker(set, post)
-	post.HandleSlow(relayKind, func(string, []byte) (any, error) {
-		return relayAnswer{Relay: true, Nodes: p.known()}, nil
+	picker := newPicker(cfg, endpoint)
+	endpoint.HandleSlow(relayKind, func(string, []byte) (any, error) {
+		return relayAnswer{Relay: true, Nodes: picker.known()}, nil
 	})
-	membership.Introduce(post, p.introduce)
-	f := founding{bootstrap: set.Bootstrap}
-	transport.On(post, replicationKind, func(from string, msgs []replication.Message) {
+	membership.Introduce(endpoint, picker.introduce)
+	bootstrap := bootstrapResponder{bootstrap: cfg.Bootstrap}
+	transport.On(endpoint, replicationKind, func(from string, msgs []replication.Message) {
 		for _, m := range msgs {
-			if answer := f.answer(from, m); answer != nil {
-				post.Send(from, replicationKind, []replication.Message{{Body: answer}})
+			if answer := bootstrap.answer(from, m); answer != nil {
+				endpoint.Send(from, replicationKind, []replication.Message{{Body: answer}})
 			}
 		}
 	})
-	post.Start()
+	endpoint.Start()
 
-	r := &relay{pick: p.pick, known: p.known, port: port, drain: settings.Seconds(set.Bounds.ContactS), later: beat, log: logging.For(logging.Relay)}
+	handler := &relay{pick: picker.pick, known: picker.known, port: port, bodyTimeout: settings.Seconds(cfg.Bounds.ContactS), retryAfter: beat, log: logging.For(logging.Relay)}
 	serve := func(address string, h http.Handler) *http.Server {
-		return &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: settings.Seconds(set.Bounds.ContactS),
-			IdleTimeout: settings.Seconds(4 * set.Bounds.ContactS), ErrorLog: slog.NewLogLogger(r.log.Handler(), slog.LevelWarn)}
+		return &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: settings.Seconds(cfg.Bounds.ContactS),
+			IdleTimeout: settings.Seconds(4 * cfg.Bounds.ContactS), ErrorLog: slog.NewLogLogger(handler.log.Handler(), slog.LevelWarn)}
 	}
-	control := serve(set.Bind.Control, r)
+	control := serve(cfg.Bind.Control, handler)
 	failed := make(chan error, 2)
 	go func() { failed <- control.ListenAndServe() }()
-	if set.Bind.Directory != "" {
-		r.log.Warn("the registry is not served without a dataDir")
-		registry := serve(set.Bind.Directory, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			apierror.Write(w, apierror.Later(apierror.NoControlNode, r.later, "no registry on a relay"))
+	if cfg.Bind.Directory != "" {
+		handler.log.Warn("the registry is not served without a dataDir")
+		registry := serve(cfg.Bind.Directory, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			apierror.Write(w, apierror.Later(apierror.NoControlNode, handler.retryAfter, "no registry on a relay"))
 		}))
 		go func() { failed <- registry.ListenAndServe() }()
 		defer registry.Close()
 	}
-	r.log.Info("relay is up and redirects to control nodes", "node", set.Node, "zone", set.Zone)
+	handler.log.Info("relay is up and redirects to control nodes", "node", cfg.Node, "zone", cfg.Zone)
 	for {
 		select {
 		case fresh := <-reload:
-			p.setSeeds(fresh.SeedControlNodes())
+			picker.setSeeds(fresh.SeedControlNodes())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
-			r.log.Info("leaving")
-			grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(set.Bounds.GraceS/3))
+			handler.log.Info("leaving")
+			grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(cfg.Bounds.GraceS/3))
 			defer cancel()
 			_ = control.Shutdown(grace)
 			return nil
@@ -110,8 +110,8 @@
 		apierror.Write(w, apierror.New(apierror.ClientGone, "%s", req.URL.Path))
 		return
 	}
-	if away := to == ""; r.away.Swap(away) != away {
-		if away {
+	if unreachable := to == ""; r.unreachable.Swap(unreachable) != unreachable {
+		if unreachable {
 			r.log.Warn("no control node in reach")
 		} else {
 			r.log.Info("redirecting", "to", to)
@@ -119,13 +119,13 @@
 	}
 	// A connection that is closed over unread bytes may lose the answer.
 	if req.Header.Get("Expect") == "" {
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(r.drain))
-		_, _ = io.Copy(io.Discard, io.LimitReader(req.Body, maxCall))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(r.bodyTimeout))
+		_, _ = io.Copy(io.Discard, io.LimitReader(req.Body, maxCallBody))
 	}
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
 		r.refused.Add(1)
-		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.later, "this one has no disk"))
+		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this one has no disk"))
 		return
 	}
 	r.redirected.Add(1)
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -21,42 +21,42 @@
 // relayAnswer is what a control node, or another relay, knows.
 type relayAnswer struct {
 	Relay bool `cbor:"1,keyasint,omitempty"` // it is one; only Nodes says more
-	// Works says that the control node hears the owner of the key or of the configuration, and
+	// Working says that the control node hears the owner of the key or of the configuration, and
 	// isn't about to leave.
-	Works bool              `cbor:"2,keyasint,omitempty"`
-	Owner string            `cbor:"3,keyasint,omitempty"` // of the key, where it is known
-	Nodes []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that are taken to be working
+	Working bool              `cbor:"2,keyasint,omitempty"`
+	Owner   string            `cbor:"3,keyasint,omitempty"` // of the key, where it is known
+	Nodes   []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that are taken to be working
 }
 
 // answerRelays answers the questions of relays.
 func (n *Node) answerRelays() {
-	n.post.HandleSlow(relayKind, func(_ string, body []byte) (any, error) {
+	n.endpoint.HandleSlow(relayKind, func(_ string, body []byte) (any, error) {
 		var q relayQuestion
 		if err := cbor.Unmarshal(body, &q); err != nil {
-			n.post.Undecoded.Add(1)
+			n.endpoint.Undecoded.Add(1)
 			return nil, err
 		}
 		ch := make(chan relayAnswer, 1)
-		n.do(func(now time.Duration) {
-			ch <- answerRelay(q.Key, n.post.Self(), n.member.Keys(), func(key string) string { return n.member.Owner(now, key) }, n.reg.List())
+		n.enqueue(func(now time.Duration) {
+			ch <- relayAnswerFor(q.Key, n.endpoint.Self(), n.member.Keys(), func(key string) string { return n.member.Owner(now, key) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
 }
 
-// answerRelay is the answer about a key of a control node that has these keys, hears these
+// relayAnswerFor is the answer about a key of a control node that has these keys, hears these
 // owners and knows these nodes.
-func answerRelay(key, self string, keys []string, owner func(key string) string, l *membership.List) (out relayAnswer) {
+func relayAnswerFor(key, self string, keys []string, owner func(key string) string, l *membership.List) (out relayAnswer) {
 	// Asking for an owner makes the key, so only what is there is asked for.
 	if slices.Contains(keys, key) {
 		out.Owner = owner(key)
 	}
-	out.Works = out.Owner != "" || owner(config.Key) != ""
+	out.Working = out.Owner != "" || owner(config.Key) != ""
 	for _, n := range l.Live(membership.Control) {
 		if !n.Draining {
 			out.Nodes = append(out.Nodes, n)
 		} else if n.Address == self {
-			out.Works = false
+			out.Working = false
 		}
 	}
 	return out
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -19,42 +19,42 @@
 // How long things take at a relay, as parts of contactS: an answer after which another
 // control node is asked as well, and a call in all. A caller gives a node up after a second.
 const (
-	relayPatience = 1.0 / 20
-	relayLimit    = 1.0 / 6
-	relayMost     = time.Second / 2
+	relayHedgeFraction   = 1.0 / 20
+	relayTimeoutFraction = 1.0 / 6
+	maxRelayTimeout      = time.Second / 2
 )
 
-// maxKnown bounds the control nodes that a relay remembers from their own word alone.
-const maxKnown = 64
+// maxRelayNodes bounds the control nodes that a relay remembers from their own word alone.
+const maxRelayNodes = 64
 
 // picker finds the control node that a call is redirected to. It asks control nodes only when it
 // is asked itself.
 type picker struct {
-	self     string
-	zone     string
-	patience time.Duration // then another is asked as well
-	limit    time.Duration // for a call in all
-	rest     time.Duration // for which a control node that gave no good answer comes last
-	ask      func(ctx context.Context, to, key string) (relayAnswer, error)
-
-	mu     sync.Mutex
-	seeds  []string
-	nodes  map[string]membership.Node // control nodes, as the newest good answer had them
-	owners map[string]string
-	failed map[string]time.Time
-	last   string    // that gave the newest good answer
-	lookAt time.Time // when there was one, or somebody who joins had one looked for
+	self       string
+	zone       string
+	hedgeDelay time.Duration // then another is asked as well
+	timeout    time.Duration // for a call in all
+	cooldown   time.Duration // for which a control node that gave no good answer comes last
+	ask        func(ctx context.Context, to, key string) (relayAnswer, error)
+
+	mu          sync.Mutex
+	seeds       []string
+	nodes       map[string]membership.Node // control nodes, as the newest good answer had them
+	owners      map[string]string
+	failed      map[string]time.Time
+	lastWorking string    // that gave the newest good answer
+	searchedAt  time.Time // when there was one, or somebody who joins had one looked for
 }
 
 // newPicker makes the picker of a relay, which asks over the transport.
-func newPicker(set *settings.Settings, post *transport.Endpoint) *picker {
-	return &picker{self: post.Self(), zone: set.Zone, seeds: set.SeedControlNodes(),
-		patience: min(settings.Seconds(set.Bounds.ContactS*relayPatience), relayMost/4),
-		limit:    min(settings.Seconds(set.Bounds.ContactS*relayLimit), relayMost),
-		rest:     settings.Seconds(set.Bounds.ContactS),
-		nodes:    map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
+func newPicker(cfg *settings.Settings, endpoint *transport.Endpoint) *picker {
+	return &picker{self: endpoint.Self(), zone: cfg.Zone, seeds: cfg.SeedControlNodes(),
+		hedgeDelay: min(settings.Seconds(cfg.Bounds.ContactS*relayHedgeFraction), maxRelayTimeout/4),
+		timeout:    min(settings.Seconds(cfg.Bounds.ContactS*relayTimeoutFraction), maxRelayTimeout),
+		cooldown:   settings.Seconds(cfg.Bounds.ContactS),
+		nodes:      map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
 		ask: func(ctx context.Context, to, key string) (a relayAnswer, err error) {
-			err = post.Call(ctx, to, relayKind, relayQuestion{key}, &a)
+			err = endpoint.Call(ctx, to, relayKind, relayQuestion{key}, &a)
 			return a, err
 		}}
 }
@@ -62,41 +62,41 @@
 // pick names a working control node, the owner of the key where that is known and answers;
 // empty: none answered in time, or the caller has left.
 func (p *picker) pick(caller context.Context, key string) string {
-	ctx, cancel := context.WithTimeout(caller, p.limit)
+	ctx, cancel := context.WithTimeout(caller, p.timeout)
 	defer cancel()
 	asked := map[string]bool{p.self: true}
-	first, owner := p.first(ctx, key, asked)
-	if owner == "" || asked[owner] || p.resting(owner) {
+	first, owner := p.firstWorking(ctx, key, asked)
+	if owner == "" || asked[owner] || p.coolingDown(owner) {
 		return first // none is known, or it answers no question
 	}
-	ctx, cancel = context.WithTimeout(ctx, p.patience)
+	ctx, cancel = context.WithTimeout(ctx, p.hedgeDelay)
 	defer cancel()
-	a, err := p.question(ctx, owner, key)
+	a, err := p.query(ctx, owner, key)
 	switch {
 	case caller.Err() != nil: // that is no fault of the owner's
 	case err != nil:
-		p.fails(owner)
-	case a.Works && !a.Relay:
+		p.noteFailure(owner)
+	case a.Working && !a.Relay:
 		return owner
 	}
 	return first
 }
 
-type heard struct {
+type relayReply struct {
 	from   string
 	answer relayAnswer
 	err    error
 }
 
-// first asks one candidate after the other, another as well where one is slow, and
-// gives the first that works and whom that takes for the owner. Those in asked are not
+// firstWorking asks one candidate after the other, another as well where one is slow, and
+// gives the firstWorking that works and whom that takes for the owner. Those in asked are not
 // asked, and all that are come into it.
-func (p *picker) first(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
+func (p *picker) firstWorking(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
 	queue := p.candidates(key)
-	answers := make(chan heard)
-	slow := time.NewTimer(p.patience)
+	answers := make(chan relayReply)
+	slow := time.NewTimer(p.hedgeDelay)
 	defer slow.Stop()
-	open, newest := 0, ""
+	outstanding, lastAsked := 0, ""
 	next := func() {
 		for len(queue) > 0 {
 			to := queue[0]
@@ -104,35 +104,35 @@
 			if asked[to] {
 				continue
 			}
-			asked[to], newest = true, to
-			open++
-			slow.Reset(p.patience)
+			asked[to], lastAsked = true, to
+			outstanding++
+			slow.Reset(p.hedgeDelay)
 			go func() {
-				answer, err := p.question(ctx, to, key)
+				answer, err := p.query(ctx, to, key)
 				select {
-				case answers <- heard{to, answer, err}:
+				case answers <- relayReply{to, answer, err}:
 				case <-ctx.Done():
 				}
 			}()
 			return
 		}
 	}
-	for next(); open > 0; {
+	for next(); outstanding > 0; {
 		select {
 		case h := <-answers:
-			open--
+			outstanding--
 			switch {
 			case h.err != nil:
 			case h.answer.Relay:
 				for _, n := range h.answer.Nodes {
 					queue = append(queue, n.Address)
 				}
-			case h.answer.Works:
+			case h.answer.Working:
 				return h.from, h.answer.Owner
 			}
 			next()
 		case <-slow.C:
-			p.fails(newest) // unless it answers yet
+			p.noteFailure(lastAsked) // unless it answers yet
 			next()
 		case <-ctx.Done():
 			return "", ""
@@ -141,13 +141,13 @@
 	return "", ""
 }
 
-// question asks one node, and notes what comes of it.
-func (p *picker) question(ctx context.Context, to, key string) (relayAnswer, error) {
+// query asks one node, and notes what comes of it.
+func (p *picker) query(ctx context.Context, to, key string) (relayAnswer, error) {
 	a, err := p.ask(ctx, to, key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case err == nil && a.Works && !a.Relay:
+	case err == nil && a.Working && !a.Relay:
 		delete(p.failed, to)
 		p.nodes = map[string]membership.Node{}
 		for _, n := range a.Nodes {
@@ -156,8 +156,8 @@
 		if a.Owner != "" {
 			p.owners[key] = a.Owner
 		}
-		p.last, p.lookAt = to, time.Now()
-		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.rest })
+		p.lastWorking, p.searchedAt = to, time.Now()
+		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
 	case err != nil && ctx.Err() != nil:
 		// Another was quicker, or the time is over: whoever asked knows what that says.
 	default:
@@ -166,23 +166,23 @@
 	return a, err
 }
 
-// fails notes that a node gives no good answer.
-func (p *picker) fails(id string) {
+// noteFailure notes that a node gives no good answer.
+func (p *picker) noteFailure(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed[id] = time.Now()
 }
 
-// resting says whether a node has lately given no good answer.
-func (p *picker) resting(id string) bool {
+// coolingDown says whether a node has lately given no good answer.
+func (p *picker) coolingDown(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lately(id)
+	return p.coolingDownLocked(id)
 }
 
-func (p *picker) lately(id string) bool {
+func (p *picker) coolingDownLocked(id string) bool {
 	at, ok := p.failed[id]
-	return ok && time.Since(at) < p.rest
+	return ok && time.Since(at) < p.cooldown
 }
 
 // candidates lists whom to ask: the owner, who answered last, the other control nodes, those
@@ -191,10 +191,10 @@
 func (p *picker) candidates(key string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := []string{p.owners[key], p.last}
+	out := []string{p.owners[key], p.lastWorking}
 	known := rendezvous.Order(p.self, slices.Collect(maps.Keys(p.nodes)))
 	slices.SortStableFunc(known, func(a, b string) int {
-		return cmp.Compare(p.away(a), p.away(b))
+		return cmp.Compare(p.zoneRank(a), p.zoneRank(b))
 	})
 	out = append(append(out, known...), rendezvous.Order(p.self, p.seeds)...)
 	seen := map[string]bool{"": true, p.self: true}
@@ -203,12 +203,12 @@
 		seen[id] = true
 		return again
 	})
-	bad := slices.DeleteFunc(slices.Clone(out), func(id string) bool { return !p.lately(id) })
-	slices.SortStableFunc(bad, func(a, b string) int { return p.failed[a].Compare(p.failed[b]) })
-	return append(slices.DeleteFunc(out, p.lately), bad...)
+	cooling := slices.DeleteFunc(slices.Clone(out), func(id string) bool { return !p.coolingDownLocked(id) })
+	slices.SortStableFunc(cooling, func(a, b string) int { return p.failed[a].Compare(p.failed[b]) })
+	return append(slices.DeleteFunc(out, p.coolingDownLocked), cooling...)
 }
 
-func (p *picker) away(id string) int {
+func (p *picker) zoneRank(id string) int {
 	if p.nodes[id].Zone == p.zone {
 		return 0
 	}
@@ -233,15 +233,15 @@
 // control nodes, after looking for them again if none has answered for a while.
 func (p *picker) introduce(n membership.Node) []membership.Node {
 	p.mu.Lock()
-	if _, have := p.nodes[n.Address]; n.Plane == membership.Control && !have && len(p.nodes) < maxKnown {
+	if _, have := p.nodes[n.Address]; n.Plane == membership.Control && !have && len(p.nodes) < maxRelayNodes {
 		p.nodes[n.Address] = n
 	}
-	fresh := !p.lookAt.IsZero() && time.Since(p.lookAt) < p.rest
-	if !fresh {
-		p.lookAt = time.Now() // one look for all that join at once
+	recent := !p.searchedAt.IsZero() && time.Since(p.searchedAt) < p.cooldown
+	if !recent {
+		p.searchedAt = time.Now() // one look for all that join at once
 	}
 	p.mu.Unlock()
-	if !fresh {
+	if !recent {
 		p.pick(context.Background(), config.Key)
 	}
 	return slices.DeleteFunc(p.known(), func(k membership.Node) bool { return k.Address == n.Address })
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -40,7 +40,7 @@
 }
 
 func (f *fleet) picker(seeds ...string) *picker {
-	return &picker{self: "self", zone: "z", patience: testPatience, limit: testLimit, rest: testRest, seeds: seeds,
+	return &picker{self: "self", zone: "z", hedgeDelay: testPatience, timeout: testLimit, cooldown: testRest, seeds: seeds,
 		nodes: map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
 		ask: func(ctx context.Context, to, _ string) (relayAnswer, error) {
 			f.mu.Lock()
@@ -58,7 +58,7 @@
 			case <-ctx.Done():
 				return relayAnswer{}, ctx.Err()
 			}
-			a := relayAnswer{Relay: n.relay, Works: !n.relay && !n.cutOff, Owner: n.owner}
+			a := relayAnswer{Relay: n.relay, Working: !n.relay && !n.cutOff, Owner: n.owner}
 			for _, k := range n.knows {
 				a.Nodes = append(a.Nodes, membership.Node{Address: k, Plane: membership.Control})
 			}
@@ -174,12 +174,12 @@
 	} {
 		l := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: c.leaving}, {Address: "b", Plane: membership.Control},
 			{Address: "c", Plane: membership.Control, State: membership.Dead}, {Address: "d"}, {Address: "e", Plane: membership.Control, Draining: true}}}
-		got := answerRelay(c.key, "a", keys, func(key string) string { return c.owners[key] }, l)
+		got := relayAnswerFor(c.key, "a", keys, func(key string) string { return c.owners[key] }, l)
 		want := 2
 		if c.leaving {
 			want = 1
 		}
-		if got.Owner != c.owner || got.Works != c.works || len(got.Nodes) != want || got.Nodes[want-1].Address != "b" {
+		if got.Owner != c.owner || got.Working != c.works || len(got.Nodes) != want || got.Nodes[want-1].Address != "b" {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -234,7 +234,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			key := ""
-			r := &relay{port: "8080", later: time.Second / 2, log: slog.New(slog.DiscardHandler),
+			r := &relay{port: "8080", retryAfter: time.Second / 2, log: slog.New(slog.DiscardHandler),
 				pick: func(_ context.Context, k string) string { key = k; return c.pick }, known: func() []membership.Node { return nil }}
 			w := httptest.NewRecorder()
 			body := strings.NewReader(strings.Repeat("x", 1<<20))
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -52,7 +52,7 @@
 	a := &Node{environment: &environment{member: again}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
 	a.rollouts = newRolloutController(a.environment, a.configuration, nil, nil)
 	a.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
-	a.showAll()
+	a.publishAll()
 	if p := a.rollouts.versions["s"].Active(); p == nil || p.Candidate != "v2" {
 		t.Errorf("shown after a restart: %+v", a.rollouts.versions)
 	}
@@ -62,7 +62,7 @@
 // what this control node happens to have been shown.
 func TestAnOrderStartsFromWhatIsConfirmed(t *testing.T) {
 	c := &rolloutController{list: &listController{}, versions: map[string]rollout.Service{"s": {Standing: rollout.Standing{Version: "shown"}}}}
-	c.list.stand.Update(0, 1, 1, []upstream.Instance{{ID: "i", Service: "s", Version: "listed"}})
+	c.list.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "i", Service: "s", Version: "listed"}})
 	plan := func(stage rollout.Stage) replication.Record {
 		data, err := cbor.Marshal(rollout.Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: stage})
 		if err != nil {
@@ -81,7 +81,7 @@
 		"no order yet":                      {replication.Record{}, rollout.Standing{Version: "v0"}, "v0"},
 		"nothing was kept: the list's word": {replication.Record{}, rollout.Standing{}, "listed"},
 	} {
-		if got := c.serves(x.last, order{Rollout: &rollout.Ask{Service: "s"}, Stood: x.stood}); got != x.want {
+		if got := c.currentVersion(x.last, order{Rollout: &rollout.Ask{Service: "s"}, Current: x.stood}); got != x.want {
 			t.Errorf("%s: %q, want %q", name, got, x.want)
 		}
 	}
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -24,10 +24,10 @@
 	submit        submitFunc
 	loads         func() upstream.Loads // of all gateways
 
-	controller *rollout.Controller        // rollouts, as this control node sees them
-	versions   map[string]rollout.Service // as shown
-	adopting   bool                       // standing versions are being kept
-	waitsAt    time.Duration              // when a rollout that waits may be logged again
+	controller    *rollout.Controller        // rollouts, as this control node sees them
+	versions      map[string]rollout.Service // as shown
+	adopting      bool                       // standing versions are being kept
+	nextWaitLogAt time.Duration              // when a rollout that waits may be logged again
 }
 
 func newRolloutController(env *environment, shown *configuration, list *listController, submit submitFunc) *rolloutController {
@@ -36,16 +36,16 @@
 
 // handle takes what gateways and other control nodes tell of rollouts.
 func (c *rolloutController) handle() {
-	transport.On(c.post, delivery.ScoreKind, func(from string, reports []rollout.Report) {
-		c.offer(func(now time.Duration) { c.controller.Heard(now, from, reports) })
+	transport.On(c.endpoint, delivery.ScoreKind, func(from string, reports []rollout.Report) {
+		c.tryEnqueue(func(now time.Duration) { c.controller.Heard(now, from, reports) })
 	})
-	transport.On(c.post, delivery.GatherKind, func(from string, all []rollout.Gathered) {
-		c.offer(func(now time.Duration) { c.controller.Take(now, from, all) })
+	transport.On(c.endpoint, delivery.GatherKind, func(from string, all []rollout.Gathered) {
+		c.tryEnqueue(func(now time.Duration) { c.controller.Take(now, from, all) })
 	})
 }
 
-// saw takes over records that have come to be shown.
-func (c *rolloutController) saw(records []config.Record) {
+// recordsPublished takes over records that have come to be shown.
+func (c *rolloutController) recordsPublished(records []config.Record) {
 	changed := false
 	for _, r := range records {
 		changed = changed || rollout.Names(r.Name)
@@ -54,45 +54,45 @@
 		}
 	}
 	if changed {
-		c.versions = rollout.Services(c.configuration.shown.Records)
+		c.versions = rollout.Services(c.configuration.published.Records)
 	}
 }
 
 // tick looks at the rollouts under way, takes the steps of those that this control node
 // controls as their key's owner, and passes on what it has heard of the others.
 func (c *rolloutController) tick(now time.Duration) {
-	beat := c.set.Beat()
+	beat := c.settings.Beat()
 	moves, tell := c.controller.Look(now, c.versions, rollout.Surroundings{
-		Self: c.post.Self(), Fresh: 2 * beat, Fill: c.fill,
+		Self: c.endpoint.Self(), Fresh: 2 * beat, Fill: c.fillView,
 		Owner: func(key string) string { return c.member.Owner(now, key) }})
 	for service, v := range c.versions {
-		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.member.Owner(now, rollout.Key(service)) == c.post.Self() {
+		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.member.Owner(now, rollout.Key(service)) == c.endpoint.Self() {
 			c.logWaiting(now, service)
 		}
 	}
 	for to, all := range tell {
-		c.post.Send(to, delivery.GatherKind, all)
+		c.endpoint.Send(to, delivery.GatherKind, all)
 	}
 	for _, m := range moves {
-		c.take(now, m)
+		c.commitMove(now, m)
 	}
 }
 
 // logWaiting logs, once in a while, what a rollout waits for that has been at full weight for longer than
 // gateways take to tell of it.
 func (c *rolloutController) logWaiting(now time.Duration, service string) {
-	patience := 2 * c.set.Beat()
+	minWait := 2 * c.settings.Beat()
 	view := c.controller.View(service)
-	if view.Stage <= patience || now < c.waitsAt {
+	if view.Stage <= minWait || now < c.nextWaitLogAt {
 		return
 	}
-	c.waitsAt = now + patience
+	c.nextWaitLogAt = now + minWait
 	c.log.rollout.Info("waits at full weight", "service", service, "heard", view.Heard, "live", view.Live,
-		"unheard", c.unheard(c.controller.Gathered(service).Nodes), "requestsAtOtherVersion", view.Busy)
+		"unheard", c.gatewaysNotHeard(c.controller.Gathered(service).Nodes), "requestsAtOtherVersion", view.Busy)
 }
 
-// take has a step of a rollout committed.
-func (c *rolloutController) take(now time.Duration, m rollout.Move) {
+// commitMove has a step of a rollout committed.
+func (c *rolloutController) commitMove(now time.Duration, m rollout.Move) {
 	plan := m.To
 	change := func(have map[string]replication.Record) ([]replication.Record, error) {
 		return rollout.Advance(have, m.From.Gen, plan)
@@ -108,27 +108,27 @@
 	})
 }
 
-// unheard names some of the live gateways that have not told of a rollout.
-func (c *rolloutController) unheard(told map[string]int) (names []string) {
-	for _, n := range c.reg.List().Live(membership.Data) {
-		if _, ok := told[n.Address]; !ok && len(names) < behindMost {
+// gatewaysNotHeard names some of the live gateways that have not told of a rollout.
+func (c *rolloutController) gatewaysNotHeard(told map[string]int) (names []string) {
+	for _, n := range c.membership.List().Live(membership.Data) {
+		if _, ok := told[n.Address]; !ok && len(names) < maxNamedGateways {
 			names = append(names, n.Name)
 		}
 	}
 	return names
 }
 
-// fill adds to what a controller looks at what this control node knows of gateways, upstreams
+// fillView adds to what a controller looks at what this control node knows of gateways, upstreams
 // and loads.
-func (c *rolloutController) fill(v *rollout.View, p *rollout.Plan, told map[string]int) {
-	for _, n := range c.reg.List().Live(membership.Data) {
+func (c *rolloutController) fillView(v *rollout.View, p *rollout.Plan, told map[string]int) {
+	for _, n := range c.membership.List().Live(membership.Data) {
 		v.Live++
 		if busy, ok := told[n.Address]; ok {
 			v.Heard++
 			v.Busy += busy
 		}
 	}
-	c.list.stand.Each(c.now(), func(i upstream.Instance, left time.Duration) {
+	c.list.snapshot.Each(c.now(), func(i upstream.Instance, left time.Duration) {
 		if i.Service != p.Service || i.Draining {
 			return
 		}
@@ -150,23 +150,23 @@
 	}
 }
 
-// serves is the version that stands as an order comes: by the record of the service's
+// currentVersion is the version that stands as an order comes: by the record of the service's
 // last order, by what the owner of the configuration said, or, where no version was ever
 // kept, by the platform's list.
-func (c *rolloutController) serves(last replication.Record, o order) string {
-	v := rollout.Service{Standing: o.Stood}
+func (c *rolloutController) currentVersion(last replication.Record, o order) string {
+	v := rollout.Service{Standing: o.Current}
 	if p, ok := rollout.Read(last); ok {
 		v.Plan = p
 	}
 	if known := v.Serves(); known != "" {
 		return known
 	}
-	return c.list.versions()[o.Rollout.Service].version
+	return c.list.serviceVersions()[o.Rollout.Service].mostFrequent
 }
 
 // call is an operator's call for a service as the owner of the rollout's key takes it.
 func (c *rolloutController) call(service string, o order) rollout.Call {
-	now, ackS := c.now(), settings.Seconds(c.set.Bounds.AckS)
+	now, ackS := c.now(), settings.Seconds(c.settings.Bounds.AckS)
 	return rollout.Call{ID: o.ID, Basis: o.Basis, Recent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
 }
 
@@ -178,17 +178,17 @@
 		return
 	}
 	known := c.versions
-	o := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, Saw: map[string]uint64{}}
-	for service, l := range c.list.versions() {
+	o := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
+	for service, l := range c.list.serviceVersions() {
 		v := known[service]
-		if v.Active() != nil || l.of[v.Serves()] > 0 || !c.configuration.hasService(service) {
+		if v.Active() != nil || l.counts[v.Serves()] > 0 || !c.configuration.hasService(service) {
 			continue
 		}
-		s := rollout.Standing{Version: l.version}
+		s := rollout.Standing{Version: l.mostFrequent}
 		if v.Plan != nil {
 			s.After = v.Plan.Gen
 		}
-		o.Adopt[service], o.Saw[service] = s, c.configuration.shown.Records[rollout.StandingPrefix+service].Gen
+		o.Adopt[service], o.SeenGenerations[service] = s, c.configuration.published.Records[rollout.StandingPrefix+service].Gen
 	}
 	if len(o.Adopt) == 0 {
 		return
@@ -196,7 +196,7 @@
 	c.adopting = true
 	go func() {
 		_, err := c.submit(context.Background(), o)
-		c.do(func(time.Duration) {
+		c.enqueue(func(time.Duration) {
 			c.adopting = false
 			if err != nil {
 				c.log.rollout.Warn("standing versions not kept", "error", err)
--- a/internal/controlplane/rollout_calls_test.go
+++ b/internal/controlplane/rollout_calls_test.go
@@ -20,10 +20,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &environment{set: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, member: member, start: time.Now()}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, member: member, startedAt: time.Now()}
 	key := rollout.Key("s")
 	begin := func(id uint64, version string) order {
-		return order{Key: key, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Stood: rollout.Standing{Version: "v1"}}
+		return order{Key: key, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
 	}
 	abort := func(id uint64, r rollout.Reversal) order { return order{Key: key, ID: id, Abort: true, Reversal: r} }
 	const fine apierror.Kind = -1
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -17,7 +17,7 @@
 
 // rollouts serves the calls for rollouts.
 func (c *rolloutController) serve(r *http.Request, service string) ([]byte, error) {
-	came := arrivalOf(r)
+	arrived := arrivalOf(r)
 	wrong := apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	if service == "" {
 		if r.Method != http.MethodPost {
@@ -32,15 +32,15 @@
 			c.log.control.Warn("rollout refused", "error", err)
 			return nil, err
 		}
-		basis, err := c.newest(came, ask.Service)
+		basis, err := c.newestBasis(arrived, ask.Service)
 		if err != nil {
 			return nil, err
 		}
-		stood, err := c.service(r.Context(), ask.Service)
+		stood, err := c.askService(r.Context(), ask.Service)
 		if err != nil {
 			return nil, err
 		}
-		if _, err := c.submit(r.Context(), order{Key: rollout.Key(ask.Service), Rollout: &ask, Stood: stood, Basis: basis}); err != nil {
+		if _, err := c.submit(r.Context(), order{Key: rollout.Key(ask.Service), Rollout: &ask, Current: stood, Basis: basis}); err != nil {
 			c.log.control.Warn("rollout not taken", "service", ask.Service, "version", ask.Version, "error", err)
 			return nil, err
 		}
@@ -58,7 +58,7 @@
 		}
 		return body, err
 	case http.MethodDelete:
-		basis, err := c.newest(came, service)
+		basis, err := c.newestBasis(arrived, service)
 		if err != nil {
 			return nil, err
 		}
@@ -67,11 +67,11 @@
 	return nil, wrong
 }
 
-// newest is the number of a service's newest rollout as this control node knows it, for an order
+// newestBasis is the number of a service's newestBasis rollout as this control node knows it, for an order
 // that rests on it.
-func (c *rolloutController) newest(came arrival, service string) (*uint64, error) {
-	return c.basis(came, func() uint64 {
-		plan, ok := rollout.Read(c.configuration.shown.Records[rollout.Key(service)])
+func (c *rolloutController) newestBasis(arrived arrival, service string) (*uint64, error) {
+	return c.orderBasis(arrived, func() uint64 {
+		plan, ok := rollout.Read(c.configuration.published.Records[rollout.Key(service)])
 		if !ok {
 			return 0
 		}
@@ -103,40 +103,40 @@
 // owner of the configuration before it says no.
 func (c *rolloutController) hasService(caller context.Context, name string) error {
 	has := make(chan bool, 1)
-	c.do(func(time.Duration) { has <- c.configuration.hasService(name) })
+	c.enqueue(func(time.Duration) { has <- c.configuration.hasService(name) })
 	if <-has {
 		return nil
 	}
-	_, err := c.service(caller, name)
+	_, err := c.askService(caller, name)
 	return err
 }
 
-// service asks the owner of the configuration for a service, and for its version that
+// askService asks the owner of the configuration for a askService, and for its version that
 // stands there.
-func (c *rolloutController) service(caller context.Context, name string) (rollout.Standing, error) {
+func (c *rolloutController) askService(caller context.Context, name string) (rollout.Standing, error) {
 	body, err := c.submit(caller, order{Key: config.Key, Service: name})
 	if err != nil {
 		return rollout.Standing{}, err
 	}
-	var s standing
+	var s serviceStanding
 	if err := cbor.Unmarshal(body, &s); err != nil {
 		return rollout.Standing{}, err
 	}
-	if !s.Has {
+	if !s.Exists {
 		return rollout.Standing{}, apierror.New(apierror.UnknownService, "%q", name)
 	}
-	return s.Stood, nil
+	return s.Current, nil
 }
 
-// standing is what the owner of the configuration says of a service.
-type standing struct {
-	Has   bool             `cbor:"1,keyasint,omitempty"`
-	Stood rollout.Standing `cbor:"2,keyasint,omitzero"`
+// serviceStanding is what the owner of the configuration says of a service.
+type serviceStanding struct {
+	Exists  bool             `cbor:"1,keyasint,omitempty"`
+	Current rollout.Standing `cbor:"2,keyasint,omitzero"`
 }
 
-func stood(have map[string]replication.Record, service string) []byte {
-	s := standing{Has: config.HasService(have, service)}
-	s.Stood, _ = rollout.ReadStanding(have[rollout.StandingPrefix+service])
+func encodeServiceStanding(have map[string]replication.Record, service string) []byte {
+	s := serviceStanding{Exists: config.HasService(have, service)}
+	s.Current, _ = rollout.ReadStanding(have[rollout.StandingPrefix+service])
 	b, err := cbor.Marshal(s)
 	if err != nil {
 		panic(err)
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -59,7 +59,7 @@
 	return out
 }
 
-func (c *rolloutController) shownState(now time.Duration, service string) []byte {
+func (c *rolloutController) stateJSON(now time.Duration, service string) []byte {
 	for _, s := range c.states(now) {
 		if s.Service == service {
 			b, _ := json.MarshalIndent(s, "", "  ")
@@ -74,18 +74,18 @@
 	if err := c.hasService(caller, service); err != nil {
 		return nil, err
 	}
-	body, err := c.submit(caller, order{Key: rollout.Key(service), Show: true})
+	body, err := c.submit(caller, order{Key: rollout.Key(service), ShowState: true})
 	if err == nil && body == nil {
 		err = apierror.New(apierror.NoRollout, "%s", service)
 	}
 	return body, err
 }
 
-func armState(version string, c rollout.Cell) ArmState {
-	s := ArmState{Version: version, Answers: c.Ended, Failed: c.Failed()}
-	if c.N > 0 {
-		s.MeanTime = c.Sum / float64(c.N)
-		s.P99AtMs = float64(c.Tail()) / float64(time.Millisecond)
+func armState(version string, cell rollout.Cell) ArmState {
+	s := ArmState{Version: version, Answers: cell.Ended, Failed: cell.Failed()}
+	if cell.N > 0 {
+		s.MeanTime = cell.Sum / float64(cell.N)
+		s.P99AtMs = float64(cell.Tail()) / float64(time.Millisecond)
 	}
 	return s
 }
--- a/internal/controlplane/stalls.go
+++ b/internal/controlplane/stalls.go
@@ -12,15 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerPatience is the time after which a caller without an answer goes on to another node.
-const callerPatience = time.Second
+// callerTimeout is the time after which a caller without an answer goes on to another node.
+const callerTimeout = time.Second
 
 // A process that stood still for longer than stallLimit refuses the calls that may have come
-// meanwhile: their callers may have gone on. It takes wakeTime to read those. A call that
+// meanwhile: their callers may have gone on. It takes resumeWindow to read those. A call that
 // waited for less begins before its caller gives up.
 const (
-	stallLimit = callerPatience / 4
-	wakeTime   = callerPatience / 20
+	stallLimit   = callerTimeout / 4
+	resumeWindow = callerTimeout / 20
 )
 
 // stallDetector knows when the process last stood still.
@@ -34,7 +34,7 @@
 func (d *stallDetector) stalled() bool {
 	now := d.clock()
 	ticked, woke := time.Duration(d.tickedAt.Load()), time.Duration(d.wokeAt.Load())
-	return now-ticked > stallLimit || woke > 0 && now-woke < wakeTime
+	return now-ticked > stallLimit || woke > 0 && now-woke < resumeWindow
 }
 
 // watch notes the times at which the process runs, until stop.
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -36,25 +36,25 @@
 	}
 	defer conn.Close()
 
-	env := &environment{set: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, start: time.Now(), commands: make(chan func(time.Duration)), log: loggers{control: logging.For(logging.Control)}}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, startedAt: time.Now(), queue: make(chan func(time.Duration)), log: loggers{control: logging.For(logging.Control)}}
 	env.stalls = &stallDetector{clock: env.now}
 	env.stalls.noteRunning(env.now())
 	go func() {
-		for fn := range env.commands {
+		for fn := range env.queue {
 			fn(env.now())
 		}
 	}()
-	defer close(env.commands)
+	defer close(env.queue)
 	read := func() uint64 { return 7 }
 
-	generation, err := env.basis(arrival{conn, time.Now()}, read)
+	generation, err := env.orderBasis(arrival{conn, time.Now()}, read)
 	if age := sinceReceived(conn); age <= maxOrderWait && (err != nil || *generation != 7) {
 		t.Errorf("at once, after %v: %v, %v", age, generation, err)
 	}
 	time.Sleep(maxOrderWait + 50*time.Millisecond)
 	env.stalls.noteRunning(env.now())
 	var refused *apierror.Error
-	if _, err := env.basis(arrival{conn, time.Now()}, read); !errors.As(err, &refused) || refused.Kind != apierror.Outdated {
+	if _, err := env.orderBasis(arrival{conn, time.Now()}, read); !errors.As(err, &refused) || refused.Kind != apierror.Outdated {
 		t.Errorf("after waiting unread: %v", err)
 	}
 }
@@ -64,8 +64,8 @@
 	clock := func() time.Duration { return time.Minute }
 	stalls := &stallDetector{clock: clock}
 	stalls.noteRunning(clock())
-	c := &coordinator{owners: noOwner{}, clock: clock, stalls: stalls, run: func(fn func(time.Duration)) { fn(time.Minute) },
-		stats: newCoordinationStats(), retry: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
+	c := &coordinator{owners: noOwner{}, clock: clock, stalls: stalls, enqueue: func(fn func(time.Duration)) { fn(time.Minute) },
+		statistics: newCoordinationStats(), retry: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
 	for name, test := range map[string]struct {
 		wait time.Duration
 		says string
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -21,7 +21,7 @@
 func TestQueueOfWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const idle = 100 * time.Millisecond
-		queue := newJobs()
+		queue := newWriteQueue()
 		start := time.Now()
 		expect := func(wanted queueState, count int, at time.Duration) {
 			t.Helper()
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -32,13 +32,13 @@
 	BehindOf  []string `json:"behindOf"` // the first of them
 }
 
-// behindMost is how many of the gateways that lag behind a summary names.
-const behindMost = 10
+// maxNamedGateways is how many of the gateways that lag behind a summary names.
+const maxNamedGateways = 10
 
 // Summary sums an overview up by kind, zone and state.
 func (o *Overview) Summary() *Summary {
-	behind := o.behind()
-	s := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), behindMost)]}
+	behind := o.gatewaysBehind()
+	s := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), maxNamedGateways)]}
 	nodes, ups := map[Count]int{}, map[Count]int{}
 	for _, m := range o.Members {
 		nodes[Count{m.Plane, m.Zone, m.Standing(), 0}]++
@@ -46,12 +46,12 @@
 	for _, u := range o.Upstreams {
 		ups[Count{u.Service, u.Zone, Standing(u), 0}]++
 	}
-	s.Nodes, s.Upstreams = counts(nodes), counts(ups)
+	s.Nodes, s.Upstreams = sortedCounts(nodes), sortedCounts(ups)
 	return s
 }
 
-// behind names the gateways without the newest items.
-func (o *Overview) behind() []string {
+// gatewaysBehind names the gateways without the newest items.
+func (o *Overview) gatewaysBehind() []string {
 	out := []string{}
 	for _, d := range o.Delivery {
 		if !d.Current {
@@ -61,7 +61,7 @@
 	return out
 }
 
-func counts(of map[Count]int) []Count {
+func sortedCounts(of map[Count]int) []Count {
 	out := []Count{}
 	for c, n := range of {
 		c.Count = n
@@ -93,34 +93,34 @@
 }
 
 // filter keeps the entries whose fields are as the question says.
-func filter[T any](list []T, q url.Values, fields map[string]func(T) string) ([]T, error) {
-	for name := range q {
+func filter[T any](list []T, query url.Values, fields map[string]func(T) string) ([]T, error) {
+	for name := range query {
 		field, ok := fields[name]
 		if !ok {
 			return nil, apierror.New(apierror.BadQuestion, "no filter %q here", name)
 		}
-		list = slices.DeleteFunc(slices.Clone(list), func(v T) bool { return !slices.Contains(q[name], field(v)) })
+		list = slices.DeleteFunc(slices.Clone(list), func(v T) bool { return !slices.Contains(query[name], field(v)) })
 	}
 	return list, nil
 }
 
 // view is one page of an overview, with the filters that a question asks for.
-func (o *Overview) view(page string, q url.Values) (v any, err error) {
+func (o *Overview) view(page string, query url.Values) (v any, err error) {
 	switch page {
 	case "summary":
 		return o.Summary(), nil
 	case "members":
-		return filter(o.Members, q, map[string]func(Member) string{
+		return filter(o.Members, query, map[string]func(Member) string{
 			"zone":  func(m Member) string { return m.Zone },
 			"plane": func(m Member) string { return m.Plane },
 			"state": Member.Standing})
 	case "upstreams":
-		return filter(o.Upstreams, q, map[string]func(upstream.Instance) string{
+		return filter(o.Upstreams, query, map[string]func(upstream.Instance) string{
 			"zone":   func(u upstream.Instance) string { return u.Zone },
 			"target": func(u upstream.Instance) string { return u.Service },
 			"state":  Standing})
 	case "delivery":
-		return filter(o.Delivery, q, map[string]func(Delivery) string{
+		return filter(o.Delivery, query, map[string]func(Delivery) string{
 			"zone":    func(d Delivery) string { return d.Zone },
 			"current": func(d Delivery) string { return strconv.FormatBool(d.Current) }})
 	}
--- a/internal/controlplane/summary_test.go
+++ b/internal/controlplane/summary_test.go
@@ -23,7 +23,7 @@
 	s := o.Summary()
 	want := []Count{{"gateway", "z0", "alive", 100}, {"gateway", "z1", "alive", 99}, {"gateway", "z1", "draining", 1},
 		{"gateway", "z2", "alive", 99}, {"gateway", "z2", "suspect", 1}}
-	if !reflect.DeepEqual(s.Nodes, want) || len(s.Upstreams) != 4 || s.Behind != 30 || len(s.BehindOf) != behindMost {
+	if !reflect.DeepEqual(s.Nodes, want) || len(s.Upstreams) != 4 || s.Behind != 30 || len(s.BehindOf) != maxNamedGateways {
 		t.Errorf("%+v", s)
 	}
 	for _, c := range []struct {
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -25,7 +25,7 @@
 	// confirms; came is when the order was taken up. An error refuses the order.
 	change(came time.Duration, have records) ([]replication.Record, error)
 	// finish answers, once the round has ended well. It may answer later.
-	finish(came, now time.Duration, answer func(verdict))
+	finish(came, now time.Duration, answer func(orderReply))
 }
 
 // task is the one that an order stands for, which another control node or this one took.
@@ -34,10 +34,10 @@
 	switch {
 	case len(o.Plan) > 0:
 		change, err := config.Read(o.Plan)
-		return &planTask{orders: c, asked: change}, err
+		return &planTask{orders: c, requested: change}, err
 	case len(o.Patch) > 0:
 		change, err := config.Read(o.Patch)
-		return &patchTask{orders: c, asked: change}, err
+		return &patchTask{orders: c, requested: change}, err
 	case o.Evacuate != nil:
 		return &evacuationTask{orders: c, order: o, via: via}, nil
 	case o.Bind != nil:
@@ -49,67 +49,67 @@
 	case o.Adopt != nil:
 		return adoptTask{order: o}, nil
 	case o.Service != "":
-		return &questionTask{answer: func(have records) []byte { return stood(have, o.Service) }}, nil
-	case o.Show:
+		return &readTask{answer: func(have records) []byte { return encodeServiceStanding(have, o.Service) }}, nil
+	case o.ShowState:
 		return &showTask{rollouts: c.rollouts, service: service}, nil
 	case o.Read:
-		return &questionTask{answer: func(have records) []byte { return render(o.Key, have) }}, nil
+		return &readTask{answer: func(have records) []byte { return render(o.Key, have) }}, nil
 	}
 	return confirmTask{}, nil
 }
 
-// noBody is part of tasks whose answer says only that they were carried out.
-type noBody struct{}
+// emptyAnswer is part of tasks whose answer says only that they were carried out.
+type emptyAnswer struct{}
 
-func (noBody) finish(_, _ time.Duration, answer func(verdict)) { answer(verdict{}) }
+func (emptyAnswer) finish(_, _ time.Duration, answer func(orderReply)) { answer(orderReply{}) }
 
 // confirmTask changes nothing: the round confirms that this control node owns the key.
-type confirmTask struct{ noBody }
+type confirmTask struct{ emptyAnswer }
 
 func (confirmTask) change(time.Duration, records) ([]replication.Record, error) { return nil, nil }
 
-// questionTask answers from the records that the round confirms.
-type questionTask struct {
+// readTask answers from the records that the round confirms.
+type readTask struct {
 	answer func(records) []byte
 	body   []byte
 }
 
-func (t *questionTask) change(_ time.Duration, have records) ([]replication.Record, error) {
+func (t *readTask) change(_ time.Duration, have records) ([]replication.Record, error) {
 	t.body = t.answer(have)
 	return nil, nil
 }
 
-func (t *questionTask) finish(_, _ time.Duration, answer func(verdict)) {
-	answer(verdict{Body: t.body})
+func (t *readTask) finish(_, _ time.Duration, answer func(orderReply)) {
+	answer(orderReply{Body: t.body})
 }
 
 // planTask says what a change of the configuration would do.
 type planTask struct {
-	orders *orderController
-	asked  *config.Change
-	steps  []config.Step
+	orders    *orderController
+	requested *config.Change
+	steps     []config.Step
 }
 
 func (t *planTask) change(_ time.Duration, have records) (_ []replication.Record, err error) {
-	t.steps, err = t.asked.Plan(have, &t.orders.configuration.reader)
+	t.steps, err = t.requested.Plan(have, &t.orders.configuration.reader)
 	return nil, err
 }
 
-func (t *planTask) finish(_, _ time.Duration, answer func(verdict)) {
+func (t *planTask) finish(_, _ time.Duration, answer func(orderReply)) {
 	body, _ := json.Marshal(t.steps)
-	answer(verdict{Body: body})
+	answer(orderReply{Body: body})
 }
 
 // patchTask changes the configuration.
 type patchTask struct {
-	orders  *orderController
-	asked   *config.Change
-	revokes bool // it takes a key from a tenant
+	orders    *orderController
+	requested *config.Change
+	revokes   bool // it takes a key from a tenant
 }
 
 func (t *patchTask) change(_ time.Duration, have records) ([]replication.Record, error) {
 	reader := &t.orders.configuration.reader
-	changes, err := t.asked.Apply(have, reader)
+	changes, err := t.requested.Apply(have, reader)
 	if err == nil {
 		err = t.orders.room.admit(have, changes)
 	}
@@ -120,32 +120,32 @@
 	return changes, nil
 }
 
-func (t *patchTask) finish(_, now time.Duration, answer func(verdict)) {
+func (t *patchTask) finish(_, now time.Duration, answer func(orderReply)) {
 	revocations := t.orders.revocations
 	if revocations == nil {
-		answer(verdict{})
+		answer(orderReply{})
 		return
 	}
 	if t.revokes {
-		revocations.note(now)
+		revocations.noteRevocation(now)
 	}
-	if t.asked.NamesTenants() {
-		if left := revocations.held(t.orders.now()); left > 0 {
+	if t.requested.NamesTenants() {
+		if left := revocations.remainingHold(t.orders.now()); left > 0 {
 			t.orders.answerLater(left, answer)
 			return
 		}
 	}
-	answer(verdict{})
+	answer(orderReply{})
 }
 
 // answerLater answers a call that has been carried out but may not be confirmed
 // yet: at the right time, if that is soon, or with the advice to ask again.
-func (c *orderController) answerLater(left time.Duration, answer func(verdict)) {
-	if left > c.set.Beat()*2/3 {
-		answer(verdict{true, apierror.NotYet, "keys that were taken away may be in use for " + left.String(), nil})
+func (c *orderController) answerLater(left time.Duration, answer func(orderReply)) {
+	if left > c.settings.Beat()*2/3 {
+		answer(orderReply{true, apierror.NotYet, "keys that were taken away may be in use for " + left.String(), nil})
 		return
 	}
-	time.AfterFunc(left, func() { answer(verdict{}) })
+	time.AfterFunc(left, func() { answer(orderReply{}) })
 }
 
 // evacuationTask orders or withdraws the evacuation of a zone.
@@ -154,26 +154,26 @@
 	order  order
 	via    string // the control node that took the order
 
-	before, after uint64 // generations of the zone's record
+	generationBefore, generationAfter uint64 // generations of the zone's record
 }
 
-func (t *evacuationTask) change(came time.Duration, have records) ([]replication.Record, error) {
+func (t *evacuationTask) change(receivedAt time.Duration, have records) ([]replication.Record, error) {
 	o := t.order
-	t.before = have[o.Key].Gen
-	t.after = t.before
+	t.generationBefore = have[o.Key].Gen
+	t.generationAfter = t.generationBefore
 	changes, err := config.Evacuation(have, config.EvacuationOrder{Zone: strings.TrimPrefix(o.Key, config.EvacuationPrefix),
-		Evacuate: *o.Evacuate, ID: o.ID, Basis: o.Basis, Recent: t.orders.evacuations.recent(came)})
+		Evacuate: *o.Evacuate, ID: o.ID, Basis: o.Basis, Recent: t.orders.evacuations.recent(receivedAt)})
 	if len(changes) > 0 {
-		t.after = changes[0].Gen
+		t.generationAfter = changes[0].Gen
 	}
 	return changes, err
 }
 
-func (t *evacuationTask) finish(came, now time.Duration, answer func(verdict)) {
+func (t *evacuationTask) finish(receivedAt, now time.Duration, answer func(orderReply)) {
 	t.orders.log.control.Info("evacuation order carried out", "zone", strings.TrimPrefix(t.order.Key, config.EvacuationPrefix),
-		"evacuate", *t.order.Evacuate, "order", orderName(t.order.ID), "via", t.via, "ageMs", (t.order.Age + now - came).Milliseconds(),
-		"generationBefore", t.before, "generation", t.after)
-	answer(verdict{})
+		"evacuate", *t.order.Evacuate, "order", orderName(t.order.ID), "via", t.via, "ageMs", (t.order.Age + now - receivedAt).Milliseconds(),
+		"generationBefore", t.generationBefore, "generation", t.generationAfter)
+	answer(orderReply{})
 }
 
 // orderName is the number of an order as logs show it.
@@ -194,26 +194,26 @@
 	return all, nil
 }
 
-func (t *bindTask) finish(_, _ time.Duration, answer func(verdict)) {
+func (t *bindTask) finish(_, _ time.Duration, answer func(orderReply)) {
 	body, _ := cbor.Marshal(t.refused)
-	answer(verdict{Body: body})
+	answer(orderReply{Body: body})
 }
 
 // beginTask begins a rollout.
 type beginTask struct {
-	noBody
+	emptyAnswer
 	rollouts *rolloutController
 	order    order
 }
 
 func (t beginTask) change(_ time.Duration, have records) ([]replication.Record, error) {
 	call := t.rollouts.call(t.order.Rollout.Service, t.order)
-	return rollout.Begin(have, *t.order.Rollout, t.rollouts.serves(have[t.order.Key], t.order), call)
+	return rollout.Begin(have, *t.order.Rollout, t.rollouts.currentVersion(have[t.order.Key], t.order), call)
 }
 
 // abortTask has a rollout reversed.
 type abortTask struct {
-	noBody
+	emptyAnswer
 	rollouts *rolloutController
 	service  string
 	order    order
@@ -226,31 +226,31 @@
 
 // adoptTask keeps the versions that stand without an order.
 type adoptTask struct {
-	noBody
+	emptyAnswer
 	order order
 }
 
 func (t adoptTask) change(_ time.Duration, have records) ([]replication.Record, error) {
-	return rollout.Adopt(have, t.order.Adopt, t.order.Saw), nil
+	return rollout.Adopt(have, t.order.Adopt, t.order.SeenGenerations), nil
 }
 
 // showTask shows all that the owner knows of a rollout.
 type showTask struct {
 	rollouts *rolloutController
 	service  string
-	ordered  bool // there is a rollout
+	exists   bool // there is a rollout
 }
 
 func (t *showTask) change(_ time.Duration, have records) ([]replication.Record, error) {
-	_, t.ordered = rollout.Read(have[rollout.Key(t.service)])
+	_, t.exists = rollout.Read(have[rollout.Key(t.service)])
 	return nil, nil
 }
 
-func (t *showTask) finish(_, now time.Duration, answer func(verdict)) {
-	body := t.rollouts.shownState(now, t.service)
-	if t.ordered && body == nil { // taken over a moment ago, and not shown yet
-		answer(fault(replication.ErrNoQuorum))
+func (t *showTask) finish(_, now time.Duration, answer func(orderReply)) {
+	body := t.rollouts.stateJSON(now, t.service)
+	if t.exists && body == nil { // taken over a moment ago, and not shown yet
+		answer(failedReply(replication.ErrNoQuorum))
 		return
 	}
-	answer(verdict{Body: body})
+	answer(orderReply{Body: body})
 }
--- a/internal/controlplane/wiring_test.go
+++ b/internal/controlplane/wiring_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(n.post.Close)
+		t.Cleanup(n.endpoint.Close)
 		if (n.registry != nil) != c.registry || (n.orders.revocations != nil) != c.revocations || (n.quotas != nil) != c.quotas {
 			t.Errorf("%s: registry %v, revocations %v, quotas %v", name, n.registry != nil, n.orders.revocations != nil, n.quotas != nil)
 		}
