--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -13,8 +13,8 @@
 	"madderwing/internal/replication"
 )
 
-// administration shows operators what this control node holds, and takes control nodes out of
-// the roster.
+// administration shows operators the state of this control node, and removes control nodes from the
+// roster.
 type administration struct {
 	*environment
 	configuration *configuration
@@ -29,7 +29,7 @@
 	calls, refused, withoutQuorum atomic.Uint64 // of operators
 }
 
-// overview is all that there is to show.
+// overview collects all that the administration API shows.
 func (c *administration) overview(now time.Duration) *Overview {
 	o := &Overview{Node: c.settings.Node, Voting: c.member.Voting(), Contact: c.contact.state(now), Roster: c.member.Standing(now),
 		Duties: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
@@ -45,7 +45,7 @@
 	return o
 }
 
-// members are the nodes that are known, and the seats whose holders are not.
+// members lists the known nodes, and the members of the roster whose nodes are unknown.
 func (c *administration) members(list *membership.List, labels map[string]int) []Member {
 	out := []Member{}
 	seats := map[string]bool{}
@@ -67,7 +67,7 @@
 	return out
 }
 
-// keys are the keys of the control state; nil if there are none.
+// keys describes the keys of the control state; nil if there are none.
 func (c *administration) keys(now time.Duration) (out []Key) {
 	for _, v := range c.member.Views(now) {
 		heard := v.HeardAgo
@@ -79,7 +79,7 @@
 	return out
 }
 
-// counters are those of this control node since its start.
+// counters returns this control node's counters since its start.
 func (c *administration) counters(now time.Duration) map[string]uint64 {
 	return map[string]uint64{
 		"orders": c.calls.Load(), "ordersRefused": c.refused.Load(), "ordersNoQuorum": c.withoutQuorum.Load(),
@@ -89,8 +89,7 @@
 	}
 }
 
-// retire takes a control node that is gone for good out of the roster, by name or
-// address.
+// retire removes a control node that is permanently gone from the roster, by name or address.
 func (c *administration) retire(caller context.Context, node string) error {
 	address := node
 	for _, n := range c.membership.List().Nodes {
@@ -105,54 +104,54 @@
 	return nil
 }
 
-// metrics gives the counters in the text form that monitoring systems scrape.
+// metrics returns the counters and gauges in the text form that monitoring systems scrape.
 func (c *administration) metrics() []byte {
-	ch := make(chan *Overview, 1)
-	c.enqueue(func(now time.Duration) { ch <- c.overview(now) })
-	o := <-ch
-	watchers := o.Counters["watchers"]
-	delete(o.Counters, "watchers")
+	overviews := make(chan *Overview, 1)
+	c.enqueue(func(now time.Duration) { overviews <- c.overview(now) })
+	overview := <-overviews
+	watchers := overview.Counters["watchers"]
+	delete(overview.Counters, "watchers")
 	var b bytes.Buffer
-	metrics.Write(&b, "control", o.Counters)
+	metrics.Write(&b, "control", overview.Counters)
 	metrics.Gauge(&b, "control", "watchers", watchers)
 	owned := uint64(0)
-	for _, k := range o.Keys {
+	for _, k := range overview.Keys {
 		if k.Owner == c.endpoint.Self() {
 			owned++
 		}
 	}
 	metrics.Gauge(&b, "control", "keysOwned", owned)
 	inContact := uint64(0)
-	if o.Contact.Fresh {
+	if overview.Contact.Fresh {
 		inContact = 1
 	}
 	metrics.Gauge(&b, "control", "inContact", inContact)
-	metrics.Gauge(&b, "control", "zonesEvacuated", uint64(len(o.Evacuations)))
-	metrics.Gauge(&b, "control", "zonesInDoubt", uint64(len(o.InDoubt)))
+	metrics.Gauge(&b, "control", "zonesEvacuated", uint64(len(overview.Evacuations)))
+	metrics.Gauge(&b, "control", "zonesInDoubt", uint64(len(overview.InDoubt)))
 	learnersBehind := uint64(0)
-	for _, l := range o.Roster.Learners {
+	for _, l := range overview.Roster.Learners {
 		if l.Behind > 0 {
 			learnersBehind++
 		}
 	}
-	metrics.Gauge(&b, "control", "seats", uint64(len(o.Roster.Seats)))
-	metrics.Gauge(&b, "control", "learners", uint64(len(o.Roster.Learners)))
+	metrics.Gauge(&b, "control", "seats", uint64(len(overview.Roster.Seats)))
+	metrics.Gauge(&b, "control", "learners", uint64(len(overview.Roster.Learners)))
 	metrics.Gauge(&b, "control", "learnersBehind", learnersBehind)
-	metrics.Gauge(&b, "control", "lossesBorne", uint64(max(0, o.Roster.Bears)))
-	metrics.Gauge(&b, "control", "itemsAgeMs", uint64(o.Contact.AgeS*1000))
-	metrics.Gauge(&b, "control", "routes", uint64(len(o.Routes)))
-	metrics.Gauge(&b, "control", "upstreams", uint64(len(o.Upstreams)))
-	metrics.Gauge(&b, "control", "gateways", uint64(len(o.Delivery)))
-	metrics.Gauge(&b, "control", "gatewaysCurrent", uint64(len(o.Delivery)-len(o.gatewaysBehind())))
+	metrics.Gauge(&b, "control", "lossesBorne", uint64(max(0, overview.Roster.Bears)))
+	metrics.Gauge(&b, "control", "itemsAgeMs", uint64(overview.Contact.AgeS*1000))
+	metrics.Gauge(&b, "control", "routes", uint64(len(overview.Routes)))
+	metrics.Gauge(&b, "control", "upstreams", uint64(len(overview.Upstreams)))
+	metrics.Gauge(&b, "control", "gateways", uint64(len(overview.Delivery)))
+	metrics.Gauge(&b, "control", "gatewaysCurrent", uint64(len(overview.Delivery)-len(overview.gatewaysBehind())))
 	c.coordination.currentState().writeMetrics(&b)
 	return b.Bytes()
 }
 
-// page gives one of the read-only views.
+// page returns one of the read-only views as JSON.
 func (c *administration) page(page string, query url.Values) ([]byte, error) {
-	ch := make(chan *Overview, 1)
-	c.enqueue(func(now time.Duration) { ch <- c.overview(now) })
-	v, err := (<-ch).view(page, query)
+	overviews := make(chan *Overview, 1)
+	c.enqueue(func(now time.Duration) { overviews <- c.overview(now) })
+	v, err := (<-overviews).view(page, query)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -10,54 +10,55 @@
 	"madderwing/internal/delivery"
 )
 
-// configuration is the committed configuration as this control node shows it to gateways: the
-// records of all keys that hold items, evacuations or rollouts.
+// configuration is the committed configuration as this control node publishes it to gateways: the
+// records of all keys that hold items (routes, services, tenants), evacuations or rollouts.
 type configuration struct {
 	published *antientropy.Set
-	changes   delivery.ChangeLog // of what is shown
+	changes   delivery.ChangeLog // to published
 	reader    config.Reader
 }
 
 func newConfiguration() *configuration { return &configuration{published: antientropy.NewSet()} }
 
-// merge takes over the committed records that are newer than what is shown, and returns them.
-func (c *configuration) merge(records []config.Record) (taken []config.Record) {
+// merge publishes the committed records that are newer than the published ones, and returns them.
+func (c *configuration) merge(records []config.Record) (newer []config.Record) {
 	for _, r := range records {
 		if old, have := c.published.Records[r.Name]; !have || r.Newer(old) {
 			c.changes.Put(c.published, r)
-			taken = append(taken, r)
+			newer = append(newer, r)
 		}
 	}
-	return taken
+	return newer
 }
 
-// replace makes the configuration's own records that are shown just those that are committed,
-// without what has been forgotten, and says whether that changed anything.
+// replace makes the published records of the configuration key match the committed ones, without
+// those that were forgotten, and reports whether anything changed.
 func (c *configuration) replace(committed map[string]config.Record) (changed bool) {
 	return config.Replace(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
 }
 
-// routes are the routes that are shown, with their placement.
+// routes lists the published routes with their placement.
 func (c *configuration) routes() []*config.Route { return c.reader.List(c.published.Records) }
 
-// hasService says whether a service is configured, as far as is known here.
+// hasService reports whether a service is configured, as far as this node knows.
 func (c *configuration) hasService(name string) bool {
 	return config.HasService(c.published.Records, name)
 }
 
-// evacuated names the zones that are evacuated, in order.
+// evacuated lists the evacuated zones, in order.
 func (c *configuration) evacuated() []string {
 	return c.zonesWhere(func(r config.Record) bool { return !r.Dropped })
 }
 
-// evacuatedInDoubt names the zones that are evacuated though all evacuations may have been withdrawn.
+// evacuatedInDoubt lists the zones that are evacuated although all their evacuations may have been
+// withdrawn.
 func (c *configuration) evacuatedInDoubt() []string { return c.zonesWhere(config.InDoubt) }
 
-// zonesWhere names the zones whose records are so, in order.
-func (c *configuration) zonesWhere(is func(config.Record) bool) []string {
+// zonesWhere lists the zones whose records satisfy a condition, in order.
+func (c *configuration) zonesWhere(condition func(config.Record) bool) []string {
 	out := []string{}
 	for name, r := range c.published.Records {
-		if zone, ok := strings.CutPrefix(name, config.EvacuationPrefix); ok && is(r) {
+		if zone, ok := strings.CutPrefix(name, config.EvacuationPrefix); ok && condition(r) {
 			out = append(out, zone)
 		}
 	}
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -9,63 +9,62 @@
 	"time"
 )
 
-// contactFraction is the part of contactS for which the word of a majority counts: three
-// beats. A copy's age is between one beat and two while nothing is amiss.
+// contactFraction is the fraction of contactS for which a majority's confirmation counts: three
+// heartbeat intervals. In normal operation a copy's age is between one interval and two.
 const contactFraction = 0.5
 
-// contact is how lately a majority stood behind the items that this control node shows. It
-// rests on what a member can say of its copies (replication.Replica.Current), which is
-// dated by this control node's own clock and takes a round trip through an owner that a
-// majority follows. So it does not hold where only one way is open, where others have
-// merely asked to become owners, or for messages that waited while this process was
-// frozen; and a process that has just started has none.
+// contact tracks when a majority last confirmed the items that this control node publishes. It
+// relies on replication.Replica.Current, which is measured on this node's own clock and takes a
+// round trip through an owner that a majority follows. So it is not satisfied by a connection that
+// works in one direction only, by requests for votes, or by messages that waited while this process
+// was frozen. A process that has just started has no contact.
 type contact struct {
 	maxAge      time.Duration
-	keys        []string // that all items are shown from
+	keys        []string // whose records are published
 	confirmedAt map[string]time.Duration
-	oldest      atomic.Int64 // of at; 0: of some key nothing is known yet
+	oldest      atomic.Int64 // of confirmedAt; 0: some key has not been confirmed yet
 
-	loggedFresh bool          // as last logged
-	loggedAt    time.Duration // since then
+	loggedFresh bool          // whether contact was fresh when last logged
+	loggedAt    time.Duration // time of the last log line
 }
 
-func newContact(bound time.Duration, keys []string) *contact {
-	return &contact{maxAge: bound, keys: keys, confirmedAt: map[string]time.Duration{}}
+func newContact(maxAge time.Duration, keys []string) *contact {
+	return &contact{maxAge: maxAge, keys: keys, confirmedAt: map[string]time.Duration{}}
 }
 
-// update takes over when the copies that are shown now were certainly the newest; ok is
-// false for one that cannot be told. It is called once those copies are shown.
+// update records when the published copies were last known to be the newest; ok is false for a key
+// where that is unknown. It is called after those copies were published.
 func (c *contact) update(current func(key string) (at time.Duration, ok bool)) {
-	least := time.Duration(math.MaxInt64)
+	oldest := time.Duration(math.MaxInt64)
 	for _, key := range c.keys {
 		if at, ok := current(key); ok {
 			c.confirmedAt[key] = max(at, 1)
 		}
-		least = min(least, c.confirmedAt[key])
+		oldest = min(oldest, c.confirmedAt[key])
 	}
-	c.oldest.Store(int64(least))
+	c.oldest.Store(int64(oldest))
 }
 
-// age is how old the items are at most; without any contact in this life, at least as
-// old as the process, and known is false. Any goroutine may ask.
+// age is the maximum age of the published items. Without any contact since the process started, the
+// items are at least as old as the process, and known is false. It is safe for concurrent use.
 func (c *contact) age(now time.Duration) (age time.Duration, known bool) {
 	at := time.Duration(c.oldest.Load())
 	return max(0, now-at), at > 0
 }
 
-// within says whether the items are no older than a bound.
+// within reports whether the published items are no older than a bound.
 func (c *contact) within(now, bound time.Duration) bool {
 	age, known := c.age(now)
 	return known && age <= bound
 }
 
-// fresh says whether this control node is in contact with a majority.
+// fresh reports whether this control node is in contact with a majority.
 func (c *contact) fresh(now time.Duration) bool { return c.within(now, c.maxAge) }
 
-// logSeconds is a duration as the log shows it, in seconds to the tenth.
+// logSeconds converts a duration to seconds for the log, rounded to tenths.
 func logSeconds(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 
-// logChange logs one line when contact is lost, and one when it is there again.
+// logChange logs one line when contact is lost, and one when it is regained.
 func (c *contact) logChange(now time.Duration, to *slog.Logger) {
 	if c.fresh(now) == c.loggedFresh {
 		return
@@ -82,9 +81,9 @@
 
 // Contact is a control node's contact with a majority as the administration API shows it.
 type Contact struct {
-	Fresh bool    `json:"fresh"` // what it shows may be told as the newest
-	Known bool    `json:"known"` // there was contact in this life of the process
-	AgeS  float64 `json:"ageS"`  // of the items; at least, if not known
+	Fresh bool    `json:"fresh"` // its items count as the newest
+	Known bool    `json:"known"` // there was contact since the process started
+	AgeS  float64 `json:"ageS"`  // age of the items; a lower bound if Known is false
 }
 
 func (c *contact) state(now time.Duration) Contact {
@@ -92,7 +91,7 @@
 	return Contact{c.fresh(now), known, math.Round(age.Seconds()*1000) / 1000}
 }
 
-// setAgeHeader tells in the standard header how old a view is, in whole seconds.
+// setAgeHeader sets the Age header to the age of a view, in whole seconds.
 func (c *contact) setAgeHeader(now time.Duration, h http.Header) {
 	age, _ := c.age(now)
 	h.Set("Age", strconv.Itoa(int(math.Ceil(age.Seconds()))))
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -9,10 +9,10 @@
 	"madderwing/internal/config"
 )
 
-// maxCallBody bounds the body of a call to control.
+// maxCallBody bounds the body of an operator's call.
 const maxCallBody = 16 << 20
 
-// control serves the operator's calls.
+// control returns the handler of the operators' API.
 func (n *Node) control(zones []string) http.Handler {
 	knownZones := map[string]bool{}
 	for _, z := range zones {
@@ -43,8 +43,8 @@
 	})
 }
 
-// isView says whether a call is answered from what this control node holds, however old: the
-// views for operators. All others wait for a majority's word.
+// isView reports whether a call is answered from what this control node holds, however old that is,
+// as the views for operators are. All other calls need a majority's confirmation.
 func isView(r *http.Request) bool {
 	page, admin := strings.CutPrefix(r.URL.Path, "/v1/admin/")
 	return r.URL.Path == "/metrics" || admin && r.Method == http.MethodGet && !strings.HasPrefix(page, "rollouts/")
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package controlplane is the control plane: it puts together the control state,
-// the duties, placement and the reading of the platform's list, and serves the
-// operator's calls.
+// Package controlplane implements a control node: it wires the replicated control state, the
+// election of duties, route placement and the reading of the platform's list of upstreams, and
+// serves the operators' API.
 package controlplane
 
 import (
@@ -26,31 +26,35 @@
 	"madderwing/internal/upstream"
 )
 
-// Kinds of message between control nodes, as earlier releases name them.
+// Kinds of message between control nodes. The values are names on the wire and match earlier
+// releases.
 const (
 	replicationKind = "stacks"
 	electionKind    = "rota"
 )
 
-// ownerTimeoutFraction is the part of contactS for which an owner may be silent.
+// ownerTimeoutFraction is the fraction of contactS for which the owner of a key, or the holder of a
+// duty, may be silent before another member takes over.
 const ownerTimeoutFraction = 0.4
 
-// The duties, as earlier releases name them.
+// Duties are the roles that one elected control node holds at a time. The values are names on the
+// wire and match earlier releases.
 const (
 	dutyList      = "list"
 	dutyPlacement = "shelve"
 )
 
-// Options are what the command line adds to the settings.
+// Options are the settings given on the command line.
 type Options struct {
 	Shards int
 	Relist time.Duration
-	// HandBack is the calm after which a key goes back to its first heir.
+	// HandBack is how long the cluster must be stable before a key goes back to the first member in
+	// its order of succession; 0: never.
 	HandBack time.Duration
 }
 
-// Node is one control-plane process. It wires its controllers, each of which has a state
-// of its own, and runs the pump, whose goroutine owns them all.
+// Node is one control-plane process. It wires the controllers, each with state of its own, and runs
+// the event loop, which owns that state.
 type Node struct {
 	*environment
 
@@ -64,20 +68,20 @@
 	administration *administration
 	coordination   *coordinator
 	quotas         *quotaController    // nil where tenants have no quotas
-	registry       *registryController // the same
+	registry       *registryController // nil where the settings configure no registry
 
-	// Owned by the pump's goroutine.
+	// Owned by the event loop.
 	loggedRoster string
 
 	writes *writeQueue
-	zones  []string // that operators may name
+	zones  []string // zones that operators may evacuate
 }
 
-// newEndpoint makes the endpoint; tests put a cut into it.
+// newEndpoint creates the transport endpoint; tests replace it by one that drops messages.
 var newEndpoint = transport.New
 
-// Run serves until ctx ends, then leaves in order. Where the settings name no dataDir
-// it runs a relay.
+// Run runs a control node until ctx ends, then shuts it down gracefully. Without a dataDir in the
+// settings it runs a relay instead.
 func Run(ctx context.Context, cfg *settings.Settings, opt Options, reload <-chan *settings.Settings) error {
 	if cfg.DataDir == "" {
 		return runRelay(ctx, cfg, reload)
@@ -109,7 +113,7 @@
 	return n.run(ctx, reload)
 }
 
-// newNode makes a control node over what its disk holds. It runs nothing yet.
+// newNode creates a control node from the state read from its disk. It starts nothing.
 func newNode(cfg *settings.Settings, opt Options, disk map[string][]byte) (*Node, error) {
 	endpoint, err := newEndpoint(cfg.ControlAddress(cfg.IP), settings.Seconds(cfg.Bounds.ContactS/6), logging.For(logging.Transport))
 	if err != nil {
@@ -142,17 +146,17 @@
 	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlNodes(), Beat: cfg.Beat(), Forget: 40 * cfg.Beat()},
 		endpoint, n.nodesChanged)
 	n.handle()
-	n.enqueue(func(time.Duration) { // before anybody's word is heard
+	n.enqueue(func(time.Duration) { // before any message is handled
 		n.publishAll()
 		n.configurationChanged()
 	})
 	return n, nil
 }
 
-// queueCapacity is how many commands may wait for the pump.
+// queueCapacity is how many functions may wait for the event loop.
 const queueCapacity = 1024
 
-// zoneNames names the zones of the settings, in order.
+// zoneNames lists the zones of the settings, in order.
 func zoneNames(cfg *settings.Settings) []string {
 	if len(cfg.Zones) == 0 {
 		return []string{cfg.Zone}
@@ -160,12 +164,13 @@
 	return slices.Sorted(maps.Keys(cfg.Zones))
 }
 
-// ownerTimeout is how long an owner, or the holder of a duty, may be silent.
+// ownerTimeout is how long the owner of a key, or the holder of a duty, may be silent before
+// another takes over.
 func ownerTimeout(cfg *settings.Settings) time.Duration {
 	return settings.Seconds(cfg.Bounds.ContactS * ownerTimeoutFraction)
 }
 
-// newReplica makes this control node's replica of the control state.
+// newReplica creates this node's replica of the control state.
 func newReplica(env *environment, keys []string, disk map[string][]byte) (*replication.Replica, error) {
 	cfg := env.settings
 	lookup := func(id string) (membership.Node, bool) { return env.membership.List().Get(id) }
@@ -185,7 +190,7 @@
 		Zone: func(id string) string { n, _ := lookup(id); return n.Zone }}, disk)
 }
 
-// wire makes the controllers and gives each what it needs of others.
+// wire creates the controllers and connects them.
 func (n *Node) wire() {
 	n.list = newListController(n.environment)
 	n.orders = &orderController{environment: n.environment, configuration: n.configuration, evacuations: n.evacuations}
@@ -208,7 +213,7 @@
 	n.rollouts.loads = func() upstream.Loads { return n.delivery.loads }
 }
 
-// progress tells how far the result of a duty has come at this control node.
+// progress tells the election how recent the result of a duty is at this node.
 func (n *Node) progress(now time.Duration, duty string) election.Progress {
 	if duty == dutyPlacement {
 		return n.placement.progress(now)
@@ -216,7 +221,7 @@
 	return n.list.progress()
 }
 
-// nodesChanged takes over another list of nodes. It runs on the goroutine of membership.
+// nodesChanged handles a new list of nodes. It runs on the goroutine of the membership service.
 func (n *Node) nodesChanged(l *membership.List) {
 	n.enqueue(func(time.Duration) { n.placement.requestReconcile() })
 	if n.registry != nil {
@@ -224,7 +229,7 @@
 	}
 }
 
-// run serves until ctx ends, then leaves in order.
+// run serves until ctx ends, then shuts down gracefully.
 func (n *Node) run(ctx context.Context, reload <-chan *settings.Settings) error {
 	n.endpoint.Start()
 	go n.membership.Run()
@@ -258,21 +263,21 @@
 	}
 }
 
-// server serves clients or operators at an address.
+// server returns an HTTP server for operators or clients at an address.
 func (n *Node) server(address string, handler http.Handler) *http.Server {
 	return &http.Server{Addr: address, Handler: handler, ConnContext: withConnection, ReadHeaderTimeout: settings.Seconds(n.settings.Bounds.ContactS),
 		IdleTimeout: settings.Seconds(4 * n.settings.Bounds.ContactS), ErrorLog: slog.NewLogLogger(n.log.control.Handler(), slog.LevelWarn)}
 }
 
-// leave hands over what this control node does for others, and ends the operators' calls.
+// leave hands over this node's keys and duties, then stops the operators' API.
 func (n *Node) leave(control *http.Server) {
 	n.log.control.Info("leaving")
 	began := time.Now()
 	n.coordination.close()
 	n.enqueue(func(now time.Duration) { n.member.Leave(now); n.election.Leave(now) })
 	n.membership.Leave(false)
-	// Orders under way are answered; the heirs take over meanwhile, and what
-	// this member holds is held by enough others before it goes.
+	// Orders in progress are still answered. Meanwhile other members take over, and what this
+	// member stores is replicated to enough of them before it leaves.
 	time.Sleep(ownerTimeout(n.settings) / 2)
 	n.awaitReplaced(began.Add(settings.Seconds(n.settings.Bounds.GraceS * 0.8)))
 	n.membership.Leave(true)
@@ -284,13 +289,13 @@
 // awaitReplaced waits until the others can do without this member, at most until end.
 func (n *Node) awaitReplaced(end time.Time) {
 	for ; ; time.Sleep(n.settings.Beat() / 20) {
-		may := make(chan bool, 1)
-		n.enqueue(func(now time.Duration) { may <- n.member.MayGo(now) })
-		if <-may {
+		mayLeave := make(chan bool, 1)
+		n.enqueue(func(now time.Duration) { mayLeave <- n.member.MayGo(now) })
+		if <-mayLeave {
 			return
 		}
 		if time.Now().After(end) {
-			n.log.replication.Warn("this member goes although too few others hold what it holds")
+			n.log.replication.Warn("leaving although too few other members hold this member's data")
 			return
 		}
 	}
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -1,7 +1,6 @@
 package controlplane
 
-// This file holds how calls for locks, counters and cells reach the owner of their
-// partition.
+// Routing of calls for locks, counters and cells to the owner of their partition.
 
 import (
 	"cmp"
@@ -19,64 +18,64 @@
 	"madderwing/internal/transport"
 )
 
-// coordinationKind is the message that forwards a call to the owner of its partition.
+// coordinationKind is the kind of message that forwards a call to the owner of its partition.
 const coordinationKind = "coordination"
 
-// A caller gives up after a second of silence (callerPatience). Within coordinationLimit it
-// has an answer, forwarding included. A call begins at the owner within startLimit, and the
-// owner answers within executionLimit after that.
+// A caller gives up after callerTimeout, a second of silence. Within coordinationLimit it has an
+// answer, forwarding included. A call begins at the owner within startLimit, and the owner answers
+// within executionLimit after that.
 const (
 	coordinationLimit = callerTimeout * 4 / 5
 	startLimit        = coordinationLimit * 9 / 10
 	executionLimit    = (coordinationLimit - startLimit) / 2
 )
 
-// Parts of contactS: the pause before a call is tried again, and the time between two
-// sweeps of a partition.
+// Fractions of contactS: the pause before a call is retried, and the time between two sweeps of a
+// partition.
 const (
 	coordinationPauseFraction = 1.0 / 100
 	sweepFraction             = 1.0
 )
 
-// historyRetentionFactor is for how long history is kept, in retentions. Watches that were
-// given a revision late, and puts that come again, find it for longer than retentionS.
+// historyRetentionFactor is how long history is kept, in multiples of the retention, so that
+// watches that received a revision late, and repeated puts, find it for longer than retentionS.
 const historyRetentionFactor = 1.5
 
-// Shares of the disk that all partitions together may fill, and of that for history.
-// diskRoom bounds what they and the catalogue fill together.
+// Fractions of the disk that all partitions together may fill, and of that for history. diskRoom
+// bounds what they and the configuration fill together.
 const (
 	coordinationDiskShare = 0.3
 	historyShare          = 0.4
 	defaultDiskMb         = 64
 )
 
-// ownerFinder tells to whom a call goes. It is used on the loop of the replica.
+// ownerFinder finds the member that a call is sent to. It is used on the event loop.
 type ownerFinder interface {
 	Owner(now time.Duration, key string) string
 	Founder(now time.Duration, key string) string
 }
 
-// coordinator serves the calls of applications at a control node.
+// coordinator serves applications' calls for locks, counters and cells at a control node.
 type coordinator struct {
-	owners    ownerFinder
-	keys      func() []string // of the control state; on the loop of the replica
-	transport *transport.Endpoint
-	enqueue   func(func(now time.Duration)) // on the loop of the replica
-	inContact func(now time.Duration) bool
-	pause     time.Duration // before a call is tried again
-	retry     time.Duration // after which a refused caller may come again
+	owners     ownerFinder
+	keys       func() []string // of the control state; called on the event loop
+	endpoint   *transport.Endpoint
+	enqueue    func(func(now time.Duration)) // queues a function for the event loop
+	inContact  func(now time.Duration) bool
+	pause      time.Duration // before a call is retried
+	retryAfter time.Duration // sent in Retry-After to refused callers
 
-	clock func() time.Duration // of the loop of the replica
+	clock func() time.Duration // of the event loop
 
-	server *coordination.Server // owned by the loop of the replica
+	server *coordination.Server // owned by the event loop
 
 	stalls *stallDetector
 
 	clocksMutex sync.Mutex
 	clocks      *coordination.PeerClocks
 
-	activeCalls, activeWatches atomic.Int64  // that wait here
-	leaving                    chan struct{} // when the node begins to leave
+	activeCalls, activeWatches atomic.Int64  // in progress here
+	leaving                    chan struct{} // closed when the node begins to leave
 	statistics                 coordinationStats
 }
 
@@ -96,26 +95,26 @@
 	}
 }
 
-// forwardedCall is a call on its way to the owner of its partition. It does not begin after
-// the deadline, on the clock of the owner.
+// forwardedCall is a call on its way to the owner of its partition. The owner doesn't begin it
+// after the deadline, which is on the owner's clock.
 type forwardedCall struct {
 	Call     coordination.Call         `cbor:"1,keyasint"`
 	Deadline coordination.ClockReading `cbor:"2,keyasint"`
 }
 
-// forwardedAnswer is what the owner answers.
+// forwardedAnswer is the owner's answer to a forwarded call.
 type forwardedAnswer struct {
 	Effect coordination.Effect       `cbor:"1,keyasint"`
 	Answer coordination.Answer       `cbor:"2,keyasint"`
 	Clock  coordination.ClockReading `cbor:"3,keyasint"` // of the owner
 }
 
-// handle answers calls that other nodes forward.
+// handle registers the handler for calls that other nodes forward.
 func (c *coordinator) handle() {
-	c.transport.HandleSlow(coordinationKind, func(_ string, body []byte) (any, error) {
+	c.endpoint.HandleSlow(coordinationKind, func(_ string, body []byte) (any, error) {
 		var forwarded forwardedCall
 		if err := cbor.Unmarshal(body, &forwarded); err != nil {
-			c.transport.Undecoded.Add(1)
+			c.endpoint.Undecoded.Add(1)
 			return nil, err
 		}
 		result := coordination.Result{Effect: coordination.NotDone}
@@ -126,10 +125,9 @@
 	})
 }
 
-// submit brings a call to the owner of its partition, wherever that is, and gives its
-// result. A call that may have been carried out is not sent again, unless it only reads. Once
-// the caller has left, which caller says, nothing is begun or waited for any more; what has been
-// begun takes effect.
+// submit sends a call to the current owner of its partition and returns the result. A call that may
+// have been carried out is not sent again, unless it only reads. Once the context of the caller has
+// ended, nothing more is begun or awaited; what has been begun takes effect.
 func (c *coordinator) submit(caller context.Context, call coordination.Call) coordination.Result {
 	begin := c.clock()
 	key := call.Key()
@@ -142,7 +140,7 @@
 	}
 }
 
-// pauseFor waits, and says whether ctx still stands then; it waits no longer than that.
+// pauseFor waits for a pause or until ctx ends, and reports whether ctx is still active.
 func pauseFor(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -154,7 +152,7 @@
 	}
 }
 
-// attempt tries a call once that came at the time begin.
+// attempt tries once a call that arrived at the time begin.
 func (c *coordinator) attempt(caller context.Context, key string, call coordination.Call, begin time.Duration) coordination.Result {
 	found := make(chan string, 1)
 	c.enqueue(func(now time.Duration) {
@@ -165,13 +163,13 @@
 		return coordination.Result{Effect: coordination.NotDone}
 	}
 	deadline := begin + startLimit
-	if owner == c.transport.Self() {
+	if owner == c.endpoint.Self() {
 		return c.execute(caller, call, coordination.ClockReading{Life: c.server.Clock().Life, Time: deadline})
 	}
 	return c.forward(caller, owner, call, deadline)
 }
 
-// forward sends a call to its owner, to be begun before a deadline on the clock here.
+// forward sends a call to its owner, which must begin it before a deadline on this node's clock.
 func (c *coordinator) forward(caller context.Context, owner string, call coordination.Call, deadline time.Duration) coordination.Result {
 	c.clocksMutex.Lock()
 	theirs, _ := c.clocks.At(owner, deadline)
@@ -179,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(caller, deadline+2*executionLimit-c.clock())
 	defer cancel()
 	var answer forwardedAnswer
-	err := c.transport.Call(ctx, owner, coordinationKind, forwardedCall{Call: call, Deadline: theirs}, &answer)
+	err := c.endpoint.Call(ctx, owner, coordinationKind, forwardedCall{Call: call, Deadline: theirs}, &answer)
 	if err != nil {
 		return coordination.Result{Effect: coordination.MaybeDone}
 	}
@@ -187,13 +185,13 @@
 	c.clocks.Heard(owner, answer.Clock, c.clock())
 	c.clocksMutex.Unlock()
 	if answer.Clock.Life != theirs.Life && c.clock() < deadline {
-		return c.forward(caller, owner, call, deadline) // it was refused for a clock that is known now
+		return c.forward(caller, owner, call, deadline) // the owner did not accept the deadline; its clock is known now
 	}
 	return coordination.Result{Effect: answer.Effect, Answer: answer.Answer}
 }
 
-// execute carries a call out at this node, if it is the owner of the partition and the caller is
-// still there when it begins.
+// execute carries out a call at this node, if it owns the partition and the caller is still there
+// when the call begins.
 func (c *coordinator) execute(caller context.Context, call coordination.Call, deadline coordination.ClockReading) coordination.Result {
 	results := make(chan coordination.Result, 1)
 	execution := coordination.NewExecution(call, deadline, func(r coordination.Result) { results <- r })
@@ -209,7 +207,7 @@
 	return coordination.Result{Effect: execution.Abandon()}
 }
 
-// tick lets time pass. It runs on the loop of the replica.
+// tick advances the server's timers. It runs on the event loop.
 func (c *coordinator) tick(now time.Duration) {
 	c.server.Tick(now)
 	if !c.inContact(now) {
@@ -217,8 +215,8 @@
 	}
 }
 
-// errShutdown says that this node is about to leave.
+// errShutdown reports that this node is about to leave.
 var errShutdown = errors.New("this node is about to leave")
 
-// close ends the watches; further ones are refused.
+// close ends the watches; later ones are refused.
 func (c *coordinator) close() { close(c.leaving) }
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file holds what operators see of coordination.
+// What operators see of coordination.
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 
 type callCount struct {
 	count uint64
-	wait  time.Duration // of all together
+	wait  time.Duration // total
 }
 
 func newCoordinationStats() coordinationStats {
@@ -45,7 +45,8 @@
 	s.calls[kind].wait += wait
 }
 
-// CallState is the number of calls of a kind, and how long they took on average.
+// CallState is the number of calls with the same operation and status, and how long they took on
+// average.
 type CallState struct {
 	Operation string  `json:"operation"`
 	Status    int     `json:"status"`
@@ -74,7 +75,7 @@
 	Owner string  `json:"owner"`
 	Fence uint64  `json:"fence"`
 	HoldS float64 `json:"holdS"`
-	LeftS float64 `json:"leftS"` // of the lease; negative: it has ended and nobody has taken the lock since
+	LeftS float64 `json:"leftS"` // of the lease; negative: it has expired, and nobody has acquired the lock since
 }
 
 // PartitionState is a partition as the administration API shows it. Only its owner knows
@@ -87,7 +88,7 @@
 	Locks     []LockState  `json:"locks,omitempty"`
 }
 
-// CountsState is how much a partition holds.
+// CountsState is how many entries and bytes a partition holds.
 type CountsState struct {
 	Locks    int `json:"locks"`
 	Counters int `json:"counters"`
@@ -105,7 +106,7 @@
 	Calls      []CallState      `json:"calls"`
 }
 
-// state describes the partitions with the given keys. It runs on the loop of the replica.
+// state describes the partitions with the given keys. It runs on the event loop.
 func (c *coordinator) state(now time.Duration, keys []string) CoordinationState {
 	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.activeWatches.Load(), Waiting: c.activeCalls.Load(), Calls: c.statistics.states()}
 	for _, key := range keys {
@@ -128,7 +129,7 @@
 	return out
 }
 
-// page is the administration page on coordination.
+// page returns the state as JSON for the administration API.
 func (s CoordinationState) page() ([]byte, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	return append(text, '\n'), err
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -196,7 +196,7 @@
 
 func TestWatchesEndWhenTheNodeLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retry: time.Second,
+		c := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retryAfter: time.Second,
 			server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
 		answers := make(chan *httptest.ResponseRecorder, 1)
 		ask := func() {
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file holds the wire form of the calls of applications.
+// HTTP interface of applications' calls for locks, counters, cells and watches.
 
 import (
 	"encoding/json"
@@ -16,17 +16,17 @@
 	"madderwing/internal/coordination"
 )
 
-// Bounds on what callers may ask for.
+// Limits on what callers may ask for.
 const (
 	maxCoordinationBody = 64 << 10
 	maxValue            = 16 << 10
 	maxHold             = 24 * time.Hour
-	maxWait             = time.Minute // longer waits end after this
+	maxWait             = time.Minute // longer waits are cut to this
 	maxWaitingCalls     = 1024
 	maxWatches          = 4096
 )
 
-// The pages of the calls.
+// Path prefixes of the calls.
 const (
 	lockPage    = "/v1/locks/"
 	counterPage = "/v1/numbers/"
@@ -34,7 +34,7 @@
 	watchPage   = "/v1/watch/"
 )
 
-// isCoordination says whether a call is one of an application for coordination.
+// isCoordination reports whether a path is that of an application's call for coordination.
 func isCoordination(path string) bool {
 	for _, page := range []string{lockPage, counterPage, cellPage, watchPage} {
 		if strings.HasPrefix(path, page) {
@@ -61,14 +61,14 @@
 	c.statistics.count(call.Operation.String(), status, time.Since(arrived.read))
 }
 
-// serveCall carries a call out, writes its answer and gives the status of that.
+// serveCall carries out a call, writes its answer and returns the status of that.
 func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, arrived arrival, call coordination.Call) int {
 	defer c.activeCalls.Add(-1)
 	if c.activeCalls.Add(1) > maxWaitingCalls {
-		return writeFault(w, apierror.Later(apierror.TooMany, c.retry, "%d calls wait here", maxWaitingCalls))
+		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "%d calls are in progress here", maxWaitingCalls))
 	}
 	if c.stalls.stalled() || arrived.age() > stallLimit {
-		return writeFault(w, apierror.Later(apierror.NoQuorum, c.retry, "this process stood still"))
+		return writeFault(w, apierror.Later(apierror.NoQuorum, c.retryAfter, "this process stood still"))
 	}
 	result := c.submit(r.Context(), call)
 	switch result.Effect {
@@ -79,7 +79,7 @@
 			return writeFault(w, apierror.New(apierror.OutcomeUnknown, "no answer from the owner of the partition in time"))
 		}
 	}
-	return writeFault(w, apierror.Later(apierror.NoQuorum, c.retry, "no owner of the partition answers"))
+	return writeFault(w, apierror.Later(apierror.NoQuorum, c.retryAfter, "no owner of the partition answers"))
 }
 
 // callAnswer is the body of an answer. Fields that an operation doesn't return are absent.
@@ -89,7 +89,7 @@
 	Revision *uint64 `json:"revision,omitempty"`
 }
 
-// cellAnswer is the body of the answer to a read.
+// cellAnswer is the body of the answer to a read of a cell.
 type cellAnswer struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
@@ -113,7 +113,7 @@
 	case coordination.Missing:
 		return writeFault(w, apierror.New(apierror.NoCell, "%s", call.Name))
 	case coordination.Full:
-		return writeFault(w, apierror.Later(apierror.TooMany, c.retry, "the partition of %s is full", call.Name))
+		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "the partition of %s is full", call.Name))
 	}
 	return writeFault(w, apierror.New(apierror.Internal, "unexpected answer %d", answer.Status))
 }
@@ -135,7 +135,7 @@
 	return status
 }
 
-// callBody is the body of all calls; each page uses some of its fields.
+// callBody is the body of all calls; each kind of call uses some of its fields.
 type callBody struct {
 	Owner    *string  `json:"owner"`
 	HoldS    *float64 `json:"holdS"`
@@ -144,14 +144,14 @@
 	Expected *uint64  `json:"enabled"`
 }
 
-// operations are those of each page, by method.
+// operations are the operations of each path prefix, by method.
 var operations = map[string]map[string]coordination.Operation{
 	lockPage:    {http.MethodPost: coordination.Acquire, http.MethodPut: coordination.Renew, http.MethodDelete: coordination.Release},
 	counterPage: {http.MethodPost: coordination.Draw},
 	cellPage:    {http.MethodPut: coordination.Put, http.MethodGet: coordination.Get},
 }
 
-// readCoordinationCall reads and checks a call.
+// readCoordinationCall reads and validates a call.
 func readCoordinationCall(r *http.Request) (coordination.Call, error) {
 	var call coordination.Call
 	for page, methods := range operations {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// fill takes over into a call what its operation needs.
+// fill validates the fields that the operation of a call needs, and copies them into the call.
 func (b *callBody) fill(call *coordination.Call) error {
 	switch call.Operation {
 	case coordination.Acquire, coordination.Renew, coordination.Release:
@@ -267,26 +267,26 @@
 func newWatchAnswer(r coordination.WatchResult) watchAnswer {
 	answer := watchAnswer{Events: r.Events, Revision: r.Revision}
 	if answer.Events == nil {
-		answer.Events = []coordination.Event{} // a list in JSON, not null
+		answer.Events = []coordination.Event{} // [] in JSON, not null
 	}
 	return answer
 }
 
-// boundedWatch refuses watches beyond the bound, and those that come to a node that leaves.
+// boundedWatch refuses watches beyond maxWatches, and those that arrive while the node leaves.
 func (c *coordinator) boundedWatch(r *http.Request, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	select {
 	case <-c.leaving:
-		return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retry, "%v", errShutdown)
+		return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "%v", errShutdown)
 	default:
 	}
 	defer c.activeWatches.Add(-1)
 	if c.activeWatches.Add(1) > maxWatches {
-		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retry, "%d watches wait here", maxWatches)
+		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retryAfter, "%d watches are open here", maxWatches)
 	}
 	return c.watchGroup(r.Context(), group, after, wait)
 }
 
-// readWatch reads and checks a watch.
+// readWatch reads and validates a watch.
 func readWatch(r *http.Request, group string) (after uint64, wait time.Duration, err error) {
 	if r.Method != http.MethodGet {
 		return 0, 0, apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
@@ -308,7 +308,7 @@
 	return after, time.Duration(min(waitMs, uint64(maxWait/time.Millisecond))) * time.Millisecond, nil
 }
 
-// queryNumber reads a number of the query that is 0 if it is absent.
+// queryNumber reads a number from the query; 0 if it is absent.
 func queryNumber(query url.Values, name string) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
@@ -322,7 +322,7 @@
 	return n, nil
 }
 
-// coordinationKey is the key of the control state that a call on a page concerns.
+// coordinationKey is the key of the control state that a call with the given path concerns.
 func coordinationKey(path string) string {
 	if group, ok := strings.CutPrefix(path, watchPage); ok {
 		return coordination.GroupKey(group)
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file ties the coordinator to the control node that it runs in.
+// Creation of the coordinator in its control node.
 
 import (
 	"strings"
@@ -11,18 +11,18 @@
 	"madderwing/internal/settings"
 )
 
-// coordinationAdminPage shows operators the partitions and their locks.
+// coordinationAdminPage is the path at which operators see the partitions and their locks.
 const coordinationAdminPage = "/v1/admin/coordination"
 
-// newCoordinator makes the coordinator of a node whose replica and transport are there, and
-// whose transport has not started.
+// newCoordinator creates the coordinator of a node whose replica and transport exist, and whose
+// transport has not started.
 func newCoordinator(env *environment) *coordinator {
 	logger := logging.For(logging.Coordination)
 	config := serverConfig(env.settings, env.endpoint.Self(), env.life, env.now, logger)
 	config.Limits.HasRoom = env.room.fits
 	return &coordinator{
-		owners: env.member, keys: env.member.Keys, transport: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
-		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retry: env.settings.Beat(),
+		owners: env.member, keys: env.member.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.Beat(),
 		server: coordination.NewServer(config, env.member),
 		clocks: coordination.NewPeerClocks(), leaving: make(chan struct{}),
 		statistics: newCoordinationStats(),
--- a/internal/controlplane/coordination_watch.go
+++ b/internal/controlplane/coordination_watch.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file holds the waiting of watches.
+// Long polling for the events of a group.
 
 import (
 	"context"
@@ -11,17 +11,17 @@
 	"madderwing/internal/coordination"
 )
 
-// watchGroup waits for puts in a group above a revision, for at most wait. Revision 0 asks
-// for the present revision only.
+// watchGroup waits for puts in a group above a revision, for at most wait. Revision 0 asks only for
+// the current revision.
 func (c *coordinator) watchGroup(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	begin := time.Now()
 	results := make(chan coordination.WatchResult, 1)
 	w := &coordination.Watch{Group: group, After: after, Done: func(r coordination.WatchResult) { results <- r }}
 	if after == 0 || !c.fresh(group) {
-		// The owner's word, since the copy here may lack what was acknowledged.
+		// Ask the owner, since the copy here may lack puts that were acknowledged.
 		result := c.submit(ctx, coordination.Call{Operation: coordination.Revision, Name: group})
 		if result.Effect != coordination.Answered {
-			return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retry, "no owner of the group answers")
+			return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "no owner of the group answers")
 		}
 		if w.Least = result.Answer.Revision; after == 0 {
 			return coordination.WatchResult{Revision: w.Least}, nil
@@ -35,17 +35,18 @@
 	case errors.Is(result.Err, coordination.ErrCompacted):
 		return result, apierror.New(apierror.HistoryGone, "%v", result.Err)
 	}
-	return result, apierror.Later(apierror.NoQuorum, c.retry, "%v", result.Err)
+	return result, apierror.Later(apierror.NoQuorum, c.retryAfter, "%v", result.Err)
 }
 
-// fresh says whether the copy of a group here is recent.
+// fresh reports whether the copy of a group here is recent.
 func (c *coordinator) fresh(group string) bool {
 	fresh := make(chan bool, 1)
 	c.enqueue(func(now time.Duration) { fresh <- c.server.Fresh(now, group) })
 	return <-fresh
 }
 
-// awaitWatch waits for the end of a watch.
+// awaitWatch waits for the result of a watch. It ends the watch after wait, when ctx ends, or when
+// the node begins to leave.
 func (c *coordinator) awaitWatch(ctx context.Context, w *coordination.Watch, results <-chan coordination.WatchResult, wait time.Duration) coordination.WatchResult {
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -10,41 +10,41 @@
 	"madderwing/internal/upstream"
 )
 
-// maxIssueBytes is about how many bytes of items are sent to a watcher at once. It asks
-// for the rest when it has them, so what is sent twice because it took longer than a
-// beat on a narrow link is never more than that.
+// maxIssueBytes is roughly how many bytes of items are sent to a watcher at once. The watcher asks
+// for the rest once it has these, so no more than this is sent twice where sending takes longer
+// than a heartbeat interval on a slow link.
 const maxIssueBytes = 64 << 10
 
-// deliveryController brings the configuration and the list to those who watch this control
-// node, and gathers what they tell of themselves.
+// deliveryController sends the configuration and the list of upstreams to the nodes that watch this
+// one, and collects what they report about themselves.
 type deliveryController struct {
 	*environment
 	configuration *configuration
 	list          *listController
-	rolloutsLed   func() bool // whether the rollouts under way have controllers at work
+	rolloutsLed   func() bool // whether all rollouts in progress have working controllers
 
 	sender      delivery.Sender // of the configuration
 	watchers    delivery.Watchers
-	peerReports map[string]peerReport // by other control nodes
-	reportAt    time.Duration         // when the others are to be told next
+	peerReports map[string]peerReport // by control node
+	reportAt    time.Duration         // when the next exchange is due
 	loads       upstream.Loads        // of all gateways
-	itemDigests map[string]uint64     // gateway -> digest of the items that it has in force
+	itemDigests map[string]uint64     // gateway -> digest of the items in effect there
 }
 
-// peerReport is what another control node told, and when.
+// peerReport is what another control node reported of its watchers, and when it arrived.
 type peerReport struct {
 	received time.Duration
 	report   delivery.Told
 }
 
-func newDeliveryController(env *environment, shown *configuration, list *listController, led func() bool) *deliveryController {
-	c := &deliveryController{environment: env, configuration: shown, list: list, rolloutsLed: led, peerReports: map[string]peerReport{},
-		sender: delivery.Sender{Log: &shown.changes}}
+func newDeliveryController(env *environment, configuration *configuration, list *listController, rolloutsLed func() bool) *deliveryController {
+	c := &deliveryController{environment: env, configuration: configuration, list: list, rolloutsLed: rolloutsLed, peerReports: map[string]peerReport{},
+		sender: delivery.Sender{Log: &configuration.changes}}
 	c.watchers.Forget = 4 * env.settings.Beat()
 	return c
 }
 
-// handle takes the messages of watchers and of other control nodes.
+// handle registers the handlers for messages of watchers and of other control nodes.
 func (c *deliveryController) handle() {
 	transport.On(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
 		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
@@ -66,7 +66,7 @@
 	c.watchers.Holds(from, w)
 }
 
-// tick is due at every tick of the pump.
+// tick is called at every tick of the event loop.
 func (c *deliveryController) tick(now time.Duration) {
 	if now >= c.reportAt {
 		c.reportAt = now + c.settings.Beat()
@@ -74,8 +74,8 @@
 	}
 }
 
-// exchangeReports passes on to the other control nodes what those who watch this one have told,
-// and puts that together with what the others have.
+// exchangeReports sends the other control nodes what this node's watchers reported, and combines it
+// with what the others sent.
 func (c *deliveryController) exchangeReports(now time.Duration) {
 	mine := c.watchers.Told(now)
 	c.loads, c.itemDigests = upstream.Loads{}, map[string]uint64{}
@@ -93,17 +93,18 @@
 	}
 }
 
-// addReport adds what one control node told to what is known of all gateways.
+// addReport adds the report of one control node to what is known of all gateways.
 func (c *deliveryController) addReport(t delivery.Told) {
 	c.loads.Add(t.Loads)
 	for id, digest := range t.Holds {
 		if have, ok := c.itemDigests[id]; !ok || have != c.configuration.published.Sums.Fold() {
-			c.itemDigests[id] = digest // a gateway watches two; the newer word counts
+			c.itemDigests[id] = digest // a gateway watches two control nodes; the newest digest wins
 		}
 	}
 }
 
-// sendUpdates sends every watcher what it lacks.
+// sendUpdates sends every watcher what it lacks. The holder of the list duty also sends the list to
+// members that don't watch it.
 func (c *deliveryController) sendUpdates(now time.Duration) {
 	c.watchers.Each(now, func(to string, has delivery.Watch) delivery.Watch {
 		return c.sendUpdate(now, to, has, false, true)
@@ -117,10 +118,10 @@
 	}
 }
 
-// confirmListAge tells the control nodes that have the list as of when it holds.
+// confirmListAge tells the control nodes that have the current list as of when it is valid.
 func (c *deliveryController) confirmListAge(now time.Duration) {
-	for id, mark := range c.list.watcherClocks {
-		if now-mark.at > c.watchers.Forget {
+	for id, clock := range c.list.watcherClocks {
+		if now-clock.receivedAt > c.watchers.Forget {
 			delete(c.list.watcherClocks, id)
 		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.snapshot.Version {
 			c.endpoint.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listedFor(id)})
@@ -128,18 +129,19 @@
 	}
 }
 
-// sendUpdate sends a watcher what it lacks, always or only if it lacks something, and returns what
-// it has then. guessed says that what it has is not its own word.
+// sendUpdate sends a watcher what it lacks, and a message without any update too if always is set.
+// It returns what the watcher has then. guessed means that has goes beyond what the watcher itself
+// reported.
 func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
-	shown := c.configuration.published
+	published := c.configuration.published
 	fresh := c.contact.fresh(now)
 	out := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
 	whole := has.Sums != nil
 	if has.Sums != nil {
-		// A large difference goes a few ranges at a time; the watcher says
-		// again what it has.
-		has = c.sender.Bring(shown, has, maxIssueBytes, &out)
-		whole = *has.Sums == shown.Sums
+		// A large difference is sent a few ranges at a time; the watcher then reports again what it
+		// has.
+		has = c.sender.Bring(published, has, maxIssueBytes, &out)
+		whole = *has.Sums == published.Sums
 	}
 	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
 		out.Listing = l
@@ -163,7 +165,7 @@
 	return has
 }
 
-// states shows how far the gateways have the newest items in force.
+// states reports for each gateway whether the newest items are in effect there.
 func (c *deliveryController) states(list *membership.List) []Delivery {
 	out := []Delivery{}
 	newest := c.configuration.published.Sums.Fold()
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -1,7 +1,6 @@
 package controlplane
 
-// This file holds how the state on disk is opened, the queue of writes and the
-// goroutine that owns the store.
+// Opening the state on disk, the queue of writes, and the goroutine that owns the store.
 
 import (
 	"context"
@@ -15,8 +14,8 @@
 	"madderwing/internal/storage"
 )
 
-// lockDisk takes the data directory for this process. While another has it, perhaps the one before
-// that is about to end, it is tried again, with a pause.
+// lockDisk locks the data directory for this process. While another process holds the lock, perhaps
+// a predecessor that is about to exit, it tries again after a pause.
 func lockDisk(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
 	for waiting := false; ; waiting = true {
 		lock, err := storage.LockDir(cfg.DataDir)
@@ -32,9 +31,9 @@
 	}
 }
 
-// openStore opens the state on disk. A disk that refuses what a start has to
-// write is tried again, with a pause; other faults need somebody's hands and are
-// returned. storage.ErrDamaged comes with a store that is empty.
+// openStore opens the state on disk. While the disk refuses the writes that opening needs, it tries
+// again after a pause. Other errors need an operator and are returned. storage.ErrDamaged comes
+// with an empty store.
 func openStore(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Store, map[string][]byte, error) {
 	room := int64(cfg.Limits.DiskMb * (1 << 20))
 	lastError := ""
@@ -47,7 +46,7 @@
 			return nil, nil, err
 		}
 		if err.Error() != lastError {
-			logger.Warn("state not durable yet, trying again", "error", err)
+			logger.Warn("state on disk not opened, trying again", "error", err)
 			lastError = err.Error()
 		}
 		if !pauseFor(ctx, cfg.Beat()/2) {
@@ -56,33 +55,33 @@
 	}
 }
 
-// writeJob is a batch to be made durable, or the whole state: that holds all
-// that was asked for up to its id, so also every job that was put before it.
+// writeJob is a batch of entries to make durable, or the whole state. The whole state contains all
+// that was requested up to its id, and so every job that was queued before it.
 type writeJob struct {
 	entries    []storage.Entry
 	id         uint64
 	wholeState bool
 }
 
-// store is what writes need of a storage.Store.
+// store is the part of storage.Store that writes use.
 type store interface {
 	Write([]storage.Entry) error
 	Rewrite([]storage.Entry) error
 	Full() bool
 }
 
-// writer carries jobs out, in order.
+// writer carries out jobs in order.
 type writer struct {
 	store            store
-	refused          bool // a job was refused: nothing is written before the whole state
-	rewriteRequested bool // the whole state was asked for and is not here yet
+	refused          bool // the last write failed: nothing is written before the whole state
+	rewriteRequested bool // the whole state was requested and has not arrived yet
 }
 
-// writeOutcome says what came of some jobs.
+// writeOutcome is the result of some jobs.
 type writeOutcome struct {
-	durable uint64        // all jobs up to this id are; 0: no more than before
-	rewrite rewriteChoice // whether the whole state has to be put next
-	err     error         // if it is news
+	durable uint64        // all jobs up to this id are durable; 0: no more than before
+	rewrite rewriteChoice // whether the whole state must be queued next
+	err     error         // of this write; nil also where jobs were dropped
 }
 
 type rewriteChoice int
@@ -90,11 +89,11 @@
 const (
 	noRewrite rewriteChoice = iota
 	rewriteNow
-	rewriteLater // the disk refuses
+	rewriteLater // after a pause, since the disk refuses writes
 )
 
-// write carries out jobs that waited together, as one batch. After a refusal it
-// drops all jobs up to the whole state, which holds them too.
+// write carries out jobs that waited together, as one batch. After a failed write it drops all jobs
+// before the whole state, which contains them too.
 func (w *writer) write(jobs []writeJob) writeOutcome {
 	var entries []storage.Entry
 	wholeState := false
@@ -127,8 +126,8 @@
 	return done
 }
 
-// requestRewrite asks for the whole state unless that is on its way: what is written or
-// refused before it comes is in it.
+// requestRewrite requests the whole state unless that is already on its way: it contains what is
+// written or refused before it arrives.
 func (w *writer) requestRewrite(when rewriteChoice) rewriteChoice {
 	if w.rewriteRequested {
 		return noRewrite
@@ -137,9 +136,8 @@
 	return when
 }
 
-// runStore owns the store: it writes batches in order and reports when they are
-// durable. Batches that wait are written together. When none has come for a while,
-// the store notes that all is synced.
+// runStore owns the store: it writes jobs in order, waiting ones together, and reports when they
+// are durable. When none has come for a while, it has the store record that all is synced.
 func (n *Node) runStore(open *storage.Store) {
 	defer open.Close()
 	w := writer{store: open}
@@ -150,20 +148,20 @@
 			return
 		case queueIdle:
 			if err := open.MarkSynced(); err != nil {
-				n.log.storage.Warn("mark of the last synced batch refused", "error", err)
+				n.log.storage.Warn("last batch not marked as synced", "error", err)
 			}
 			continue
 		}
 		done := w.write(jobs)
 		n.room.update(open)
 		if done.err != nil {
-			n.log.storage.Warn("write refused", "error", done.err)
+			n.log.storage.Warn("disk write failed", "error", done.err)
 		}
 		n.reportWritten(done)
 	}
 }
 
-// reportWritten tells the replica what came of some jobs.
+// reportWritten tells the replica the result of some jobs.
 func (n *Node) reportWritten(done writeOutcome) {
 	if done.durable > 0 || done.rewrite == rewriteNow {
 		n.enqueue(func(now time.Duration) {
@@ -171,7 +169,7 @@
 				n.member.Durable(now, done.durable)
 			}
 			if done.rewrite == rewriteNow {
-				n.member.Failed(now) // writes the whole state
+				n.member.Failed(now) // has the replica write the whole state
 			}
 		})
 	}
@@ -183,14 +181,14 @@
 	}
 }
 
-// writeQueue is the queue of the store's goroutine. It has no bound, so that a disk
-// that hangs never holds up those who write.
+// writeQueue is the queue of the store's goroutine. It is unbounded, so that a disk that hangs
+// never blocks the event loop.
 type writeQueue struct {
 	mu           sync.Mutex
 	pending      []writeJob
 	closed       bool
-	changed      chan struct{} // holds a token after a change
-	idleReported bool          // idleness was reported and no job came since
+	changed      chan struct{} // has a token after a change
+	idleReported bool          // idleness was reported, and no job came since
 }
 
 // queueState is what take found.
@@ -225,10 +223,10 @@
 	}
 }
 
-// take waits for jobs and returns all there are. Once after jobs, when none has
-// come for the given time, it says that the queue is idle.
+// take waits for jobs and returns all that are queued. When none has come for the given time it
+// returns queueIdle, once after each run of jobs.
 func (j *writeQueue) take(idleAfter time.Duration) ([]writeJob, queueState) {
-	var idle <-chan time.Time // never, if idleness was reported
+	var idle <-chan time.Time // nil, which never fires, if idleness was reported
 	for {
 		list, closed := j.takeAll()
 		switch {
--- a/internal/controlplane/disk_room.go
+++ b/internal/controlplane/disk_room.go
@@ -8,25 +8,25 @@
 	"madderwing/internal/storage"
 )
 
-// recordOverhead is about what a record takes on disk beside its name and data.
+// recordOverhead is roughly what a record takes on disk beside its name and data, in bytes.
 const recordOverhead = 128
 
-// diskRoom tells how much may be added to the control state so that the file which
-// holds it can still be rewritten. The goroutine that owns the store keeps it up to
-// date, others ask it.
+// diskRoom tracks how much may be added to the control state such that its file can still be
+// rewritten. The goroutine that owns the store updates it; others read it.
 type diskRoom struct {
 	remaining atomic.Int64
 }
 
-// update takes over what the store holds.
+// update recomputes the room from the store.
 func (d *diskRoom) update(store *storage.Store) {
 	d.remaining.Store(int64(float64(store.Disk())*storage.RewritableFill) - store.Live())
 }
 
-// fits says whether so many bytes may be added; what makes the state no larger always may.
+// fits reports whether so many bytes may be added. A change that doesn't enlarge the state always
+// fits.
 func (d *diskRoom) fits(bytes int) bool { return bytes <= 0 || int64(bytes) <= d.remaining.Load() }
 
-// admit refuses changes that the disk has no room for.
+// admit refuses changes for which the disk has no room.
 func (d *diskRoom) admit(have records, changes []replication.Record) error {
 	bytes := 0
 	for _, r := range changes {
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -12,29 +12,28 @@
 	"madderwing/internal/transport"
 )
 
-// environment is what all controllers of a control node share: its settings, its ways to
-// other nodes, its replica of the control state, and the queue of the pump. The pump's goroutine
-// alone runs the state machines and touches what the controllers hold; all others hand
-// it commands.
+// environment is what all controllers of a control node share: the settings, the transport, the
+// replica of the control state and the queue of the event loop. Only the event loop runs the state
+// machines and accesses the controllers' state; other goroutines queue functions for it.
 type environment struct {
 	settings   *settings.Settings
 	options    Options
 	endpoint   *transport.Endpoint
 	membership *membership.Service
 	startedAt  time.Time
-	life       uint64 // tells this life of the process from others
+	life       uint64 // random; identifies this run of the process
 	contact    *contact
 	stalls     *stallDetector
 	queue      chan func(now time.Duration)
 	log        loggers
 	room       diskRoom
 
-	// Owned by the pump's goroutine.
+	// Owned by the event loop.
 	member   *replication.Replica
 	election *election.Elector
 }
 
-// loggers are those of the components that a control node logs for.
+// loggers holds the loggers of the components that a control node logs for.
 type loggers struct {
 	control, replication, storage, election, placement, upstream, rollout *slog.Logger
 }
@@ -46,10 +45,10 @@
 		rollout: logging.For(logging.Rollout)}
 }
 
-// enqueue hands a command to the pump.
+// enqueue queues a function for the event loop. It blocks while the queue is full.
 func (e *environment) enqueue(fn func(now time.Duration)) { e.queue <- fn }
 
-// tryEnqueue hands a command to the pump unless its queue is full.
+// tryEnqueue queues a function for the event loop, or drops it if the queue is full.
 func (e *environment) tryEnqueue(fn func(now time.Duration)) {
 	select {
 	case e.queue <- fn:
@@ -57,11 +56,11 @@
 	}
 }
 
-// now is the time on this process's clock, which begins with its life.
+// now is the time since this process started.
 func (e *environment) now() time.Duration { return time.Since(e.startedAt) }
 
-// recentlyInContact says that this control node was in contact with a majority within contactS, or has
-// not been up for longer than that.
+// recentlyInContact reports whether this node was in contact with a majority within contactS, or
+// has been up for less than that.
 func (e *environment) recentlyInContact(now time.Duration) bool {
 	contactS := settings.Seconds(e.settings.Bounds.ContactS)
 	return now < contactS || e.contact.within(now, contactS)
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -13,7 +13,8 @@
 	"madderwing/internal/settings"
 )
 
-// evacuate serves the operators' calls on a zone: POST evacuates it, DELETE withdraws that.
+// evacuate serves the operators' calls on a zone: POST evacuates it, DELETE withdraws the
+// evacuation.
 func (n *Node) evacuate(r *http.Request, zone string, zones map[string]bool) error {
 	arrived := arrivalOf(r)
 	evacuating := r.Method == http.MethodPost
@@ -21,7 +22,7 @@
 		return apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	}
 	if !zones[zone] {
-		// A no rests on a majority's word as a yes does.
+		// A refusal needs a majority's confirmation just as a success does.
 		if _, err := n.orders.submit(r.Context(), order{Key: config.Key}); err != nil {
 			return err
 		}
@@ -39,23 +40,23 @@
 	return nil
 }
 
-// evacuations remembers when orders on zones were first seen carried out, and since when it
-// is open whether a zone's evacuation stands.
+// evacuations records when orders on zones were first seen as committed, and since when it is
+// uncertain whether the evacuation of a zone still holds.
 type evacuations struct {
-	repeatWindow time.Duration // for which an order may come again
-	maxDoubt     time.Duration // after which a zone in doubt is taken back
+	repeatWindow time.Duration // how long an operator may send an order again
+	maxDoubt     time.Duration // after which the evacuation of a zone in doubt ends
 	seenAt       map[uint64]time.Duration
-	doubts       map[string]doubt // by record
+	doubts       map[string]doubt // by record name
 }
 
-// doubt is a generation of a zone's record that leaves it open whether an evacuation stands.
+// doubt is a generation of a zone's record that leaves it uncertain whether an evacuation holds.
 type doubt struct {
 	generation uint64
 	since      time.Duration
 }
 
-// doubtFraction is the part of recoveryS for which a zone stays evacuated in doubt. An owner is to
-// be found in the rest of it.
+// doubtFraction is the fraction of recoveryS for which a zone stays evacuated in doubt. The rest is
+// for finding an owner of the zone's key.
 const doubtFraction = 0.8
 
 func newEvacuations(bounds settings.Bounds) *evacuations {
@@ -64,8 +65,8 @@
 		seenAt: map[uint64]time.Duration{}, doubts: map[string]doubt{}}
 }
 
-// recent says of an order that a record names whether its operator may still send it again. One
-// that was not seen yet was carried out a moment ago.
+// recent returns a function that reports whether an order named in a record may still be sent again
+// by its operator. An order that was not seen yet was carried out a moment ago.
 func (e *evacuations) recent(now time.Duration) func(id uint64) bool {
 	return func(id uint64) bool {
 		at, ok := e.seenAt[id]
@@ -73,7 +74,7 @@
 	}
 }
 
-// recordsPublished notes the records of zones among those that have come to be shown.
+// recordsPublished handles the zones' records among those that have just been published.
 func (e *evacuations) recordsPublished(now time.Duration, records []config.Record) {
 	for _, r := range records {
 		if strings.HasPrefix(r.Name, config.EvacuationPrefix) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// recordPublished notes a record of a zone.
+// recordPublished handles a zone's published record.
 func (e *evacuations) recordPublished(now time.Duration, r config.Record) {
 	for _, id := range config.EvacuationOrders(r) {
 		if _, ok := e.seenAt[id]; !ok {
@@ -96,10 +97,10 @@
 	}
 }
 
-// forget drops the orders that no record in sight names.
-func (e *evacuations) forget(shown map[string]config.Record) {
+// forget drops the orders that no published record names.
+func (e *evacuations) forget(published map[string]config.Record) {
 	named := map[uint64]bool{}
-	for name, r := range shown {
+	for name, r := range published {
 		if strings.HasPrefix(name, config.EvacuationPrefix) {
 			for _, id := range config.EvacuationOrders(r) {
 				named[id] = true
@@ -109,8 +110,8 @@
 	maps.DeleteFunc(e.seenAt, func(id uint64, _ time.Duration) bool { return !named[id] })
 }
 
-// takeOverdue gives the zones' records that have been in doubt for long enough, with their generations:
-// each once in a while, as long as it stays so.
+// takeOverdue returns the zones' records that have been in doubt for too long, with their
+// generations. Each is returned again after callerTimeout for as long as it stays in doubt.
 func (e *evacuations) takeOverdue(now time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
 	for name, d := range e.doubts {
@@ -122,8 +123,8 @@
 	return out
 }
 
-// endOverdueDoubts takes zones back that have been in doubt for long enough, where this control node
-// owns their keys. It runs on the pump's goroutine.
+// endOverdueDoubts ends the evacuation of zones that have been in doubt for too long, where this
+// control node owns their keys. It runs on the event loop.
 func (c *orderController) endOverdueDoubts(now time.Duration) {
 	for name, generation := range c.evacuations.takeOverdue(now) {
 		if c.member.Owner(now, name) != c.endpoint.Self() {
@@ -132,7 +133,7 @@
 		c.member.Propose(now, name, func(have map[string]replication.Record) ([]replication.Record, error) {
 			return config.EndDoubt(have, name, generation), nil
 		}, func(err error) {
-			c.log.control.Warn("evacuation ended that may have been withdrawn", "record", name, "generation", generation, "error", err)
+			c.log.control.Warn("ending an evacuation in doubt", "record", name, "generation", generation, "error", err)
 		})
 	}
 }
--- a/internal/controlplane/pump.go
+++ b/internal/controlplane/event_loop.go
@@ -11,8 +11,8 @@
 	"madderwing/internal/transport"
 )
 
-// runEventLoop owns the state machines: it runs one command at a time and carries out
-// what they ask for.
+// runEventLoop owns the state machines: it runs one queued function at a time, then carries out the
+// effects that the state machines request.
 func (n *Node) runEventLoop(stop chan struct{}) {
 	ticker := time.NewTicker(n.settings.Beat() / 5)
 	defer ticker.Stop()
@@ -33,7 +33,7 @@
 	}
 }
 
-// tick lets time pass for the state machines and the controllers.
+// tick advances the timers of the state machines and controllers.
 func (n *Node) tick(now time.Duration) {
 	n.member.Tick(now)
 	n.election.Tick(now)
@@ -49,7 +49,7 @@
 	n.placement.tick(now)
 }
 
-// applyEffects carries out what the state machines want done.
+// applyEffects carries out what the state machines request, until they request nothing more.
 func (n *Node) applyEffects(now time.Duration) {
 	for again := true; again; {
 		n.applyReplicaEffects(now)
@@ -58,7 +58,7 @@
 	}
 }
 
-// applyReplicaEffects sends and writes what the replica asks for, and shows what has been committed.
+// applyReplicaEffects sends messages, queues disk writes and publishes newly committed records.
 func (n *Node) applyReplicaEffects(now time.Duration) {
 	effects := n.member.Take()
 	byPeer := map[string][]replication.Message{}
@@ -93,16 +93,16 @@
 	}
 }
 
-// applyElectionEffects sends what the election of duties asks for, and takes up or gives up duties. It says
-// whether there were any.
+// applyElectionEffects sends the election's messages, and starts or ends duties at this node. It
+// reports whether any duty changed.
 func (n *Node) applyElectionEffects(now time.Duration) bool {
 	out, duties := n.election.Take()
 	for _, e := range out {
 		n.endpoint.Send(e.To, electionKind, e.Msg)
 	}
-	for _, on := range n.election.TakeHandOns() {
-		n.log.election.Warn("duty handed on, its holder's result is too old", "duty", on.Duty, "from", on.From, "to", on.To,
-			"resultAgeS", logSeconds(on.ResultAge))
+	for _, handOn := range n.election.TakeHandOns() {
+		n.log.election.Warn("duty moved: the result of its holder is too old", "duty", handOn.Duty, "from", handOn.From, "to", handOn.To,
+			"resultAgeS", logSeconds(handOn.ResultAge))
 	}
 	for _, d := range duties {
 		_, mine := n.election.Holds(now, d)
@@ -123,15 +123,15 @@
 	return len(duties) > 0
 }
 
-// publishAll takes over what the disk held, also of keys that were made as they were needed.
+// publishAll publishes what was read from disk, including keys that were created on demand.
 func (n *Node) publishAll() {
 	for _, key := range n.member.Keys() {
 		n.publish(key, nil)
 	}
 }
 
-// publish takes over the committed records of a key into what the gateways may see: those
-// that have changed, or all if changed is nil.
+// publish makes committed records of a key visible to gateways: the given ones, which have changed,
+// or all of the key if records is nil. It reports whether the published configuration changed.
 func (n *Node) publish(key string, records []replication.Record) bool {
 	if key == replication.RosterKey {
 		if r := n.member.Standing(n.now()).String(); r != n.loggedRoster {
@@ -142,7 +142,7 @@
 	}
 	if strings.HasPrefix(key, coordination.KeyPrefix) {
 		n.coordination.server.Committed(key, records)
-		return false // gateways need none of it
+		return false // gateways need no coordination data
 	}
 	if records == nil {
 		all, _, ok := n.member.Committed(key)
@@ -156,23 +156,24 @@
 	if key == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
 		return n.republishConfiguration()
 	}
-	taken := n.configuration.merge(records)
-	n.rollouts.recordsPublished(taken)
-	n.evacuations.recordsPublished(n.now(), taken)
+	newer := n.configuration.merge(records)
+	n.rollouts.recordsPublished(newer)
+	n.evacuations.recordsPublished(n.now(), newer)
 	if strings.HasPrefix(key, config.EvacuationPrefix) {
 		n.evacuations.forget(n.configuration.published.Records)
 	}
-	return len(taken) > 0
+	return len(newer) > 0
 }
 
-// republishConfiguration shows all that is committed of the configuration, and nothing else of it. Where
-// that can't be told now, the member gives all of it with its next commit.
+// republishConfiguration replaces the published configuration by all that is committed of it, so
+// that forgotten records go. Where the committed state isn't known now, the replica reports all of
+// it with its next commit.
 func (n *Node) republishConfiguration() bool {
 	committed, _, ok := n.member.Committed(config.Key)
 	return ok && n.configuration.replace(committed)
 }
 
-// configurationChanged has the controllers take over what concerns them.
+// configurationChanged passes the published configuration to the controllers that use it.
 func (n *Node) configurationChanged() {
 	if n.quotas != nil {
 		n.quotas.setConfiguration()
@@ -182,7 +183,7 @@
 	}
 }
 
-// handle takes the messages of other control nodes and of gateways.
+// handle registers the handlers for messages of other control nodes and of gateways.
 func (n *Node) handle() {
 	transport.On(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
 		n.tryEnqueue(func(now time.Duration) {
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -15,44 +15,46 @@
 )
 
 const (
-	// listMaxLagFraction is the part of drainS for which the list of the duty's holder may be older than what
-	// another control node could bring. The rest of drainS is for the other's reading, the votes and the delivery.
+	// listMaxLagFraction is the fraction of drainS by which the duty holder's list may be older
+	// than one that another control node could provide. The rest of drainS is for the other node's
+	// reading, the votes and the delivery.
 	listMaxLagFraction = 0.5
-	// listIntervalFraction is the part of drainS after which a short list is read again.
+	// listIntervalFraction is the fraction of drainS after which a short list is read again.
 	listIntervalFraction = 0.2
-	// platformCallFraction is the part of drainS that one call to the platform may take.
+	// platformCallFraction is the fraction of drainS that one call to the platform may take.
 	platformCallFraction = 0.4
-	// maxReadingFactor bounds one reading of the list, in drainS.
+	// maxReadingFactor bounds one reading of the list, in multiples of drainS.
 	maxReadingFactor = 8
 )
 
-// listController holds the platform's list of upstreams. The holder of the duty reads it
-// from the platform; the other control nodes watch the holder, and some of them, its deputies, read the
-// list too while the holder brings none: see list_deputy.go.
+// listController holds the platform's list of upstreams. The duty holder reads it from the
+// platform. The other control nodes ask the holder for it, and some of them, the deputies, read it
+// themselves while the holder provides none: see list_deputy.go.
 type listController struct {
 	*environment
 	client         *http.Client
 	reading        atomic.Bool
-	platformCalls  atomic.Uint64 // calls to the platform
+	platformCalls  atomic.Uint64
 	platformErrors atomic.Uint64
 
-	// Owned by the pump's goroutine.
+	// Owned by the event loop.
 	snapshot      upstream.ListSnapshot
-	validAt       time.Duration           // as of when stand holds
-	readingCalls  int                     // that it took to read it
-	readingTime   time.Duration           // the reading
+	validAt       time.Duration           // when the snapshot was valid
+	readingCalls  int                     // platform calls that reading the list took
+	readingTime   time.Duration           // duration of the reading
 	watcherClocks map[string]watcherClock // by control node that watches this one
-	readAt        time.Duration           // when the platform is to be asked next
-	askAt         time.Duration           // when the holder is to be asked next
+	readAt        time.Duration           // when the next reading is due
+	askAt         time.Duration           // when to ask the holder next
 	deputy        listDeputy
-	onChange      func(now time.Duration) // another list stands
-	onRead        func(now time.Duration) // the holder of the duty, which this is, has read the list
+	onChange      func(now time.Duration) // called when the snapshot has changed
+	onRead        func(now time.Duration) // called when this node has read the list as the duty holder
 }
 
-// watcherClock is the clock of another control node as it told it, and when it came.
-type watcherClock struct{ asked, at time.Duration }
+// watcherClock relates the clock of another control node to this node's: a message that the other
+// sent when its clock showed asked arrived here at receivedAt.
+type watcherClock struct{ asked, receivedAt time.Duration }
 
-// listReading is one whole reading of the platform's list.
+// listReading is one complete reading of the platform's list.
 type listReading struct {
 	instances  []upstream.Instance
 	began, end time.Duration
@@ -65,33 +67,33 @@
 			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * env.settings.Beat()}}}
 }
 
-// handle takes the lists that other control nodes send.
+// handle registers the handler for lists that other control nodes send.
 func (c *listController) handle() {
 	transport.On(c.endpoint, delivery.IssueKind, func(_ string, i delivery.Issue) {
 		c.tryEnqueue(func(now time.Duration) { c.handleIssue(now, i) })
 	})
 }
 
-// handleIssue takes what another control node sends of the list.
+// handleIssue takes over a newer list, or a confirmation of the present one, from another control
+// node.
 func (c *listController) handleIssue(now time.Duration, i delivery.Issue) {
-	took := i.Listing != nil && c.snapshot.Take(now, *i.Listing)
+	newer := i.Listing != nil && c.snapshot.Take(now, *i.Listing)
 	if i.Listed != nil && i.Listed.Version == c.snapshot.Version {
-		asOf := min(now, i.Listed.Asked+i.Listed.Since)
-		if took {
-			c.validAt = asOf
+		validAt := min(now, i.Listed.Asked+i.Listed.Since)
+		if newer {
+			c.validAt = validAt
 		}
-		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, asOf), i.Listed.Calls, i.Listed.Took
+		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), i.Listed.Calls, i.Listed.Took
 	}
-	if took {
+	if newer {
 		c.onChange(now)
 	}
 }
 
-// tick is due at every tick of the pump.
+// tick is called at every tick of the event loop.
 func (c *listController) tick(now time.Duration) {
 	if _, mine := c.election.Holds(now, dutyList); mine || !c.snapshot.Known() {
-		// Without a list, and as far as this control node can tell nobody to read one, it
-		// reads one that any holder's replaces.
+		// A node without any list reads one itself; the list of any duty holder replaces that.
 		c.readWhenDue(now, upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
 		return
 	}
@@ -99,7 +101,8 @@
 	c.readAsDeputy(now)
 }
 
-// askHolder asks the holder for its list, and if that has brought nothing for long, another control node too.
+// askHolder asks the duty holder for its list, and another control node too if the list has not
+// been confirmed for long.
 func (c *listController) askHolder(now time.Duration) {
 	if now < c.askAt {
 		return
@@ -116,31 +119,32 @@
 	}
 }
 
-// maxLag is by how much a list must be newer than that of the holder for the duty to go on.
+// maxLag is by how much a list must be newer than the holder's for the duty to move to another
+// node.
 func (c *listController) maxLag() time.Duration {
 	return settings.Seconds(listMaxLagFraction * c.settings.Bounds.DrainS)
 }
 
-// progress tells how far the reading of the list has come here.
+// progress tells the election how recent the list is here.
 func (c *listController) progress() election.Progress {
 	return election.Progress{Known: c.validAt, Own: c.deputy.reading.began, Limit: c.maxLag()}
 }
 
-// noteWatcherClock notes the clock of a control node that watches this one.
+// noteWatcherClock records the clock of a control node that watches this one.
 func (c *listController) noteWatcherClock(now time.Duration, from string, w delivery.Watch) {
 	if w.Sums == nil && w.Asked > 0 {
 		c.watcherClocks[from] = watcherClock{w.Asked, now}
 	}
 }
 
-// listedFor tells a control node that watches this one as of when the list holds; nil: it has not told its
-// clock, or there is no list.
+// listedFor says as of when the list is valid, on the clock of a control node that watches this
+// one; nil if it has not sent its clock or there is no list.
 func (c *listController) listedFor(to string) *delivery.Listed {
-	mark, ok := c.watcherClocks[to]
+	clock, ok := c.watcherClocks[to]
 	if !ok || !c.snapshot.Known() {
 		return nil
 	}
-	return &delivery.Listed{Version: c.snapshot.Version, Asked: mark.asked, Since: c.validAt - mark.at, Calls: c.readingCalls, Took: c.readingTime}
+	return &delivery.Listed{Version: c.snapshot.Version, Asked: clock.asked, Since: c.validAt - clock.receivedAt, Calls: c.readingCalls, Took: c.readingTime}
 }
 
 // readWhenDue reads the list if that is due.
@@ -172,10 +176,10 @@
 		defer cancel()
 		list, calls, err := upstream.ReadAll(ctx, c.client, c.settings.CloudAPI.Address, pace)
 		c.platformCalls.Add(uint64(calls))
-		// A list of many pages is read less often; one that is throttled, too.
+		// A list of several pages is read less often, and so is one that the platform throttles.
 		if throttled := errors.Is(err, upstream.ErrThrottled); throttled || calls > 1 {
-			rest := max(c.now()-began, settings.Seconds(c.settings.Bounds.DrainS*listIntervalFraction))
-			defer time.Sleep(min(rest, settings.Seconds(c.settings.Bounds.DrainS)))
+			pause := max(c.now()-began, settings.Seconds(c.settings.Bounds.DrainS*listIntervalFraction))
+			defer time.Sleep(min(pause, settings.Seconds(c.settings.Bounds.DrainS)))
 		}
 		if err != nil {
 			c.platformErrors.Add(1)
@@ -188,16 +192,18 @@
 	}()
 }
 
-// dutyWon begins the duty of reading the list, with the list that this control node may have read as a deputy.
+// dutyWon starts the duty of reading the list, with the list that this node may have read as a
+// deputy.
 func (c *listController) dutyWon(now time.Duration) {
 	if c.deputy.reading.began > c.validAt {
-		c.log.upstream.Warn("the last holder's list is too old, this control node's is taken", "ageS", logSeconds(now-c.validAt))
+		c.log.upstream.Warn("list of the last duty holder is too old, using this node's", "ageS", logSeconds(now-c.validAt))
 		c.accept(now, c.deputy.reading)
 	}
 	c.read(upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
 }
 
-// accept takes over a list that was read from the platform.
+// accept takes over a list that was read from the platform. A node that has a list and does not
+// hold the duty only tells the election of its progress.
 func (c *listController) accept(now time.Duration, reading listReading) {
 	c.deputy.succeeded(reading)
 	term, mine := c.election.Holds(now, dutyList)
@@ -218,13 +224,13 @@
 	}
 }
 
-// listedVersions are the versions of a service that the platform lists.
+// listedVersions counts the versions of a service in the platform's list.
 type listedVersions struct {
-	mostFrequent string         // the most frequent
+	mostFrequent string
 	counts       map[string]int // upstreams by version
 }
 
-// serviceVersions counts the serviceVersions of each service that the platform lists.
+// serviceVersions counts the versions of each service in the platform's list.
 func (c *listController) serviceVersions() map[string]listedVersions {
 	out := map[string]listedVersions{}
 	c.snapshot.Each(0, func(i upstream.Instance, _ time.Duration) {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -17,11 +17,12 @@
 	"madderwing/internal/settings"
 )
 
-// orderKind is the kind of message in which an order goes to the owner of its key.
+// orderKind is the kind of message that carries an order to the owner of its key.
 const orderKind = "order"
 
-// order is what is asked of the owner of a key, as it goes between control nodes; one of the
-// fields is set beside Key. The owner carries out the task that it stands for.
+// order is a request to the owner of a key, as it is sent between control nodes. Beside Key, one
+// field selects the task that the owner carries out; with none, the owner only confirms that it owns
+// the key. Fields that merely accompany another one are described as such.
 type order struct {
 	Key       string            `cbor:"1,keyasint"`
 	Patch     []byte            `cbor:"2,keyasint,omitempty"`
@@ -30,30 +31,32 @@
 	Retire    string            `cbor:"6,keyasint,omitempty"`
 	Plan      []byte            `cbor:"7,keyasint,omitempty"`
 	Read      bool              `cbor:"5,keyasint,omitempty"`
-	ShowState bool              `cbor:"14,keyasint,omitempty"` // all that the owner knows of a rollout
-	// ID is one call of an operator's, however often it is passed on, and Age how
-	// old that was when it was.
+	ShowState bool              `cbor:"14,keyasint,omitempty"` // returns all that the owner knows of a rollout
+	// ID and Age accompany every order. ID is the same in all attempts of one call, and Age is how
+	// old the call was when this attempt was sent.
 	ID  uint64        `cbor:"8,keyasint,omitempty"`
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
-	// Rollout begins one, Abort reverses the one of the key; Adopt names versions that
-	// stand, each with the generation of the record that the caller saw.
+	// Rollout begins a rollout, Abort reverses that of the key. Adopt records versions that
+	// services run without a rollout; SeenGenerations accompanies it and gives the generation of
+	// each record as the sender saw it.
 	Rollout         *rollout.Ask                `cbor:"10,keyasint,omitempty"`
 	Abort           bool                        `cbor:"11,keyasint,omitempty"`
 	Adopt           map[string]rollout.Standing `cbor:"12,keyasint,omitempty"`
 	SeenGenerations map[string]uint64           `cbor:"13,keyasint,omitempty"`
-	// Service asks the owner of the configuration for one; Stood is what it said stands
-	// there, for an order that begins a rollout.
+	// Service asks the owner of the configuration about a service. Current accompanies Rollout: it
+	// is the version that the owner reported as current.
 	Service string           `cbor:"15,keyasint,omitempty"`
 	Current rollout.Standing `cbor:"16,keyasint,omitzero"`
-	// Reversal says which rollout Abort is for.
+	// Reversal accompanies Abort: it identifies the rollout.
 	Reversal rollout.Reversal `cbor:"17,keyasint,omitzero"`
-	// Basis is the state on which an order of an operator's rests, as the control node that took
-	// it knew it then: the generation of a zone's record, or the number of a service's newest rollout. On
-	// another state the order is not carried out. nil: it comes from an earlier release.
+	// Basis accompanies an operator's order: it is the state that the order relies on, as the
+	// control node that received it knew it then: the generation of a zone's record, or the number
+	// of a service's newest rollout. On another state the order is refused. nil: the order has no
+	// basis, or comes from an earlier release.
 	Basis *uint64 `cbor:"18,keyasint,omitempty"`
 }
 
-// orderReply is the owner's answer.
+// orderReply is the owner's answer to an order.
 type orderReply struct {
 	Failed bool          `cbor:"1,keyasint,omitempty"`
 	Kind   apierror.Kind `cbor:"2,keyasint,omitempty"`
@@ -61,17 +64,17 @@
 	Body   []byte        `cbor:"4,keyasint,omitempty"`
 }
 
-// orderController brings orders to the owners of their keys, and carries out those whose key
-// this control node owns.
+// orderController sends orders to the owners of their keys, and carries out those whose key this
+// control node owns.
 type orderController struct {
 	*environment
 	configuration *configuration
 	evacuations   *evacuations
 	rollouts      *rolloutController
-	revocations   *revocations // nil where nothing bounds the use of keys that were taken away
+	revocations   *revocations // nil where the settings don't bound the use of revoked keys
 }
 
-// handle takes the orders that other control nodes pass on.
+// handle registers the handler for orders that other control nodes forward.
 func (c *orderController) handle() {
 	c.endpoint.HandleSlow(orderKind, func(from string, body []byte) (any, error) {
 		var o order
@@ -83,10 +86,10 @@
 	})
 }
 
-// submitFunc is orderController.submit, for controllers that give orders.
+// submitFunc is orderController.submit, for controllers that submit orders.
 type submitFunc func(caller context.Context, o order) ([]byte, error)
 
-// newOrderID draws the number of an order.
+// newOrderID draws a random ID for an order.
 func newOrderID(o order) uint64 {
 	if o.Evacuate != nil {
 		return config.EvacuationOrderID(rand.Uint64(), *o.Evacuate)
@@ -94,16 +97,15 @@
 	return rand.Uint64() | 1
 }
 
-// submit brings an order to the owner of its key, wherever that is now, and
-// waits a little where there is none. Once the caller has left, which caller says, it is not sent
-// again: an order that came into force then could undo one that its operator gave since. An
-// attempt that has been begun goes on.
+// submit sends an order to the current owner of its key, and retries for a short time while there
+// is none. It is not sent again once the context of the caller has ended: an order that took effect
+// then could undo one that its operator has given since. An attempt in progress goes on.
 func (c *orderController) submit(caller context.Context, o order) ([]byte, error) {
 	begin := time.Now()
-	limit := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
+	deadline := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
 	o.ID = newOrderID(o)
 	pause := c.settings.Beat() / 10
-	var v orderReply
+	var reply orderReply
 	for {
 		owner := make(chan string, 1)
 		c.enqueue(func(now time.Duration) {
@@ -115,44 +117,45 @@
 		case caller.Err() != nil:
 			return nil, apierror.New(apierror.ClientGone, "order on %s", o.Key)
 		case to == "":
-			v = orderReply{true, apierror.NoQuorum, "no owner for " + o.Key, nil}
+			reply = orderReply{true, apierror.NoQuorum, "no owner for " + o.Key, nil}
 		case to == c.endpoint.Self():
-			v = c.execute(to, o)
+			reply = c.execute(to, o)
 		default:
-			ctx, cancel := context.WithDeadline(context.Background(), limit)
-			if err := c.endpoint.Call(ctx, to, orderKind, o, &v); err != nil {
-				v = failedReply(err)
+			ctx, cancel := context.WithDeadline(context.Background(), deadline)
+			if err := c.endpoint.Call(ctx, to, orderKind, o, &reply); err != nil {
+				reply = failedReply(err)
 			}
 			cancel()
 		}
-		if !v.Failed {
-			return v.Body, nil
+		if !reply.Failed {
+			return reply.Body, nil
 		}
-		if v.Kind != apierror.NoQuorum || time.Now().Add(pause).After(limit) || !pauseFor(caller, pause) {
-			return nil, apierror.Later(v.Kind, retryAfter(v.Kind, c.settings), "%s", v.Detail)
+		if reply.Kind != apierror.NoQuorum || time.Now().Add(pause).After(deadline) || !pauseFor(caller, pause) {
+			return nil, apierror.Later(reply.Kind, retryAfter(reply.Kind, c.settings), "%s", reply.Detail)
 		}
 		pause *= 2
 	}
 }
 
-// maxOrderWait is how long an order may have been at this machine before it is taken up.
+// maxOrderWait is how long an order may have been on this machine before it is processed.
 const maxOrderWait = callerTimeout / 5
 
-// orderBasis is the state on which an order of an operator's rests, as read gives it here on the pump's
-// goroutine. An order that has waited at this machine, as one does while the process stands still, is
+// orderBasis returns the state that an operator's order relies on, which read gives on the event
+// loop. An order that has waited on this machine, as it does while the process is frozen, is
 // refused: its operator may have gone on to another node since, and given further orders.
 func (e *environment) orderBasis(arrived arrival, read func() uint64) (*uint64, error) {
 	known := make(chan uint64, 1)
 	e.enqueue(func(time.Duration) { known <- read() })
 	state := <-known
 	if age := arrived.age(); age > maxOrderWait || e.stalls.stalled() {
-		e.log.control.Warn("order refused that has waited", "ageMs", age.Milliseconds())
-		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "it has waited for %v", age)
+		e.log.control.Warn("order refused: it waited too long on this machine", "ageMs", age.Milliseconds())
+		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "the order waited for %v on this machine", age)
 	}
 	return &state, nil
 }
 
-// execute carries out, as the owner of its key, an order that this control node or another took.
+// execute carries out, as the owner of its key, an order that this control node or another
+// received.
 func (c *orderController) execute(via string, o order) orderReply {
 	t, err := c.task(via, o)
 	if err != nil {
@@ -179,13 +182,13 @@
 	return <-done
 }
 
-// retireReply is the verdict on an order that brings nothing back.
+// retireReply converts the result of retiring a node.
 func retireReply(err error) orderReply {
 	switch {
 	case err == nil:
 		return orderReply{}
 	case errors.Is(err, replication.ErrUnknown):
-		return failedReply(apierror.New(apierror.UnknownNode, "it has no seat"))
+		return failedReply(apierror.New(apierror.UnknownNode, "the node is not in the roster"))
 	case errors.Is(err, replication.ErrAlive), errors.Is(err, replication.ErrTooFew):
 		return failedReply(apierror.New(apierror.NotNow, "%v", err))
 	}
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -14,37 +14,38 @@
 	"madderwing/internal/settings"
 )
 
-// placementController has routes bound to shards while this control node holds the duty.
+// placementController binds routes to shards while this control node holds the placement duty.
 type placementController struct {
 	*environment
 	configuration *configuration
 	submit        submitFunc
 
 	scheduler        placement.Scheduler
-	reconcilePending bool // routes, shards or the duty have changed since the last look
+	reconcilePending bool // routes, shards or the duty have changed since the last reconcile
 
-	recheck       bool          // since it was last looked whether routes wait for a binding
-	waiting       bool          // some did then
-	noneWaitingAt time.Duration // when none was last known to wait
-	checkAt       time.Duration // when to look again
+	recheck       bool          // routes, shards or the duty have changed since the last check for waiting routes
+	waiting       bool          // the last check found routes that wait for a binding
+	noneWaitingAt time.Duration // when no route was last known to wait
+	checkAt       time.Duration // when the next check is due
 }
 
-func newPlacementController(env *environment, shown *configuration, submit submitFunc) *placementController {
-	c := &placementController{environment: env, configuration: shown, submit: submit}
+func newPlacementController(env *environment, configuration *configuration, submit submitFunc) *placementController {
+	c := &placementController{environment: env, configuration: configuration, submit: submit}
 	c.scheduler = placement.Scheduler{Strategy: &placement.RoundRobin{}, Relist: env.options.Relist, Pause: 2 * env.settings.Beat(), Create: c.bind}
 	return c
 }
 
-// requestReconcile has the routes looked at once the command under way has run.
+// requestReconcile has the routes reconciled after the current event.
 func (c *placementController) requestReconcile() { c.reconcilePending, c.recheck = true, true }
 
-// tick is due at every tick of the pump.
+// tick is called at every tick of the event loop.
 func (c *placementController) tick(now time.Duration) {
 	c.reconcilePending = c.reconcilePending || c.scheduler.Due(now)
 	c.checkWaiting(now)
 }
 
-// checkWaiting looks, once a beat at the most, whether any route waits for its binding.
+// checkWaiting checks, at most once per heartbeat interval, whether any route waits for its
+// binding.
 func (c *placementController) checkWaiting(now time.Duration) {
 	if now >= c.checkAt && (c.recheck || c.waiting) {
 		c.checkAt, c.recheck = now+c.settings.Beat(), false
@@ -55,8 +56,8 @@
 	}
 }
 
-// progress tells how far the binding of routes has come here. Any control node in contact could bind those
-// that wait.
+// progress tells the election as of when all routes had bindings here. Any control node in contact
+// with a majority could bind those that wait.
 func (c *placementController) progress(now time.Duration) election.Progress {
 	own := c.noneWaitingAt
 	if c.waiting && c.recentlyInContact(now) {
@@ -65,13 +66,14 @@
 	return election.Progress{Known: c.noneWaitingAt, Own: own, Limit: settings.Seconds(c.settings.Bounds.AckS)}
 }
 
-// dutyChanged makes the scheduler begin anew.
+// dutyChanged resets the scheduler.
 func (c *placementController) dutyChanged() {
 	c.scheduler.Reset()
 	c.requestReconcile()
 }
 
-// reconcile looks at the routes if that is due here, and says whether it did.
+// reconcile runs the scheduler if that was requested and this node holds the duty. It reports
+// whether the scheduler ran.
 func (c *placementController) reconcile(now time.Duration) bool {
 	if !c.reconcilePending {
 		return false
@@ -84,7 +86,7 @@
 	return true
 }
 
-// shards counts the working gateways of each shard.
+// shards describes the shards by their working gateways.
 func (c *placementController) shards() []placement.Shard {
 	list := c.membership.List()
 	labels := list.Shards(c.options.Shards)
@@ -97,7 +99,7 @@
 	return placement.Shards(c.options.Shards, zones)
 }
 
-// bind creates bindings at the owner of the configuration.
+// bind asks the owner of the configuration to create bindings.
 func (c *placementController) bind(orders []placement.Order, done func([]error)) {
 	go func() {
 		answer, err := c.submit(context.Background(), order{Key: config.Key, Bind: orders})
@@ -119,7 +121,7 @@
 	}()
 }
 
-// states shows the routes, and the shards with their gateways.
+// states lists the routes, and the shards with their gateways.
 func (c *placementController) states(list *membership.List, labels map[string]int) ([]RouteState, []ShardState) {
 	routes, shards := []RouteState{}, make([]ShardState, c.options.Shards)
 	zones := make([]map[string]bool, c.options.Shards)
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -12,8 +12,9 @@
 	"madderwing/internal/transport"
 )
 
-// quotaController lends tenants' quotas while this control node owns the configuration, and draws on
-// what was lent to it for gateways. It exists only where tenants have quotas.
+// quotaController allocates shares of tenants' quotas to control nodes while this one owns the
+// configuration, and grants gateways' requests from the share of this node. Package quota calls the
+// first role the allocator and the second a branch. It exists only where tenants have quotas.
 type quotaController struct {
 	*environment
 	configuration *configuration
@@ -22,15 +23,15 @@
 	local       *quota.LocalQuota
 	configured  map[string]quota.Quota // of the tenants, as configured
 	reportAt    time.Duration          // when the next report to the allocator is due
-	recallAt    time.Duration          // when silent branches may be called again
+	recallAt    time.Duration          // when silent branches may be recalled again
 	allocatorID string                 // the allocator that was last reported to
-	// reportWhole says that the next report names all shares.
+	// reportWhole makes the next report name all shares.
 	reportWhole bool
-	lastSeated  map[string]time.Duration // when a branch was last seen to have a seat
+	lastSeated  map[string]time.Duration // when a branch was last seen in the roster
 }
 
-func newQuotaController(env *environment, shown *configuration) *quotaController {
-	c := &quotaController{environment: env, configuration: shown, lastSeated: map[string]time.Duration{}}
+func newQuotaController(env *environment, configuration *configuration) *quotaController {
+	c := &quotaController{environment: env, configuration: configuration, lastSeated: map[string]time.Duration{}}
 	bounds := env.settings.Bounds
 	c.allocator = quota.NewAllocator(quota.AllocatorConfig{Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack,
 		Window: settings.Seconds(bounds.QuotaWindowS), Life: settings.Seconds(bounds.ContactS * 0.7), Sure: settings.Seconds(bounds.ContactS * ownerTimeoutFraction),
@@ -39,7 +40,7 @@
 	return c
 }
 
-// handle takes the messages of allocators, branches and gateways.
+// handle registers the handlers for messages of allocators, branches and gateways.
 func (c *quotaController) handle() {
 	transport.On(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.handleReport(now, from, r) })
@@ -58,14 +59,14 @@
 	})
 }
 
-// tick is due at every tick of the pump.
+// tick is called at every tick of the event loop.
 func (c *quotaController) tick(now time.Duration) {
 	c.updateAllocator(now)
 	c.updateBranch(now)
 }
 
-// branches are the control nodes that may hold shares: the members, and those whose seats have
-// gone so lately that their shares may not have lapsed.
+// branches lists the control nodes that may hold shares: the members of the roster, and those that
+// left it so recently, within contactS, that their shares may not have expired.
 func (c *quotaController) branches() []string {
 	out := c.member.Roster()
 	now := c.now()
@@ -88,13 +89,14 @@
 	return out
 }
 
-// setConfiguration takes over the tenants' quotas.
+// setConfiguration updates the tenants' quotas.
 func (c *quotaController) setConfiguration() {
 	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.reader)
 	c.local.SetLimits(c.configured)
 }
 
-// updateAllocator begins or ends lending with the ownership of the configuration.
+// updateAllocator starts and stops allocating as this node gains and loses the ownership of the
+// configuration, and asks silent branches to report.
 func (c *quotaController) updateAllocator(now time.Duration) {
 	tenure, ok := c.member.Tenure(now, config.Key)
 	if !ok {
@@ -104,7 +106,7 @@
 	if last, lending := c.allocator.Lending(); !lending || last != tenure.Epoch {
 		c.allocator.Begin(now, tenure.Epoch, tenure.Free, tenure.Heir)
 		c.recallAt = 0
-		c.switchAllocator(now, c.endpoint.Self()) // its own branch is the first to be heard
+		c.switchAllocator(now, c.endpoint.Self()) // its own branch reports first
 	}
 	c.allocator.Tick(now)
 	if silent := c.allocator.Silent(); len(silent) > 0 && now >= c.recallAt {
@@ -132,7 +134,7 @@
 	}
 }
 
-// handleRecall takes an allocator's call for a report.
+// handleRecall answers an allocator's request for a report.
 func (c *quotaController) handleRecall(now time.Duration, from string, r quota.Recall) {
 	if c.local.Heeds(c.endpoint.Self(), from, r.Term) {
 		c.allocator.End()
@@ -140,15 +142,15 @@
 	}
 }
 
-// switchAllocator makes the next report one of all shares to an allocator, due at once.
+// switchAllocator makes the next report a full one to the given allocator, due at once.
 func (c *quotaController) switchAllocator(now time.Duration, allocatorID string) {
 	c.allocatorID, c.reportWhole, c.reportAt = allocatorID, true, now
 }
 
-// updateBranch reports to the allocator at every beat, and at once to a new one.
+// updateBranch reports to the allocator once per heartbeat interval, and at once to a new one.
 func (c *quotaController) updateBranch(now time.Duration) {
 	c.local.Expire(now)
-	// A control node that has lost its memory knows no owner; the allocator calls it.
+	// A control node that lost its state knows no owner; it reports when the allocator recalls it.
 	if owner := c.member.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
@@ -172,7 +174,7 @@
 	}
 }
 
-// handleAllocation takes the allocator's answer.
+// handleAllocation processes the allocator's answer.
 func (c *quotaController) handleAllocation(now time.Duration, allocation quota.Allocation) {
 	c.local.Lent(now, allocation)
 	if c.reportWhole || c.local.Waiting() {
@@ -180,9 +182,10 @@
 	}
 }
 
-// acquireFor draws on a tenant's quota for a gateway.
+// acquireFor takes from a tenant's quota for a request of a gateway.
 func (c *quotaController) acquireFor(now time.Duration, from string, request quota.AcquireRequest) {
-	// Lent shares lapse by themselves; that a tenant has no limit may be no longer so.
+	// Allocated shares expire by themselves, but a node out of contact can't tell whether a tenant
+	// without a limit has one by now.
 	if c.local.Unlimited(request.Tenant) && !c.recentlyInContact(now) {
 		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, Away: true})
 		return
@@ -195,7 +198,7 @@
 	}
 }
 
-// states shows the tenants, without their keys, and who lends their quotas.
+// states describes the tenants, without their keys, and the allocator of their quotas.
 func (c *quotaController) states() (tenants []TenantState, quotas *Quotas) {
 	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.reader) {
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -12,13 +12,13 @@
 	"madderwing/internal/settings"
 )
 
-// registryController answers clients that ask where to go. It exists only where they
-// ask a registry.
+// registryController answers clients that ask which gateways to connect to. It exists only where
+// the settings configure a registry.
 type registryController struct {
 	*environment
 	directory *registry.Directory
 	table     atomic.Pointer[config.Table] // the directory reads it from its own goroutines
-	tables    config.Builder               // owned by the pump's goroutine
+	tables    config.Builder               // owned by the event loop
 }
 
 func newRegistryController(env *environment) *registryController {
@@ -29,29 +29,29 @@
 		}
 		return nil
 	})
-	// While an owner is replaced, which takes less than contactS, its answers go on: they
+	// Answers continue while an owner is being replaced, which takes less than contactS, since they
 	// rest on what nodes say of themselves. So do those of a control node that has just started.
-	// The control nodes of a side that was cut off end.
+	// Control nodes that are cut off from the majority stop answering.
 	c.directory.InContact = func() bool { return c.recentlyInContact(c.now()) }
 	return c
 }
 
 // answerTTL is for how long a client may rely on an answer. A gateway that leaves is missing from
-// the answers for longer than that before it stops taking connections.
-func answerTTL(b settings.Bounds) (life time.Duration) {
-	life = settings.Seconds(b.GraceS * 0.4)
-	if b.TTLMaxS > 0 {
-		life = min(life, settings.Seconds(b.TTLMaxS))
+// the answers for longer than that before it stops accepting connections.
+func answerTTL(bounds settings.Bounds) (ttl time.Duration) {
+	ttl = settings.Seconds(bounds.GraceS * 0.4)
+	if bounds.TTLMaxS > 0 {
+		ttl = min(ttl, settings.Seconds(bounds.TTLMaxS))
 	}
-	return life
+	return ttl
 }
 
-// setNodes takes over the list of nodes. Any goroutine may call it.
+// setNodes updates the gateways from the list of nodes. It is safe for concurrent use.
 func (c *registryController) setNodes(l *membership.List) {
 	c.directory.SetGateways(listedGateways(c.settings, l))
 }
 
-// setConfiguration takes over what of the configuration concerns clients.
+// setConfiguration updates what concerns clients of the configuration.
 func (c *registryController) setConfiguration(records map[string]config.Record) {
 	c.table.Store(c.tables.Build(records))
 }
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -22,22 +22,22 @@
 	"madderwing/internal/transport"
 )
 
-// relay is the process of a control node whose settings name no dataDir: it holds nothing, is
-// in no list, and redirects the operators' calls to a control node at work. It does nothing
-// between calls.
+// relay is a process in the role of a control node whose settings name no dataDir: it stores
+// nothing, is in no list of members, and redirects the operators' calls to a working control node.
+// It does nothing between calls.
 type relay struct {
 	pick        func(caller context.Context, key string) string
 	known       func() []membership.Node
-	port        string        // of control, on all machines
-	bodyTimeout time.Duration // for which the rest of a call's body is read
-	retryAfter  time.Duration // after which a caller may come again
+	port        string        // of the operators' API, on all machines
+	bodyTimeout time.Duration // how long the rest of a call's body is read
+	retryAfter  time.Duration // sent in Retry-After to refused callers
 	log         *slog.Logger
 
 	calls, redirected, refused atomic.Uint64
 	unreachable                atomic.Bool // the last call found no control node
 }
 
-// runRelay serves until ctx ends.
+// runRelay runs a relay until ctx ends.
 func runRelay(ctx context.Context, cfg *settings.Settings, reload <-chan *settings.Settings) error {
 	beat := cfg.Beat()
 	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), beat, logging.For(logging.Transport))
@@ -98,7 +98,7 @@
 	}
 }
 
-// ServeHTTP answers a call: 307 to a control node, or 503 where none is in reach.
+// ServeHTTP answers a call with 307 to a control node, or with 503 where none can be reached.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == "/metrics" && req.Method == http.MethodGet {
 		_, _ = w.Write(r.metrics())
@@ -117,7 +117,7 @@
 			r.log.Info("redirecting", "to", to)
 		}
 	}
-	// A connection that is closed over unread bytes may lose the answer.
+	// The body is read first: closing a connection with unread bytes may lose the answer.
 	if req.Header.Get("Expect") == "" {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(r.bodyTimeout))
 		_, _ = io.Copy(io.Discard, io.LimitReader(req.Body, maxCallBody))
@@ -125,7 +125,7 @@
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
 		r.refused.Add(1)
-		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this one has no disk"))
+		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this node is a relay without a data directory"))
 		return
 	}
 	r.redirected.Add(1)
@@ -134,7 +134,7 @@
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// keyOf names the key that a call of control concerns most.
+// keyOf returns the key of the control state that an operator's call concerns most.
 func keyOf(method, path string) string {
 	if isCoordination(path) {
 		return coordinationKey(path)
@@ -150,7 +150,7 @@
 	return config.Key
 }
 
-// metrics are those of the relay itself.
+// metrics returns the metrics of the relay itself.
 func (r *relay) metrics() []byte {
 	var b bytes.Buffer
 	metrics.Write(&b, "relay", map[string]uint64{"calls": r.calls.Load(), "redirected": r.redirected.Load(), "refused": r.refused.Load()})
--- a/internal/controlplane/relay_founding.go
+++ b/internal/controlplane/relay_bootstrap.go
@@ -6,17 +6,17 @@
 	"madderwing/internal/replication"
 )
 
-// bootstrapResponder is a relay's part in the bootstrapResponder of a system whose seeds name it: it says that
-// it can be no member. If all seeds are relays, the lowest one's word on who is to found
-// counts; that is the first control node that asks, and nobody once the process has been
-// started again, as it no longer knows whom it named.
+// bootstrapResponder is a relay's part in the bootstrap of a cluster whose seeds name the relay: it
+// answers that it can be no member. If all seeds are relays, the answer of the lowest one decides
+// which member founds the cluster: the first that asks it. A relay without the bootstrap setting
+// appoints nobody, since it may have appointed one before it was restarted.
 type bootstrapResponder struct {
 	bootstrap bool
 	mu        sync.Mutex
 	founder   string
 }
 
-// answer is what to say to a member; nil: nothing.
+// answer returns the reply to a member's message; nil: none.
 func (f *bootstrapResponder) answer(from string, m replication.Message) *replication.Founded {
 	found, ok := m.Body.(*replication.Found)
 	if !ok || len(found.Records) > 0 {
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -10,7 +10,7 @@
 	"madderwing/internal/membership"
 )
 
-// relayKind is the question of a relay, which control nodes and relays answer.
+// relayKind is the kind of a relay's question, which control nodes and other relays answer.
 const relayKind = "relay"
 
 // relayQuestion asks who can serve a call that concerns a key.
@@ -18,17 +18,17 @@
 	Key string `cbor:"1,keyasint"`
 }
 
-// relayAnswer is what a control node, or another relay, knows.
+// relayAnswer is the answer of a control node, or of another relay.
 type relayAnswer struct {
-	Relay bool `cbor:"1,keyasint,omitempty"` // it is one; only Nodes says more
-	// Working says that the control node hears the owner of the key or of the configuration, and
+	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set beside it
+	// Working reports that the control node hears the owner of the key or of the configuration, and
 	// isn't about to leave.
 	Working bool              `cbor:"2,keyasint,omitempty"`
-	Owner   string            `cbor:"3,keyasint,omitempty"` // of the key, where it is known
-	Nodes   []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that are taken to be working
+	Owner   string            `cbor:"3,keyasint,omitempty"` // of the key, if known
+	Nodes   []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that appear to be working
 }
 
-// answerRelays answers the questions of relays.
+// answerRelays registers the handler for the questions of relays.
 func (n *Node) answerRelays() {
 	n.endpoint.HandleSlow(relayKind, func(_ string, body []byte) (any, error) {
 		var q relayQuestion
@@ -44,10 +44,10 @@
 	})
 }
 
-// relayAnswerFor is the answer about a key of a control node that has these keys, hears these
-// owners and knows these nodes.
+// relayAnswerFor returns the answer about a key, given the keys of this control node, a lookup of
+// their owners, and the known nodes.
 func relayAnswerFor(key, self string, keys []string, owner func(key string) string, l *membership.List) (out relayAnswer) {
-	// Asking for an owner makes the key, so only what is there is asked for.
+	// Looking up the owner creates the key, so only existing keys are looked up.
 	if slices.Contains(keys, key) {
 		out.Owner = owner(key)
 	}
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -16,37 +16,39 @@
 	"madderwing/internal/transport"
 )
 
-// How long things take at a relay, as parts of contactS: an answer after which another
-// control node is asked as well, and a call in all. A caller gives a node up after a second.
+// Times of a relay: the fractions of contactS after which another control node is asked as well,
+// and that a call may take in all, and the upper limit of the latter. A caller gives a node up
+// after a second.
 const (
 	relayHedgeFraction   = 1.0 / 20
 	relayTimeoutFraction = 1.0 / 6
 	maxRelayTimeout      = time.Second / 2
 )
 
-// maxRelayNodes bounds the control nodes that a relay remembers from their own word alone.
+// maxRelayNodes bounds the control nodes that a relay remembers only because they introduced
+// themselves.
 const maxRelayNodes = 64
 
-// picker finds the control node that a call is redirected to. It asks control nodes only when it
-// is asked itself.
+// picker finds the control node that a call is redirected to. It sends questions only when it is
+// asked for a node itself.
 type picker struct {
 	self       string
 	zone       string
-	hedgeDelay time.Duration // then another is asked as well
+	hedgeDelay time.Duration // after which another node is asked as well
 	timeout    time.Duration // for a call in all
-	cooldown   time.Duration // for which a control node that gave no good answer comes last
+	cooldown   time.Duration // how long a control node that gave no good answer is asked last
 	ask        func(ctx context.Context, to, key string) (relayAnswer, error)
 
 	mu          sync.Mutex
 	seeds       []string
-	nodes       map[string]membership.Node // control nodes, as the newest good answer had them
+	nodes       map[string]membership.Node // control nodes, according to the last good answer
 	owners      map[string]string
 	failed      map[string]time.Time
-	lastWorking string    // that gave the newest good answer
-	searchedAt  time.Time // when there was one, or somebody who joins had one looked for
+	lastWorking string    // the node that gave the last good answer
+	searchedAt  time.Time // time of the last good answer, or of the last search for a joining node
 }
 
-// newPicker makes the picker of a relay, which asks over the transport.
+// newPicker creates the picker of a relay, which asks over the transport.
 func newPicker(cfg *settings.Settings, endpoint *transport.Endpoint) *picker {
 	return &picker{self: endpoint.Self(), zone: cfg.Zone, seeds: cfg.SeedControlNodes(),
 		hedgeDelay: min(settings.Seconds(cfg.Bounds.ContactS*relayHedgeFraction), maxRelayTimeout/4),
@@ -59,7 +61,7 @@
 		}}
 }
 
-// pick names a working control node, the owner of the key where that is known and answers;
+// pick returns a working control node, which is the owner of the key if that is known and answers;
 // empty: none answered in time, or the caller has left.
 func (p *picker) pick(caller context.Context, key string) string {
 	ctx, cancel := context.WithTimeout(caller, p.timeout)
@@ -67,13 +69,13 @@
 	asked := map[string]bool{p.self: true}
 	first, owner := p.firstWorking(ctx, key, asked)
 	if owner == "" || asked[owner] || p.coolingDown(owner) {
-		return first // none is known, or it answers no question
+		return first // no owner is known, or it was asked already or recently gave no good answer
 	}
 	ctx, cancel = context.WithTimeout(ctx, p.hedgeDelay)
 	defer cancel()
 	a, err := p.query(ctx, owner, key)
 	switch {
-	case caller.Err() != nil: // that is no fault of the owner's
+	case caller.Err() != nil: // not the owner's fault
 	case err != nil:
 		p.noteFailure(owner)
 	case a.Working && !a.Relay:
@@ -82,18 +84,18 @@
 	return first
 }
 
-type relayReply struct {
+type queryResult struct {
 	from   string
 	answer relayAnswer
 	err    error
 }
 
-// firstWorking asks one candidate after the other, another as well where one is slow, and
-// gives the firstWorking that works and whom that takes for the owner. Those in asked are not
-// asked, and all that are come into it.
+// firstWorking asks one candidate after the other, and a further one where one is slow. It returns
+// the first that works, and the owner that this one names. Nodes in asked are skipped, and the
+// nodes that it asks are added to it.
 func (p *picker) firstWorking(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
 	queue := p.candidates(key)
-	answers := make(chan relayReply)
+	answers := make(chan queryResult)
 	slow := time.NewTimer(p.hedgeDelay)
 	defer slow.Stop()
 	outstanding, lastAsked := 0, ""
@@ -110,7 +112,7 @@
 			go func() {
 				answer, err := p.query(ctx, to, key)
 				select {
-				case answers <- relayReply{to, answer, err}:
+				case answers <- queryResult{to, answer, err}:
 				case <-ctx.Done():
 				}
 			}()
@@ -132,7 +134,7 @@
 			}
 			next()
 		case <-slow.C:
-			p.noteFailure(lastAsked) // unless it answers yet
+			p.noteFailure(lastAsked) // until it answers after all
 			next()
 		case <-ctx.Done():
 			return "", ""
@@ -141,7 +143,7 @@
 	return "", ""
 }
 
-// query asks one node, and notes what comes of it.
+// query asks one node and records the result.
 func (p *picker) query(ctx context.Context, to, key string) (relayAnswer, error) {
 	a, err := p.ask(ctx, to, key)
 	p.mu.Lock()
@@ -159,21 +161,22 @@
 		p.lastWorking, p.searchedAt = to, time.Now()
 		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
 	case err != nil && ctx.Err() != nil:
-		// Another was quicker, or the time is over: whoever asked knows what that says.
+		// Another node was quicker, or the time is over; the caller decides whether this one
+		// failed.
 	default:
 		p.failed[to] = time.Now()
 	}
 	return a, err
 }
 
-// noteFailure notes that a node gives no good answer.
+// noteFailure records that a node gave no good answer.
 func (p *picker) noteFailure(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed[id] = time.Now()
 }
 
-// coolingDown says whether a node has lately given no good answer.
+// coolingDown reports whether a node has recently given no good answer.
 func (p *picker) coolingDown(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,9 +188,9 @@
 	return ok && time.Since(at) < p.cooldown
 }
 
-// candidates lists whom to ask: the owner, who answered last, the other control nodes, those
-// of the own zone first, the seeds; and at the end those that lately gave no good
-// answer, the one that did so longest ago first.
+// candidates lists the nodes to ask, in order: the owner, the node that answered last, the other
+// control nodes with those of this zone first, and the seeds. Those that recently gave no good answer
+// come last, the one that did so longest ago first.
 func (p *picker) candidates(key string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +218,7 @@
 	return 1
 }
 
-// setSeeds takes over other seeds.
+// setSeeds replaces the seeds.
 func (p *picker) setSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,8 +232,8 @@
 	return slices.SortedFunc(maps.Values(p.nodes), func(a, b membership.Node) int { return strings.Compare(a.Address, b.Address) })
 }
 
-// introduce is for a node that joins and takes this relay for a control node: it tells the
-// control nodes, after looking for them again if none has answered for a while.
+// introduce answers a joining node that takes this relay for a control node: it returns the control
+// nodes, after searching for them again if none has answered for a while.
 func (p *picker) introduce(n membership.Node) []membership.Node {
 	p.mu.Lock()
 	if _, have := p.nodes[n.Address]; n.Plane == membership.Control && !have && len(p.nodes) < maxRelayNodes {
@@ -238,7 +241,7 @@
 	}
 	recent := !p.searchedAt.IsZero() && time.Since(p.searchedAt) < p.cooldown
 	if !recent {
-		p.searchedAt = time.Now() // one look for all that join at once
+		p.searchedAt = time.Now() // one search for all that join at once
 	}
 	p.mu.Unlock()
 	if !recent {
--- a/internal/controlplane/revocations.go
+++ b/internal/controlplane/revocations.go
@@ -6,21 +6,21 @@
 	"madderwing/internal/config"
 )
 
-// revocations holds the answer to a call that takes a key away until no gateway can rely on that
-// key. It exists only where the settings bound the time for which a key that was taken away may be
-// used on any machine.
+// revocations delays the answer to a call that revokes a key until no gateway can accept that key
+// any more. It exists only where the settings bound how long a revoked key may be used on any
+// machine.
 type revocations struct {
 	*environment
-	lastRevokedAt time.Duration // when a key was last taken from a tenant here; 0: never
+	lastRevokedAt time.Duration // when a tenant's key was last revoked here; 0: never
 }
 
-// noteRevocation notes that a key has just been taken away.
+// noteRevocation records that a key has just been revoked.
 func (r *revocations) noteRevocation(now time.Duration) { r.lastRevokedAt = now }
 
-// remainingHold says how much longer the answer to a call that names tenants is to wait:
-// until the leases have lapsed under which a gateway that has not heard of it may go
-// on using a key. An owner that follows another does not know when that one last
-// took a key away.
+// remainingHold is how much longer the answer to a call that names tenants must wait: until the
+// leases have expired under which a gateway that has not heard of the change may go on accepting a
+// key. An owner that succeeded another does not know when that one last revoked a key, so it counts
+// from the start of its ownership.
 func (r *revocations) remainingHold(now time.Duration) time.Duration {
 	hold := r.settings.HoldRevocation()
 	left := time.Duration(0)
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -15,8 +15,8 @@
 	"madderwing/internal/upstream"
 )
 
-// rolloutController takes the steps of the rollouts whose keys this control node owns, passes on what
-// it hears of the others, and has the versions kept that stand without an order.
+// rolloutController takes the steps of the rollouts whose keys this control node owns, forwards
+// reports on the others, and has the versions recorded that services run without a rollout.
 type rolloutController struct {
 	*environment
 	configuration *configuration
@@ -24,17 +24,17 @@
 	submit        submitFunc
 	loads         func() upstream.Loads // of all gateways
 
-	controller    *rollout.Controller        // rollouts, as this control node sees them
-	versions      map[string]rollout.Service // as shown
-	adopting      bool                       // standing versions are being kept
-	nextWaitLogAt time.Duration              // when a rollout that waits may be logged again
+	controller    *rollout.Controller        // rollouts, as this control node knows them
+	versions      map[string]rollout.Service // as published
+	adopting      bool                       // an order that records running versions is in progress
+	nextWaitLogAt time.Duration              // when a waiting rollout may be logged again
 }
 
-func newRolloutController(env *environment, shown *configuration, list *listController, submit submitFunc) *rolloutController {
-	return &rolloutController{environment: env, configuration: shown, list: list, submit: submit, controller: rollout.NewController()}
+func newRolloutController(env *environment, configuration *configuration, list *listController, submit submitFunc) *rolloutController {
+	return &rolloutController{environment: env, configuration: configuration, list: list, submit: submit, controller: rollout.NewController()}
 }
 
-// handle takes what gateways and other control nodes tell of rollouts.
+// handle registers the handlers for reports on rollouts from gateways and other control nodes.
 func (c *rolloutController) handle() {
 	transport.On(c.endpoint, delivery.ScoreKind, func(from string, reports []rollout.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.controller.Heard(now, from, reports) })
@@ -44,7 +44,7 @@
 	})
 }
 
-// recordsPublished takes over records that have come to be shown.
+// recordsPublished handles records that have just been published.
 func (c *rolloutController) recordsPublished(records []config.Record) {
 	changed := false
 	for _, r := range records {
@@ -58,11 +58,11 @@
 	}
 }
 
-// tick looks at the rollouts under way, takes the steps of those that this control node
-// controls as their key's owner, and passes on what it has heard of the others.
+// tick checks the rollouts in progress, takes the steps of those whose key this control node owns,
+// and forwards the reports on the others.
 func (c *rolloutController) tick(now time.Duration) {
 	beat := c.settings.Beat()
-	moves, tell := c.controller.Look(now, c.versions, rollout.Surroundings{
+	moves, forwards := c.controller.Look(now, c.versions, rollout.Surroundings{
 		Self: c.endpoint.Self(), Fresh: 2 * beat, Fill: c.fillView,
 		Owner: func(key string) string { return c.member.Owner(now, key) }})
 	for service, v := range c.versions {
@@ -70,7 +70,7 @@
 			c.logWaiting(now, service)
 		}
 	}
-	for to, all := range tell {
+	for to, all := range forwards {
 		c.endpoint.Send(to, delivery.GatherKind, all)
 	}
 	for _, m := range moves {
@@ -78,8 +78,8 @@
 	}
 }
 
-// logWaiting logs, once in a while, what a rollout waits for that has been at full weight for longer than
-// gateways take to tell of it.
+// logWaiting logs from time to time what a rollout waits for that has been at full weight for
+// longer than gateways take to report.
 func (c *rolloutController) logWaiting(now time.Duration, service string) {
 	minWait := 2 * c.settings.Beat()
 	view := c.controller.View(service)
@@ -87,43 +87,43 @@
 		return
 	}
 	c.nextWaitLogAt = now + minWait
-	c.log.rollout.Info("waits at full weight", "service", service, "heard", view.Heard, "live", view.Live,
+	c.log.rollout.Info("rollout waits at full weight", "service", service, "heard", view.Heard, "live", view.Live,
 		"unheard", c.gatewaysNotHeard(c.controller.Gathered(service).Nodes), "requestsAtOtherVersion", view.Busy)
 }
 
 // commitMove has a step of a rollout committed.
-func (c *rolloutController) commitMove(now time.Duration, m rollout.Move) {
-	plan := m.To
+func (c *rolloutController) commitMove(now time.Duration, move rollout.Move) {
+	plan := move.To
 	change := func(have map[string]replication.Record) ([]replication.Record, error) {
-		return rollout.Advance(have, m.From.Gen, plan)
+		return rollout.Advance(have, move.From.Gen, plan)
 	}
 	c.member.Propose(now, rollout.Key(plan.Service), change, func(err error) {
-		c.controller.Moved(m)
+		c.controller.Moved(move)
 		if err != nil {
-			c.log.rollout.Warn("step not taken", "service", plan.Service, "stage", plan.Stage.String(), "error", err)
+			c.log.rollout.Warn("rollout step not taken", "service", plan.Service, "stage", plan.Stage.String(), "error", err)
 			return
 		}
-		c.log.rollout.Info("step taken", "service", plan.Service, "prior", plan.Prior, "candidate", plan.Candidate, "stage", plan.Stage.String(),
+		c.log.rollout.Info("rollout step taken", "service", plan.Service, "prior", plan.Prior, "candidate", plan.Candidate, "stage", plan.Stage.String(),
 			"percent", rollout.Percent(plan.Weight), "afterS", logSeconds(plan.Age), "reason", plan.Reason)
 	})
 }
 
-// gatewaysNotHeard names some of the live gateways that have not told of a rollout.
-func (c *rolloutController) gatewaysNotHeard(told map[string]int) (names []string) {
+// gatewaysNotHeard names some of the live gateways that have not reported on a rollout.
+func (c *rolloutController) gatewaysNotHeard(reported map[string]int) (names []string) {
 	for _, n := range c.membership.List().Live(membership.Data) {
-		if _, ok := told[n.Address]; !ok && len(names) < maxNamedGateways {
+		if _, ok := reported[n.Address]; !ok && len(names) < maxNamedGateways {
 			names = append(names, n.Name)
 		}
 	}
 	return names
 }
 
-// fillView adds to what a controller looks at what this control node knows of gateways, upstreams
-// and loads.
-func (c *rolloutController) fillView(v *rollout.View, p *rollout.Plan, told map[string]int) {
+// fillView adds to a controller's view what this control node knows of gateways, upstreams and
+// loads.
+func (c *rolloutController) fillView(v *rollout.View, p *rollout.Plan, reported map[string]int) {
 	for _, n := range c.membership.List().Live(membership.Data) {
 		v.Live++
-		if busy, ok := told[n.Address]; ok {
+		if busy, ok := reported[n.Address]; ok {
 			v.Heard++
 			v.Busy += busy
 		}
@@ -150,9 +150,9 @@
 	}
 }
 
-// currentVersion is the version that stands as an order comes: by the record of the service's
-// last order, by what the owner of the configuration said, or, where no version was ever
-// kept, by the platform's list.
+// currentVersion is the version that a service runs when an order arrives: according to the record
+// of its last rollout, to the owner of the configuration, or, where no version was ever recorded,
+// to the platform's list.
 func (c *rolloutController) currentVersion(last replication.Record, o order) string {
 	v := rollout.Service{Standing: o.Current}
 	if p, ok := rollout.Read(last); ok {
@@ -164,23 +164,23 @@
 	return c.list.serviceVersions()[o.Rollout.Service].mostFrequent
 }
 
-// call is an operator's call for a service as the owner of the rollout's key takes it.
+// call is an operator's call for a service, as the owner of the rollout's key sees it.
 func (c *rolloutController) call(service string, o order) rollout.Call {
 	now, ackS := c.now(), settings.Seconds(c.settings.Bounds.AckS)
 	return rollout.Call{ID: o.ID, Basis: o.Basis, Recent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
 }
 
-// adopt has the versions that stand without an order kept with the items: the first
-// that a service has, and another where the platform no longer lists any upstream of
-// the one that stands and no order is under way.
+// adopt has the versions recorded, beside the items, that services run without a rollout: the first
+// version of a service, and another one where the platform lists no upstream of the recorded
+// version any more and no rollout is in progress.
 func (c *rolloutController) adopt(now time.Duration) {
 	if c.adopting || !c.member.Voting() {
 		return
 	}
-	known := c.versions
+	recorded := c.versions
 	o := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
 	for service, l := range c.list.serviceVersions() {
-		v := known[service]
+		v := recorded[service]
 		if v.Active() != nil || l.counts[v.Serves()] > 0 || !c.configuration.hasService(service) {
 			continue
 		}
@@ -199,7 +199,7 @@
 		c.enqueue(func(time.Duration) {
 			c.adopting = false
 			if err != nil {
-				c.log.rollout.Warn("standing versions not kept", "error", err)
+				c.log.rollout.Warn("versions of services not recorded", "error", err)
 			}
 		})
 	}()
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -15,13 +15,13 @@
 	"madderwing/internal/rollout"
 )
 
-// rollouts serves the calls for rollouts.
+// serve answers the operators' calls on rollouts.
 func (c *rolloutController) serve(r *http.Request, service string) ([]byte, error) {
 	arrived := arrivalOf(r)
-	wrong := apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
+	wrongMethod := apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	if service == "" {
 		if r.Method != http.MethodPost {
-			return nil, wrong
+			return nil, wrongMethod
 		}
 		body, err := readCall(r)
 		if err != nil {
@@ -36,11 +36,11 @@
 		if err != nil {
 			return nil, err
 		}
-		stood, err := c.askService(r.Context(), ask.Service)
+		current, err := c.askService(r.Context(), ask.Service)
 		if err != nil {
 			return nil, err
 		}
-		if _, err := c.submit(r.Context(), order{Key: rollout.Key(ask.Service), Rollout: &ask, Current: stood, Basis: basis}); err != nil {
+		if _, err := c.submit(r.Context(), order{Key: rollout.Key(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
 			c.log.control.Warn("rollout not taken", "service", ask.Service, "version", ask.Version, "error", err)
 			return nil, err
 		}
@@ -64,11 +64,11 @@
 		}
 		return []byte("{}\n"), c.reverse(r.Context(), service, r.URL.Query().Get("targetVersion"), basis)
 	}
-	return nil, wrong
+	return nil, wrongMethod
 }
 
-// newestBasis is the number of a service's newestBasis rollout as this control node knows it, for an order
-// that rests on it.
+// newestBasis is the number of a service's newest rollout as this control node knows it, for an
+// order that relies on it.
 func (c *rolloutController) newestBasis(arrived arrival, service string) (*uint64, error) {
 	return c.orderBasis(arrived, func() uint64 {
 		plan, ok := rollout.Read(c.configuration.published.Records[rollout.Key(service)])
@@ -79,9 +79,9 @@
 	})
 }
 
-// reverse has a service's rollout reversed: that to a version, or, where the operator
-// names none, the one that a majority confirms now. So an order that is passed on for a
-// while can't meet a later one.
+// reverse reverses a service's rollout: that to the given version, or, if the operator names none,
+// the one that a majority confirms now. So an order that is delayed on its way can't affect a later
+// rollout.
 func (c *rolloutController) reverse(caller context.Context, service, version string, basis *uint64) error {
 	reversal := rollout.Reversal{Version: version, Named: version != ""}
 	if !reversal.Named {
@@ -89,18 +89,18 @@
 		if err != nil {
 			return err
 		}
-		var stands rolloutText
-		if text == nil || json.Unmarshal(text, &stands) != nil {
+		var confirmed rolloutText
+		if text == nil || json.Unmarshal(text, &confirmed) != nil {
 			return apierror.New(apierror.NoRollout, "%s", service)
 		}
-		reversal.Version = stands.TargetVersion
+		reversal.Version = confirmed.TargetVersion
 	}
 	_, err := c.submit(caller, order{Key: rollout.Key(service), Abort: true, Reversal: reversal, Basis: basis})
 	return err
 }
 
-// hasService says whether a service stands; a control node that does not know it asks the
-// owner of the configuration before it says no.
+// hasService returns an error if a service doesn't exist. A control node that doesn't know the
+// service asks the owner of the configuration first.
 func (c *rolloutController) hasService(caller context.Context, name string) error {
 	has := make(chan bool, 1)
 	c.enqueue(func(time.Duration) { has <- c.configuration.hasService(name) })
@@ -111,8 +111,8 @@
 	return err
 }
 
-// askService asks the owner of the configuration for a askService, and for its version that
-// stands there.
+// askService asks the owner of the configuration about a service, and returns the version that is
+// recorded as current there.
 func (c *rolloutController) askService(caller context.Context, name string) (rollout.Standing, error) {
 	body, err := c.submit(caller, order{Key: config.Key, Service: name})
 	if err != nil {
@@ -128,7 +128,7 @@
 	return s.Current, nil
 }
 
-// serviceStanding is what the owner of the configuration says of a service.
+// serviceStanding is what the owner of the configuration reports of a service.
 type serviceStanding struct {
 	Exists  bool             `cbor:"1,keyasint,omitempty"`
 	Current rollout.Standing `cbor:"2,keyasint,omitzero"`
@@ -144,7 +144,7 @@
 	return b
 }
 
-// render lays out the records of a key for the operator.
+// render returns the records of a key as the operators' API shows them.
 func render(key string, records map[string]replication.Record) []byte {
 	if !strings.HasPrefix(key, rollout.Prefix) {
 		return config.Render(records)
@@ -157,7 +157,7 @@
 	return b
 }
 
-// rolloutText is a rollout as the operator's interface shows it.
+// rolloutText is a rollout as the operators' API shows it.
 type rolloutText struct {
 	State         string `json:"state"`
 	TargetVersion string `json:"targetVersion"`
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -13,7 +13,7 @@
 // ArmState is one arm of a rollout as the administration API shows it.
 type ArmState struct {
 	Version  string  `json:"version"`
-	Answers  uint64  `json:"answers"` // scored, at the present weight
+	Answers  uint64  `json:"answers"` // scored at the present weight
 	Failed   uint64  `json:"failed"`
 	P99AtMs  float64 `json:"p99AtMostMs"` // 0: too few answers
 	MeanTime float64 `json:"meanTimeScore"`
@@ -29,12 +29,13 @@
 	AgeS       float64    `json:"ageS"`
 	WithinS    float64    `json:"withinS"`
 	Reason     string     `json:"reason,omitempty"`
-	Heard      int        `json:"heard"` // nodes with this weight in force
+	Heard      int        `json:"heard"` // nodes where this weight is in effect
 	Braked     int        `json:"braked"`
 	Arms       []ArmState `json:"arms"`
 }
 
-// rolloutStates shows all rollouts; figures of the arms are known at the controller.
+// states describes all rollouts. The figures of the arms are known only at the controller of a
+// rollout.
 func (c *rolloutController) states(now time.Duration) (out []RolloutState) {
 	out = []RolloutState{}
 	for service, v := range c.versions {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// rolloutAtController shows a rollout as its controller knows it.
+// stateAtController returns the state of a rollout as its controller knows it.
 func (c *rolloutController) stateAtController(caller context.Context, service string) ([]byte, error) {
 	if err := c.hasService(caller, service); err != nil {
 		return nil, err
--- a/internal/controlplane/stalls.go
+++ b/internal/controlplane/stalls.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file holds how a process knows that it stood still, and that a call waited meanwhile.
+// Detection that the process was frozen, and that a call waited meanwhile.
 
 import (
 	"context"
@@ -12,32 +12,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerTimeout is the time after which a caller without an answer goes on to another node.
+// callerTimeout is the time after which a caller without an answer tries another node.
 const callerTimeout = time.Second
 
-// A process that stood still for longer than stallLimit refuses the calls that may have come
-// meanwhile: their callers may have gone on. It takes resumeWindow to read those. A call that
-// waited for less begins before its caller gives up.
+// A process that was frozen for longer than stallLimit refuses the calls that may have arrived
+// meanwhile, since their callers may have tried another node. Reading those calls takes up to
+// resumeWindow. A call that waited for less than stallLimit begins before its caller gives up.
 const (
 	stallLimit   = callerTimeout / 4
 	resumeWindow = callerTimeout / 20
 )
 
-// stallDetector knows when the process last stood still.
+// stallDetector records when the process was last frozen.
 type stallDetector struct {
-	clock    func() time.Duration
-	tickedAt atomic.Int64 // time of the newest tick
-	wokeAt   atomic.Int64 // when a tick was last late by more than stallLimit; 0: never
+	clock     func() time.Duration
+	tickedAt  atomic.Int64 // time of the last tick
+	resumedAt atomic.Int64 // when a tick last came more than stallLimit after the one before; 0: never
 }
 
-// stalled says that the process stood still a moment ago, or stands still but for the caller.
+// stalled reports whether the process was frozen a moment ago, or has resumed without a tick so
+// far.
 func (d *stallDetector) stalled() bool {
 	now := d.clock()
-	ticked, woke := time.Duration(d.tickedAt.Load()), time.Duration(d.wokeAt.Load())
-	return now-ticked > stallLimit || woke > 0 && now-woke < resumeWindow
+	ticked, resumed := time.Duration(d.tickedAt.Load()), time.Duration(d.resumedAt.Load())
+	return now-ticked > stallLimit || resumed > 0 && now-resumed < resumeWindow
 }
 
-// watch notes the times at which the process runs, until stop.
+// watch records the times at which the process runs, until stop is closed.
 func (d *stallDetector) watch(stop <-chan struct{}) {
 	ticker := time.NewTicker(stallLimit / 5)
 	defer ticker.Stop()
@@ -52,15 +53,15 @@
 	}
 }
 
-// noteRunning notes that the process runs now.
+// noteRunning records that the process is running now.
 func (d *stallDetector) noteRunning(now time.Duration) {
 	last := time.Duration(d.tickedAt.Swap(int64(now)))
 	if last > 0 && now-last > stallLimit {
-		d.wokeAt.Store(int64(now))
+		d.resumedAt.Store(int64(now))
 	}
 }
 
-// connectionKey is the key under which the context of a call holds its connection.
+// connectionKey is the context key for the connection of a call.
 type connectionKey struct{}
 
 // withConnection is the http.Server.ConnContext that arrivalOf needs.
@@ -68,23 +69,23 @@
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// arrival is when a call came to this machine.
+// arrival is when a call reached this machine.
 type arrival struct {
-	conn net.Conn // nil: not known
+	conn net.Conn // nil if unknown
 	read time.Time
 }
 
-// arrivalOf is the arrival of a call that has just been read.
+// arrivalOf returns the arrival of a call that has just been read.
 func arrivalOf(r *http.Request) arrival {
 	conn, _ := r.Context().Value(connectionKey{}).(net.Conn)
 	return arrival{conn: conn, read: time.Now()}
 }
 
-// age is for how long the call has been at this machine, waiting in the kernel included.
+// age is how long the call has been on this machine, including the wait in the kernel.
 func (a arrival) age() time.Duration { return max(sinceReceived(a.conn), time.Since(a.read)) }
 
-// sinceReceived is for how long the kernel has had the newest bytes of a connection. It is 0
-// where the kernel doesn't tell.
+// sinceReceived is how long the kernel has had the last bytes received on a connection; 0 where the
+// kernel doesn't report it.
 func sinceReceived(conn net.Conn) (held time.Duration) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -65,7 +65,7 @@
 	stalls := &stallDetector{clock: clock}
 	stalls.noteRunning(clock())
 	c := &coordinator{owners: noOwner{}, clock: clock, stalls: stalls, enqueue: func(fn func(time.Duration)) { fn(time.Minute) },
-		statistics: newCoordinationStats(), retry: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
+		statistics: newCoordinationStats(), retryAfter: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, loneReplica{})}
 	for name, test := range map[string]struct {
 		wait time.Duration
 		says string
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -10,7 +10,7 @@
 	"madderwing/internal/upstream"
 )
 
-// Count is how many nodes or upstreams are alike.
+// Count is the number of nodes or upstreams of the same kind, zone and state.
 type Count struct {
 	Kind  string `json:"kind"` // gateway, control node, or the service
 	Zone  string `json:"zone"`
@@ -18,11 +18,11 @@
 	Count int    `json:"count"`
 }
 
-// Summary is an overview that stays short whatever the number of nodes.
+// Summary is an overview whose size does not grow with the number of nodes.
 type Summary struct {
 	Node    string  `json:"node"`
 	Contact Contact `json:"contact"`
-	// Bears is how many further members may be lost now, Wanted how many are to be borne.
+	// Bears is how many more members may be lost now, Wanted how many losses should be tolerated.
 	Bears     int      `json:"bears"`
 	Wanted    int      `json:"wanted"`
 	Nodes     []Count  `json:"nodes"`
@@ -32,21 +32,21 @@
 	BehindOf  []string `json:"behindOf"` // the first of them
 }
 
-// maxNamedGateways is how many of the gateways that lag behind a summary names.
+// maxNamedGateways is how many gateways a summary or a log line names.
 const maxNamedGateways = 10
 
-// Summary sums an overview up by kind, zone and state.
+// Summary counts the nodes and upstreams of an overview by kind, zone and state.
 func (o *Overview) Summary() *Summary {
 	behind := o.gatewaysBehind()
 	s := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), maxNamedGateways)]}
-	nodes, ups := map[Count]int{}, map[Count]int{}
+	nodes, upstreams := map[Count]int{}, map[Count]int{}
 	for _, m := range o.Members {
 		nodes[Count{m.Plane, m.Zone, m.Standing(), 0}]++
 	}
 	for _, u := range o.Upstreams {
-		ups[Count{u.Service, u.Zone, Standing(u), 0}]++
+		upstreams[Count{u.Service, u.Zone, Standing(u), 0}]++
 	}
-	s.Nodes, s.Upstreams = sortedCounts(nodes), sortedCounts(ups)
+	s.Nodes, s.Upstreams = sortedCounts(nodes), sortedCounts(upstreams)
 	return s
 }
 
@@ -61,9 +61,9 @@
 	return out
 }
 
-func sortedCounts(of map[Count]int) []Count {
+func sortedCounts(counts map[Count]int) []Count {
 	out := []Count{}
-	for c, n := range of {
+	for c, n := range counts {
 		c.Count = n
 		out = append(out, c)
 	}
@@ -92,7 +92,7 @@
 	return "ready"
 }
 
-// filter keeps the entries whose fields are as the question says.
+// filter keeps the entries whose fields match the query.
 func filter[T any](list []T, query url.Values, fields map[string]func(T) string) ([]T, error) {
 	for name := range query {
 		field, ok := fields[name]
@@ -104,7 +104,7 @@
 	return list, nil
 }
 
-// view is one page of an overview, with the filters that a question asks for.
+// view returns one page of an overview, with the filters of the query applied.
 func (o *Overview) view(page string, query url.Values) (v any, err error) {
 	switch page {
 	case "summary":
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -15,20 +15,20 @@
 	"madderwing/internal/rollout"
 )
 
-// records are those of one key, by name.
+// records are the records of one key, by name.
 type records = map[string]replication.Record
 
-// task is what the owner of a key does for one order. Its methods run on the pump's
-// goroutine.
+// task is what the owner of a key does for one order. Its methods run on the event loop.
 type task interface {
-	// change works out the change on the key's records, which a round then makes safe or
-	// confirms; came is when the order was taken up. An error refuses the order.
-	change(came time.Duration, have records) ([]replication.Record, error)
-	// finish answers, once the round has ended well. It may answer later.
-	finish(came, now time.Duration, answer func(orderReply))
+	// change computes the change of the key's records. A replication round then commits it, or
+	// confirms that nothing changed; receivedAt is when the owner started on the order. An error
+	// refuses the order.
+	change(receivedAt time.Duration, have records) ([]replication.Record, error)
+	// finish answers the order after the round has succeeded. It may answer later.
+	finish(receivedAt, now time.Duration, answer func(orderReply))
 }
 
-// task is the one that an order stands for, which another control node or this one took.
+// task returns the task of an order; via is the control node that received it.
 func (c *orderController) task(via string, o order) (task, error) {
 	service := strings.TrimPrefix(o.Key, rollout.Prefix)
 	switch {
@@ -58,7 +58,7 @@
 	return confirmTask{}, nil
 }
 
-// emptyAnswer is part of tasks whose answer says only that they were carried out.
+// emptyAnswer is embedded in tasks whose answer has no body.
 type emptyAnswer struct{}
 
 func (emptyAnswer) finish(_, _ time.Duration, answer func(orderReply)) { answer(orderReply{}) }
@@ -68,7 +68,7 @@
 
 func (confirmTask) change(time.Duration, records) ([]replication.Record, error) { return nil, nil }
 
-// readTask answers from the records that the round confirms.
+// readTask answers from the records that the round has confirmed.
 type readTask struct {
 	answer func(records) []byte
 	body   []byte
@@ -83,7 +83,7 @@
 	answer(orderReply{Body: t.body})
 }
 
-// planTask says what a change of the configuration would do.
+// planTask reports what a change of the configuration would do.
 type planTask struct {
 	orders    *orderController
 	requested *config.Change
@@ -104,7 +104,7 @@
 type patchTask struct {
 	orders    *orderController
 	requested *config.Change
-	revokes   bool // it takes a key from a tenant
+	revokes   bool // it revokes a tenant's key
 }
 
 func (t *patchTask) change(_ time.Duration, have records) ([]replication.Record, error) {
@@ -138,21 +138,21 @@
 	answer(orderReply{})
 }
 
-// answerLater answers a call that has been carried out but may not be confirmed
-// yet: at the right time, if that is soon, or with the advice to ask again.
+// answerLater answers a call that has been carried out but may not be confirmed yet: at the right
+// time if that is soon, otherwise at once with the advice to retry.
 func (c *orderController) answerLater(left time.Duration, answer func(orderReply)) {
 	if left > c.settings.Beat()*2/3 {
-		answer(orderReply{true, apierror.NotYet, "keys that were taken away may be in use for " + left.String(), nil})
+		answer(orderReply{true, apierror.NotYet, "revoked keys may remain in use for " + left.String(), nil})
 		return
 	}
 	time.AfterFunc(left, func() { answer(orderReply{}) })
 }
 
-// evacuationTask orders or withdraws the evacuation of a zone.
+// evacuationTask starts or withdraws the evacuation of a zone.
 type evacuationTask struct {
 	orders *orderController
 	order  order
-	via    string // the control node that took the order
+	via    string // the control node that received the order
 
 	generationBefore, generationAfter uint64 // generations of the zone's record
 }
@@ -176,10 +176,10 @@
 	answer(orderReply{})
 }
 
-// orderName is the number of an order as logs show it.
+// orderName formats the ID of an order for the log.
 func orderName(id uint64) string { return strconv.FormatUint(id, 16) }
 
-// bindTask creates bindings of routes to shards, and says of each whether it was refused.
+// bindTask creates bindings of routes to shards, and reports for each whether it was refused.
 type bindTask struct {
 	bindings []placement.Order
 	refused  []bool
@@ -211,7 +211,7 @@
 	return rollout.Begin(have, *t.order.Rollout, t.rollouts.currentVersion(have[t.order.Key], t.order), call)
 }
 
-// abortTask has a rollout reversed.
+// abortTask reverses a rollout.
 type abortTask struct {
 	emptyAnswer
 	rollouts *rolloutController
@@ -224,7 +224,7 @@
 	return rollout.Abort(have, t.service, t.order.Reversal, age, t.rollouts.call(t.service, t.order))
 }
 
-// adoptTask keeps the versions that stand without an order.
+// adoptTask records the versions that services run without a rollout.
 type adoptTask struct {
 	emptyAnswer
 	order order
@@ -234,11 +234,11 @@
 	return rollout.Adopt(have, t.order.Adopt, t.order.SeenGenerations), nil
 }
 
-// showTask shows all that the owner knows of a rollout.
+// showTask returns all that the owner knows of a rollout.
 type showTask struct {
 	rollouts *rolloutController
 	service  string
-	exists   bool // there is a rollout
+	exists   bool // the service has a rollout
 }
 
 func (t *showTask) change(_ time.Duration, have records) ([]replication.Record, error) {
@@ -248,7 +248,7 @@
 
 func (t *showTask) finish(_, now time.Duration, answer func(orderReply)) {
 	body := t.rollouts.stateJSON(now, t.service)
-	if t.exists && body == nil { // taken over a moment ago, and not shown yet
+	if t.exists && body == nil { // this node has just become the owner and has not published the rollout yet
 		answer(failedReply(replication.ErrNoQuorum))
 		return
 	}
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -29,8 +29,8 @@
 	Seq     uint64 `json:"seq"`
 	Commit  uint64 `json:"commit"`
 	Records int    `json:"records"`
-	// HeardAgoS is how long ago the owner was heard here; at the owner, how long ago a
-	// majority confirmed it.
+	// HeardAgoS is how long ago this node heard the owner; at the owner, how long ago a majority
+	// confirmed it.
 	HeardAgoS float64 `json:"heardAgoS"`
 }
 
@@ -53,15 +53,15 @@
 	Routes   int      `json:"routes"`
 }
 
-// Delivery is how far a gateway has the newest items in force.
+// Delivery reports whether the newest items are in effect at a gateway.
 type Delivery struct {
 	Gateway string `json:"desk"`
 	Zone    string `json:"zone"`
-	Heard   bool   `json:"heard"`   // by a control node, lately
-	Current bool   `json:"current"` // has what the control node asked knows to be newest
+	Heard   bool   `json:"heard"`   // it reported to a control node recently
+	Current bool   `json:"current"` // has the newest items that the answering control node knows
 }
 
-// TenantState is a tenant as the administration API shows it: without its keys.
+// TenantState is a tenant as the administration API shows it, without its keys.
 type TenantState struct {
 	Name       string   `json:"name"`
 	Keys       int      `json:"keys"`
@@ -72,10 +72,10 @@
 	Generation uint64   `json:"generation"`
 }
 
-// Quotas tells who lends tenants' quotas and, at the allocator, what is lent.
+// Quotas names the allocator of tenants' quotas and, at the allocator, describes what is allocated.
 type Quotas struct {
 	Lender string                  `json:"lender"`
-	Silent []string                `json:"silent,omitempty"` // branches that the allocator has not heard
+	Silent []string                `json:"silent,omitempty"` // branches that have not reported to the allocator
 	Loans  []quota.AllocationState `json:"allocations,omitempty"`
 }
 
@@ -93,7 +93,7 @@
 	Upstreams   []upstream.Instance  `json:"upstreams"`
 	Listing     upstream.Version     `json:"listing"`
 	Evacuations []string             `json:"evacuations"`
-	InDoubt     []string             `json:"evacuationsInDoubt,omitempty"` // of these, all of whose evacuations may have been withdrawn
+	InDoubt     []string             `json:"evacuationsInDoubt,omitempty"` // of these, zones all of whose evacuations may have been withdrawn
 	Delivery    []Delivery           `json:"delivery"`
 	Tenants     []TenantState        `json:"tenants,omitempty"`
 	Quotas      *Quotas              `json:"quotas,omitempty"`
