--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -31,7 +31,7 @@
 
 // overview collects all that the administration API shows.
 func (c *administration) overview(now time.Duration) *Overview {
-	o := &Overview{Node: c.settings.Node, Voting: c.member.Voting(), Contact: c.contact.state(now), Roster: c.member.Standing(now),
+	o := &Overview{Node: c.settings.Node, Voting: c.replica.Voting(), Contact: c.contact.state(now), Roster: c.replica.Standing(now),
 		Duties: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
 		Keys: c.keys(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
 	list := c.membership.List()
@@ -47,31 +47,31 @@
 
 // members lists the known nodes, and the members of the roster whose nodes are unknown.
 func (c *administration) members(list *membership.List, labels map[string]int) []Member {
-	out := []Member{}
+	members := []Member{}
 	seats := map[string]bool{}
-	for _, id := range c.member.Roster() {
+	for _, id := range c.replica.Roster() {
 		seats[id] = true
 	}
 	for _, n := range list.Nodes {
-		m := Member{n.Name, n.Address, n.Zone, n.Plane.String(), n.State.String(), n.Draining, n.Incarnation, -1, seats[n.Address]}
+		member := Member{n.Name, n.Address, n.Zone, n.Plane.String(), n.State.String(), n.Draining, n.Incarnation, -1, seats[n.Address]}
 		if n.Plane == membership.Data {
-			m.Shard = labels[n.Address]
+			member.Shard = labels[n.Address]
 		}
-		out = append(out, m)
+		members = append(members, member)
 	}
 	for id := range seats {
 		if _, known := list.Get(id); !known {
-			out = append(out, Member{Name: id, Address: id, Plane: membership.Control.String(), State: "lost", Shard: -1, Seat: true})
+			members = append(members, Member{Name: id, Address: id, Plane: membership.Control.String(), State: "lost", Shard: -1, Seat: true})
 		}
 	}
-	return out
+	return members
 }
 
 // keys describes the keys of the control state; nil if there are none.
 func (c *administration) keys(now time.Duration) (out []Key) {
-	for _, v := range c.member.Views(now) {
+	for _, v := range c.replica.Views(now) {
 		heard := v.HeardAgo
-		if t, _ := c.member.Tenure(now, v.Key); v.Owning {
+		if t, _ := c.replica.Tenure(now, v.Key); v.Owning {
 			heard = now - t.Sure
 		}
 		out = append(out, Key{v.Key, v.Owner, v.Epoch, v.Seq, v.Commit, v.Records, heard.Round(time.Millisecond).Seconds()})
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	n.room.update(store)
+	n.diskRoom.update(store)
 	go n.runStore(store)
 	return n.run(ctx, reload)
 }
@@ -136,16 +136,16 @@
 	if cfg.HasQuotas() {
 		n.quotas = newQuotaController(env, n.configuration)
 	}
-	if n.member, err = newReplica(env, keys, disk); err != nil {
+	if n.replica, err = newReplica(env, keys, disk); err != nil {
 		return nil, err
 	}
 	n.election = election.New(election.Config{Self: endpoint.Self(), Life: env.life, Duties: []string{dutyList, dutyPlacement}, Lease: ownerTimeout(cfg),
-		Roster: func() []string { return n.member.Roster() }, Alive: func(id string) bool { return n.membership.Hopeful(id) }, Progress: n.progress})
+		Roster: func() []string { return n.replica.Roster() }, Alive: func(id string) bool { return n.membership.Hopeful(id) }, Progress: n.progress})
 	n.wire()
 	me := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
 	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlNodes(), Beat: cfg.Beat(), Forget: 40 * cfg.Beat()},
 		endpoint, n.nodesChanged)
-	n.handle()
+	n.registerHandlers()
 	n.enqueue(func(time.Duration) { // before any message is handled
 		n.publishAll()
 		n.configurationChanged()
@@ -222,10 +222,10 @@
 }
 
 // nodesChanged handles a new list of nodes. It runs on the goroutine of the membership service.
-func (n *Node) nodesChanged(l *membership.List) {
+func (n *Node) nodesChanged(nodes *membership.List) {
 	n.enqueue(func(time.Duration) { n.placement.requestReconcile() })
 	if n.registry != nil {
-		n.registry.setNodes(l)
+		n.registry.setNodes(nodes)
 	}
 }
 
@@ -235,7 +235,7 @@
 	go n.membership.Run()
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() { n.runEventLoop(stop); close(stopped) }()
-	go n.stalls.watch(stop)
+	go n.stalls.recordTicks(stop)
 
 	failed := make(chan error, 2)
 	control := n.server(n.settings.Bind.Control, n.control(n.zones))
@@ -274,7 +274,7 @@
 	n.log.control.Info("leaving")
 	began := time.Now()
 	n.coordination.close()
-	n.enqueue(func(now time.Duration) { n.member.Leave(now); n.election.Leave(now) })
+	n.enqueue(func(now time.Duration) { n.replica.Leave(now); n.election.Leave(now) })
 	n.membership.Leave(false)
 	// Orders in progress are still answered. Meanwhile other members take over, and what this
 	// member stores is replicated to enough of them before it leaves.
@@ -290,7 +290,7 @@
 func (n *Node) awaitReplaced(end time.Time) {
 	for ; ; time.Sleep(n.settings.Beat() / 20) {
 		mayLeave := make(chan bool, 1)
-		n.enqueue(func(now time.Duration) { mayLeave <- n.member.MayGo(now) })
+		n.enqueue(func(now time.Duration) { mayLeave <- n.replica.MayGo(now) })
 		if <-mayLeave {
 			return
 		}
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -109,8 +109,8 @@
 	Clock  coordination.ClockReading `cbor:"3,keyasint"` // of the owner
 }
 
-// handle registers the handler for calls that other nodes forward.
-func (c *coordinator) handle() {
+// registerHandlers registers the handler for calls that other nodes forward.
+func (c *coordinator) registerHandlers() {
 	c.endpoint.HandleSlow(coordinationKind, func(_ string, body []byte) (any, error) {
 		var forwarded forwardedCall
 		if err := cbor.Unmarshal(body, &forwarded); err != nil {
@@ -172,19 +172,19 @@
 // forward sends a call to its owner, which must begin it before a deadline on this node's clock.
 func (c *coordinator) forward(caller context.Context, owner string, call coordination.Call, deadline time.Duration) coordination.Result {
 	c.clocksMutex.Lock()
-	theirs, _ := c.clocks.At(owner, deadline)
+	ownerDeadline, _ := c.clocks.At(owner, deadline)
 	c.clocksMutex.Unlock()
 	ctx, cancel := context.WithTimeout(caller, deadline+2*executionLimit-c.clock())
 	defer cancel()
 	var answer forwardedAnswer
-	err := c.endpoint.Call(ctx, owner, coordinationKind, forwardedCall{Call: call, Deadline: theirs}, &answer)
+	err := c.endpoint.Call(ctx, owner, coordinationKind, forwardedCall{Call: call, Deadline: ownerDeadline}, &answer)
 	if err != nil {
 		return coordination.Result{Effect: coordination.MaybeDone}
 	}
 	c.clocksMutex.Lock()
 	c.clocks.Heard(owner, answer.Clock, c.clock())
 	c.clocksMutex.Unlock()
-	if answer.Clock.Life != theirs.Life && c.clock() < deadline {
+	if answer.Clock.Life != ownerDeadline.Life && c.clock() < deadline {
 		return c.forward(caller, owner, call, deadline) // the owner did not accept the deadline; its clock is known now
 	}
 	return coordination.Result{Effect: answer.Effect, Answer: answer.Answer}
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -19,11 +19,11 @@
 func newCoordinator(env *environment) *coordinator {
 	logger := logging.For(logging.Coordination)
 	config := serverConfig(env.settings, env.endpoint.Self(), env.life, env.now, logger)
-	config.Limits.HasRoom = env.room.fits
+	config.Limits.HasRoom = env.diskRoom.fits
 	return &coordinator{
-		owners: env.member, keys: env.member.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		owners: env.replica, keys: env.replica.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
 		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.Beat(),
-		server: coordination.NewServer(config, env.member),
+		server: coordination.NewServer(config, env.replica),
 		clocks: coordination.NewPeerClocks(), leaving: make(chan struct{}),
 		statistics: newCoordinationStats(),
 	}
--- a/internal/controlplane/coordination_watch.go
+++ b/internal/controlplane/coordination_watch.go
@@ -16,19 +16,19 @@
 func (c *coordinator) watchGroup(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	begin := time.Now()
 	results := make(chan coordination.WatchResult, 1)
-	w := &coordination.Watch{Group: group, After: after, Done: func(r coordination.WatchResult) { results <- r }}
+	watch := &coordination.Watch{Group: group, After: after, Done: func(r coordination.WatchResult) { results <- r }}
 	if after == 0 || !c.fresh(group) {
 		// Ask the owner, since the copy here may lack puts that were acknowledged.
 		result := c.submit(ctx, coordination.Call{Operation: coordination.Revision, Name: group})
 		if result.Effect != coordination.Answered {
 			return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "no owner of the group answers")
 		}
-		if w.Least = result.Answer.Revision; after == 0 {
-			return coordination.WatchResult{Revision: w.Least}, nil
+		if watch.Least = result.Answer.Revision; after == 0 {
+			return coordination.WatchResult{Revision: watch.Least}, nil
 		}
 	}
-	c.enqueue(func(time.Duration) { c.server.Watch(w) })
-	result := c.awaitWatch(ctx, w, results, wait-time.Since(begin))
+	c.enqueue(func(time.Duration) { c.server.Watch(watch) })
+	result := c.awaitWatch(ctx, watch, results, wait-time.Since(begin))
 	switch {
 	case result.Err == nil:
 		return result, nil
@@ -47,7 +47,7 @@
 
 // awaitWatch waits for the result of a watch. It ends the watch after wait, when ctx ends, or when
 // the node begins to leave.
-func (c *coordinator) awaitWatch(ctx context.Context, w *coordination.Watch, results <-chan coordination.WatchResult, wait time.Duration) coordination.WatchResult {
+func (c *coordinator) awaitWatch(ctx context.Context, watch *coordination.Watch, results <-chan coordination.WatchResult, wait time.Duration) coordination.WatchResult {
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
 	select {
@@ -57,6 +57,6 @@
 	case <-ctx.Done():
 	case <-c.leaving:
 	}
-	c.enqueue(func(time.Duration) { c.server.EndWatch(w) })
+	c.enqueue(func(time.Duration) { c.server.EndWatch(watch) })
 	return <-results
 }
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -44,8 +44,8 @@
 	return c
 }
 
-// handle registers the handlers for messages of watchers and of other control nodes.
-func (c *deliveryController) handle() {
+// registerHandlers registers the handlers for messages of watchers and of other control nodes.
+func (c *deliveryController) registerHandlers() {
 	transport.On(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
 		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
 	})
@@ -55,15 +55,17 @@
 }
 
 // handleWatch answers a watcher.
-func (c *deliveryController) handleWatch(now time.Duration, from string, w delivery.Watch) {
-	if c.list.newestKnown(now).Foreign(w.Listing) {
-		c.election.Raise(dutyList, w.Listing.Term)
+func (c *deliveryController) handleWatch(now time.Duration, from string, watch delivery.Watch) {
+	// A list from a duty holder that this node does not know of dates from before the control nodes
+	// lost their state. Only lists of a later term replace it.
+	if c.list.newestKnown(now).Foreign(watch.Listing) {
+		c.election.Raise(dutyList, watch.Listing.Term)
 	}
-	c.list.noteWatcherClock(now, from, w)
-	has, guessed := c.watchers.Believe(now, from, w, c.settings.Beat())
+	c.list.noteWatcherClock(now, from, watch)
+	has, guessed := c.watchers.Believe(now, from, watch, c.settings.Beat())
 	c.watchers.Note(now, from, has)
 	c.watchers.Note(now, from, c.sendUpdate(now, from, has, true, guessed))
-	c.watchers.Holds(from, w)
+	c.watchers.Holds(from, watch)
 }
 
 // tick is called at every tick of the event loop.
@@ -80,7 +82,7 @@
 	mine := c.watchers.Told(now)
 	c.loads, c.itemDigests = upstream.Loads{}, map[string]uint64{}
 	c.addReport(mine)
-	for _, id := range c.member.Everyone() {
+	for _, id := range c.replica.Everyone() {
 		if id == c.endpoint.Self() {
 			continue
 		}
@@ -94,9 +96,9 @@
 }
 
 // addReport adds the report of one control node to what is known of all gateways.
-func (c *deliveryController) addReport(t delivery.Told) {
-	c.loads.Add(t.Loads)
-	for id, digest := range t.Holds {
+func (c *deliveryController) addReport(report delivery.Told) {
+	c.loads.Add(report.Loads)
+	for id, digest := range report.Holds {
 		if have, ok := c.itemDigests[id]; !ok || have != c.configuration.published.Sums.Fold() {
 			c.itemDigests[id] = digest // a gateway watches two control nodes; the newest digest wins
 		}
@@ -110,7 +112,7 @@
 		return c.sendUpdate(now, to, has, false, true)
 	})
 	if term, mine := c.election.Holds(now, dutyList); mine && c.list.snapshot.Version.Term == term {
-		for _, id := range c.member.Everyone() {
+		for _, id := range c.replica.Everyone() {
 			if _, watching := c.watchers.Has(id); !watching && id != c.endpoint.Self() {
 				c.watchers.Note(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
 			}
@@ -130,36 +132,36 @@
 }
 
 // sendUpdate sends a watcher what it lacks, and a message without any update too if always is set.
-// It returns what the watcher has then. guessed means that has goes beyond what the watcher itself
-// reported.
+// It returns what the watcher has then. guessed means that has includes updates that the watcher has
+// not confirmed.
 func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
 	published := c.configuration.published
 	fresh := c.contact.fresh(now)
-	out := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
+	issue := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
 	whole := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference is sent a few ranges at a time; the watcher then reports again what it
 		// has.
-		has = c.sender.Bring(published, has, maxIssueBytes, &out)
+		has = c.sender.Bring(published, has, maxIssueBytes, &issue)
 		whole = *has.Sums == published.Sums
 	}
 	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
-		out.Listing = l
+		issue.Listing = l
 		has.Listing = l.Version
 	}
-	if always || out.Listing != nil {
-		out.Listed = c.list.listedFor(to)
+	if always || issue.Listing != nil {
+		issue.Listed = c.list.listedFor(to)
 	}
 	if always {
-		out.Loads = c.loads
-		if at, ok := c.member.Current(config.Key); ok && whole && !guessed && has.Asked > 0 {
-			out.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
+		issue.Loads = c.loads
+		if at, ok := c.replica.Current(config.Key); ok && whole && !guessed && has.Asked > 0 {
+			issue.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
 		}
 	}
-	if always || !out.Empty() {
-		c.endpoint.Send(to, delivery.IssueKind, out)
+	if always || !issue.Empty() {
+		c.endpoint.Send(to, delivery.IssueKind, issue)
 	}
-	if !out.Empty() {
+	if !issue.Empty() {
 		c.watchers.Sent(now, to)
 	}
 	return has
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -35,10 +35,10 @@
 // again after a pause. Other errors need an operator and are returned. storage.ErrDamaged comes
 // with an empty store.
 func openStore(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Store, map[string][]byte, error) {
-	room := int64(cfg.Limits.DiskMb * (1 << 20))
+	maxBytes := int64(cfg.Limits.DiskMb * (1 << 20))
 	lastError := ""
 	for {
-		store, state, err := storage.Open(cfg.DataDir, room, logger)
+		store, state, err := storage.Open(cfg.DataDir, maxBytes, logger)
 		if err == nil || errors.Is(err, storage.ErrDamaged) {
 			return store, state, err
 		}
@@ -153,7 +153,7 @@
 			continue
 		}
 		done := w.write(jobs)
-		n.room.update(open)
+		n.diskRoom.update(open)
 		if done.err != nil {
 			n.log.storage.Warn("disk write failed", "error", done.err)
 		}
@@ -166,17 +166,17 @@
 	if done.durable > 0 || done.rewrite == rewriteNow {
 		n.enqueue(func(now time.Duration) {
 			if done.durable > 0 {
-				n.member.Durable(now, done.durable)
+				n.replica.Durable(now, done.durable)
 			}
 			if done.rewrite == rewriteNow {
-				n.member.Failed(now) // has the replica write the whole state
+				n.replica.Failed(now) // has the replica write the whole state
 			}
 		})
 	}
 	if done.rewrite == rewriteLater {
 		go func() {
 			time.Sleep(n.settings.Beat() / 2)
-			n.enqueue(func(now time.Duration) { n.member.Failed(now) })
+			n.enqueue(func(now time.Duration) { n.replica.Failed(now) })
 		}()
 	}
 }
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -26,10 +26,10 @@
 	stalls     *stallDetector
 	queue      chan func(now time.Duration)
 	log        loggers
-	room       diskRoom
+	diskRoom   diskRoom
 
 	// Owned by the event loop.
-	member   *replication.Replica
+	replica  *replication.Replica
 	election *election.Elector
 }
 
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -84,16 +84,16 @@
 }
 
 // recordPublished handles a zone's published record.
-func (e *evacuations) recordPublished(now time.Duration, r config.Record) {
-	for _, id := range config.EvacuationOrders(r) {
+func (e *evacuations) recordPublished(now time.Duration, record config.Record) {
+	for _, id := range config.EvacuationOrders(record) {
 		if _, ok := e.seenAt[id]; !ok {
 			e.seenAt[id] = now
 		}
 	}
-	if config.InDoubt(r) {
-		e.doubts[r.Name] = doubt{r.Gen, now}
+	if config.InDoubt(record) {
+		e.doubts[record.Name] = doubt{record.Gen, now}
 	} else {
-		delete(e.doubts, r.Name)
+		delete(e.doubts, record.Name)
 	}
 }
 
@@ -127,10 +127,10 @@
 // control node owns their keys. It runs on the event loop.
 func (c *orderController) endOverdueDoubts(now time.Duration) {
 	for name, generation := range c.evacuations.takeOverdue(now) {
-		if c.member.Owner(now, name) != c.endpoint.Self() {
+		if c.replica.Owner(now, name) != c.endpoint.Self() {
 			continue
 		}
-		c.member.Propose(now, name, func(have map[string]replication.Record) ([]replication.Record, error) {
+		c.replica.Propose(now, name, func(have map[string]replication.Record) ([]replication.Record, error) {
 			return config.EndDoubt(have, name, generation), nil
 		}, func(err error) {
 			c.log.control.Warn("ending an evacuation in doubt", "record", name, "generation", generation, "error", err)
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -29,13 +29,13 @@
 		now := n.now()
 		fn(now)
 		n.applyEffects(now)
-		n.contact.update(n.member.Current)
+		n.contact.update(n.replica.Current)
 	}
 }
 
 // tick advances the timers of the state machines and controllers.
 func (n *Node) tick(now time.Duration) {
-	n.member.Tick(now)
+	n.replica.Tick(now)
 	n.election.Tick(now)
 	n.list.tick(now)
 	n.delivery.tick(now)
@@ -60,7 +60,7 @@
 
 // applyReplicaEffects sends messages, queues disk writes and publishes newly committed records.
 func (n *Node) applyReplicaEffects(now time.Duration) {
-	effects := n.member.Take()
+	effects := n.replica.Take()
 	byPeer := map[string][]replication.Message{}
 	var order []string
 	for _, e := range effects.Send {
@@ -76,7 +76,7 @@
 		n.writes.put(writeJob{w.Entries, w.ID, false})
 	}
 	if effects.Rewrite {
-		entries, upTo := n.member.Snapshot()
+		entries, upTo := n.replica.Snapshot()
 		n.writes.put(writeJob{entries, upTo, true})
 	}
 	for _, note := range effects.Notes {
@@ -125,7 +125,7 @@
 
 // publishAll publishes what was read from disk, including keys that were created on demand.
 func (n *Node) publishAll() {
-	for _, key := range n.member.Keys() {
+	for _, key := range n.replica.Keys() {
 		n.publish(key, nil)
 	}
 }
@@ -134,9 +134,9 @@
 // or all of the key if records is nil. It reports whether the published configuration changed.
 func (n *Node) publish(key string, records []replication.Record) bool {
 	if key == replication.RosterKey {
-		if r := n.member.Standing(n.now()).String(); r != n.loggedRoster {
-			n.loggedRoster = r
-			n.log.replication.Info("roster changed", "roster", r)
+		if roster := n.replica.Standing(n.now()).String(); roster != n.loggedRoster {
+			n.loggedRoster = roster
+			n.log.replication.Info("roster changed", "roster", roster)
 		}
 		return false
 	}
@@ -145,7 +145,7 @@
 		return false // gateways need no coordination data
 	}
 	if records == nil {
-		all, _, ok := n.member.Committed(key)
+		all, _, ok := n.replica.Committed(key)
 		if !ok {
 			return false
 		}
@@ -169,7 +169,7 @@
 // that forgotten records go. Where the committed state isn't known now, the replica reports all of
 // it with its next commit.
 func (n *Node) republishConfiguration() bool {
-	committed, _, ok := n.member.Committed(config.Key)
+	committed, _, ok := n.replica.Committed(config.Key)
 	return ok && n.configuration.replace(committed)
 }
 
@@ -183,25 +183,25 @@
 	}
 }
 
-// handle registers the handlers for messages of other control nodes and of gateways.
-func (n *Node) handle() {
+// registerHandlers registers the handlers for messages of other control nodes and of gateways.
+func (n *Node) registerHandlers() {
 	transport.On(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
 		n.tryEnqueue(func(now time.Duration) {
 			for _, m := range msgs {
-				n.member.Handle(now, from, m)
+				n.replica.Handle(now, from, m)
 			}
 		})
 	})
 	transport.On(n.endpoint, electionKind, func(from string, m election.Message) {
 		n.tryEnqueue(func(now time.Duration) { n.election.Handle(now, from, m) })
 	})
-	n.list.handle()
-	n.delivery.handle()
+	n.list.registerHandlers()
+	n.delivery.registerHandlers()
 	if n.quotas != nil {
-		n.quotas.handle()
+		n.quotas.registerHandlers()
 	}
-	n.rollouts.handle()
-	n.orders.handle()
-	n.coordination.handle()
-	n.answerRelays()
+	n.rollouts.registerHandlers()
+	n.orders.registerHandlers()
+	n.coordination.registerHandlers()
+	n.registerRelayHandler()
 }
--- a/internal/controlplane/forget_test.go
+++ b/internal/controlplane/forget_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := &Node{environment: &environment{member: member}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
+		a := &Node{environment: &environment{replica: member}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
 		a.rollouts = newRolloutController(a.environment, a.configuration, nil, nil)
 		a.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
 		shown := a.configuration.published
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -67,8 +67,8 @@
 			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * env.settings.Beat()}}}
 }
 
-// handle registers the handler for lists that other control nodes send.
-func (c *listController) handle() {
+// registerHandlers registers the handler for lists that other control nodes send.
+func (c *listController) registerHandlers() {
 	transport.On(c.endpoint, delivery.IssueKind, func(_ string, i delivery.Issue) {
 		c.tryEnqueue(func(now time.Duration) { c.handleIssue(now, i) })
 	})
@@ -76,14 +76,14 @@
 
 // handleIssue takes over a newer list, or a confirmation of the present one, from another control
 // node.
-func (c *listController) handleIssue(now time.Duration, i delivery.Issue) {
-	newer := i.Listing != nil && c.snapshot.Take(now, *i.Listing)
-	if i.Listed != nil && i.Listed.Version == c.snapshot.Version {
-		validAt := min(now, i.Listed.Asked+i.Listed.Since)
+func (c *listController) handleIssue(now time.Duration, issue delivery.Issue) {
+	newer := issue.Listing != nil && c.snapshot.Take(now, *issue.Listing)
+	if issue.Listed != nil && issue.Listed.Version == c.snapshot.Version {
+		validAt := min(now, issue.Listed.Asked+issue.Listed.Since)
 		if newer {
 			c.validAt = validAt
 		}
-		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), i.Listed.Calls, i.Listed.Took
+		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), issue.Listed.Calls, issue.Listed.Took
 	}
 	if newer {
 		c.onChange(now)
@@ -113,7 +113,7 @@
 	if holder != "" && holder != c.endpoint.Self() {
 		c.endpoint.Send(holder, delivery.WatchKind, question)
 	}
-	if other := c.deputy.nextPeer(c.member.Everyone(), c.endpoint.Self(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
+	if other := c.deputy.nextPeer(c.replica.Everyone(), c.endpoint.Self(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
 		question.Second = true
 		c.endpoint.Send(other, delivery.WatchKind, question)
 	}
@@ -131,9 +131,9 @@
 }
 
 // noteWatcherClock records the clock of a control node that watches this one.
-func (c *listController) noteWatcherClock(now time.Duration, from string, w delivery.Watch) {
-	if w.Sums == nil && w.Asked > 0 {
-		c.watcherClocks[from] = watcherClock{w.Asked, now}
+func (c *listController) noteWatcherClock(now time.Duration, from string, watch delivery.Watch) {
+	if watch.Sums == nil && watch.Asked > 0 {
+		c.watcherClocks[from] = watcherClock{watch.Asked, now}
 	}
 }
 
@@ -234,12 +234,12 @@
 func (c *listController) serviceVersions() map[string]listedVersions {
 	out := map[string]listedVersions{}
 	c.snapshot.Each(0, func(i upstream.Instance, _ time.Duration) {
-		l := out[i.Service]
-		if l.counts == nil {
-			l.counts = map[string]int{}
+		versions := out[i.Service]
+		if versions.counts == nil {
+			versions.counts = map[string]int{}
 		}
-		l.counts[i.Version]++
-		out[i.Service] = l
+		versions.counts[i.Version]++
+		out[i.Service] = versions
 	})
 	for s, l := range out {
 		l.mostFrequent = upstream.MostFrequent(l.counts)
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -74,8 +74,8 @@
 	revocations   *revocations // nil where the settings don't bound the use of revoked keys
 }
 
-// handle registers the handler for orders that other control nodes forward.
-func (c *orderController) handle() {
+// registerHandlers registers the handler for orders that other control nodes forward.
+func (c *orderController) registerHandlers() {
 	c.endpoint.HandleSlow(orderKind, func(from string, body []byte) (any, error) {
 		var o order
 		if err := cbor.Unmarshal(body, &o); err != nil {
@@ -109,7 +109,7 @@
 	for {
 		owner := make(chan string, 1)
 		c.enqueue(func(now time.Duration) {
-			owner <- cmp.Or(c.member.Owner(now, o.Key), c.member.Founder(now, o.Key))
+			owner <- cmp.Or(c.replica.Owner(now, o.Key), c.replica.Founder(now, o.Key))
 		})
 		to := <-owner
 		o.Age = time.Since(begin)
@@ -144,9 +144,9 @@
 // loop. An order that has waited on this machine, as it does while the process is frozen, is
 // refused: its operator may have gone on to another node since, and given further orders.
 func (e *environment) orderBasis(arrived arrival, read func() uint64) (*uint64, error) {
-	known := make(chan uint64, 1)
-	e.enqueue(func(time.Duration) { known <- read() })
-	state := <-known
+	states := make(chan uint64, 1)
+	e.enqueue(func(time.Duration) { states <- read() })
+	state := <-states
 	if age := arrived.age(); age > maxOrderWait || e.stalls.stalled() {
 		e.log.control.Warn("order refused: it waited too long on this machine", "ageMs", age.Milliseconds())
 		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "the order waited for %v on this machine", age)
@@ -164,12 +164,12 @@
 	done := make(chan orderReply, 1)
 	if o.Retire != "" {
 		c.enqueue(func(now time.Duration) {
-			c.member.Retire(now, o.Retire, func(err error) { done <- retireReply(err) })
+			c.replica.Retire(now, o.Retire, func(err error) { done <- retireReply(err) })
 		})
 		return <-done
 	}
 	c.enqueue(func(now time.Duration) {
-		c.member.Propose(now, o.Key, func(have map[string]replication.Record) ([]replication.Record, error) {
+		c.replica.Propose(now, o.Key, func(have map[string]replication.Record) ([]replication.Record, error) {
 			return t.change(now, have)
 		}, func(err error) {
 			if err != nil {
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 10}}, member: member, startedAt: time.Now(), queue: make(chan func(time.Duration))}
+		env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 10}}, replica: member, startedAt: time.Now(), queue: make(chan func(time.Duration))}
 		asked := 0
 		go func() {
 			for fn := range env.queue {
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	const at = 10 * time.Second
-	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5, RevokeS: 1, RevocationGlobal: true}}, member: member, startedAt: time.Now().Add(-at)}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5, RevokeS: 1, RevocationGlobal: true}}, replica: member, startedAt: time.Now().Add(-at)}
 	for name, c := range map[string]struct {
 		text    string
 		revokes bool
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// handle registers the handlers for messages of allocators, branches and gateways.
-func (c *quotaController) handle() {
+// registerHandlers registers the handlers for messages of allocators, branches and gateways.
+func (c *quotaController) registerHandlers() {
 	transport.On(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.handleReport(now, from, r) })
 	})
@@ -68,25 +68,25 @@
 // branches lists the control nodes that may hold shares: the members of the roster, and those that
 // left it so recently, within contactS, that their shares may not have expired.
 func (c *quotaController) branches() []string {
-	out := c.member.Roster()
+	branches := c.replica.Roster()
 	now := c.now()
 	for id, at := range c.lastSeated {
 		switch {
-		case slices.Contains(out, id):
+		case slices.Contains(branches, id):
 			c.lastSeated[id] = now
 		case now-at <= settings.Seconds(c.settings.Bounds.ContactS):
-			out = append(out, id)
+			branches = append(branches, id)
 		default:
 			delete(c.lastSeated, id)
 		}
 	}
-	for _, id := range out {
+	for _, id := range branches {
 		if _, ok := c.lastSeated[id]; !ok {
 			c.lastSeated[id] = now
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(branches)
+	return branches
 }
 
 // setConfiguration updates the tenants' quotas.
@@ -98,7 +98,7 @@
 // updateAllocator starts and stops allocating as this node gains and loses the ownership of the
 // configuration, and asks silent branches to report.
 func (c *quotaController) updateAllocator(now time.Duration) {
-	tenure, ok := c.member.Tenure(now, config.Key)
+	tenure, ok := c.replica.Tenure(now, config.Key)
 	if !ok {
 		c.allocator.End()
 		return
@@ -120,7 +120,7 @@
 // handleReport answers a branch's report.
 func (c *quotaController) handleReport(now time.Duration, from string, r quota.Report) {
 	c.updateAllocator(now)
-	tenure, ok := c.member.Tenure(now, config.Key)
+	tenure, ok := c.replica.Tenure(now, config.Key)
 	if !ok {
 		return
 	}
@@ -151,7 +151,7 @@
 func (c *quotaController) updateBranch(now time.Duration) {
 	c.local.Expire(now)
 	// A control node that lost its state knows no owner; it reports when the allocator recalls it.
-	if owner := c.member.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
+	if owner := c.replica.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
 	if now >= c.reportAt {
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.member = member
+	a.replica = member
 	for _, c := range []struct {
 		ago  time.Duration
 		want []string
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -47,8 +47,8 @@
 }
 
 // setNodes updates the gateways from the list of nodes. It is safe for concurrent use.
-func (c *registryController) setNodes(l *membership.List) {
-	c.directory.SetGateways(listedGateways(c.settings, l))
+func (c *registryController) setNodes(nodes *membership.List) {
+	c.directory.SetGateways(listedGateways(c.settings, nodes))
 }
 
 // setConfiguration updates what concerns clients of the configuration.
@@ -57,8 +57,8 @@
 }
 
 // listedGateways lists the gateways that clients may be sent to.
-func listedGateways(cfg *settings.Settings, l *membership.List) (out []registry.Gateway) {
-	for _, n := range l.Nodes {
+func listedGateways(cfg *settings.Settings, nodes *membership.List) (out []registry.Gateway) {
+	for _, n := range nodes.Nodes {
 		if n.Plane != membership.Data || n.State > membership.Suspect || n.Front == 0 {
 			continue
 		}
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -28,8 +28,8 @@
 	Nodes   []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that appear to be working
 }
 
-// answerRelays registers the handler for the questions of relays.
-func (n *Node) answerRelays() {
+// registerRelayHandler registers the handler for the questions of relays.
+func (n *Node) registerRelayHandler() {
 	n.endpoint.HandleSlow(relayKind, func(_ string, body []byte) (any, error) {
 		var q relayQuestion
 		if err := cbor.Unmarshal(body, &q); err != nil {
@@ -38,7 +38,7 @@
 		}
 		ch := make(chan relayAnswer, 1)
 		n.enqueue(func(now time.Duration) {
-			ch <- relayAnswerFor(q.Key, n.endpoint.Self(), n.member.Keys(), func(key string) string { return n.member.Owner(now, key) }, n.membership.List())
+			ch <- relayAnswerFor(q.Key, n.endpoint.Self(), n.replica.Keys(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
@@ -46,18 +46,18 @@
 
 // relayAnswerFor returns the answer about a key, given the keys of this control node, a lookup of
 // their owners, and the known nodes.
-func relayAnswerFor(key, self string, keys []string, owner func(key string) string, l *membership.List) (out relayAnswer) {
+func relayAnswerFor(key, self string, keys []string, owner func(key string) string, nodes *membership.List) (answer relayAnswer) {
 	// Looking up the owner creates the key, so only existing keys are looked up.
 	if slices.Contains(keys, key) {
-		out.Owner = owner(key)
+		answer.Owner = owner(key)
 	}
-	out.Working = out.Owner != "" || owner(config.Key) != ""
-	for _, n := range l.Live(membership.Control) {
+	answer.Working = answer.Owner != "" || owner(config.Key) != ""
+	for _, n := range nodes.Live(membership.Control) {
 		if !n.Draining {
-			out.Nodes = append(out.Nodes, n)
+			answer.Nodes = append(answer.Nodes, n)
 		} else if n.Address == self {
-			out.Working = false
+			answer.Working = false
 		}
 	}
-	return out
+	return answer
 }
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -73,12 +73,12 @@
 	}
 	ctx, cancel = context.WithTimeout(ctx, p.hedgeDelay)
 	defer cancel()
-	a, err := p.query(ctx, owner, key)
+	answer, err := p.query(ctx, owner, key)
 	switch {
 	case caller.Err() != nil: // not the owner's fault
 	case err != nil:
 		p.noteFailure(owner)
-	case a.Working && !a.Relay:
+	case answer.Working && !answer.Relay:
 		return owner
 	}
 	return first
@@ -121,16 +121,16 @@
 	}
 	for next(); outstanding > 0; {
 		select {
-		case h := <-answers:
+		case result := <-answers:
 			outstanding--
 			switch {
-			case h.err != nil:
-			case h.answer.Relay:
-				for _, n := range h.answer.Nodes {
+			case result.err != nil:
+			case result.answer.Relay:
+				for _, n := range result.answer.Nodes {
 					queue = append(queue, n.Address)
 				}
-			case h.answer.Working:
-				return h.from, h.answer.Owner
+			case result.answer.Working:
+				return result.from, result.answer.Owner
 			}
 			next()
 		case <-slow.C:
@@ -145,18 +145,18 @@
 
 // query asks one node and records the result.
 func (p *picker) query(ctx context.Context, to, key string) (relayAnswer, error) {
-	a, err := p.ask(ctx, to, key)
+	answer, err := p.ask(ctx, to, key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case err == nil && a.Working && !a.Relay:
+	case err == nil && answer.Working && !answer.Relay:
 		delete(p.failed, to)
 		p.nodes = map[string]membership.Node{}
-		for _, n := range a.Nodes {
+		for _, n := range answer.Nodes {
 			p.nodes[n.Address] = n
 		}
-		if a.Owner != "" {
-			p.owners[key] = a.Owner
+		if answer.Owner != "" {
+			p.owners[key] = answer.Owner
 		}
 		p.lastWorking, p.searchedAt = to, time.Now()
 		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
@@ -166,7 +166,7 @@
 	default:
 		p.failed[to] = time.Now()
 	}
-	return a, err
+	return answer, err
 }
 
 // noteFailure records that a node gave no good answer.
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &Node{environment: &environment{member: again}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
+	a := &Node{environment: &environment{replica: again}, configuration: newConfiguration(), evacuations: newEvacuations(settings.Bounds{AckS: 1})}
 	a.rollouts = newRolloutController(a.environment, a.configuration, nil, nil)
 	a.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
 	a.publishAll()
--- a/internal/controlplane/revocations.go
+++ b/internal/controlplane/revocations.go
@@ -24,7 +24,7 @@
 func (r *revocations) remainingHold(now time.Duration) time.Duration {
 	hold := r.settings.HoldRevocation()
 	left := time.Duration(0)
-	if t, _ := r.member.Tenure(now, config.Key); t.Heir {
+	if t, _ := r.replica.Tenure(now, config.Key); t.Heir {
 		left = t.Since + hold - now
 	}
 	if r.lastRevokedAt > 0 {
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -34,8 +34,8 @@
 	return &rolloutController{environment: env, configuration: configuration, list: list, submit: submit, controller: rollout.NewController()}
 }
 
-// handle registers the handlers for reports on rollouts from gateways and other control nodes.
-func (c *rolloutController) handle() {
+// registerHandlers registers the handlers for reports on rollouts from gateways and other control nodes.
+func (c *rolloutController) registerHandlers() {
 	transport.On(c.endpoint, delivery.ScoreKind, func(from string, reports []rollout.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.controller.Heard(now, from, reports) })
 	})
@@ -64,9 +64,9 @@
 	beat := c.settings.Beat()
 	moves, forwards := c.controller.Look(now, c.versions, rollout.Surroundings{
 		Self: c.endpoint.Self(), Fresh: 2 * beat, Fill: c.fillView,
-		Owner: func(key string) string { return c.member.Owner(now, key) }})
+		Owner: func(key string) string { return c.replica.Owner(now, key) }})
 	for service, v := range c.versions {
-		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.member.Owner(now, rollout.Key(service)) == c.endpoint.Self() {
+		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.replica.Owner(now, rollout.Key(service)) == c.endpoint.Self() {
 			c.logWaiting(now, service)
 		}
 	}
@@ -97,7 +97,7 @@
 	change := func(have map[string]replication.Record) ([]replication.Record, error) {
 		return rollout.Advance(have, move.From.Gen, plan)
 	}
-	c.member.Propose(now, rollout.Key(plan.Service), change, func(err error) {
+	c.replica.Propose(now, rollout.Key(plan.Service), change, func(err error) {
 		c.controller.Moved(move)
 		if err != nil {
 			c.log.rollout.Warn("rollout step not taken", "service", plan.Service, "stage", plan.Stage.String(), "error", err)
@@ -120,31 +120,31 @@
 
 // fillView adds to a controller's view what this control node knows of gateways, upstreams and
 // loads.
-func (c *rolloutController) fillView(v *rollout.View, p *rollout.Plan, reported map[string]int) {
+func (c *rolloutController) fillView(view *rollout.View, plan *rollout.Plan, reported map[string]int) {
 	for _, n := range c.membership.List().Live(membership.Data) {
-		v.Live++
+		view.Live++
 		if busy, ok := reported[n.Address]; ok {
-			v.Heard++
-			v.Busy += busy
+			view.Heard++
+			view.Busy += busy
 		}
 	}
 	c.list.snapshot.Each(c.now(), func(i upstream.Instance, left time.Duration) {
-		if i.Service != p.Service || i.Draining {
+		if i.Service != plan.Service || i.Draining {
 			return
 		}
-		if i.Version != p.Candidate {
-			v.Standing += float64(i.Capacity)
+		if i.Version != plan.Candidate {
+			view.Standing += float64(i.Capacity)
 			return
 		}
-		v.Slots += float64(i.Capacity)
+		view.Slots += float64(i.Capacity)
 		if left <= 0 {
-			v.Warm += float64(i.Capacity)
+			view.Warm += float64(i.Capacity)
 		}
 	})
 	for _, services := range c.loads() {
 		for name, load := range services {
-			if of, _, _ := strings.Cut(name, "@"); of == p.Service {
-				v.Load += load
+			if of, _, _ := strings.Cut(name, "@"); of == plan.Service {
+				view.Load += load
 			}
 		}
 	}
@@ -154,11 +154,11 @@
 // of its last rollout, to the owner of the configuration, or, where no version was ever recorded,
 // to the platform's list.
 func (c *rolloutController) currentVersion(last replication.Record, o order) string {
-	v := rollout.Service{Standing: o.Current}
-	if p, ok := rollout.Read(last); ok {
-		v.Plan = p
+	service := rollout.Service{Standing: o.Current}
+	if plan, ok := rollout.Read(last); ok {
+		service.Plan = plan
 	}
-	if known := v.Serves(); known != "" {
+	if known := service.Serves(); known != "" {
 		return known
 	}
 	return c.list.serviceVersions()[o.Rollout.Service].mostFrequent
@@ -174,28 +174,28 @@
 // version of a service, and another one where the platform lists no upstream of the recorded
 // version any more and no rollout is in progress.
 func (c *rolloutController) adopt(now time.Duration) {
-	if c.adopting || !c.member.Voting() {
+	if c.adopting || !c.replica.Voting() {
 		return
 	}
 	recorded := c.versions
-	o := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
-	for service, l := range c.list.serviceVersions() {
-		v := recorded[service]
-		if v.Active() != nil || l.counts[v.Serves()] > 0 || !c.configuration.hasService(service) {
+	adoption := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
+	for service, listed := range c.list.serviceVersions() {
+		versions := recorded[service]
+		if versions.Active() != nil || listed.counts[versions.Serves()] > 0 || !c.configuration.hasService(service) {
 			continue
 		}
-		s := rollout.Standing{Version: l.mostFrequent}
-		if v.Plan != nil {
-			s.After = v.Plan.Gen
+		standing := rollout.Standing{Version: listed.mostFrequent}
+		if versions.Plan != nil {
+			standing.After = versions.Plan.Gen
 		}
-		o.Adopt[service], o.SeenGenerations[service] = s, c.configuration.published.Records[rollout.StandingPrefix+service].Gen
+		adoption.Adopt[service], adoption.SeenGenerations[service] = standing, c.configuration.published.Records[rollout.StandingPrefix+service].Gen
 	}
-	if len(o.Adopt) == 0 {
+	if len(adoption.Adopt) == 0 {
 		return
 	}
 	c.adopting = true
 	go func() {
-		_, err := c.submit(context.Background(), o)
+		_, err := c.submit(context.Background(), adoption)
 		c.enqueue(func(time.Duration) {
 			c.adopting = false
 			if err != nil {
--- a/internal/controlplane/rollout_calls_test.go
+++ b/internal/controlplane/rollout_calls_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, member: member, startedAt: time.Now()}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, replica: member, startedAt: time.Now()}
 	key := rollout.Key("s")
 	begin := func(id uint64, version string) order {
 		return order{Key: key, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -118,14 +118,14 @@
 	if err != nil {
 		return rollout.Standing{}, err
 	}
-	var s serviceStanding
-	if err := cbor.Unmarshal(body, &s); err != nil {
+	var standing serviceStanding
+	if err := cbor.Unmarshal(body, &standing); err != nil {
 		return rollout.Standing{}, err
 	}
-	if !s.Exists {
+	if !standing.Exists {
 		return rollout.Standing{}, apierror.New(apierror.UnknownService, "%q", name)
 	}
-	return s.Current, nil
+	return standing.Current, nil
 }
 
 // serviceStanding is what the owner of the configuration reports of a service.
@@ -135,9 +135,9 @@
 }
 
 func encodeServiceStanding(have map[string]replication.Record, service string) []byte {
-	s := serviceStanding{Exists: config.HasService(have, service)}
-	s.Current, _ = rollout.ReadStanding(have[rollout.StandingPrefix+service])
-	b, err := cbor.Marshal(s)
+	standing := serviceStanding{Exists: config.HasService(have, service)}
+	standing.Current, _ = rollout.ReadStanding(have[rollout.StandingPrefix+service])
+	b, err := cbor.Marshal(standing)
 	if err != nil {
 		panic(err)
 	}
@@ -149,11 +149,11 @@
 	if !strings.HasPrefix(key, rollout.Prefix) {
 		return config.Render(records)
 	}
-	p, ok := rollout.Read(records[key])
+	plan, ok := rollout.Read(records[key])
 	if !ok {
 		return nil
 	}
-	b, _ := json.Marshal(rolloutText{State: p.State(), TargetVersion: p.Candidate})
+	b, _ := json.Marshal(rolloutText{State: plan.State(), TargetVersion: plan.Candidate})
 	return b
 }
 
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -39,22 +39,22 @@
 func (c *rolloutController) states(now time.Duration) (out []RolloutState) {
 	out = []RolloutState{}
 	for service, v := range c.versions {
-		p := v.Plan
-		if p == nil {
+		plan := v.Plan
+		if plan == nil {
 			continue
 		}
 		sums := c.controller.Gathered(service)
-		s := RolloutState{Service: service, State: p.State(), Stage: p.Stage.String(), Weight: p.Weight, AgeS: p.Age.Seconds(),
-			Controller: c.member.Owner(now, rollout.Key(service)), WithinS: p.Within.Seconds(), Reason: p.Reason,
+		state := RolloutState{Service: service, State: plan.State(), Stage: plan.Stage.String(), Weight: plan.Weight, AgeS: plan.Age.Seconds(),
+			Controller: c.replica.Owner(now, rollout.Key(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
 			Heard: len(sums.Nodes), Braked: sums.Braked}
-		if !p.Final() {
-			s.AgeS = c.controller.Age(now, service).Seconds()
+		if !plan.Final() {
+			state.AgeS = c.controller.Age(now, service).Seconds()
 		}
 		all := sums.Sums.All()
-		for arm, version := range []string{p.Prior, p.Candidate} {
-			s.Arms = append(s.Arms, armState(version, all[arm]))
+		for arm, version := range []string{plan.Prior, plan.Candidate} {
+			state.Arms = append(state.Arms, armState(version, all[arm]))
 		}
-		out = append(out, s)
+		out = append(out, state)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
 	return out
@@ -83,10 +83,10 @@
 }
 
 func armState(version string, cell rollout.Cell) ArmState {
-	s := ArmState{Version: version, Answers: cell.Ended, Failed: cell.Failed()}
+	state := ArmState{Version: version, Answers: cell.Ended, Failed: cell.Failed()}
 	if cell.N > 0 {
-		s.MeanTime = cell.Sum / float64(cell.N)
-		s.P99AtMs = float64(cell.Tail()) / float64(time.Millisecond)
+		state.MeanTime = cell.Sum / float64(cell.N)
+		state.P99AtMs = float64(cell.Tail()) / float64(time.Millisecond)
 	}
-	return s
+	return state
 }
--- a/internal/controlplane/stalls.go
+++ b/internal/controlplane/stalls.go
@@ -38,8 +38,8 @@
 	return now-ticked > stallLimit || resumed > 0 && now-resumed < resumeWindow
 }
 
-// watch records the times at which the process runs, until stop is closed.
-func (d *stallDetector) watch(stop <-chan struct{}) {
+// recordTicks records the times at which the process runs, until stop is closed.
+func (d *stallDetector) recordTicks(stop <-chan struct{}) {
 	ticker := time.NewTicker(stallLimit / 5)
 	defer ticker.Stop()
 	d.noteRunning(d.clock())
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -38,7 +38,7 @@
 // Summary counts the nodes and upstreams of an overview by kind, zone and state.
 func (o *Overview) Summary() *Summary {
 	behind := o.gatewaysBehind()
-	s := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), maxNamedGateways)]}
+	summary := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), maxNamedGateways)]}
 	nodes, upstreams := map[Count]int{}, map[Count]int{}
 	for _, m := range o.Members {
 		nodes[Count{m.Plane, m.Zone, m.Standing(), 0}]++
@@ -46,8 +46,8 @@
 	for _, u := range o.Upstreams {
 		upstreams[Count{u.Service, u.Zone, Standing(u), 0}]++
 	}
-	s.Nodes, s.Upstreams = sortedCounts(nodes), sortedCounts(upstreams)
-	return s
+	summary.Nodes, summary.Upstreams = sortedCounts(nodes), sortedCounts(upstreams)
+	return summary
 }
 
 // gatewaysBehind names the gateways without the newest items.
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -111,7 +111,7 @@
 	reader := &t.orders.configuration.reader
 	changes, err := t.requested.Apply(have, reader)
 	if err == nil {
-		err = t.orders.room.admit(have, changes)
+		err = t.orders.diskRoom.admit(have, changes)
 	}
 	if err != nil {
 		return nil, err
