--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -51,7 +51,7 @@
 	c.directory.SetGateways(listedGateways(c.settings, nodes))
 }
 
-// setConfiguration updates what concerns clients of the configuration.
+// setConfiguration updates the part of the configuration that concerns clients.
 func (c *registryController) setConfiguration(records map[string]config.Record) {
 	c.table.Store(c.tables.Build(records))
 }
