--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package controlplane is the control plane: it puts together the control state,
-// the duties, placement and the reading of the platform's list, and serves the
-// operator's calls.
+// Package controlplane implements a control node: it wires the replicated control state, the
+// election of duties, route placement and the reading of the platform's list of upstreams, and
+// serves the operators' API.
 package controlplane
 
 import (
@@ -26,31 +26,35 @@
 	"madderwing/internal/upstream"
 )
 
-// Kinds of message between control nodes, as earlier releases name them.
+// Kinds of message between control nodes. The values are names on the wire and match earlier
+// releases.
 const (
 	replicationKind = "stacks"
 	electionKind    = "rota"
 )
 
-// vacantPart is the part of contactS for which an owner may be silent.
-const vacantPart = 0.4
+// ownerTimeoutFraction is the fraction of contactS for which the owner of a key, or the holder of a
+// duty, may be silent before another member takes over.
+const ownerTimeoutFraction = 0.4
 
-// The duties, as earlier releases name them.
+// Duties are the roles that one elected control node holds at a time. The values are names on the
+// wire and match earlier releases.
 const (
 	dutyList      = "list"
 	dutyPlacement = "shelve"
 )
 
-// Options are what the command line adds to the settings.
+// Options are the settings given on the command line.
 type Options struct {
 	Shards int
 	Relist time.Duration
-	// HandBack is the calm after which a key goes back to its first heir.
+	// HandBack is how long the cluster must be stable before a key goes back to the first member in
+	// its order of succession; 0: never.
 	HandBack time.Duration
 }
 
-// Node is one control-plane process. It wires its controllers, each of which has a state
-// of its own, and runs the pump, whose goroutine owns them all.
+// Node is one control-plane process. It wires the controllers, each with state of its own, and runs
+// the event loop, which owns that state.
 type Node struct {
 	*environment
 
@@ -64,28 +68,28 @@
 	administration *administration
 	coordination   *coordinator
 	quotas         *quotaController    // nil where tenants have no quotas
-	registry       *registryController // the same
+	registry       *registryController // nil where the settings configure no registry
 
-	// Owned by the pump's goroutine.
-	rosterTold string
+	// Owned by the event loop.
+	loggedRoster string
 
-	writes *jobs
-	zones  []string // that operators may name
+	writes *writeQueue
+	zones  []string // zones that operators may evacuate
 }
 
-// listen makes the endpoint; tests put a cut into it.
-var listen = transport.New
+// newEndpoint creates the transport endpoint; tests replace it by one that drops messages.
+var newEndpoint = transport.New
 
-// Run serves until ctx ends, then leaves in order. Where the settings name no dataDir
-// it runs a relay.
-func Run(ctx context.Context, set *settings.Settings, opt Options, reload <-chan *settings.Settings) error {
-	if set.DataDir == "" {
-		return runRelay(ctx, set, reload)
+// Run runs a control node until ctx ends, then shuts it down gracefully. Without a dataDir in the
+// settings it runs a relay instead.
+func Run(ctx context.Context, cfg *settings.Settings, opt Options, reload <-chan *settings.Settings) error {
+	if cfg.DataDir == "" {
+		return runRelay(ctx, cfg, reload)
 	}
-	if err := os.MkdirAll(set.DataDir, 0o700); err != nil {
+	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return err
 	}
-	lock, err := lockDisk(ctx, set, logging.For(logging.Storage))
+	lock, err := lockDisk(ctx, cfg, logging.For(logging.Storage))
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -93,103 +97,104 @@
 		return err
 	}
 	defer lock.Release()
-	store, disk, err := openStore(ctx, set, logging.For(logging.Storage))
+	store, disk, err := openStore(ctx, cfg, logging.For(logging.Storage))
 	if ctx.Err() != nil {
 		return nil
 	}
 	if err != nil && !errors.Is(err, storage.ErrDamaged) {
 		return err
 	}
-	n, err := newNode(set, opt, disk)
+	n, err := newNode(cfg, opt, disk)
 	if err != nil {
 		return err
 	}
-	n.room.update(store)
-	go n.keep(store)
+	n.diskRoom.update(store)
+	go n.runStore(store)
 	return n.run(ctx, reload)
 }
 
-// newNode makes a control node over what its disk holds. It runs nothing yet.
-func newNode(set *settings.Settings, opt Options, disk map[string][]byte) (*Node, error) {
-	post, err := listen(set.ControlAddress(set.IP), settings.Seconds(set.Bounds.ContactS/6), logging.For(logging.Transport))
+// newNode creates a control node from the state read from its disk. It starts nothing.
+func newNode(cfg *settings.Settings, opt Options, disk map[string][]byte) (*Node, error) {
+	endpoint, err := newEndpoint(cfg.ControlAddress(cfg.IP), settings.Seconds(cfg.Bounds.ContactS/6), logging.For(logging.Transport))
 	if err != nil {
 		return nil, err
 	}
-	zones := zonesOf(set)
+	zones := zoneNames(cfg)
 	keys := []string{config.Key}
 	for _, zone := range zones {
 		keys = append(keys, config.EvacuationPrefix+zone)
 	}
-	env := &environment{set: set, opt: opt, post: post, start: time.Now(), life: rand.Uint64() | 1,
-		contact:  newContact(settings.Seconds(set.Bounds.ContactS*contactPart), keys),
-		commands: make(chan func(time.Duration), commandQueue), log: newLoggers()}
+	env := &environment{settings: cfg, options: opt, endpoint: endpoint, startedAt: time.Now(), life: rand.Uint64() | 1,
+		contact: newContact(settings.Seconds(cfg.Bounds.ContactS*contactFraction), keys),
+		queue:   make(chan func(time.Duration), queueCapacity), log: newLoggers()}
 	env.stalls = &stallDetector{clock: env.now}
-	n := &Node{environment: env, configuration: newConfiguration(), writes: newJobs(), zones: zones,
-		evacuations: newEvacuations(set.Bounds)}
-	if set.HasRegistry() {
+	n := &Node{environment: env, configuration: newConfiguration(), writes: newWriteQueue(), zones: zones,
+		evacuations: newEvacuations(cfg.Bounds)}
+	if cfg.HasRegistry() {
 		n.registry = newRegistryController(env)
 	}
-	if set.HasQuotas() {
+	if cfg.HasQuotas() {
 		n.quotas = newQuotaController(env, n.configuration)
 	}
-	if n.member, err = newReplica(env, keys, disk); err != nil {
+	if n.replica, err = newReplica(env, keys, disk); err != nil {
 		return nil, err
 	}
-	n.election = election.New(election.Config{Self: post.Self(), Life: env.life, Duties: []string{dutyList, dutyPlacement}, Lease: vacant(set),
-		Roster: func() []string { return n.member.Roster() }, Alive: func(id string) bool { return n.reg.Hopeful(id) }, Progress: n.progress})
+	n.election = election.New(election.Config{Self: endpoint.Self(), Life: env.life, Duties: []string{dutyList, dutyPlacement}, Lease: ownerTimeout(cfg),
+		Roster: func() []string { return n.replica.Roster() }, Alive: func(id string) bool { return n.membership.Hopeful(id) }, Progress: n.progress})
 	n.wire()
-	me := membership.Node{Address: post.Self(), Name: set.Node, Zone: set.Zone, Plane: membership.Control}
-	n.reg = membership.NewService(membership.Config{Self: me, Seeds: set.SeedControlNodes(), Beat: set.Beat(), Forget: 40 * set.Beat()},
-		post, n.nodesChanged)
-	n.handle()
-	n.do(func(time.Duration) { // before anybody's word is heard
-		n.showAll()
+	me := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
+	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlNodes(), Beat: cfg.Beat(), Forget: 40 * cfg.Beat()},
+		endpoint, n.nodesChanged)
+	n.registerHandlers()
+	n.enqueue(func(time.Duration) { // before any message is handled
+		n.publishAll()
 		n.configurationChanged()
 	})
 	return n, nil
 }
 
-// commandQueue is how many commands may wait for the pump.
-const commandQueue = 1024
+// queueCapacity is how many functions may wait for the event loop.
+const queueCapacity = 1024
 
-// zonesOf names the zones of the settings, in order.
-func zonesOf(set *settings.Settings) []string {
-	if len(set.Zones) == 0 {
-		return []string{set.Zone}
+// zoneNames lists the zones of the settings, in order.
+func zoneNames(cfg *settings.Settings) []string {
+	if len(cfg.Zones) == 0 {
+		return []string{cfg.Zone}
 	}
-	return slices.Sorted(maps.Keys(set.Zones))
+	return slices.Sorted(maps.Keys(cfg.Zones))
 }
 
-// vacant is how long an owner, or the holder of a duty, may be silent.
-func vacant(set *settings.Settings) time.Duration {
-	return settings.Seconds(set.Bounds.ContactS * vacantPart)
+// ownerTimeout is how long the owner of a key, or the holder of a duty, may be silent before
+// another takes over.
+func ownerTimeout(cfg *settings.Settings) time.Duration {
+	return settings.Seconds(cfg.Bounds.ContactS * ownerTimeoutFraction)
 }
 
-// newReplica makes this control node's replica of the control state.
+// newReplica creates this node's replica of the control state.
 func newReplica(env *environment, keys []string, disk map[string][]byte) (*replication.Replica, error) {
-	set := env.set
-	node := func(id string) (membership.Node, bool) { return env.reg.List().Get(id) }
+	cfg := env.settings
+	lookup := func(id string) (membership.Node, bool) { return env.membership.List().Get(id) }
 	return replication.NewReplica(replication.Config{Sure: keys, SurePrefix: coordination.KeyPrefix,
-		Self: env.post.Self(), Life: env.life, Seeds: set.SeedControlNodes(),
-		Bootstrap: set.Bootstrap, Empty: len(disk) == 0, Keys: keys,
-		Beat: set.Beat(), Vacant: vacant(set), Patience: settings.Seconds(set.Bounds.AckS * 0.17), HandBack: env.opt.HandBack,
-		Alive:    func(id string) bool { return env.reg.Hopeful(id) },
-		Identity: rand.Uint64() | 1, Faults: set.FaultBudget.Machines,
-		Left: func(id string) bool { n, ok := node(id); return ok && n.State == membership.Left },
+		Self: env.endpoint.Self(), Life: env.life, Seeds: cfg.SeedControlNodes(),
+		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Keys: keys,
+		Beat: cfg.Beat(), Vacant: ownerTimeout(cfg), Patience: settings.Seconds(cfg.Bounds.AckS * 0.17), HandBack: env.options.HandBack,
+		Alive:    func(id string) bool { return env.membership.Hopeful(id) },
+		Identity: rand.Uint64() | 1, Faults: cfg.FaultBudget.Machines,
+		Left: func(id string) bool { n, ok := lookup(id); return ok && n.State == membership.Left },
 		Peers: func() (out []string) {
-			for _, n := range env.reg.List().Live(membership.Control) {
+			for _, n := range env.membership.List().Live(membership.Control) {
 				out = append(out, n.Address)
 			}
 			return out
 		},
-		Zone: func(id string) string { n, _ := node(id); return n.Zone }}, disk)
+		Zone: func(id string) string { n, _ := lookup(id); return n.Zone }}, disk)
 }
 
-// wire makes the controllers and gives each what it needs of others.
+// wire creates the controllers and connects them.
 func (n *Node) wire() {
 	n.list = newListController(n.environment)
 	n.orders = &orderController{environment: n.environment, configuration: n.configuration, evacuations: n.evacuations}
-	if n.set.BoundsRevocation() {
+	if n.settings.BoundsRevocation() {
 		n.orders.revocations = &revocations{environment: n.environment}
 	}
 	n.rollouts = newRolloutController(n.environment, n.configuration, n.list, n.orders.submit)
@@ -200,15 +205,15 @@
 		placement: n.placement, rollouts: n.rollouts, quotas: n.quotas, orders: n.orders}
 	n.coordination = newCoordinator(n.environment)
 	n.administration.coordination = n.coordination
-	n.list.changed = n.delivery.issue
-	n.list.polled = func(now time.Duration) {
-		n.delivery.confirmList(now)
+	n.list.onChange = n.delivery.sendUpdates
+	n.list.onRead = func(now time.Duration) {
+		n.delivery.confirmListAge(now)
 		n.rollouts.adopt(now)
 	}
 	n.rollouts.loads = func() upstream.Loads { return n.delivery.loads }
 }
 
-// progress tells how far the result of a duty has come at this control node.
+// progress tells the election how recent the result of a duty is at this node.
 func (n *Node) progress(now time.Duration, duty string) election.Progress {
 	if duty == dutyPlacement {
 		return n.placement.progress(now)
@@ -216,81 +221,81 @@
 	return n.list.progress()
 }
 
-// nodesChanged takes over another list of nodes. It runs on the goroutine of membership.
-func (n *Node) nodesChanged(l *membership.List) {
-	n.do(func(time.Duration) { n.placement.look() })
+// nodesChanged handles a new list of nodes. It runs on the goroutine of the membership service.
+func (n *Node) nodesChanged(nodes *membership.List) {
+	n.enqueue(func(time.Duration) { n.placement.requestReconcile() })
 	if n.registry != nil {
-		n.registry.setNodes(l)
+		n.registry.setNodes(nodes)
 	}
 }
 
-// run serves until ctx ends, then leaves in order.
+// run serves until ctx ends, then shuts down gracefully.
 func (n *Node) run(ctx context.Context, reload <-chan *settings.Settings) error {
-	n.post.Start()
-	go n.reg.Run()
+	n.endpoint.Start()
+	go n.membership.Run()
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { n.pump(stop); close(stopped) }()
-	go n.stalls.watch(stop)
+	go func() { n.runEventLoop(stop); close(stopped) }()
+	go n.stalls.recordTicks(stop)
 
 	failed := make(chan error, 2)
-	control := n.server(n.set.Bind.Control, n.control(n.zones))
+	control := n.server(n.settings.Bind.Control, n.control(n.zones))
 	go func() { failed <- control.ListenAndServe() }()
-	if n.registry != nil && n.set.Bind.Directory != "" {
-		registry := n.server(n.set.Bind.Directory, n.registry.directory)
+	if n.registry != nil && n.settings.Bind.Directory != "" {
+		registry := n.server(n.settings.Bind.Directory, n.registry.directory)
 		go func() { failed <- registry.ListenAndServe() }()
 		defer registry.Close()
 	}
-	n.log.control.Info("control node is up", "node", n.set.Node, "zone", n.set.Zone)
+	n.log.control.Info("control node is up", "node", n.settings.Node, "zone", n.settings.Zone)
 	for {
 		select {
 		case fresh := <-reload:
-			n.reg.Seeds(fresh.SeedControlNodes())
+			n.membership.Seeds(fresh.SeedControlNodes())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
 			n.leave(control)
 			close(stop)
 			<-stopped
-			n.reg.Stop()
-			n.post.Close()
+			n.membership.Stop()
+			n.endpoint.Close()
 			return nil
 		}
 	}
 }
 
-// server serves clients or operators at an address.
+// server returns an HTTP server for operators or clients at an address.
 func (n *Node) server(address string, handler http.Handler) *http.Server {
-	return &http.Server{Addr: address, Handler: handler, ConnContext: withConnection, ReadHeaderTimeout: settings.Seconds(n.set.Bounds.ContactS),
-		IdleTimeout: settings.Seconds(4 * n.set.Bounds.ContactS), ErrorLog: slog.NewLogLogger(n.log.control.Handler(), slog.LevelWarn)}
+	return &http.Server{Addr: address, Handler: handler, ConnContext: withConnection, ReadHeaderTimeout: settings.Seconds(n.settings.Bounds.ContactS),
+		IdleTimeout: settings.Seconds(4 * n.settings.Bounds.ContactS), ErrorLog: slog.NewLogLogger(n.log.control.Handler(), slog.LevelWarn)}
 }
 
-// leave hands over what this control node does for others, and ends the operators' calls.
+// leave hands over this node's keys and duties, then stops the operators' API.
 func (n *Node) leave(control *http.Server) {
 	n.log.control.Info("leaving")
 	began := time.Now()
 	n.coordination.close()
-	n.do(func(now time.Duration) { n.member.Leave(now); n.election.Leave(now) })
-	n.reg.Leave(false)
-	// Orders under way are answered; the heirs take over meanwhile, and what
-	// this member holds is held by enough others before it goes.
-	time.Sleep(vacant(n.set) / 2)
-	n.awaitMayGo(began.Add(settings.Seconds(n.set.Bounds.GraceS * 0.8)))
-	n.reg.Leave(true)
-	grace, cancel := context.WithDeadline(context.Background(), began.Add(settings.Seconds(n.set.Bounds.GraceS*0.95)))
+	n.enqueue(func(now time.Duration) { n.replica.Leave(now); n.election.Leave(now) })
+	n.membership.Leave(false)
+	// Orders in progress are still answered. Meanwhile other members take over, and what this
+	// member stores is replicated to enough of them before it leaves.
+	time.Sleep(ownerTimeout(n.settings) / 2)
+	n.awaitReplaced(began.Add(settings.Seconds(n.settings.Bounds.GraceS * 0.8)))
+	n.membership.Leave(true)
+	grace, cancel := context.WithDeadline(context.Background(), began.Add(settings.Seconds(n.settings.Bounds.GraceS*0.95)))
 	defer cancel()
 	_ = control.Shutdown(grace)
 }
 
-// awaitMayGo waits until the others can do without this member, at most until end.
-func (n *Node) awaitMayGo(end time.Time) {
-	for ; ; time.Sleep(n.set.Beat() / 20) {
-		may := make(chan bool, 1)
-		n.do(func(now time.Duration) { may <- n.member.MayGo(now) })
-		if <-may {
+// awaitReplaced waits until the others can do without this member, at most until end.
+func (n *Node) awaitReplaced(end time.Time) {
+	for ; ; time.Sleep(n.settings.Beat() / 20) {
+		mayLeave := make(chan bool, 1)
+		n.enqueue(func(now time.Duration) { mayLeave <- n.replica.MayGo(now) })
+		if <-mayLeave {
 			return
 		}
 		if time.Now().After(end) {
-			n.log.replication.Warn("this member goes although too few others hold what it holds")
+			n.log.replication.Warn("leaving although too few other members hold this member's data")
 			return
 		}
 	}
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file holds what operators see of coordination.
+// What operators see of coordination.
 
 import (
 	"bytes"
@@ -26,8 +26,8 @@
 }
 
 type callCount struct {
-	number uint64
-	wait   time.Duration // of all together
+	count uint64
+	wait  time.Duration // total
 }
 
 func newCoordinationStats() coordinationStats {
@@ -41,11 +41,12 @@
 	if s.calls[kind] == nil {
 		s.calls[kind] = &callCount{}
 	}
-	s.calls[kind].number++
+	s.calls[kind].count++
 	s.calls[kind].wait += wait
 }
 
-// CallState is the number of calls of a kind, and how long they took on average.
+// CallState is the number of calls with the same operation and status, and how long they took on
+// average.
 type CallState struct {
 	Operation string  `json:"operation"`
 	Status    int     `json:"status"`
@@ -58,8 +59,8 @@
 	defer s.mu.Unlock()
 	out := []CallState{}
 	for kind, c := range s.calls {
-		mean := c.wait.Seconds() * 1000 / float64(c.number)
-		out = append(out, CallState{kind.operation, kind.status, c.number, mean})
+		mean := c.wait.Seconds() * 1000 / float64(c.count)
+		out = append(out, CallState{kind.operation, kind.status, c.count, mean})
 	}
 	sort.Slice(out, func(i, j int) bool {
 		a, b := out[i], out[j]
@@ -74,7 +75,7 @@
 	Owner string  `json:"owner"`
 	Fence uint64  `json:"fence"`
 	HoldS float64 `json:"holdS"`
-	LeftS float64 `json:"leftS"` // of the lease; negative: it has ended and nobody has taken the lock since
+	LeftS float64 `json:"leftS"` // of the lease; negative: it has expired, and nobody has acquired the lock since
 }
 
 // PartitionState is a partition as the administration API shows it. Only its owner knows
@@ -87,7 +88,7 @@
 	Locks     []LockState  `json:"locks,omitempty"`
 }
 
-// CountsState is how much a partition holds.
+// CountsState is how many entries and bytes a partition holds.
 type CountsState struct {
 	Locks    int `json:"locks"`
 	Counters int `json:"counters"`
@@ -105,9 +106,9 @@
 	Calls      []CallState      `json:"calls"`
 }
 
-// state describes the partitions with the given keys. It runs on the loop of the replica.
+// state describes the partitions with the given keys. It runs on the event loop.
 func (c *coordinator) state(now time.Duration, keys []string) CoordinationState {
-	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.watching.Load(), Waiting: c.calls.Load(), Calls: c.stats.states()}
+	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.activeWatches.Load(), Waiting: c.activeCalls.Load(), Calls: c.statistics.states()}
 	for _, key := range keys {
 		p := PartitionState{Partition: key, Owner: c.owners.Owner(now, key), Here: c.server.Owns(now, key)}
 		if partition := c.server.Partition(now, key); partition != nil {
@@ -128,7 +129,7 @@
 	return out
 }
 
-// page is the administration page on coordination.
+// page returns the state as JSON for the administration API.
 func (s CoordinationState) page() ([]byte, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	return append(text, '\n'), err
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// This file ties the coordinator to the control node that it runs in.
+// Creation of the coordinator in its control node.
 
 import (
 	"strings"
@@ -11,28 +11,28 @@
 	"madderwing/internal/settings"
 )
 
-// coordinationAdminPage shows operators the partitions and their locks.
+// coordinationAdminPage is the path at which operators see the partitions and their locks.
 const coordinationAdminPage = "/v1/admin/coordination"
 
-// newCoordinator makes the coordinator of a node whose replica and transport are there, and
-// whose transport has not started.
+// newCoordinator creates the coordinator of a node whose replica and transport exist, and whose
+// transport has not started.
 func newCoordinator(env *environment) *coordinator {
 	logger := logging.For(logging.Coordination)
-	config := serverConfig(env.set, env.post.Self(), env.life, env.now, logger)
-	config.Limits.HasRoom = env.room.has
+	config := serverConfig(env.settings, env.endpoint.Self(), env.life, env.now, logger)
+	config.Limits.HasRoom = env.diskRoom.fits
 	return &coordinator{
-		owners: env.member, keys: env.member.Keys, transport: env.post, run: env.do, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
-		pause: settings.Seconds(coordinationPausePart * env.set.Bounds.ContactS), retry: env.set.Beat(),
-		server: coordination.NewServer(config, env.member),
-		clocks: coordination.NewPeerClocks(), closed: make(chan struct{}),
-		stats: newCoordinationStats(),
+		owners: env.replica, keys: env.replica.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.Beat(),
+		server: coordination.NewServer(config, env.replica),
+		clocks: coordination.NewPeerClocks(), leaving: make(chan struct{}),
+		statistics: newCoordinationStats(),
 	}
 }
 
 // currentState describes coordination as this node sees it.
 func (c *coordinator) currentState() CoordinationState {
 	result := make(chan CoordinationState, 1)
-	c.run(func(now time.Duration) {
+	c.enqueue(func(now time.Duration) {
 		var keys []string
 		for _, key := range c.keys() {
 			if strings.HasPrefix(key, coordination.KeyPrefix) {
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -10,166 +10,170 @@
 	"madderwing/internal/upstream"
 )
 
-// issueMax is about how many bytes of items are sent to a watcher at once. It asks
-// for the rest when it has them, so what is sent twice because it took longer than a
-// beat on a narrow link is never more than that.
-const issueMax = 64 << 10
+// maxIssueBytes is roughly how many bytes of items are sent to a watcher at once. The watcher asks
+// for the rest once it has these, so no more than this is sent twice where sending takes longer
+// than a heartbeat interval on a slow link.
+const maxIssueBytes = 64 << 10
 
-// deliveryController brings the configuration and the list to those who watch this control
-// node, and gathers what they tell of themselves.
+// deliveryController sends the configuration and the list of upstreams to the nodes that watch this
+// one, and collects what they report about themselves.
 type deliveryController struct {
 	*environment
 	configuration *configuration
 	list          *listController
-	led           func() bool // whether the rollouts under way have controllers at work
-
-	sender   delivery.Sender // of the configuration
-	watchers delivery.Watchers
-	told     map[string]toldAt // by other control nodes
-	tellAt   time.Duration     // when the others are to be told next
-	loads    upstream.Loads    // of all gateways
-	holds    map[string]uint64 // gateway -> digest of the items that it has in force
+	rolloutsLed   func() bool // whether all rollouts in progress have working controllers
+
+	sender      delivery.Sender // of the configuration
+	watchers    delivery.Watchers
+	peerReports map[string]peerReport // by control node
+	reportAt    time.Duration         // when the next exchange is due
+	loads       upstream.Loads        // of all gateways
+	itemDigests map[string]uint64     // gateway -> digest of the items in effect there
 }
 
-// toldAt is what another control node told, and when.
-type toldAt struct {
-	at   time.Duration
-	told delivery.Told
+// peerReport is what another control node reported of its watchers, and when it arrived.
+type peerReport struct {
+	received time.Duration
+	report   delivery.Told
 }
 
-func newDeliveryController(env *environment, shown *configuration, list *listController, led func() bool) *deliveryController {
-	c := &deliveryController{environment: env, configuration: shown, list: list, led: led, told: map[string]toldAt{},
-		sender: delivery.Sender{Log: &shown.changes}}
-	c.watchers.Forget = 4 * env.set.Beat()
+func newDeliveryController(env *environment, configuration *configuration, list *listController, rolloutsLed func() bool) *deliveryController {
+	c := &deliveryController{environment: env, configuration: configuration, list: list, rolloutsLed: rolloutsLed, peerReports: map[string]peerReport{},
+		sender: delivery.Sender{Log: &configuration.changes}}
+	c.watchers.Forget = 4 * env.settings.Beat()
 	return c
 }
 
-// handle takes the messages of watchers and of other control nodes.
-func (c *deliveryController) handle() {
-	transport.On(c.post, delivery.WatchKind, func(from string, w delivery.Watch) {
-		c.offer(func(now time.Duration) { c.watched(now, from, w) })
+// registerHandlers registers the handlers for messages of watchers and of other control nodes.
+func (c *deliveryController) registerHandlers() {
+	transport.On(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
+		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
 	})
-	transport.On(c.post, delivery.ToldKind, func(from string, t delivery.Told) {
-		c.offer(func(now time.Duration) { c.told[from] = toldAt{now, t} })
+	transport.On(c.endpoint, delivery.ToldKind, func(from string, t delivery.Told) {
+		c.tryEnqueue(func(now time.Duration) { c.peerReports[from] = peerReport{now, t} })
 	})
 }
 
-// watched answers a watcher.
-func (c *deliveryController) watched(now time.Duration, from string, w delivery.Watch) {
-	if c.list.known(now).Foreign(w.Listing) {
-		c.election.Raise(dutyList, w.Listing.Term)
+// handleWatch answers a watcher.
+func (c *deliveryController) handleWatch(now time.Duration, from string, watch delivery.Watch) {
+	// A list from a duty holder that this node does not know of dates from before the control nodes
+	// lost their state. Only lists of a later term replace it.
+	if c.list.newestKnown(now).Foreign(watch.Listing) {
+		c.election.Raise(dutyList, watch.Listing.Term)
 	}
-	c.list.mark(now, from, w)
-	has, guessed := c.watchers.Believe(now, from, w, c.set.Beat())
+	c.list.noteWatcherClock(now, from, watch)
+	has, guessed := c.watchers.Believe(now, from, watch, c.settings.Beat())
 	c.watchers.Note(now, from, has)
-	c.watchers.Note(now, from, c.issueTo(now, from, has, true, guessed))
-	c.watchers.Holds(from, w)
+	c.watchers.Note(now, from, c.sendUpdate(now, from, has, true, guessed))
+	c.watchers.Holds(from, watch)
 }
 
-// tick is due at every tick of the pump.
+// tick is called at every tick of the event loop.
 func (c *deliveryController) tick(now time.Duration) {
-	if now >= c.tellAt {
-		c.tellAt = now + c.set.Beat()
-		c.tell(now)
+	if now >= c.reportAt {
+		c.reportAt = now + c.settings.Beat()
+		c.exchangeReports(now)
 	}
 }
 
-// tell passes on to the other control nodes what those who watch this one have told,
-// and puts that together with what the others have.
-func (c *deliveryController) tell(now time.Duration) {
+// exchangeReports sends the other control nodes what this node's watchers reported, and combines it
+// with what the others sent.
+func (c *deliveryController) exchangeReports(now time.Duration) {
 	mine := c.watchers.Told(now)
-	c.loads, c.holds = upstream.Loads{}, map[string]uint64{}
-	c.add(mine)
-	for _, id := range c.member.Everyone() {
-		if id == c.post.Self() {
+	c.loads, c.itemDigests = upstream.Loads{}, map[string]uint64{}
+	c.addReport(mine)
+	for _, id := range c.replica.Everyone() {
+		if id == c.endpoint.Self() {
 			continue
 		}
 		if len(mine.Holds) > 0 {
-			c.post.Toss(id, delivery.ToldKind, mine)
+			c.endpoint.Toss(id, delivery.ToldKind, mine)
 		}
-		if t, ok := c.told[id]; ok && now-t.at < c.watchers.Forget {
-			c.add(t.told)
+		if t, ok := c.peerReports[id]; ok && now-t.received < c.watchers.Forget {
+			c.addReport(t.report)
 		}
 	}
 }
 
-// add adds what one control node told to what is known of all gateways.
-func (c *deliveryController) add(t delivery.Told) {
-	c.loads.Add(t.Loads)
-	for id, digest := range t.Holds {
-		if have, ok := c.holds[id]; !ok || have != c.configuration.shown.Sums.Fold() {
-			c.holds[id] = digest // a gateway watches two; the newer word counts
+// addReport adds the report of one control node to what is known of all gateways.
+func (c *deliveryController) addReport(report delivery.Told) {
+	c.loads.Add(report.Loads)
+	for id, digest := range report.Holds {
+		if have, ok := c.itemDigests[id]; !ok || have != c.configuration.published.Sums.Fold() {
+			c.itemDigests[id] = digest // a gateway watches two control nodes; the newest digest wins
 		}
 	}
 }
 
-// issue sends every watcher what it lacks.
-func (c *deliveryController) issue(now time.Duration) {
+// sendUpdates sends every watcher what it lacks. The holder of the list duty also sends the list to
+// members that don't watch it.
+func (c *deliveryController) sendUpdates(now time.Duration) {
 	c.watchers.Each(now, func(to string, has delivery.Watch) delivery.Watch {
-		return c.issueTo(now, to, has, false, true)
+		return c.sendUpdate(now, to, has, false, true)
 	})
-	if term, mine := c.election.Holds(now, dutyList); mine && c.list.stand.Version.Term == term {
-		for _, id := range c.member.Everyone() {
-			if _, watching := c.watchers.Has(id); !watching && id != c.post.Self() {
-				c.watchers.Note(now, id, c.issueTo(now, id, delivery.Watch{}, false, true))
+	if term, mine := c.election.Holds(now, dutyList); mine && c.list.snapshot.Version.Term == term {
+		for _, id := range c.replica.Everyone() {
+			if _, watching := c.watchers.Has(id); !watching && id != c.endpoint.Self() {
+				c.watchers.Note(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
 			}
 		}
 	}
 }
 
-// confirmList tells the control nodes that have the list as of when it holds.
-func (c *deliveryController) confirmList(now time.Duration) {
-	for id, mark := range c.list.marks {
-		if now-mark.at > c.watchers.Forget {
-			delete(c.list.marks, id)
-		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.stand.Version {
-			c.post.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listed(id)})
+// confirmListAge tells the control nodes that have the current list as of when it is valid.
+func (c *deliveryController) confirmListAge(now time.Duration) {
+	for id, clock := range c.list.watcherClocks {
+		if now-clock.receivedAt > c.watchers.Forget {
+			delete(c.list.watcherClocks, id)
+		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.snapshot.Version {
+			c.endpoint.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listedFor(id)})
 		}
 	}
 }
 
-// issueTo sends a watcher what it lacks, always or only if it lacks something, and returns what
-// it has then. guessed says that what it has is not its own word.
-func (c *deliveryController) issueTo(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
-	shown := c.configuration.shown
+// sendUpdate sends a watcher what it lacks, and a message without any update too if always is set.
+// It returns what the watcher has then. guessed means that has includes updates that the watcher has
+// not confirmed.
+func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
+	published := c.configuration.published
 	fresh := c.contact.fresh(now)
-	out := delivery.Issue{Fresh: fresh, Led: fresh && c.led()}
+	issue := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
 	whole := has.Sums != nil
 	if has.Sums != nil {
-		// A large difference goes a few ranges at a time; the watcher says
-		// again what it has.
-		has = c.sender.Bring(shown, has, issueMax, &out)
-		whole = *has.Sums == shown.Sums
+		// A large difference is sent a few ranges at a time; the watcher then reports again what it
+		// has.
+		has = c.sender.Bring(published, has, maxIssueBytes, &issue)
+		whole = *has.Sums == published.Sums
 	}
-	if l := c.list.stand.Since(now, has.Listing); l != nil {
-		out.Listing = l
+	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
+		issue.Listing = l
 		has.Listing = l.Version
 	}
-	if always || out.Listing != nil {
-		out.Listed = c.list.listed(to)
+	if always || issue.Listing != nil {
+		issue.Listed = c.list.listedFor(to)
 	}
 	if always {
-		out.Loads = c.loads
-		if at, ok := c.member.Current(config.Key); ok && whole && !guessed && has.Asked > 0 {
-			out.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
+		issue.Loads = c.loads
+		if at, ok := c.replica.Current(config.Key); ok && whole && !guessed && has.Asked > 0 {
+			issue.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
 		}
 	}
-	if always || !out.Empty() {
-		c.post.Send(to, delivery.IssueKind, out)
+	if always || !issue.Empty() {
+		c.endpoint.Send(to, delivery.IssueKind, issue)
 	}
-	if !out.Empty() {
+	if !issue.Empty() {
 		c.watchers.Sent(now, to)
 	}
 	return has
 }
 
-// states shows how far the gateways have the newest items in force.
+// states reports for each gateway whether the newest items are in effect there.
 func (c *deliveryController) states(list *membership.List) []Delivery {
 	out := []Delivery{}
-	newest := c.configuration.shown.Sums.Fold()
+	newest := c.configuration.published.Sums.Fold()
 	for _, n := range list.Nodes {
 		if n.Plane == membership.Data && n.State <= membership.Suspect {
-			digest, heard := c.holds[n.Address]
+			digest, heard := c.itemDigests[n.Address]
 			out = append(out, Delivery{n.Name, n.Zone, heard, heard && digest == newest})
 		}
 	}
--- /dev/null
+++ b/internal/controlplane/event_loop.go
@@ -0,0 +1,207 @@
+package controlplane
+
+import (
+	"strings"
+	"time"
+
+	"madderwing/internal/config"
+	"madderwing/internal/coordination"
+	"madderwing/internal/election"
+	"madderwing/internal/replication"
+	"madderwing/internal/transport"
+)
+
+// runEventLoop owns the state machines: it runs one queued function at a time, then carries out the
+// effects that the state machines request.
+func (n *Node) runEventLoop(stop chan struct{}) {
+	ticker := time.NewTicker(n.settings.Beat() / 5)
+	defer ticker.Stop()
+	for {
+		var fn func(time.Duration)
+		select {
+		case fn = <-n.queue:
+		case <-ticker.C:
+			fn = n.tick
+		case <-stop:
+			n.writes.close()
+			return
+		}
+		now := n.now()
+		fn(now)
+		n.applyEffects(now)
+		n.contact.update(n.replica.Current)
+	}
+}
+
+// tick advances the timers of the state machines and controllers.
+func (n *Node) tick(now time.Duration) {
+	n.replica.Tick(now)
+	n.election.Tick(now)
+	n.list.tick(now)
+	n.delivery.tick(now)
+	if n.quotas != nil {
+		n.quotas.tick(now)
+	}
+	n.rollouts.tick(now)
+	n.orders.endOverdueDoubts(now)
+	n.coordination.tick(now)
+	n.contact.logChange(now, n.log.control)
+	n.placement.tick(now)
+}
+
+// applyEffects carries out what the state machines request, until they request nothing more.
+func (n *Node) applyEffects(now time.Duration) {
+	for again := true; again; {
+		n.applyReplicaEffects(now)
+		again = n.applyElectionEffects(now)
+		again = n.placement.reconcile(now) || again
+	}
+}
+
+// applyReplicaEffects sends messages, queues disk writes and publishes newly committed records.
+func (n *Node) applyReplicaEffects(now time.Duration) {
+	effects := n.replica.Take()
+	byPeer := map[string][]replication.Message{}
+	var order []string
+	for _, e := range effects.Send {
+		if byPeer[e.To] == nil {
+			order = append(order, e.To)
+		}
+		byPeer[e.To] = append(byPeer[e.To], e.Msg)
+	}
+	for _, to := range order {
+		n.endpoint.Send(to, replicationKind, byPeer[to])
+	}
+	for _, w := range effects.Writes {
+		n.writes.put(writeJob{w.Entries, w.ID, false})
+	}
+	if effects.Rewrite {
+		entries, upTo := n.replica.Snapshot()
+		n.writes.put(writeJob{entries, upTo, true})
+	}
+	for _, note := range effects.Notes {
+		n.log.replication.Info(note)
+	}
+	changed := false
+	for _, key := range effects.Committed {
+		changed = n.publish(key, effects.Changed[key]) || changed
+	}
+	if changed {
+		n.placement.requestReconcile()
+		n.delivery.sendUpdates(now)
+		n.configurationChanged()
+	}
+}
+
+// applyElectionEffects sends the election's messages, and starts or ends duties at this node. It
+// reports whether any duty changed.
+func (n *Node) applyElectionEffects(now time.Duration) bool {
+	out, duties := n.election.Take()
+	for _, e := range out {
+		n.endpoint.Send(e.To, electionKind, e.Msg)
+	}
+	for _, handOn := range n.election.TakeHandOns() {
+		n.log.election.Warn("duty moved: the result of its holder is too old", "duty", handOn.Duty, "from", handOn.From, "to", handOn.To,
+			"resultAgeS", logSeconds(handOn.ResultAge))
+	}
+	for _, d := range duties {
+		_, mine := n.election.Holds(now, d)
+		if mine {
+			n.log.election.Info("duty won", "duty", d)
+		} else {
+			n.log.election.Info("duty given up", "duty", d)
+		}
+		switch d {
+		case dutyPlacement:
+			n.placement.dutyChanged()
+		case dutyList:
+			if mine {
+				n.list.dutyWon(now)
+			}
+		}
+	}
+	return len(duties) > 0
+}
+
+// publishAll publishes what was read from disk, including keys that were created on demand.
+func (n *Node) publishAll() {
+	for _, key := range n.replica.Keys() {
+		n.publish(key, nil)
+	}
+}
+
+// publish makes committed records of a key visible to gateways: the given ones, which have changed,
+// or all of the key if records is nil. It reports whether the published configuration changed.
+func (n *Node) publish(key string, records []replication.Record) bool {
+	if key == replication.RosterKey {
+		if roster := n.replica.Standing(n.now()).String(); roster != n.loggedRoster {
+			n.loggedRoster = roster
+			n.log.replication.Info("roster changed", "roster", roster)
+		}
+		return false
+	}
+	if strings.HasPrefix(key, coordination.KeyPrefix) {
+		n.coordination.server.Committed(key, records)
+		return false // gateways need no coordination data
+	}
+	if records == nil {
+		all, _, ok := n.replica.Committed(key)
+		if !ok {
+			return false
+		}
+		for _, r := range all {
+			records = append(records, r)
+		}
+	}
+	if key == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
+		return n.republishConfiguration()
+	}
+	newer := n.configuration.merge(records)
+	n.rollouts.recordsPublished(newer)
+	n.evacuations.recordsPublished(n.now(), newer)
+	if strings.HasPrefix(key, config.EvacuationPrefix) {
+		n.evacuations.forget(n.configuration.published.Records)
+	}
+	return len(newer) > 0
+}
+
+// republishConfiguration replaces the published configuration by all that is committed of it, so
+// that forgotten records go. Where the committed state isn't known now, the replica reports all of
+// it with its next commit.
+func (n *Node) republishConfiguration() bool {
+	committed, _, ok := n.replica.Committed(config.Key)
+	return ok && n.configuration.replace(committed)
+}
+
+// configurationChanged passes the published configuration to the controllers that use it.
+func (n *Node) configurationChanged() {
+	if n.quotas != nil {
+		n.quotas.setConfiguration()
+	}
+	if n.registry != nil {
+		n.registry.setConfiguration(n.configuration.published.Records)
+	}
+}
+
+// registerHandlers registers the handlers for messages of other control nodes and of gateways.
+func (n *Node) registerHandlers() {
+	transport.On(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
+		n.tryEnqueue(func(now time.Duration) {
+			for _, m := range msgs {
+				n.replica.Handle(now, from, m)
+			}
+		})
+	})
+	transport.On(n.endpoint, electionKind, func(from string, m election.Message) {
+		n.tryEnqueue(func(now time.Duration) { n.election.Handle(now, from, m) })
+	})
+	n.list.registerHandlers()
+	n.delivery.registerHandlers()
+	if n.quotas != nil {
+		n.quotas.registerHandlers()
+	}
+	n.rollouts.registerHandlers()
+	n.orders.registerHandlers()
+	n.coordination.registerHandlers()
+	n.registerRelayHandler()
+}
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -12,53 +12,53 @@
 	"madderwing/internal/settings"
 )
 
-// registryController answers clients that ask where to go. It exists only where they
-// ask a registry.
+// registryController answers clients that ask which gateways to connect to. It exists only where
+// the settings configure a registry.
 type registryController struct {
 	*environment
 	directory *registry.Directory
 	table     atomic.Pointer[config.Table] // the directory reads it from its own goroutines
-	tables    config.Builder               // owned by the pump's goroutine
+	tables    config.Builder               // owned by the event loop
 }
 
 func newRegistryController(env *environment) *registryController {
 	c := &registryController{environment: env}
-	c.directory = registry.NewDirectory(answerLife(env.set.Bounds), func(host string) []string {
+	c.directory = registry.NewDirectory(answerTTL(env.settings.Bounds), func(host string) []string {
 		if t := c.table.Load(); t != nil {
 			return t.Residency(host)
 		}
 		return nil
 	})
-	// While an owner is replaced, which takes less than contactS, its answers go on: they
+	// Answers continue while an owner is being replaced, which takes less than contactS, since they
 	// rest on what nodes say of themselves. So do those of a control node that has just started.
-	// The control nodes of a side that was cut off end.
-	c.directory.InContact = func() bool { return c.lately(c.now()) }
+	// Control nodes that are cut off from the majority stop answering.
+	c.directory.InContact = func() bool { return c.recentlyInContact(c.now()) }
 	return c
 }
 
-// answerLife is for how long a client may rely on an answer. A gateway that leaves is missing from
-// the answers for longer than that before it stops taking connections.
-func answerLife(b settings.Bounds) (life time.Duration) {
-	life = settings.Seconds(b.GraceS * 0.4)
-	if b.TTLMaxS > 0 {
-		life = min(life, settings.Seconds(b.TTLMaxS))
+// answerTTL is for how long a client may rely on an answer. A gateway that leaves is missing from
+// the answers for longer than that before it stops accepting connections.
+func answerTTL(bounds settings.Bounds) (ttl time.Duration) {
+	ttl = settings.Seconds(bounds.GraceS * 0.4)
+	if bounds.TTLMaxS > 0 {
+		ttl = min(ttl, settings.Seconds(bounds.TTLMaxS))
 	}
-	return life
+	return ttl
 }
 
-// setNodes takes over the list of nodes. Any goroutine may call it.
-func (c *registryController) setNodes(l *membership.List) {
-	c.directory.SetGateways(openGateways(c.set, l))
+// setNodes updates the gateways from the list of nodes. It is safe for concurrent use.
+func (c *registryController) setNodes(nodes *membership.List) {
+	c.directory.SetGateways(listedGateways(c.settings, nodes))
 }
 
-// setConfiguration takes over what of the configuration concerns clients.
+// setConfiguration updates the part of the configuration that concerns clients.
 func (c *registryController) setConfiguration(records map[string]config.Record) {
 	c.table.Store(c.tables.Build(records))
 }
 
-// openGateways lists the gateways that clients may be sent to.
-func openGateways(set *settings.Settings, l *membership.List) (out []registry.Gateway) {
-	for _, n := range l.Nodes {
+// listedGateways lists the gateways that clients may be sent to.
+func listedGateways(cfg *settings.Settings, nodes *membership.List) (out []registry.Gateway) {
+	for _, n := range nodes.Nodes {
 		if n.Plane != membership.Data || n.State > membership.Suspect || n.Front == 0 {
 			continue
 		}
@@ -67,7 +67,7 @@
 			continue
 		}
 		out = append(out, registry.Gateway{Address: net.JoinHostPort(host, strconv.Itoa(int(n.Front))), Zone: n.Zone,
-			Region: set.RegionOf(n.Zone), Open: n.State == membership.Alive && !n.Draining})
+			Region: cfg.RegionOf(n.Zone), Open: n.State == membership.Alive && !n.Draining})
 	}
 	return out
 }
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -16,87 +16,89 @@
 	"madderwing/internal/transport"
 )
 
-// How long things take at a relay, as parts of contactS: an answer after which another
-// control node is asked as well, and a call in all. A caller gives a node up after a second.
+// Times of a relay: the fractions of contactS after which another control node is asked as well,
+// and that a call may take in all, and the upper limit of the latter. A caller gives a node up
+// after a second.
 const (
-	relayPatience = 1.0 / 20
-	relayLimit    = 1.0 / 6
-	relayMost     = time.Second / 2
+	relayHedgeFraction   = 1.0 / 20
+	relayTimeoutFraction = 1.0 / 6
+	maxRelayTimeout      = time.Second / 2
 )
 
-// maxKnown bounds the control nodes that a relay remembers from their own word alone.
-const maxKnown = 64
+// maxRelayNodes bounds the control nodes that a relay remembers only because they introduced
+// themselves.
+const maxRelayNodes = 64
 
-// picker finds the control node that a call is redirected to. It asks control nodes only when it
-// is asked itself.
+// picker finds the control node that a call is redirected to. It sends questions only when it is
+// asked for a node itself.
 type picker struct {
-	self     string
-	zone     string
-	patience time.Duration // then another is asked as well
-	limit    time.Duration // for a call in all
-	rest     time.Duration // for which a control node that gave no good answer comes last
-	ask      func(ctx context.Context, to, key string) (relayAnswer, error)
-
-	mu     sync.Mutex
-	seeds  []string
-	nodes  map[string]membership.Node // control nodes, as the newest good answer had them
-	owners map[string]string
-	failed map[string]time.Time
-	last   string    // that gave the newest good answer
-	lookAt time.Time // when there was one, or somebody who joins had one looked for
+	self       string
+	zone       string
+	hedgeDelay time.Duration // after which another node is asked as well
+	timeout    time.Duration // for a call in all
+	cooldown   time.Duration // how long a control node that gave no good answer is asked last
+	ask        func(ctx context.Context, to, key string) (relayAnswer, error)
+
+	mu          sync.Mutex
+	seeds       []string
+	nodes       map[string]membership.Node // control nodes, according to the last good answer
+	owners      map[string]string
+	failed      map[string]time.Time
+	lastWorking string    // the node that gave the last good answer
+	searchedAt  time.Time // time of the last good answer, or of the last search for a joining node
 }
 
-// newPicker makes the picker of a relay, which asks over the transport.
-func newPicker(set *settings.Settings, post *transport.Endpoint) *picker {
-	return &picker{self: post.Self(), zone: set.Zone, seeds: set.SeedControlNodes(),
-		patience: min(settings.Seconds(set.Bounds.ContactS*relayPatience), relayMost/4),
-		limit:    min(settings.Seconds(set.Bounds.ContactS*relayLimit), relayMost),
-		rest:     settings.Seconds(set.Bounds.ContactS),
-		nodes:    map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
+// newPicker creates the picker of a relay, which asks over the transport.
+func newPicker(cfg *settings.Settings, endpoint *transport.Endpoint) *picker {
+	return &picker{self: endpoint.Self(), zone: cfg.Zone, seeds: cfg.SeedControlNodes(),
+		hedgeDelay: min(settings.Seconds(cfg.Bounds.ContactS*relayHedgeFraction), maxRelayTimeout/4),
+		timeout:    min(settings.Seconds(cfg.Bounds.ContactS*relayTimeoutFraction), maxRelayTimeout),
+		cooldown:   settings.Seconds(cfg.Bounds.ContactS),
+		nodes:      map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
 		ask: func(ctx context.Context, to, key string) (a relayAnswer, err error) {
-			err = post.Call(ctx, to, relayKind, relayQuestion{key}, &a)
+			err = endpoint.Call(ctx, to, relayKind, relayQuestion{key}, &a)
 			return a, err
 		}}
 }
 
-// pick names a working control node, the owner of the key where that is known and answers;
+// pick returns a working control node, which is the owner of the key if that is known and answers;
 // empty: none answered in time, or the caller has left.
 func (p *picker) pick(caller context.Context, key string) string {
-	ctx, cancel := context.WithTimeout(caller, p.limit)
+	ctx, cancel := context.WithTimeout(caller, p.timeout)
 	defer cancel()
 	asked := map[string]bool{p.self: true}
-	first, owner := p.first(ctx, key, asked)
-	if owner == "" || asked[owner] || p.resting(owner) {
-		return first // none is known, or it answers no question
+	first, owner := p.firstWorking(ctx, key, asked)
+	if owner == "" || asked[owner] || p.coolingDown(owner) {
+		return first // no owner is known, or it was asked already or recently gave no good answer
 	}
-	ctx, cancel = context.WithTimeout(ctx, p.patience)
+	ctx, cancel = context.WithTimeout(ctx, p.hedgeDelay)
 	defer cancel()
-	a, err := p.question(ctx, owner, key)
+	answer, err := p.query(ctx, owner, key)
 	switch {
-	case caller.Err() != nil: // that is no fault of the owner's
+	case caller.Err() != nil: // not the owner's fault
 	case err != nil:
-		p.fails(owner)
-	case a.Works && !a.Relay:
+		p.noteFailure(owner)
+	case answer.Working && !answer.Relay:
 		return owner
 	}
 	return first
 }
 
-type heard struct {
+type queryResult struct {
 	from   string
 	answer relayAnswer
 	err    error
 }
 
-// first asks one candidate after the other, another as well where one is slow, and
-// gives the first that works and whom that takes for the owner. Those in asked are not
-// asked, and all that are come into it.
-func (p *picker) first(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
+// firstWorking asks one candidate after the other, and a further one where one is slow. It returns
+// the first that works, and the owner that this one names. Nodes in asked are skipped, and the
+// nodes that it asks are added to it.
+func (p *picker) firstWorking(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
 	queue := p.candidates(key)
-	answers := make(chan heard)
-	slow := time.NewTimer(p.patience)
+	answers := make(chan queryResult)
+	slow := time.NewTimer(p.hedgeDelay)
 	defer slow.Stop()
-	open, newest := 0, ""
+	outstanding, lastAsked := 0, ""
 	next := func() {
 		for len(queue) > 0 {
 			to := queue[0]
@@ -104,35 +106,35 @@
 			if asked[to] {
 				continue
 			}
-			asked[to], newest = true, to
-			open++
-			slow.Reset(p.patience)
+			asked[to], lastAsked = true, to
+			outstanding++
+			slow.Reset(p.hedgeDelay)
 			go func() {
-				answer, err := p.question(ctx, to, key)
+				answer, err := p.query(ctx, to, key)
 				select {
-				case answers <- heard{to, answer, err}:
+				case answers <- queryResult{to, answer, err}:
 				case <-ctx.Done():
 				}
 			}()
 			return
 		}
 	}
-	for next(); open > 0; {
+	for next(); outstanding > 0; {
 		select {
-		case h := <-answers:
-			open--
+		case result := <-answers:
+			outstanding--
 			switch {
-			case h.err != nil:
-			case h.answer.Relay:
-				for _, n := range h.answer.Nodes {
+			case result.err != nil:
+			case result.answer.Relay:
+				for _, n := range result.answer.Nodes {
 					queue = append(queue, n.Address)
 				}
-			case h.answer.Works:
-				return h.from, h.answer.Owner
+			case result.answer.Working:
+				return result.from, result.answer.Owner
 			}
 			next()
 		case <-slow.C:
-			p.fails(newest) // unless it answers yet
+			p.noteFailure(lastAsked) // until it answers after all
 			next()
 		case <-ctx.Done():
 			return "", ""
@@ -141,60 +143,61 @@
 	return "", ""
 }
 
-// question asks one node, and notes what comes of it.
-func (p *picker) question(ctx context.Context, to, key string) (relayAnswer, error) {
-	a, err := p.ask(ctx, to, key)
+// query asks one node and records the result.
+func (p *picker) query(ctx context.Context, to, key string) (relayAnswer, error) {
+	answer, err := p.ask(ctx, to, key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case err == nil && a.Works && !a.Relay:
+	case err == nil && answer.Working && !answer.Relay:
 		delete(p.failed, to)
 		p.nodes = map[string]membership.Node{}
-		for _, n := range a.Nodes {
+		for _, n := range answer.Nodes {
 			p.nodes[n.Address] = n
 		}
-		if a.Owner != "" {
-			p.owners[key] = a.Owner
+		if answer.Owner != "" {
+			p.owners[key] = answer.Owner
 		}
-		p.last, p.lookAt = to, time.Now()
-		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.rest })
+		p.lastWorking, p.searchedAt = to, time.Now()
+		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
 	case err != nil && ctx.Err() != nil:
-		// Another was quicker, or the time is over: whoever asked knows what that says.
+		// Another node was quicker, or the time is over; the caller decides whether this one
+		// failed.
 	default:
 		p.failed[to] = time.Now()
 	}
-	return a, err
+	return answer, err
 }
 
-// fails notes that a node gives no good answer.
-func (p *picker) fails(id string) {
+// noteFailure records that a node gave no good answer.
+func (p *picker) noteFailure(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed[id] = time.Now()
 }
 
-// resting says whether a node has lately given no good answer.
-func (p *picker) resting(id string) bool {
+// coolingDown reports whether a node has recently given no good answer.
+func (p *picker) coolingDown(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lately(id)
+	return p.coolingDownLocked(id)
 }
 
-func (p *picker) lately(id string) bool {
+func (p *picker) coolingDownLocked(id string) bool {
 	at, ok := p.failed[id]
-	return ok && time.Since(at) < p.rest
+	return ok && time.Since(at) < p.cooldown
 }
 
-// candidates lists whom to ask: the owner, who answered last, the other control nodes, those
-// of the own zone first, the seeds; and at the end those that lately gave no good
-// answer, the one that did so longest ago first.
+// candidates lists the nodes to ask, in order: the owner, the node that answered last, the other
+// control nodes with those of this zone first, and the seeds. Those that recently gave no good answer
+// come last, the one that did so longest ago first.
 func (p *picker) candidates(key string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := []string{p.owners[key], p.last}
+	out := []string{p.owners[key], p.lastWorking}
 	known := rendezvous.Order(p.self, slices.Collect(maps.Keys(p.nodes)))
 	slices.SortStableFunc(known, func(a, b string) int {
-		return cmp.Compare(p.away(a), p.away(b))
+		return cmp.Compare(p.zoneRank(a), p.zoneRank(b))
 	})
 	out = append(append(out, known...), rendezvous.Order(p.self, p.seeds)...)
 	seen := map[string]bool{"": true, p.self: true}
@@ -203,19 +206,19 @@
 		seen[id] = true
 		return again
 	})
-	bad := slices.DeleteFunc(slices.Clone(out), func(id string) bool { return !p.lately(id) })
-	slices.SortStableFunc(bad, func(a, b string) int { return p.failed[a].Compare(p.failed[b]) })
-	return append(slices.DeleteFunc(out, p.lately), bad...)
+	cooling := slices.DeleteFunc(slices.Clone(out), func(id string) bool { return !p.coolingDownLocked(id) })
+	slices.SortStableFunc(cooling, func(a, b string) int { return p.failed[a].Compare(p.failed[b]) })
+	return append(slices.DeleteFunc(out, p.coolingDownLocked), cooling...)
 }
 
-func (p *picker) away(id string) int {
+func (p *picker) zoneRank(id string) int {
 	if p.nodes[id].Zone == p.zone {
 		return 0
 	}
 	return 1
 }
 
-// setSeeds takes over other seeds.
+// setSeeds replaces the seeds.
 func (p *picker) setSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,19 +232,19 @@
 	return slices.SortedFunc(maps.Values(p.nodes), func(a, b membership.Node) int { return strings.Compare(a.Address, b.Address) })
 }
 
-// introduce is for a node that joins and takes this relay for a control node: it tells the
-// control nodes, after looking for them again if none has answered for a while.
+// introduce answers a joining node that takes this relay for a control node: it returns the control
+// nodes, after searching for them again if none has answered for a while.
 func (p *picker) introduce(n membership.Node) []membership.Node {
 	p.mu.Lock()
-	if _, have := p.nodes[n.Address]; n.Plane == membership.Control && !have && len(p.nodes) < maxKnown {
+	if _, have := p.nodes[n.Address]; n.Plane == membership.Control && !have && len(p.nodes) < maxRelayNodes {
 		p.nodes[n.Address] = n
 	}
-	fresh := !p.lookAt.IsZero() && time.Since(p.lookAt) < p.rest
-	if !fresh {
-		p.lookAt = time.Now() // one look for all that join at once
+	recent := !p.searchedAt.IsZero() && time.Since(p.searchedAt) < p.cooldown
+	if !recent {
+		p.searchedAt = time.Now() // one search for all that join at once
 	}
 	p.mu.Unlock()
-	if !fresh {
+	if !recent {
 		p.pick(context.Background(), config.Key)
 	}
 	return slices.DeleteFunc(p.known(), func(k membership.Node) bool { return k.Address == n.Address })
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -13,7 +13,7 @@
 // ArmState is one arm of a rollout as the administration API shows it.
 type ArmState struct {
 	Version  string  `json:"version"`
-	Answers  uint64  `json:"answers"` // scored, at the present weight
+	Answers  uint64  `json:"answers"` // scored at the present weight
 	Failed   uint64  `json:"failed"`
 	P99AtMs  float64 `json:"p99AtMostMs"` // 0: too few answers
 	MeanTime float64 `json:"meanTimeScore"`
@@ -29,37 +29,38 @@
 	AgeS       float64    `json:"ageS"`
 	WithinS    float64    `json:"withinS"`
 	Reason     string     `json:"reason,omitempty"`
-	Heard      int        `json:"heard"` // nodes with this weight in force
+	Heard      int        `json:"heard"` // nodes where this weight is in effect
 	Braked     int        `json:"braked"`
 	Arms       []ArmState `json:"arms"`
 }
 
-// rolloutStates shows all rollouts; figures of the arms are known at the controller.
+// states describes all rollouts. The figures of the arms are known only at the controller of a
+// rollout.
 func (c *rolloutController) states(now time.Duration) (out []RolloutState) {
 	out = []RolloutState{}
 	for service, v := range c.versions {
-		p := v.Plan
-		if p == nil {
+		plan := v.Plan
+		if plan == nil {
 			continue
 		}
 		sums := c.controller.Gathered(service)
-		s := RolloutState{Service: service, State: p.State(), Stage: p.Stage.String(), Weight: p.Weight, AgeS: p.Age.Seconds(),
-			Controller: c.member.Owner(now, rollout.Key(service)), WithinS: p.Within.Seconds(), Reason: p.Reason,
+		state := RolloutState{Service: service, State: plan.State(), Stage: plan.Stage.String(), Weight: plan.Weight, AgeS: plan.Age.Seconds(),
+			Controller: c.replica.Owner(now, rollout.Key(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
 			Heard: len(sums.Nodes), Braked: sums.Braked}
-		if !p.Final() {
-			s.AgeS = c.controller.Age(now, service).Seconds()
+		if !plan.Final() {
+			state.AgeS = c.controller.Age(now, service).Seconds()
 		}
 		all := sums.Sums.All()
-		for arm, version := range []string{p.Prior, p.Candidate} {
-			s.Arms = append(s.Arms, armState(version, all[arm]))
+		for arm, version := range []string{plan.Prior, plan.Candidate} {
+			state.Arms = append(state.Arms, armState(version, all[arm]))
 		}
-		out = append(out, s)
+		out = append(out, state)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
 	return out
 }
 
-func (c *rolloutController) shownState(now time.Duration, service string) []byte {
+func (c *rolloutController) stateJSON(now time.Duration, service string) []byte {
 	for _, s := range c.states(now) {
 		if s.Service == service {
 			b, _ := json.MarshalIndent(s, "", "  ")
@@ -69,23 +70,23 @@
 	return nil
 }
 
-// rolloutAtController shows a rollout as its controller knows it.
+// stateAtController returns the state of a rollout as its controller knows it.
 func (c *rolloutController) stateAtController(caller context.Context, service string) ([]byte, error) {
 	if err := c.hasService(caller, service); err != nil {
 		return nil, err
 	}
-	body, err := c.submit(caller, order{Key: rollout.Key(service), Show: true})
+	body, err := c.submit(caller, order{Key: rollout.Key(service), ShowState: true})
 	if err == nil && body == nil {
 		err = apierror.New(apierror.NoRollout, "%s", service)
 	}
 	return body, err
 }
 
-func armState(version string, c rollout.Cell) ArmState {
-	s := ArmState{Version: version, Answers: c.Ended, Failed: c.Failed()}
-	if c.N > 0 {
-		s.MeanTime = c.Sum / float64(c.N)
-		s.P99AtMs = float64(c.Tail()) / float64(time.Millisecond)
+func armState(version string, cell rollout.Cell) ArmState {
+	state := ArmState{Version: version, Answers: cell.Ended, Failed: cell.Failed()}
+	if cell.N > 0 {
+		state.MeanTime = cell.Sum / float64(cell.N)
+		state.P99AtMs = float64(cell.Tail()) / float64(time.Millisecond)
 	}
-	return s
+	return state
 }
