--- a/internal/delivery/changelog.go
+++ b/internal/delivery/changelog.go
@@ -2,58 +2,58 @@
 
 import "madderwing/internal/antientropy"
 
-// loggedChanges is how many of the newest changes of each range a ChangeLog holds.
-const loggedChanges = 128
+// maxLoggedChanges is the number of newest changes that a ChangeLog keeps for each range.
+const maxLoggedChanges = 128
 
-// ChangeLog holds the newest changes of a set of records, so that a watcher that lacks only these is
-// sent them and not the ranges that they are in.
+// ChangeLog keeps the newest changes of a set of records, so that a watcher that lacks only these
+// is sent the changed records instead of whole ranges.
 type ChangeLog struct {
 	ranges [antientropy.Ranges]rangeLog
 }
 
 type rangeLog struct {
-	changes []rangeChange // the oldest first
-	after   uint64        // the digest after the last one
+	changes    []rangeChange // oldest first
+	lastDigest uint64        // digest of the range after the last change
 }
 
-// rangeChange is a change of one record of a range whose digest was before.
+// rangeChange is a change of one record. The digest of its range was digestBefore until then.
 type rangeChange struct {
-	before uint64
-	name   string
+	digestBefore uint64
+	name         string
 }
 
-// Put puts a record into a set and notes that.
+// Put puts a record into a set and logs the change.
 func (l *ChangeLog) Put(set *antientropy.Set, r antientropy.Record) {
-	i := antientropy.RangeOf(r.Name)
-	log, before := &l.ranges[i], set.Sums[i]
-	if log.after != before {
+	rangeIndex := antientropy.RangeOf(r.Name)
+	log, digestBefore := &l.ranges[rangeIndex], set.Sums[rangeIndex]
+	if log.lastDigest != digestBefore {
 		log.changes = nil
 	}
 	set.Put(r)
-	log.changes = append(log.changes, rangeChange{before, r.Name})
-	log.changes = log.changes[max(0, len(log.changes)-loggedChanges):]
-	log.after = set.Sums[i]
+	log.changes = append(log.changes, rangeChange{digestBefore, r.Name})
+	log.changes = log.changes[max(0, len(log.changes)-maxLoggedChanges):]
+	log.lastDigest = set.Sums[rangeIndex]
 }
 
-// since lists the records of a range that have changed since its digest was has; ok is false if that
-// isn't known.
-func (l *ChangeLog) since(set *antientropy.Set, i int, has uint64) (records []antientropy.Record, ok bool) {
-	log := &l.ranges[i]
-	if log.after != set.Sums[i] {
+// changesSince returns the records of a range that have changed since it had the given digest. ok is
+// false if the log doesn't go back that far or the range was changed without the log.
+func (l *ChangeLog) changesSince(set *antientropy.Set, rangeIndex int, digest uint64) (records []antientropy.Record, ok bool) {
+	log := &l.ranges[rangeIndex]
+	if log.lastDigest != set.Sums[rangeIndex] {
 		return nil, false
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for n := len(log.changes) - 1; n >= 0; n-- {
 		change := log.changes[n]
-		if !named[change.name] {
-			r, stands := set.Records[change.name]
-			if !stands {
+		if !seen[change.name] {
+			r, exists := set.Records[change.name]
+			if !exists {
 				return nil, false
 			}
-			named[change.name] = true
+			seen[change.name] = true
 			records = append(records, r)
 		}
-		if change.before == has {
+		if change.digestBefore == digest {
 			return records, true
 		}
 	}
--- a/internal/delivery/changelog_test.go
+++ b/internal/delivery/changelog_test.go
@@ -21,7 +21,7 @@
 	}{
 		"one change":                    {1, false, 0, 1},
 		"ten changes":                   {10, false, 0, 10},
-		"too many changes":              {2 * loggedChanges * antientropy.Ranges, false, 0, 0},
+		"too many changes":              {2 * maxLoggedChanges * antientropy.Ranges, false, 0, 0},
 		"a copy that was never the set": {1, true, 0, 0},
 	} {
 		set, log, copied := antientropy.NewSet(), &ChangeLog{}, NewCopy()
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,7 +1,7 @@
-// Package delivery brings the newest items and the list of upstreams from the
-// control nodes to the gateways. A gateway tells a control node again and again what it has;
-// the control node sends what is missing, at once when something changes. Nothing
-// has to be remembered for the two to agree in the end.
+// Package delivery replicates the configuration records and the list of upstreams from the control
+// nodes to the gateways. A gateway periodically tells a control node what it holds (it watches that
+// control node). The control node sends what is missing, and sends changes as soon as they happen.
+// Neither has to remember anything for the two to converge.
 package delivery
 
 import (
@@ -12,209 +12,211 @@
 	"madderwing/internal/upstream"
 )
 
-// Kinds of message.
+// Kinds of messages.
 const (
-	ToldKind = "told" // between control nodes
+	ToldKind = "told" // between control nodes: a summary of their watchers
 
-	ScoreKind  = "score"  // a gateway to the control node that it watches first
-	GatherKind = "gather" // and a control node to the controller of a rollout
+	ScoreKind  = "score"  // gateway to the control node that it watches first: what it saw of rollouts
+	GatherKind = "gather" // control node to the controller of a rollout: these reports
 
 	WatchKind = "watch"
 	IssueKind = "issue"
 
-	AcquireKind      = "draw"   // a gateway to a branch that lends quotas
-	AcquireReplyKind = "drawn"  // and its answer
-	ReturnKind       = "return" // a gateway to a branch: a token that was not used
-	ReportKind       = "report" // a branch to the allocator
-	AllocationKind   = "loan"   // and its answer
-	RecallKind       = "recall" // a new lender to the branches
+	AcquireKind      = "draw"   // gateway to a control node: a request for a quota token
+	AcquireReplyKind = "drawn"  // answer to "draw"
+	ReturnKind       = "return" // gateway to a control node: a token that was not used
+	ReportKind       = "report" // control node to the quota allocator: its shares and its demand
+	AllocationKind   = "loan"   // answer to "report"
+	RecallKind       = "recall" // new quota allocator to the control nodes: a request for a report
 )
 
-// Watch is what a node says that it has.
+// Watch tells a control node what the sender holds, and asks for what it lacks.
 type Watch struct {
-	Sums    *antientropy.Sums `cbor:"1,keyasint,omitempty"` // nil: only the list is wanted
+	Sums    *antientropy.Sums `cbor:"1,keyasint,omitempty"` // nil: only the list of upstreams is requested
 	Listing upstream.Version  `cbor:"2,keyasint"`
-	// Zone and Load are the sender's zone and requests under way by service. A
-	// gateway tells them to one control node only.
+	// Zone and Load are the sender's zone and its requests in flight by service. A
+	// gateway sends them to one control node only.
 	Zone string             `cbor:"3,keyasint,omitempty"`
 	Load map[string]float64 `cbor:"4,keyasint,omitempty"`
-	// Asked is the sender's clock, so that it can tell how old its items are.
+	// Asked is the sender's clock. The answer repeats it, so that the sender can bound the age
+	// of its records.
 	Asked time.Duration `cbor:"5,keyasint,omitempty"`
-	// Second says that the sender hears of changes from another control node; this one
-	// is to answer what it asks and need not send by itself.
+	// Second says that another control node sends changes to the sender. The receiver only
+	// answers this message and sends nothing unasked.
 	Second bool `cbor:"6,keyasint,omitempty"`
-	// Packs says that the sender reads packs.
+	// Packs says that the sender accepts packs, see Pack.
 	Packs bool `cbor:"7,keyasint,omitempty"`
-	// Horizons go with Sums. Gateways of a version before them send none.
+	// Horizons belong to Sums. Gateways of versions before horizons send none.
 	Horizons *Horizons `cbor:"8,keyasint,omitempty"`
 }
 
-// Told is what control nodes tell each other of those who watch them: loads by zone,
-// and the digest of the items that each gateway has in force.
+// Told is the summary of its watchers that a control node sends to the others: the loads by
+// zone, and the digest of the records that each gateway holds.
 type Told struct {
 	Loads upstream.Loads    `cbor:"1,keyasint,omitempty"`
 	Holds map[string]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Issue is what a control node sends.
+// Issue is an update that a control node sends to a watcher.
 type Issue struct {
 	Records []antientropy.Record `cbor:"1,keyasint,omitempty"`
 	Listing *upstream.List       `cbor:"2,keyasint,omitempty"`
-	// Fresh says that a majority has lately stood behind all that the control node shows.
+	// Fresh says that a majority has recently confirmed all that the control node serves.
 	Fresh bool `cbor:"3,keyasint,omitempty"`
-	// Loads are those of all zones, as far as the control node knows.
+	// Loads are the loads of all zones that the control node knows of.
 	Loads upstream.Loads `cbor:"4,keyasint,omitempty"`
-	// Sure answers Asked, if the items brought or named by the question's digests
-	// are all that the control node holds and it knows how old that is.
+	// Sure answers Watch.Asked. It is set if the watcher, given this update, holds all records of
+	// the control node, and the control node knows how old these are.
 	Sure *Sure `cbor:"5,keyasint,omitempty"`
-	// Led says that every rollout under way has a controller that the control node hears; it
-	// is not said without Fresh.
+	// Led says that every active rollout has a controller that the control node hears from. It
+	// is set only together with Fresh.
 	Led bool `cbor:"6,keyasint,omitempty"`
-	// Packs are records too, folded up; More says that further ranges differ, which the
-	// watcher gets by asking again.
+	// Packs are compressed records, see Pack. More says that further ranges differ; the
+	// watcher gets these by asking again.
 	Packs [][]byte `cbor:"7,keyasint,omitempty"`
 	More  bool     `cbor:"8,keyasint,omitempty"`
-	// Horizon is that of the records, which then are, of the configuration's own, all that
-	// the control node holds in Ranges. Ranges are named from the first horizon on; control
-	// nodes of a version before them send neither.
+	// Horizon is the horizon of the control node's records (see config.Horizon). Of the ranges in
+	// Ranges, the update contains all forgettable records (see config.IsForgettable). Ranges is
+	// empty while the horizon is 0. Control nodes of versions before horizons send neither.
 	Horizon *uint64 `cbor:"9,keyasint,omitempty"`
 	Ranges  []int   `cbor:"10,keyasint,omitempty"`
-	// Listed says as of when the list holds. Only control nodes are told.
+	// Listed says how recent the list of upstreams is. It is sent to control nodes only.
 	Listed *Listed `cbor:"11,keyasint,omitempty"`
 }
 
-// Listed says that the platform's list of a version was whole and the newest Since after the watcher's
-// clock showed Asked, or, if Since is negative, before. Durations only: the two need no common clock.
+// Listed says that this version of the list of upstreams was complete and up to date at the time
+// Asked+Since of the watcher's clock or later. Since may be negative. With durations the two nodes need
+// no common clock.
 type Listed struct {
 	Version upstream.Version `cbor:"1,keyasint"`
 	Asked   time.Duration    `cbor:"2,keyasint"`
 	Since   time.Duration    `cbor:"3,keyasint"`
-	Calls   int              `cbor:"4,keyasint,omitempty"` // of the reading, to the platform
-	Took    time.Duration    `cbor:"5,keyasint,omitempty"` // the reading
+	Calls   int              `cbor:"4,keyasint,omitempty"` // platform API calls that reading the list took
+	Took    time.Duration    `cbor:"5,keyasint,omitempty"` // time that reading the list took
 }
 
-// Sure says that what the gateway has from now on was the newest, at the latest, Age
-// before it asked. Durations only: the two need no common clock.
+// Sure says that the records which the gateway holds after this update were up to date at the time
+// Asked-Age of its clock or later. With durations the two nodes need no common clock.
 type Sure struct {
 	Asked time.Duration `cbor:"1,keyasint"`
 	Age   time.Duration `cbor:"2,keyasint"`
 }
 
-// Empty says whether an issue brings nothing.
+// Empty reports whether an update contains neither records nor a list.
 func (i *Issue) Empty() bool {
 	return len(i.Records)+len(i.Packs)+len(i.Ranges) == 0 && i.Listing == nil
 }
 
-// Watchers is the list of those who watch a control node.
+// Watchers keeps the state of the nodes that watch a control node.
 type Watchers struct {
 	Forget time.Duration
-	all    map[string]*watcher
+	byID   map[string]*watcher
 }
 
 type watcher struct {
-	watch Watch // what it is believed to have
-	told  Watch // what it has told itself
-	holds uint64
-	seen  time.Duration
-	sent  time.Duration // when it was last sent something
-	any   bool
-}
-
-// Note notes what a watcher has.
-func (w *Watchers) Note(now time.Duration, from string, watch Watch) {
-	if w.all == nil {
-		w.all = map[string]*watcher{}
+	assumed  Watch  // what it is assumed to hold
+	reported Watch  // what it last reported itself
+	digest   uint64 // of the records that it reported, see antientropy.Sums.Fold
+	lastSeen time.Duration
+	lastSent time.Duration // when an update was last sent to it; see everSent
+	everSent bool
+}
+
+// Note sets what a watcher is assumed to hold.
+func (w *Watchers) Note(now time.Duration, from string, assumed Watch) {
+	if w.byID == nil {
+		w.byID = map[string]*watcher{}
 	}
-	x := &watcher{watch: watch, seen: now}
-	if old := w.all[from]; old != nil {
-		x.holds, x.told, x.sent, x.any = old.holds, old.told, old.sent, old.any
+	entry := &watcher{assumed: assumed, lastSeen: now}
+	if previous := w.byID[from]; previous != nil {
+		entry.digest, entry.reported, entry.lastSent, entry.everSent = previous.digest, previous.reported, previous.lastSent, previous.everSent
 	}
-	w.all[from] = x
+	w.byID[from] = entry
 }
 
-// Sent notes that a watcher was sent something.
+// Sent records that an update was sent to a watcher.
 func (w *Watchers) Sent(now time.Duration, to string) {
-	if x := w.all[to]; x != nil {
-		x.sent, x.any = now, true
+	if entry := w.byID[to]; entry != nil {
+		entry.lastSent, entry.everSent = now, true
 	}
 }
 
-// Believe is what a watcher may be taken to have: if it tells the same as last
-// time and something was sent to it within the time given, that is on its way and
-// need not be sent again. guessed says that this goes beyond its own word.
-func (w *Watchers) Believe(now time.Duration, from string, tells Watch, within time.Duration) (has Watch, guessed bool) {
-	x := w.all[from]
-	has = tells
-	if x != nil && x.any && now-x.sent < within {
-		if tells.Sums != nil && x.told.Sums != nil && *tells.Sums == *x.told.Sums && tells.sameHorizons(x.told) && x.watch.Sums != nil {
-			has.Sums, has.Horizons = x.watch.Sums, x.watch.Horizons
-			guessed = *x.watch.Sums != *tells.Sums || !tells.sameHorizons(x.watch)
+// Believe returns what a watcher can be assumed to hold. If it reports the same as last time and an
+// update was sent to it within the given time, the update is taken to be in flight and needn't be
+// sent again. guessed says that the result differs from what the watcher reported.
+func (w *Watchers) Believe(now time.Duration, from string, reported Watch, within time.Duration) (assumed Watch, guessed bool) {
+	entry := w.byID[from]
+	assumed = reported
+	if entry != nil && entry.everSent && now-entry.lastSent < within {
+		if reported.Sums != nil && entry.reported.Sums != nil && *reported.Sums == *entry.reported.Sums && reported.sameHorizons(entry.reported) && entry.assumed.Sums != nil {
+			assumed.Sums, assumed.Horizons = entry.assumed.Sums, entry.assumed.Horizons
+			guessed = *entry.assumed.Sums != *reported.Sums || !reported.sameHorizons(entry.assumed)
 		}
-		if tells.Listing == x.told.Listing && tells.Listing != x.watch.Listing {
-			has.Listing, guessed = x.watch.Listing, true
+		if reported.Listing == entry.reported.Listing && reported.Listing != entry.assumed.Listing {
+			assumed.Listing, guessed = entry.assumed.Listing, true
 		}
 	}
-	return has, guessed
+	return assumed, guessed
 }
 
-// Holds notes what a watcher has told.
-func (w *Watchers) Holds(from string, tells Watch) {
-	if x := w.all[from]; x != nil {
-		x.told = tells
-		if tells.Sums != nil {
-			x.holds = tells.Sums.Fold()
+// Holds records what a watcher reported.
+func (w *Watchers) Holds(from string, reported Watch) {
+	if entry := w.byID[from]; entry != nil {
+		entry.reported = reported
+		if reported.Sums != nil {
+			entry.digest = reported.Sums.Fold()
 		}
 	}
 }
 
-// Each calls fn for every watcher that is not forgotten, and has not said that
-// another control node sends it what changes, with what it is
-// believed to have; fn returns what it has from then on.
-func (w *Watchers) Each(now time.Duration, fn func(to string, has Watch) Watch) {
-	ids := make([]string, 0, len(w.all))
-	for id, x := range w.all {
-		if now-x.seen > w.Forget {
-			delete(w.all, id)
-		} else if !x.told.Second {
+// Each calls fn with the assumed state of every watcher that hasn't expired and doesn't get its
+// changes from another control node (see Watch.Second). fn returns the new assumed state. Expired
+// watchers are removed.
+func (w *Watchers) Each(now time.Duration, fn func(to string, assumed Watch) Watch) {
+	ids := make([]string, 0, len(w.byID))
+	for id, entry := range w.byID {
+		if now-entry.lastSeen > w.Forget {
+			delete(w.byID, id)
+		} else if !entry.reported.Second {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		w.all[id].watch = fn(id, w.all[id].watch)
+		w.byID[id].assumed = fn(id, w.byID[id].assumed)
 	}
 }
 
-// Told sums up what the watchers have told.
+// Told summarizes what the watchers reported.
 func (w *Watchers) Told(now time.Duration) Told {
 	out := Told{upstream.Loads{}, map[string]uint64{}}
-	for id, x := range w.all {
-		if now-x.seen > w.Forget || x.watch.Sums == nil {
+	for id, entry := range w.byID {
+		if now-entry.lastSeen > w.Forget || entry.assumed.Sums == nil {
 			continue
 		}
-		out.Holds[id] = x.holds
-		if x.watch.Zone != "" {
-			out.Loads.Add(upstream.Loads{x.watch.Zone: x.watch.Load})
+		out.Holds[id] = entry.digest
+		if entry.assumed.Zone != "" {
+			out.Loads.Add(upstream.Loads{entry.assumed.Zone: entry.assumed.Load})
 		}
 	}
 	return out
 }
 
-// Count is the number of watchers that are not forgotten.
+// Count returns the number of watchers that haven't expired.
 func (w *Watchers) Count(now time.Duration) (n int) {
-	for _, x := range w.all {
-		if now-x.seen <= w.Forget {
+	for _, entry := range w.byID {
+		if now-entry.lastSeen <= w.Forget {
 			n++
 		}
 	}
 	return n
 }
 
-// Has says what a watcher is believed to have.
+// Has returns what a watcher is assumed to hold.
 func (w *Watchers) Has(id string) (Watch, bool) {
-	x, ok := w.all[id]
+	entry, ok := w.byID[id]
 	if !ok {
 		return Watch{}, false
 	}
-	return x.watch, true
+	return entry.assumed, true
 }
--- a/internal/delivery/horizon.go
+++ b/internal/delivery/horizon.go
@@ -5,11 +5,12 @@
 	"madderwing/internal/config"
 )
 
-// This file holds how a copy of the items follows what the control nodes have forgotten
-// (see config.Horizon): ranges are taken whole from a sender with a higher horizon, by
-// name from one with the same, and not at all from one with a lower.
+// This file implements how a copy of the records follows the purging of dropped items (see
+// config.Horizon). A copy takes a range from a sender as follows: with a higher horizon the sender's
+// range replaces the copy's, with the same horizon newer records are merged, and with a lower one
+// only records that are never purged are merged.
 
-// Horizons are those up to which each range of a copy has been taken whole.
+// Horizons holds, for each range of a copy, the horizon at which the range was last replaced.
 type Horizons [antientropy.Ranges]uint64
 
 func (w Watch) sameHorizons(o Watch) bool {
@@ -19,85 +20,86 @@
 	return *w.Horizons == *o.Horizons
 }
 
-// Sender brings watchers the ranges that they lack, out of the records that a control
-// node shows.
+// Sender adds the ranges that a watcher lacks, from the records that a control node serves, to
+// updates.
 type Sender struct {
-	// Log holds the newest changes of the records; nil: ranges are always sent whole.
-	Log   *ChangeLog
-	packs Packs
-	next  int // the range to begin with for watchers that have no horizons
+	// Log holds the newest changes of the records. If it is nil, ranges are always sent whole.
+	Log       *ChangeLog
+	packs     Packs
+	nextStart int // counter that rotates the first range for watchers without horizons
 }
 
-// Bring puts ranges that a watcher lacks into an issue, until they take about most bytes, and
-// returns what the watcher has then.
-func (s *Sender) Bring(set *antientropy.Set, has Watch, most int, out *Issue) Watch {
+// Bring adds ranges that a watcher lacks to an update until they take about maxBytes, and returns
+// what the watcher holds once it has applied the update.
+func (s *Sender) Bring(set *antientropy.Set, watch Watch, maxBytes int, out *Issue) Watch {
 	horizon := config.Horizon(set.Records)
-	lacks := has.lacks(set.Sums, horizon)
-	if len(lacks) == 0 {
-		return has
+	missing := watch.missingRanges(set.Sums, horizon)
+	if len(missing) == 0 {
+		return watch
 	}
-	if has.Horizons == nil && horizon > 0 {
-		// It keeps what was forgotten, so these ranges may never become the same: each is
-		// to have its turn.
-		s.next++
-		begin := s.next % len(lacks)
-		lacks = append(lacks[begin:len(lacks):len(lacks)], lacks[:begin]...)
+	if watch.Horizons == nil && horizon > 0 {
+		// Such a watcher keeps purged records, so its ranges may never become equal. Rotating the
+		// first range keeps a range that always differs from starving the others.
+		s.nextStart++
+		start := s.nextStart % len(missing)
+		missing = append(missing[start:len(missing):len(missing)], missing[:start]...)
 	}
 	out.Horizon = &horizon
-	sums := *has.Sums
+	sums := *watch.Sums
 	var horizons Horizons
-	if has.Horizons != nil {
-		horizons = *has.Horizons
+	if watch.Horizons != nil {
+		horizons = *watch.Horizons
 	}
-	bytes, sent := 0, 0
-	for _, i := range lacks {
-		if bytes >= most {
+	bytes, sentRanges := 0, 0
+	for _, rangeIndex := range missing {
+		if bytes >= maxBytes {
 			break
 		}
-		sent++
-		if horizons[i] > horizon {
-			// This control node lags. What is not the configuration's may be news all the same.
-			for _, r := range set.Pick([]int{i}) {
+		sentRanges++
+		if horizons[rangeIndex] > horizon {
+			// This control node lags behind the watcher. Records that are never purged may still be newer.
+			for _, r := range set.Pick([]int{rangeIndex}) {
 				if !config.IsForgettable(r.Name) {
 					out.Records = append(out.Records, r)
 				}
 			}
 			continue
 		}
-		if size, ok := s.bringChanges(set, has, i, horizon, out); ok {
+		if size, ok := s.addChanges(set, watch, rangeIndex, horizon, out); ok {
 			bytes += size
-			sums[i] = set.Sums[i]
+			sums[rangeIndex] = set.Sums[rangeIndex]
 			continue
 		}
-		bytes += s.packs.Range(set, i, has.Packs, out)
-		sums[i], horizons[i] = set.Sums[i], horizon
+		bytes += s.packs.Range(set, rangeIndex, watch.Packs, out)
+		sums[rangeIndex], horizons[rangeIndex] = set.Sums[rangeIndex], horizon
 		if horizon > 0 {
-			out.Ranges = append(out.Ranges, i)
+			out.Ranges = append(out.Ranges, rangeIndex)
 		}
 	}
-	out.More = sent < len(lacks)
-	has.Sums = &sums
-	if has.Horizons != nil {
-		has.Horizons = &horizons
+	out.More = sentRanges < len(missing)
+	watch.Sums = &sums
+	if watch.Horizons != nil {
+		watch.Horizons = &horizons
 	}
-	return has
+	return watch
 }
 
-// bringChanges puts what has changed in a range since the watcher's copy of it into an issue, if that
-// is known and the watcher holds the range up to the same horizon, and says about how many bytes that takes.
-func (s *Sender) bringChanges(set *antientropy.Set, has Watch, i int, horizon uint64, out *Issue) (size int, ok bool) {
-	if s.Log == nil || has.Horizons != nil && has.Horizons[i] != horizon {
+// addChanges adds the records of a range that have changed since the watcher's copy of it to an update.
+// ok is false if they aren't known or the watcher has the range at another horizon. size is
+// approximate, in bytes.
+func (s *Sender) addChanges(set *antientropy.Set, watch Watch, rangeIndex int, horizon uint64, out *Issue) (size int, ok bool) {
+	if s.Log == nil || watch.Horizons != nil && watch.Horizons[rangeIndex] != horizon {
 		return 0, false
 	}
-	records, ok := s.Log.since(set, i, has.Sums[i])
+	records, ok := s.Log.changesSince(set, rangeIndex, watch.Sums[rangeIndex])
 	if ok {
 		out.Records = append(out.Records, records...)
 	}
-	return weight(records), ok
+	return approxSize(records), ok
 }
 
-// lacks names the ranges that a watcher holds otherwise, or not up to a horizon.
-func (w Watch) lacks(sums antientropy.Sums, horizon uint64) (ranges []int) {
+// missingRanges returns the ranges whose digests differ or whose horizon is lower at the watcher.
+func (w Watch) missingRanges(sums antientropy.Sums, horizon uint64) (ranges []int) {
 	for i := range sums {
 		if w.Sums[i] != sums[i] || w.Horizons != nil && w.Horizons[i] < horizon {
 			ranges = append(ranges, i)
@@ -106,72 +108,72 @@
 	return ranges
 }
 
-// Copy is a gateway's copy of the items.
+// Copy is a gateway's copy of the records.
 type Copy struct {
 	*antientropy.Set
 	horizons Horizons
 }
 
-// NewCopy makes an empty copy.
+// NewCopy returns an empty copy.
 func NewCopy() *Copy { return &Copy{Set: antientropy.NewSet()} }
 
-// Tell puts what the copy holds into a question.
+// Tell sets the digests and horizons of the copy in w.
 func (c *Copy) Tell(w *Watch) {
 	sums, horizons := c.Sums, c.horizons
 	w.Sums, w.Horizons = &sums, &horizons
 }
 
-// Take takes over what an issue brings, and says whether that changed anything. One with a
-// damaged pack is not taken at all: a range could seem empty.
-func (c *Copy) Take(i Issue) (changed bool, err error) {
-	records := i.Records
-	for _, pack := range i.Packs {
+// Take applies an update and reports whether that changed anything. An update with a damaged pack
+// is rejected as a whole, since a range without the pack's records would seem empty.
+func (c *Copy) Take(update Issue) (changed bool, err error) {
+	records := update.Records
+	for _, pack := range update.Packs {
 		unpacked, err := Unpack(pack)
 		if err != nil {
 			return false, err
 		}
 		records = append(records, unpacked...)
 	}
-	if i.Horizon == nil {
-		return c.takeOlder(records), nil
+	if update.Horizon == nil {
+		return c.applyWithoutHorizon(records), nil
 	}
-	changed = c.replace(*i.Horizon, i.Ranges, records)
+	changed = c.replaceRanges(*update.Horizon, update.Ranges, records)
 	for _, r := range records {
-		if config.IsForgettable(r.Name) && c.horizons[antientropy.RangeOf(r.Name)] != *i.Horizon {
-			continue // the sender lags
+		if config.IsForgettable(r.Name) && c.horizons[antientropy.RangeOf(r.Name)] != *update.Horizon {
+			continue // the sender's horizon is lower than the copy's
 		}
 		changed = c.Merge([]antientropy.Record{r}) || changed
 	}
 	return changed, nil
 }
 
-// replace takes the ranges whole that the copy holds up to a lower horizon only.
-func (c *Copy) replace(horizon uint64, ranges []int, records []antientropy.Record) (changed bool) {
-	var whole [antientropy.Ranges]bool
-	var lower []int
+// replaceRanges replaces those of the given ranges that the copy has at a lower horizon.
+func (c *Copy) replaceRanges(horizon uint64, ranges []int, records []antientropy.Record) (changed bool) {
+	var isReplaced [antientropy.Ranges]bool
+	var replaced []int
 	for _, i := range ranges {
 		if i >= 0 && i < antientropy.Ranges && c.horizons[i] < horizon {
-			whole[i] = true
-			lower = append(lower, i)
+			isReplaced[i] = true
+			replaced = append(replaced, i)
 			c.horizons[i] = horizon
 		}
 	}
-	if len(lower) == 0 {
+	if len(replaced) == 0 {
 		return false
 	}
-	var with []antientropy.Record
+	var replacements []antientropy.Record
 	for _, r := range records {
-		if config.IsForgettable(r.Name) && whole[antientropy.RangeOf(r.Name)] {
-			with = append(with, r)
+		if config.IsForgettable(r.Name) && isReplaced[antientropy.RangeOf(r.Name)] {
+			replacements = append(replacements, r)
 		}
 	}
-	return config.Replace(c.Set, lower, with)
+	return config.Replace(c.Set, replaced, replacements)
 }
 
-// takeOlder takes over what a control node of a version without horizons sends, by name.
-// What it brings may have been forgotten, so the next one with a horizon brings these
-// ranges whole.
-func (c *Copy) takeOlder(records []antientropy.Record) (changed bool) {
+// applyWithoutHorizon merges records from a control node of a version without horizons. They may have
+// been purged elsewhere, so the horizons of their ranges are reset: the next update with a horizon
+// replaces these ranges.
+func (c *Copy) applyWithoutHorizon(records []antientropy.Record) (changed bool) {
 	for _, r := range records {
 		if c.Merge([]antientropy.Record{r}) {
 			c.horizons[antientropy.RangeOf(r.Name)] = 0
--- a/internal/delivery/pack.go
+++ b/internal/delivery/pack.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	packFrom = 2 << 10  // smaller ranges are not worth it
-	packMost = 64 << 20 // bytes that a pack may unfold to
+	minPackBytes     = 2 << 10  // bytes; smaller ranges are sent uncompressed
+	maxUnpackedBytes = 64 << 20 // bytes; guards against decompression bombs
 )
 
-var errPack = errors.New("not a pack of records")
+var errInvalidPack = errors.New("damaged or oversized pack of records")
 
-// Pack folds records up. Items of operators are alike, so a pack takes a fraction of
-// what they take one by one.
+// Pack compresses records into a pack. The items that an operator configures resemble each other,
+// so a pack takes a fraction of the size of its records.
 func Pack(records []antientropy.Record) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -32,47 +32,48 @@
 	return out.Bytes(), err
 }
 
-// Unpack unfolds a pack; a damaged one, or one of more than 64 MiB, is an error.
+// Unpack decompresses a pack. It fails if the pack is damaged or holds more than 64 MiB.
 func Unpack(pack []byte) (records []antientropy.Record, err error) {
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(pack)), packMost+1))
-	if err != nil || len(text) > packMost || cbor.Unmarshal(text, &records) != nil {
-		return nil, errPack
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(pack)), maxUnpackedBytes+1))
+	if err != nil || len(encoded) > maxUnpackedBytes || cbor.Unmarshal(encoded, &records) != nil {
+		return nil, errInvalidPack
 	}
 	return records, nil
 }
 
-// Packs holds the packs of a set's ranges as they were last asked for.
+// Packs caches the pack of each range of a set, for the digest that the range had when last requested.
 type Packs [antientropy.Ranges]struct {
 	sum  uint64
-	pack []byte // nil: not worth it
+	pack []byte // nil: sent uncompressed
 }
 
-// Range puts one range of a set into an issue, packed if the watcher reads packs and
-// it is worth it, and says about how many bytes that takes.
-func (p *Packs) Range(set *antientropy.Set, i int, packs bool, out *Issue) (size int) {
-	if packs {
-		if r := &p[i]; r.sum != set.Sums[i] {
-			records := set.Pick([]int{i})
-			r.sum, r.pack = set.Sums[i], nil
-			if weight(records) >= packFrom {
+// Range adds range i of a set to an update, as a pack if the watcher accepts packs and the range is
+// large enough. It returns the approximate size in bytes.
+func (p *Packs) Range(set *antientropy.Set, rangeIndex int, acceptsPacks bool, out *Issue) (size int) {
+	if acceptsPacks {
+		if cached := &p[rangeIndex]; cached.sum != set.Sums[rangeIndex] {
+			records := set.Pick([]int{rangeIndex})
+			cached.sum, cached.pack = set.Sums[rangeIndex], nil
+			if approxSize(records) >= minPackBytes {
 				if b, err := Pack(records); err == nil {
-					r.pack = b
+					cached.pack = b
 				}
 			}
 		}
-		if b := p[i].pack; b != nil {
+		if b := p[rangeIndex].pack; b != nil {
 			out.Packs = append(out.Packs, b)
 			return len(b)
 		}
 	}
-	records := set.Pick([]int{i})
+	records := set.Pick([]int{rangeIndex})
 	out.Records = append(out.Records, records...)
-	return weight(records)
+	return approxSize(records)
 }
 
-func weight(records []antientropy.Record) (n int) {
+// approxSize estimates the encoded size of records in bytes.
+func approxSize(records []antientropy.Record) (size int) {
 	for _, r := range records {
-		n += len(r.Name) + len(r.Data) + 16
+		size += len(r.Name) + len(r.Data) + 16
 	}
-	return n
+	return size
 }
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -1,6 +1,6 @@
 package delivery
 
-// This file holds how a gateway chooses the control nodes that it watches.
+// This file implements how a gateway selects the control nodes that it watches.
 
 import (
 	"slices"
@@ -10,97 +10,98 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Sources picks the two control nodes that a gateway watches: in different zones, its
-// own zone first, and none that has lately been found wanting if others are
-// left. One that was is first tried again in the second place.
+// Sources selects the two control nodes (sources) that a gateway watches. They are in different
+// zones, the gateway's own zone comes first, and a control node that recently timed out is avoided
+// while there are others. Such a node is tried in second place before it becomes the first again.
+// A source is fresh while it sends updates with Issue.Fresh set, and stale while it sends others.
 type Sources struct {
 	Self   string
 	Zone   string
-	Region func(zone string) string // nil: there is but one
+	Region func(zone string) string // nil: there is only one region
 	Seeds  []string
-	// Patience is how long a source may be silent. One that answers, but out of contact
-	// with a majority, is left sooner: see stalePart.
-	Patience time.Duration
-	heard    map[string]time.Duration // last fresh word
-	stale    map[string]bool          // the last word was not fresh
-	since    map[string]time.Duration // chosen since
-	bad      map[string]time.Duration // not before, and then on trial until it is heard fresh
-	current  []string
-	known    []string      // those that were alive when any were, and the seeds
-	freshAt  time.Duration // when any has last given a fresh word
-	alsoAt   time.Duration // when others than those that are watched were last asked
-	asked    int           // how many of known have been asked so
+	// Patience is how long a source may send nothing fresh before it is replaced. A source that
+	// answers but is stale is replaced sooner: see staleFraction.
+	Patience        time.Duration
+	lastFresh       map[string]time.Duration // time of the last fresh update
+	stale           map[string]bool          // whether the last update was not fresh
+	chosenAt        map[string]time.Duration // when a chosen source was chosen
+	avoidUntil      map[string]time.Duration // after that time only as second source, until it sends a fresh update
+	chosen          []string
+	candidates      []string      // control nodes that were last seen alive, and the seeds
+	anyFreshAt      time.Duration // time of the last fresh update from any control node
+	fallbackAskedAt time.Duration // when control nodes other than the chosen ones were last asked
+	fallbackIndex   int           // number of candidates passed so far; the index of the next one
 }
 
 const (
-	// alsoPart is the part of Patience without a fresh word from any source after which others
-	// are asked too, and alsoMost how many at a time.
-	alsoPart = 0.5
-	alsoMost = 4
-	// beatsOfPatience is how many beats Patience has.
-	beatsOfPatience = 3
-
-	stalePart     = 0.35 // of Patience, for a source that says that it is stale
-	bothStalePart = 0.85 // if the other is not fresh either: an owner may be being replaced
-	badFor        = 4    // patiences for which a source that was left is not tried
+	// fallbackFraction is the fraction of Patience without a fresh update from any control node after
+	// which others are asked too, and maxFallbacks how many of them at a time.
+	fallbackFraction = 0.5
+	maxFallbacks     = 4
+	// beatsPerPatience is the number of beats (intervals between watches) in Patience.
+	beatsPerPatience = 3
+
+	staleFraction     = 0.35 // of Patience, for a source that is stale
+	bothStaleFraction = 0.85 // if the other source is stale too: the configuration's owner may be being replaced
+	avoidTimeouts     = 4    // multiples of Patience for which a replaced source is avoided
 )
 
-// Heard notes an issue.
+// Heard records an update from a control node, and whether it was fresh.
 func (s *Sources) Heard(now time.Duration, from string, fresh bool) {
 	s.init()
 	s.stale[from] = !fresh
 	if fresh {
-		s.heard[from], s.freshAt = now, now
-		delete(s.bad, from)
+		s.lastFresh[from], s.anyFreshAt = now, now
+		delete(s.avoidUntil, from)
 	}
 }
 
 func (s *Sources) init() {
-	if s.heard == nil {
-		s.heard, s.since, s.bad = map[string]time.Duration{}, map[string]time.Duration{}, map[string]time.Duration{}
+	if s.lastFresh == nil {
+		s.lastFresh, s.chosenAt, s.avoidUntil = map[string]time.Duration{}, map[string]time.Duration{}, map[string]time.Duration{}
 		s.stale = map[string]bool{}
 	}
 }
 
-// First is the control node that the gateway watches first.
+// First returns the control node that the gateway watches first, or an empty string.
 func (s *Sources) First() string {
-	if len(s.current) == 0 {
+	if len(s.chosen) == 0 {
 		return ""
 	}
-	return s.current[0]
+	return s.chosen[0]
 }
 
-// without is how long a source has given no fresh word while it was chosen.
-func (s *Sources) without(now time.Duration, id string) time.Duration {
-	return now - max(s.heard[id], s.since[id])
+// timeWithoutFresh returns for how long a chosen source has sent no fresh update.
+func (s *Sources) timeWithoutFresh(now time.Duration, id string) time.Duration {
+	return now - max(s.lastFresh[id], s.chosenAt[id])
 }
 
-// patience is how long a source may go without a fresh word.
-func (s *Sources) patience(now time.Duration, id string) time.Duration {
-	part := 1.0
+// timeout returns how long a source may go without a fresh update.
+func (s *Sources) timeout(now time.Duration, id string) time.Duration {
+	fraction := 1.0
 	if s.stale[id] {
-		part = bothStalePart
-		for _, other := range s.current {
+		fraction = bothStaleFraction
+		for _, other := range s.chosen {
 			if other != id && !s.stale[other] {
-				part = stalePart
+				fraction = staleFraction
 			}
 		}
 	}
-	return time.Duration(part * float64(s.Patience))
+	return time.Duration(fraction * float64(s.Patience))
 }
 
-// Choose names the control nodes to watch now.
+// Choose returns the control nodes to watch now.
 func (s *Sources) Choose(now time.Duration, controlNodes []membership.Node) []string {
 	s.init()
-	var left []string
-	elsewhere := s.freshElsewhere(now)
-	for _, a := range s.current {
-		if without := s.without(now, a); without > s.patience(now, a) || elsewhere && without > s.lately() {
-			left = append(left, a)
+	var abandoned []string
+	freshUnwatched := s.freshUnwatched(now)
+	for _, id := range s.chosen {
+		if silence := s.timeWithoutFresh(now, id); silence > s.timeout(now, id) || freshUnwatched && silence > s.freshDuration() {
+			abandoned = append(abandoned, id)
 		}
 	}
-	for _, a := range left {
-		s.bad[a] = now + badFor*s.Patience
+	for _, id := range abandoned {
+		s.avoidUntil[id] = now + avoidTimeouts*s.Patience
 	}
 	zones := map[string]string{}
 	var ids []string
@@ -108,65 +109,65 @@
 		ids = append(ids, n.Address)
 		zones[n.Address] = n.Zone
 	}
-	s.know(ids)
+	s.updateCandidates(ids)
 	if len(ids) == 0 {
 		ids = append(ids, s.Seeds...)
 		for _, id := range ids {
 			zones[id] = id
 		}
 	}
-	order := rendezvous.Order(s.Self, ids)
-	pick := func(rank func(id string) int, fit func(id string) bool) (best string) {
-		for _, id := range order {
-			if fit(id) && (best == "" || rank(id) < rank(best)) {
+	ordered := rendezvous.Order(s.Self, ids)
+	pickBest := func(rank func(id string) int, eligible func(id string) bool) (best string) {
+		for _, id := range ordered {
+			if eligible(id) && (best == "" || rank(id) < rank(best)) {
 				best = id
 			}
 		}
 		return best
 	}
-	const bad, trial = 8, 4 // above any distance
-	var out []string
-	first := pick(func(id string) int {
-		rank := s.far(zones[id])
-		if until, was := s.bad[id]; was && until > now {
-			rank += bad
-		} else if was {
-			rank += trial
+	const avoidPenalty, trialPenalty = 8, 4 // higher than any distance
+	var selected []string
+	first := pickBest(func(id string) int {
+		rank := s.distance(zones[id])
+		if until, avoided := s.avoidUntil[id]; avoided && until > now {
+			rank += avoidPenalty
+		} else if avoided {
+			rank += trialPenalty
 		}
 		return rank
 	}, func(string) bool { return true })
 	if first != "" {
-		out = append(out, first)
+		selected = append(selected, first)
 	}
-	second := pick(func(id string) int {
-		rank := s.far(zones[id])
-		if s.bad[id] > now {
-			rank += bad
+	second := pickBest(func(id string) int {
+		rank := s.distance(zones[id])
+		if s.avoidUntil[id] > now {
+			rank += avoidPenalty
 		}
 		return rank
 	}, func(id string) bool { return zones[id] != zones[first] })
 	if second != "" {
-		out = append(out, second)
+		selected = append(selected, second)
 	}
-	chosen := map[string]bool{}
-	for _, id := range out {
-		chosen[id] = true
-		if _, ok := s.since[id]; !ok {
-			s.since[id] = now
+	isSelected := map[string]bool{}
+	for _, id := range selected {
+		isSelected[id] = true
+		if _, ok := s.chosenAt[id]; !ok {
+			s.chosenAt[id] = now
 			delete(s.stale, id)
 		}
 	}
-	for id := range s.since {
-		if !chosen[id] {
-			delete(s.since, id)
+	for id := range s.chosenAt {
+		if !isSelected[id] {
+			delete(s.chosenAt, id)
 		}
 	}
-	s.current = out
-	return out
+	s.chosen = selected
+	return selected
 }
 
-// far is 0 for the own zone, 1 for the own region, and 2 for others.
-func (s *Sources) far(zone string) int {
+// distance is 0 for the gateway's own zone, 1 for its own region, and 2 for others.
+func (s *Sources) distance(zone string) int {
 	switch {
 	case zone == s.Zone:
 		return 0
@@ -176,48 +177,51 @@
 	return 2
 }
 
-// know remembers the control nodes that are alive, and the seeds: those who were alive when this
-// gateway was cut off are asked when it is joined again, though they seem dead by then.
-func (s *Sources) know(alive []string) {
+// updateCandidates remembers the control nodes that are alive, and the seeds. If none is alive, the
+// previous candidates stay: a gateway that was partitioned asks them when the partition ends, although
+// they still seem dead then.
+func (s *Sources) updateCandidates(alive []string) {
 	if len(alive) > 0 {
-		s.known = alive
+		s.candidates = alive
 	}
 	for _, seed := range s.Seeds {
-		if !slices.Contains(s.known, seed) {
-			s.known = append(slices.Clip(s.known), seed)
+		if !slices.Contains(s.candidates, seed) {
+			s.candidates = append(slices.Clip(s.candidates), seed)
 		}
 	}
 }
 
-// AlsoAsk names further control nodes to ask, a few once a beat and all in turn, while no control node
-// has given a fresh word lately. To wait until each that is watched is found wanting, one after the
-// other, could take longer than contactS.
+// AlsoAsk returns further control nodes to ask while none has sent a fresh update recently: a few in
+// each beat, all in turn. Waiting for one watched control node after the other to time out could take
+// longer than the setting contactS.
 func (s *Sources) AlsoAsk(now time.Duration) (out []string) {
-	if now-s.freshAt < s.lately() || now-s.alsoAt < s.Patience/beatsOfPatience || len(s.known) == 0 {
+	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Patience/beatsPerPatience || len(s.candidates) == 0 {
 		return nil
 	}
-	s.alsoAt = now
-	order := rendezvous.Order(s.Self, s.known)
+	s.fallbackAskedAt = now
+	order := rendezvous.Order(s.Self, s.candidates)
 	for range order {
-		if len(out) == alsoMost {
+		if len(out) == maxFallbacks {
 			break
 		}
-		id := order[s.asked%len(order)]
-		s.asked++
-		if !slices.Contains(s.current, id) {
+		id := order[s.fallbackIndex%len(order)]
+		s.fallbackIndex++
+		if !slices.Contains(s.chosen, id) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// lately is for how long a fresh word counts as one.
-func (s *Sources) lately() time.Duration { return time.Duration(alsoPart * float64(s.Patience)) }
+// freshDuration is how long a fresh update counts as recent.
+func (s *Sources) freshDuration() time.Duration {
+	return time.Duration(fallbackFraction * float64(s.Patience))
+}
 
-// freshElsewhere says whether a control node that is not watched has lately given a fresh word.
-func (s *Sources) freshElsewhere(now time.Duration) bool {
-	for id, at := range s.heard {
-		if now-at < s.lately() && !slices.Contains(s.current, id) {
+// freshUnwatched reports whether a control node that is not watched has recently sent a fresh update.
+func (s *Sources) freshUnwatched(now time.Duration) bool {
+	for id, at := range s.lastFresh {
+		if now-at < s.freshDuration() && !slices.Contains(s.chosen, id) {
 			return true
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the data plane: it puts together the feed of items and
-// upstreams, the balancer of upstreams, and the handler that serves clients.
+// Package gateway implements the data plane: it keeps a copy of the configuration and of the list of
+// upstreams, balances requests over the upstreams and serves clients.
 package gateway
 
 import (
@@ -24,234 +24,235 @@
 	"madderwing/internal/upstream"
 )
 
-// Options are what the command line adds to the settings.
+// Options holds the command-line options of a gateway.
 type Options struct {
+	// Shards is the number of shards that the gateways are divided into, see membership.List.Shards.
 	Shards int
-	// Pace is the part of the link's rate at which large answers are passed on; 0: they
-	// are not paced.
+	// Pace is the fraction of the link's rate at which large responses are sent. 0 means no pacing.
 	Pace float64
 }
 
-// DefaultPace is the part of the link's rate at which large answers are passed on unless told
-// otherwise. The rest is left to what is short, so that it need not wait behind them.
+// DefaultPace is the default of Options.Pace. The rest of the link's rate is for small responses, so
+// that they needn't wait behind large ones.
 const DefaultPace = 0.65
 
-// keepFds are descriptors that are not for clients: files, upstreams, nodes.
-const keepFds = 0.4
+// reservedFdFraction is the fraction of file descriptors that is not for clients but for files,
+// upstreams and other nodes.
+const reservedFdFraction = 0.4
 
 // Gateway is one data-plane process.
 type Gateway struct {
-	set        *settings.Settings
-	opt        Options
-	post       *transport.Endpoint
-	reg        *membership.Service
+	settings   *settings.Settings
+	options    Options
+	endpoint   *transport.Endpoint
+	members    *membership.Service
 	dispatcher *proxy.Dispatcher
 	handler    *proxy.Handler
 	arms       *rollout.Arms
 	listener   *proxy.Listener
 	log        *slog.Logger
 
-	// Owned by the reader's goroutine.
-	commands chan func(now time.Duration)
-	start    time.Time
-	items    *delivery.Copy
-	builder  config.Builder
-	stand    upstream.ListSnapshot
-	sources  delivery.Sources
-	shard    int
-	load     map[string]float64
-	nodes    *membership.List // not yet acted on; nil: none
-	nodesAt  time.Duration    // when a list was last acted on
-	ready    *readiness
-	first    atomic.Value // the control node that is watched first
-	scoring  atomic.Bool
+	// Owned by the goroutine of syncLoop, except commands, startedAt, readiness and the atomic values.
+	commands       chan func(now time.Duration) // functions for syncLoop to run
+	startedAt      time.Time
+	configCopy     *delivery.Copy
+	builder        config.Builder
+	list           upstream.ListSnapshot
+	sources        delivery.Sources
+	shard          int
+	load           map[string]float64
+	pendingNodes   *membership.List // list of nodes that is not applied yet; nil: none
+	nodesAppliedAt time.Duration    // when a list of nodes was last applied
+	readiness      *readiness
+	primary        atomic.Value // string: address of the control node that is watched first
+	reporting      atomic.Bool  // the goroutine of reportRollouts is running
 
-	lease atomic.Int64  // until when keys may be relied on, where that is bounded
-	epoch time.Duration // added to this life's clock where that is told to others
-	draws draws
+	keyLeaseUntil atomic.Int64  // until when API keys may be used, if that is bounded; since startedAt, in ns
+	clockOffset   time.Duration // added to the time since startedAt in messages, see newClockOffset
+	tokenRequests tokenRequests
 
-	// Owned by read's goroutine.
-	rest   string // the control node that has more for this gateway
-	behind bool   // items have come that are not in force yet
+	// Owned by the goroutine of syncLoop.
+	continueFrom string // control node that has more records for this gateway
+	applyPending bool   // records have arrived that are not applied yet
 
-	evacuations map[string]uint64 // in force: zone -> generation
+	evacuations map[string]uint64 // in force: generation by zone
 }
 
-// Run serves until ctx ends, then leaves in order.
-func Run(ctx context.Context, set *settings.Settings, opt Options, reload <-chan *settings.Settings) error {
-	beat := set.Beat()
-	d := &Gateway{set: set, opt: opt, log: logging.For(logging.Gateway), commands: make(chan func(time.Duration), 256), start: time.Now(),
-		items: delivery.NewCopy(), shard: -1, epoch: newEpoch()}
-	patience := settings.Seconds(set.Bounds.ContactS / 10)
-	post, err := transport.New(set.GatewayAddress(set.IP), beat, logging.For(logging.Transport))
+// Run serves until ctx ends and then shuts down gracefully.
+func Run(ctx context.Context, cfg *settings.Settings, options Options, reload <-chan *settings.Settings) error {
+	beat := cfg.Beat()
+	g := &Gateway{settings: cfg, options: options, log: logging.For(logging.Gateway), commands: make(chan func(time.Duration), 256), startedAt: time.Now(),
+		configCopy: delivery.NewCopy(), shard: -1, clockOffset: newClockOffset()}
+	upstreamTimeout := settings.Seconds(cfg.Bounds.ContactS / 10)
+	endpoint, err := transport.New(cfg.GatewayAddress(cfg.IP), beat, logging.For(logging.Transport))
 	if err != nil {
 		return err
 	}
-	d.post = post
-	lag := settings.Seconds(set.CloudAPI.MaxLagS + set.Bounds.DrainS*0.4)
-	var region func(string) string
-	if set.HasRegistry() {
-		region = set.RegionOf
+	g.endpoint = endpoint
+	maxListAge := settings.Seconds(cfg.CloudAPI.MaxLagS + cfg.Bounds.DrainS*0.4)
+	var regionOf func(string) string
+	if cfg.HasRegistry() {
+		regionOf = cfg.RegionOf
 	}
-	balancer := upstream.NewBalancer(upstream.Config{Self: post.Self(), Zone: set.Zone, Region: region,
-		RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack, Window: settings.Seconds(set.Bounds.RetryWindowS),
-		Eject: patience, EjectMax: 8 * patience, Lag: lag, Calm: beat})
-	d.dispatcher = proxy.NewDispatcherAt(d.start, balancer, patience, patience/6)
-	d.arms = rollout.NewArms(post.Self(), settings.Seconds(set.Rollback()*silencePart), func() time.Duration { return time.Since(d.start) })
-	d.handler = proxy.NewHandler(d.dispatcher, d.arms)
-	d.boundAnswers()
-	d.ready = newReadiness(d.handler.Confirmed)
-	d.serveTenants()
-	d.listener, err = proxy.NewListener(set.Bind.Front, int(float64(set.Limits.MaxFds)*(1-keepFds)), d.handler, logging.For(logging.Proxy))
+	balancer := upstream.NewBalancer(upstream.Config{Self: endpoint.Self(), Zone: cfg.Zone, Region: regionOf,
+		RetryRatio: cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack, Window: settings.Seconds(cfg.Bounds.RetryWindowS),
+		Eject: upstreamTimeout, EjectMax: 8 * upstreamTimeout, Lag: maxListAge, Calm: beat})
+	g.dispatcher = proxy.NewDispatcherAt(g.startedAt, balancer, upstreamTimeout, upstreamTimeout/6)
+	g.arms = rollout.NewArms(endpoint.Self(), settings.Seconds(cfg.Rollback()*controllerSilenceFraction), func() time.Duration { return time.Since(g.startedAt) })
+	g.handler = proxy.NewHandler(g.dispatcher, g.arms)
+	g.limitLargeResponses()
+	g.readiness = newReadiness(g.handler.Confirmed)
+	g.setUpTenants()
+	g.listener, err = proxy.NewListener(cfg.Bind.Front, int(float64(cfg.Limits.MaxFds)*(1-reservedFdFraction)), g.handler, logging.For(logging.Proxy))
 	if err != nil {
 		return err
 	}
-	d.sources = delivery.Sources{Self: post.Self(), Zone: set.Zone, Region: region, Seeds: set.SeedControlNodes(), Patience: 3 * beat}
-	me := membership.Node{Address: post.Self(), Name: set.Node, Zone: set.Zone, Plane: membership.Data}
-	d.reg = membership.NewService(membership.Config{Self: me, Seeds: set.SeedControlNodes(), Beat: beat, Forget: 40 * beat},
-		post, d.nodesChanged)
-	transport.On(post, delivery.IssueKind, func(from string, i delivery.Issue) {
-		d.commands <- func(now time.Duration) { d.take(now, from, i) }
+	g.sources = delivery.Sources{Self: endpoint.Self(), Zone: cfg.Zone, Region: regionOf, Seeds: cfg.SeedControlNodes(), Patience: 3 * beat}
+	self := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Data}
+	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlNodes(), Beat: beat, Forget: 40 * beat},
+		endpoint, g.nodesChanged)
+	transport.On(endpoint, delivery.IssueKind, func(from string, issue delivery.Issue) {
+		g.commands <- func(now time.Duration) { g.handleIssue(now, from, issue) }
 	})
-	if set.HasQuotas() {
-		transport.On(post, delivery.AcquireReplyKind, d.drawn)
+	if cfg.HasQuotas() {
+		transport.On(endpoint, delivery.AcquireReplyKind, g.handleAcquireReply)
 	}
-	post.Start()
-	go d.dispatcher.Run()
-	go d.reg.Run()
+	endpoint.Start()
+	go g.dispatcher.Run()
+	go g.members.Run()
 	stop := make(chan struct{})
-	go d.read(beat, stop)
+	go g.syncLoop(beat, stop)
 
 	failed := make(chan error, 2)
-	ready := &http.Server{Addr: set.Bind.Readiness, Handler: d.pages(), ReadHeaderTimeout: settings.Seconds(set.Bounds.ContactS),
-		IdleTimeout: settings.Seconds(4 * set.Bounds.ContactS)}
-	go func() { failed <- ready.ListenAndServe() }()
-	go func() { failed <- d.listener.Serve() }()
-	d.log.Info("gateway is up", "node", set.Node, "zone", set.Zone)
+	statusServer := &http.Server{Addr: cfg.Bind.Readiness, Handler: g.statusHandler(), ReadHeaderTimeout: settings.Seconds(cfg.Bounds.ContactS),
+		IdleTimeout: settings.Seconds(4 * cfg.Bounds.ContactS)}
+	go func() { failed <- statusServer.ListenAndServe() }()
+	go func() { failed <- g.listener.Serve() }()
+	g.log.Info("gateway is up", "node", cfg.Node, "zone", cfg.Zone)
 
 	for {
 		select {
-		case fresh := <-reload:
-			d.reg.Seeds(fresh.SeedControlNodes())
-			d.commands <- func(time.Duration) { d.sources.Seeds = fresh.SeedControlNodes() }
+		case reloaded := <-reload:
+			g.members.Seeds(reloaded.SeedControlNodes())
+			g.commands <- func(time.Duration) { g.sources.Seeds = reloaded.SeedControlNodes() }
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
-			d.leave()
-			d.reg.Leave(true)
-			_ = ready.Close()
+			g.shutDown()
+			g.members.Leave(true)
+			_ = statusServer.Close()
 			time.Sleep(beat / 5)
 			close(stop)
-			d.reg.Stop()
-			post.Close()
+			g.members.Stop()
+			endpoint.Close()
 			return nil
 		}
 	}
 }
 
-// nodesChanged runs on the register's goroutine. When many nodes come or go at
-// once, their news arrive in many small parts; what follows from them is worked out
-// no more than twice a beat.
-func (d *Gateway) nodesChanged(l *membership.List) {
-	d.commands <- func(now time.Duration) {
-		waiting := d.nodes != nil
-		d.nodes = l
-		if rest := d.nodesAt + d.set.Beat()/2 - now; rest <= 0 {
-			d.useNodes(now)
-		} else if !waiting {
-			time.AfterFunc(rest, func() { d.commands <- d.useNodes })
+// nodesChanged runs on the goroutine of the membership service. When many nodes join or leave at once,
+// many small changes arrive, so they are applied at most twice per beat.
+func (g *Gateway) nodesChanged(nodes *membership.List) {
+	g.commands <- func(now time.Duration) {
+		scheduled := g.pendingNodes != nil
+		g.pendingNodes = nodes
+		if delay := g.nodesAppliedAt + g.settings.Beat()/2 - now; delay <= 0 {
+			g.applyNodes(now)
+		} else if !scheduled {
+			time.AfterFunc(delay, func() { g.commands <- g.applyNodes })
 		}
 	}
 }
 
-// useNodes acts on the newest list of nodes.
-func (d *Gateway) useNodes(now time.Duration) {
-	l := d.nodes
-	if l == nil {
+// applyNodes applies the newest list of nodes.
+func (g *Gateway) applyNodes(now time.Duration) {
+	nodes := g.pendingNodes
+	if nodes == nil {
 		return
 	}
-	d.nodes, d.nodesAt = nil, now
-	labels := l.Shards(d.opt.Shards)
-	if n, ok := labels[d.post.Self()]; ok && n != d.shard {
-		d.shard = n
-		d.handler.SetShard(n)
+	g.pendingNodes, g.nodesAppliedAt = nil, now
+	shards := nodes.Shards(g.options.Shards)
+	if shard, ok := shards[g.endpoint.Self()]; ok && shard != g.shard {
+		g.shard = shard
+		g.handler.SetShard(shard)
 	}
 	var gateways []membership.Node
-	for _, n := range l.Live(membership.Data) {
-		if !n.Draining || n.Address == d.post.Self() {
-			gateways = append(gateways, n)
+	for _, node := range nodes.Live(membership.Data) {
+		if !node.Draining || node.Address == g.endpoint.Self() {
+			gateways = append(gateways, node)
 		}
 	}
-	d.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.SetGateways(now, gateways, labels) })
+	g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetGateways(now, gateways, shards) })
 }
 
-// read owns the items: it tells the control nodes what it has and takes what they
-// send.
-func (d *Gateway) read(beat time.Duration, stop chan struct{}) {
-	// Until it can serve, a gateway asks often; until what it serves is confirmed, less so.
-	tick := time.NewTicker(beat / 10)
-	defer tick.Stop()
-	hurried, opened := true, false
-	watch := func(now time.Duration, only string) {
-		sources := d.sources.Choose(now, d.reg.List().Live(membership.Control))
-		if d.set.HasQuotas() {
-			d.draws.mu.Lock()
-			d.draws.at = [2]string{}
-			copy(d.draws.at[:], sources)
-			d.draws.mu.Unlock()
+// syncLoop keeps the configuration and the list of upstreams up to date: it tells the control nodes
+// what the gateway holds, and applies their updates.
+func (g *Gateway) syncLoop(beat time.Duration, stop chan struct{}) {
+	// A gateway without data asks often, one with unconfirmed data less often, a ready one once per
+	// beat.
+	ticker := time.NewTicker(beat / 10)
+	defer ticker.Stop()
+	catchingUp, wasReady := true, false
+	sendWatches := func(now time.Duration, only string) {
+		sources := g.sources.Choose(now, g.members.List().Live(membership.Control))
+		if g.settings.HasQuotas() {
+			g.tokenRequests.mu.Lock()
+			g.tokenRequests.controlNodes = [2]string{}
+			copy(g.tokenRequests.controlNodes[:], sources)
+			g.tokenRequests.mu.Unlock()
 		}
-		for i, a := range sources {
-			if i > 0 && hurried && now < beat {
-				continue // one is enough to begin with; both would send all there is
+		for i, address := range sources {
+			if i > 0 && catchingUp && now < beat {
+				continue // both would send everything
 			}
-			if only != "" && a != only {
+			if only != "" && address != only {
 				continue
 			}
-			w := d.question(now)
-			w.Second = i > 0
+			request := g.watchRequest(now)
+			request.Second = i > 0
 			if i == 0 {
-				w.Zone, w.Load = d.set.Zone, d.load
+				request.Zone, request.Load = g.settings.Zone, g.load
 			}
-			d.post.Send(a, delivery.WatchKind, w)
+			g.endpoint.Send(address, delivery.WatchKind, request)
 		}
-		for _, a := range d.sources.AlsoAsk(now) {
-			w := d.question(now)
-			w.Second = true
-			d.post.Send(a, delivery.WatchKind, w)
+		for _, address := range g.sources.AlsoAsk(now) {
+			request := g.watchRequest(now)
+			request.Second = true
+			g.endpoint.Send(address, delivery.WatchKind, request)
 		}
-		d.dispatcher.Do(func(_ time.Duration, s *upstream.Balancer) {
-			load := s.Loads()
+		g.dispatcher.Do(func(_ time.Duration, balancer *upstream.Balancer) {
+			load := balancer.Loads()
 			select {
-			case d.commands <- func(time.Duration) { d.load = load }:
-			default: // the next beat brings newer ones
+			case g.commands <- func(time.Duration) { g.load = load }:
+			default: // the next beat brings a newer load
 			}
 		})
 	}
-	watch(0, "")
+	sendWatches(0, "")
 	for {
 		select {
-		case fn := <-d.commands:
-			fn(time.Since(d.start))
-			if from := d.rest; from != "" {
-				d.rest = ""
-				watch(time.Since(d.start), from)
+		case fn := <-g.commands:
+			fn(time.Since(g.startedAt))
+			if from := g.continueFrom; from != "" {
+				g.continueFrom = ""
+				sendWatches(time.Since(g.startedAt), from)
 			}
-		case <-tick.C:
-			if d.behind {
-				d.behind = false
-				d.apply()
+		case <-ticker.C:
+			if g.applyPending {
+				g.applyPending = false
+				g.applyConfig()
 			}
-			watch(time.Since(d.start), "")
-			if hurried && d.ready.stocked() {
-				hurried = false
-				tick.Reset(beat / 3)
+			sendWatches(time.Since(g.startedAt), "")
+			if catchingUp && g.readiness.hasData() {
+				catchingUp = false
+				ticker.Reset(beat / 3)
 			}
-			if !opened && d.ready.ok() {
-				opened = true
-				if d.set.HasRegistry() {
-					d.reg.Open(d.set.FrontPort())
+			if !wasReady && g.readiness.isReady() {
+				wasReady = true
+				if g.settings.HasRegistry() {
+					g.members.Open(g.settings.FrontPort())
 				}
-				tick.Reset(beat)
+				ticker.Reset(beat)
 			}
 		case <-stop:
 			return
@@ -259,141 +260,142 @@
 	}
 }
 
-// question tells a control node what this gateway has, and asks for what it lacks.
-func (d *Gateway) question(now time.Duration) delivery.Watch {
-	w := delivery.Watch{Listing: d.stand.Version, Packs: true}
-	d.items.Tell(&w)
-	if d.set.BoundsRevocation() || !d.ready.current.Load() {
-		w.Asked = d.epoch + max(now, 1)
+// watchRequest tells a control node what this gateway holds, and thereby asks for what it lacks.
+func (g *Gateway) watchRequest(now time.Duration) delivery.Watch {
+	request := delivery.Watch{Listing: g.list.Version, Packs: true}
+	g.configCopy.Tell(&request)
+	if g.settings.BoundsRevocation() || !g.readiness.itemsConfirmed.Load() {
+		request.Asked = g.clockOffset + max(now, 1)
 	}
-	return w
+	return request
 }
 
-func (d *Gateway) take(now time.Duration, from string, i delivery.Issue) {
-	d.sources.Heard(now, from, i.Fresh)
-	d.first.Store(d.sources.First())
-	if i.Led {
-		d.arms.Heard()
+// handleIssue applies an update from a control node.
+func (g *Gateway) handleIssue(now time.Duration, from string, issue delivery.Issue) {
+	g.sources.Heard(now, from, issue.Fresh)
+	g.primary.Store(g.sources.First())
+	if issue.Led {
+		g.arms.Heard()
 	}
-	merged, err := d.items.Take(i)
+	changed, err := g.configCopy.Take(issue)
 	if err != nil {
-		d.log.Warn("items not unpacked", "from", from, "error", err)
+		g.log.Warn("update with a damaged pack of records rejected", "from", from, "error", err)
 	}
-	if merged && i.More {
-		d.rest = from // a table is built once all of it has come, or with the next beat
-	} else if merged || d.behind {
-		d.apply()
+	if changed && issue.More {
+		g.continueFrom = from // the configuration is applied when all of it has arrived, or with the next beat
+	} else if changed || g.applyPending {
+		g.applyConfig()
 	}
-	d.behind = merged && i.More
-	if d.set.BoundsRevocation() {
-		d.confirm(now, i)
+	g.applyPending = changed && issue.More
+	if g.settings.BoundsRevocation() {
+		g.extendKeyLease(now, issue)
 	}
-	d.ready.heard(now, d.dated(now, i), settings.Seconds(d.set.Bounds.ContactS))
-	if d.ready.current.Load() {
-		d.handler.SetComplete()
+	g.readiness.confirmItems(now, g.toLocalClock(now, issue), settings.Seconds(g.settings.Bounds.ContactS))
+	if g.readiness.itemsConfirmed.Load() {
+		g.handler.SetComplete()
 	}
-	if len(i.Loads) > 0 && d.sources.First() == from {
-		d.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.SetLoads(now, i.Loads) })
+	if len(issue.Loads) > 0 && g.sources.First() == from {
+		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetLoads(now, issue.Loads) })
 	}
-	if i.Listing != nil && d.stand.Take(now, *i.Listing) {
-		list := d.stand.All(now)
-		d.log.Info("list taken", "term", d.stand.Version.Term, "seq", d.stand.Version.Seq, "upstreams", len(list))
-		d.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.SetList(now, list) })
-		d.ready.listed.Store(true)
+	if issue.Listing != nil && g.list.Take(now, *issue.Listing) {
+		list := g.list.All(now)
+		g.log.Info("list of upstreams updated", "term", g.list.Version.Term, "seq", g.list.Version.Seq, "upstreams", len(list))
+		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetList(now, list) })
+		g.readiness.hasList.Store(true)
 	}
 }
 
-// apply puts the items that are known now in force.
-func (d *Gateway) apply() {
-	t := d.builder.Build(d.items.Records)
+// applyConfig puts the current records into force.
+func (g *Gateway) applyConfig() {
+	table := g.builder.Build(g.configCopy.Records)
 	infos := map[string]upstream.ServiceInfo{}
-	for name, s := range t.Services {
-		infos[name] = upstream.ServiceInfo{MaxConns: s.MaxConns, HealthPath: s.HealthPath, WarmupS: s.WarmupS, WarmupPerS: s.WarmupPerS}
+	for name, service := range table.Services {
+		infos[name] = upstream.ServiceInfo{MaxConns: service.MaxConns, HealthPath: service.HealthPath, WarmupS: service.WarmupS, WarmupPerS: service.WarmupPerS}
 	}
-	evacuated := d.evacuated(t)
-	bound := t.Placements()
+	evacuated := g.evacuatedZones(table)
+	placements := table.Placements()
 	versions := map[string]upstream.Versions{}
-	for name, v := range t.Versions {
-		w := upstream.Versions{Stands: v.Serves(), Ordered: v.Ordered()}
-		if p := v.Active(); p != nil {
-			w.Candidate = p.Candidate
+	for name, v := range table.Versions {
+		serviceVersions := upstream.Versions{Stands: v.Serves(), Ordered: v.Ordered()}
+		if active := v.Active(); active != nil {
+			serviceVersions.Candidate = active.Candidate
 		}
-		versions[name] = w
+		versions[name] = serviceVersions
 	}
-	d.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
-		s.SetServices(now, infos, bound)
-		s.SetVersions(now, versions)
-		s.SetEvacuated(now, evacuated)
+	g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
+		balancer.SetServices(now, infos, placements)
+		balancer.SetVersions(now, versions)
+		balancer.SetEvacuated(now, evacuated)
 	})
-	d.arms.Set(t.Versions)
-	d.score()
-	d.handler.SetTable(t)
-	d.listener.SetLimits(t.Limits)
-	d.ready.known.Store(t.Known)
+	g.arms.Set(table.Versions)
+	g.reportRollouts()
+	g.handler.SetTable(table)
+	g.listener.SetLimits(table.Limits)
+	g.readiness.hasItems.Store(table.Known)
 }
 
-// evacuated names the zones that nothing may be sent to, and logs a change of them with the
-// generations that it comes from.
-func (d *Gateway) evacuated(t *config.Table) map[string]bool {
-	if !maps.Equal(t.Evacuated, d.evacuations) {
-		d.log.Info("evacuations in force", "generationByZone", t.Evacuated)
-		d.evacuations = t.Evacuated
+// evacuatedZones returns the zones that get no requests. It logs changes with the generations of the
+// evacuations.
+func (g *Gateway) evacuatedZones(table *config.Table) map[string]bool {
+	if !maps.Equal(table.Evacuated, g.evacuations) {
+		g.log.Info("evacuations in force", "generationByZone", table.Evacuated)
+		g.evacuations = table.Evacuated
 	}
 	zones := map[string]bool{}
-	for zone := range t.Evacuated {
+	for zone := range table.Evacuated {
 		zones[zone] = true
 	}
 	return zones
 }
 
-// scoresABeat is how often in a beat a gateway tells what it has seen of rollouts.
-const scoresABeat = 4
+// reportsPerBeat is the number of reports per beat on active rollouts.
+const reportsPerBeat = 4
 
-// silencePart is the part of rollbackS after which a gateway that hears of no controller
-// gives a candidate nothing.
-const silencePart = 0.5
+// controllerSilenceFraction is the fraction of the setting rollbackS after which a gateway that hears
+// of no rollout controller sends no more requests to candidates.
+const controllerSilenceFraction = 0.5
 
-// score tells the control node that this gateway watches first what it has seen of the rollouts
-// under way, again and again until there are none.
-func (d *Gateway) score() {
-	if !d.arms.Active() || !d.scoring.CompareAndSwap(false, true) {
+// reportRollouts periodically reports what this gateway has seen of active rollouts to the control node
+// that it watches first, until no rollout is active.
+func (g *Gateway) reportRollouts() {
+	if !g.arms.Active() || !g.reporting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		for d.arms.Active() {
-			if to, _ := d.first.Load().(string); to != "" {
-				d.post.Send(to, delivery.ScoreKind, d.arms.Reports())
+		for g.arms.Active() {
+			if to, _ := g.primary.Load().(string); to != "" {
+				g.endpoint.Send(to, delivery.ScoreKind, g.arms.Reports())
 			}
-			time.Sleep(d.set.Beat() / scoresABeat)
+			time.Sleep(g.settings.Beat() / reportsPerBeat)
 		}
-		d.scoring.Store(false)
-		d.score() // one may have begun just now
+		g.reporting.Store(false)
+		g.reportRollouts() // a rollout may have begun just now
 	}()
 }
 
-// pages serves readiness and this gateway's own counters.
-func (d *Gateway) pages() http.Handler {
+// statusHandler serves the readiness probe, the counters and the metrics of this gateway.
+func (g *Gateway) statusHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/v1/readiness":
-			if !d.ready.asked() {
+			if !g.readiness.answerProbe() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		case "/v1/counters":
 			w.Header().Set("Content-Type", "application/json")
-			ch := make(chan []upstream.State, 1)
-			d.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { ch <- s.States(now) })
-			shown := map[string]any{"node": d.set.Node, "counters": d.handler.Counters(),
-				"connections": d.listener.Open(), "upstreams": <-ch}
-			if d.set.BoundsRevocation() {
-				shown["keysLeaseS"] = (time.Duration(d.lease.Load()) - time.Since(d.start)).Seconds()
+			states := make(chan []upstream.State, 1)
+			g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.States(now) })
+			response := map[string]any{"node": g.settings.Node, "counters": g.handler.Counters(),
+				"connections": g.listener.Open(), "upstreams": <-states}
+			if g.settings.BoundsRevocation() {
+				response["keysLeaseS"] = (time.Duration(g.keyLeaseUntil.Load()) - time.Since(g.startedAt)).Seconds()
 			}
-			b, _ := json.MarshalIndent(shown, "", "  ")
+			b, _ := json.MarshalIndent(response, "", "  ")
 			_, _ = w.Write(append(b, '\n'))
 		case "/metrics":
 			var b bytes.Buffer
-			metrics.Write(&b, "gateway", d.handler.Counters())
-			metrics.Gauge(&b, "gateway", "connections", uint64(d.listener.Open()))
+			metrics.Write(&b, "gateway", g.handler.Counters())
+			metrics.Gauge(&b, "gateway", "connections", uint64(g.listener.Open()))
 			_, _ = w.Write(b.Bytes())
 		default:
 			w.WriteHeader(http.StatusNotFound)
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// unpacedShare is the part of the link's rate that long answers are reckoned to get if they
-	// are not paced; all that is short has the rest.
-	unpacedShare = 0.7
-	// pacedShare is the part of their pace that they are reckoned to get if they are.
-	pacedShare = 0.9
-	// leavingPace is the part of the link's rate at which a gateway that leaves passes long
-	// answers on: hardly anything short is under way any more.
-	leavingPace = 0.95
+	// unpacedFraction is the fraction of the link's rate that large responses are assumed to get
+	// without pacing. Small responses use the rest.
+	unpacedFraction = 0.7
+	// pacedFraction is the fraction of their pace that large responses are assumed to get with pacing.
+	pacedFraction = 0.9
+	// shutdownFraction is the fraction of the link's rate at which a gateway that shuts down sends
+	// large responses. Hardly any small ones are in flight then.
+	shutdownFraction = 0.95
 )
 
-// linkRate is the rate of this machine's link in bytes a second; 0: not told.
-func linkRate(set *settings.Settings) float64 { return set.Limits.LinkMbps * 1e6 / 8 }
+// linkRate is the rate of this machine's link in bytes per second, or 0 if it isn't configured.
+func linkRate(cfg *settings.Settings) float64 { return cfg.Limits.LinkMbps * 1e6 / 8 }
 
-// answerShare is the part of the link's rate that long answers can count on at the given pace.
-func answerShare(pace float64) float64 {
+// responseFraction is the fraction of the link's rate that large responses are assumed to get at a
+// given pace.
+func responseFraction(pace float64) float64 {
 	if pace == 0 {
-		return unpacedShare
+		return unpacedFraction
 	}
-	return min(unpacedShare, pace*pacedShare)
+	return min(unpacedFraction, pace*pacedFraction)
 }
 
-// boundAnswers paces long answers, and bounds how many are taken on, by what the link carries.
-func (d *Gateway) boundAnswers() {
-	rate := linkRate(d.set)
+// limitLargeResponses sets the pace of large responses, and limits how many are accepted to what the
+// link can carry.
+func (g *Gateway) limitLargeResponses() {
+	rate := linkRate(g.settings)
 	if rate <= 0 {
 		return
 	}
-	if d.opt.Pace > 0 {
-		d.handler.Pace = proxy.NewPace(rate * d.opt.Pace)
+	if g.options.Pace > 0 {
+		g.handler.Pace = proxy.NewPace(rate * g.options.Pace)
 	}
-	if d.set.Bounds.GraceS > 0 {
-		d.handler.Link = proxy.NewLinkBudget(rate*answerShare(d.opt.Pace), settings.Seconds(d.set.Bounds.GraceS))
+	if g.settings.Bounds.GraceS > 0 {
+		g.handler.Link = proxy.NewLinkBudget(rate*responseFraction(g.options.Pace), settings.Seconds(g.settings.Bounds.GraceS))
 	}
 }
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -10,7 +10,7 @@
 		{DefaultPace, .5, DefaultPace - .01},
 		{1, .5, .75},
 	} {
-		if got := answerShare(c.pace); got < c.least || got > c.most {
+		if got := responseFraction(c.pace); got < c.least || got > c.most {
 			t.Errorf("pace %g: %g of the link", c.pace, got)
 		}
 	}
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,49 +7,49 @@
 	"madderwing/internal/delivery"
 )
 
-// readiness is whether the platform may send new connections here: the items
-// and the list of upstreams are known, a majority has stood behind all the items once
-// in this life, keys may be relied on, and the gateway is not leaving. A gateway that was
-// ready stays so without any control node: it goes on with what it knows.
+// readiness decides whether the platform may send new connections to this gateway: it has configuration
+// items and a list of upstreams, a majority has confirmed all the items once since the start, API keys
+// may be used, and the gateway isn't shutting down. A gateway that was ready stays ready without any
+// control node and serves with what it has.
 type readiness struct {
-	known, listed, current, leaving atomic.Bool
-	confirmed                       func() bool
+	hasItems, hasList, itemsConfirmed, leaving atomic.Bool
+	keysConfirmed                              func() bool
 
-	misses atomic.Int32 // questions answered since the gateway leaves
+	leavingProbes atomic.Int32 // readiness probes answered during the shutdown
 }
 
-// missesBelieved is how many misses in a row the platform believes.
-const missesBelieved = 2
+// unhealthyThreshold is the number of failed probes in a row after which the platform treats a node as
+// not ready.
+const unhealthyThreshold = 2
 
-func newReadiness(confirmed func() bool) *readiness {
-	return &readiness{confirmed: confirmed}
+func newReadiness(keysConfirmed func() bool) *readiness {
+	return &readiness{keysConfirmed: keysConfirmed}
 }
 
-// stocked says that there are items and a list to serve from.
-func (r *readiness) stocked() bool { return r.known.Load() && r.listed.Load() }
+// hasData reports whether there are items and a list of upstreams to serve with.
+func (r *readiness) hasData() bool { return r.hasItems.Load() && r.hasList.Load() }
 
-func (r *readiness) ok() bool {
-	return r.stocked() && r.current.Load() && !r.leaving.Load() && r.confirmed()
+func (r *readiness) isReady() bool {
+	return r.hasData() && r.itemsConfirmed.Load() && !r.leaving.Load() && r.keysConfirmed()
 }
 
-// heard takes an issue whose records have been taken over. It confirms the items if the
-// control node is in contact with a majority and answers, with all that it has, a question
-// that this gateway asked within the time given: an answer that waited while the gateway was
-// frozen says nothing of now.
-func (r *readiness) heard(now time.Duration, i delivery.Issue, within time.Duration) {
-	if i.Fresh && i.Sure != nil && now-i.Sure.Asked <= within {
-		r.current.Store(true)
+// confirmItems handles an update whose records have been applied. It confirms the items if the control
+// node is in contact with a majority and the update, with everything that the control node holds,
+// answers a request that this gateway sent at most maxAge ago: an answer that was delayed while the
+// gateway was frozen says nothing about the present.
+func (r *readiness) confirmItems(now time.Duration, issue delivery.Issue, maxAge time.Duration) {
+	if issue.Fresh && issue.Sure != nil && now-issue.Sure.Asked <= maxAge {
+		r.itemsConfirmed.Store(true)
 	}
 }
 
-// asked answers one question of the platform's, and counts those that have been
-// told that the gateway leaves.
-func (r *readiness) asked() bool {
+// answerProbe answers a readiness probe of the platform and counts those answered during the shutdown.
+func (r *readiness) answerProbe() bool {
 	if r.leaving.Load() {
-		r.misses.Add(1)
+		r.leavingProbes.Add(1)
 	}
-	return r.ok()
+	return r.isReady()
 }
 
-// isBelieved says whether the platform knows that the gateway leaves.
-func (r *readiness) isBelieved() bool { return r.misses.Load() >= missesBelieved }
+// leavingRecognized reports whether the platform has recognized that the gateway is shutting down.
+func (r *readiness) leavingRecognized() bool { return r.leavingProbes.Load() >= unhealthyThreshold }
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -24,13 +24,13 @@
 		ok, gone bool
 	}{
 		{"nothing known", func() {}, false, false},
-		{"items", func() { r.known.Store(true) }, false, false},
-		{"and the list", func() { r.listed.Store(true) }, false, false},
-		{"a control node that is cut off", func() { r.heard(now, answer(false, now-1), contactS) }, false, false},
-		{"one that has sent a part", func() { r.heard(now, answer(true, 0), contactS) }, false, false},
-		{"an answer from before a freeze", func() { r.heard(now, answer(true, now-contactS-1), contactS) }, false, false},
-		{"confirmed", func() { r.heard(now, answer(true, now-1), contactS) }, true, false},
-		{"all control nodes cut off later", func() { r.heard(now, answer(false, now-1), contactS) }, true, false},
+		{"items", func() { r.hasItems.Store(true) }, false, false},
+		{"and the list", func() { r.hasList.Store(true) }, false, false},
+		{"a control node that is cut off", func() { r.confirmItems(now, answer(false, now-1), contactS) }, false, false},
+		{"one that has sent a part", func() { r.confirmItems(now, answer(true, 0), contactS) }, false, false},
+		{"an answer from before a freeze", func() { r.confirmItems(now, answer(true, now-contactS-1), contactS) }, false, false},
+		{"confirmed", func() { r.confirmItems(now, answer(true, now-1), contactS) }, true, false},
+		{"all control nodes cut off later", func() { r.confirmItems(now, answer(false, now-1), contactS) }, true, false},
 		{"keys in doubt", func() { confirmed = false }, false, false},
 		{"still in doubt", func() {}, false, false}, // no sign that it leaves
 		{"keys sure", func() { confirmed = true }, true, false},
@@ -39,8 +39,8 @@
 		{"third miss", func() {}, false, true},
 	} {
 		c.change()
-		if ok := r.asked(); ok != c.ok || r.isBelieved() != c.gone {
-			t.Errorf("%d, %s: ready %v, believed gone %v", i, c.name, ok, r.isBelieved())
+		if ok := r.answerProbe(); ok != c.ok || r.leavingRecognized() != c.gone {
+			t.Errorf("%d, %s: ready %v, believed gone %v", i, c.name, ok, r.leavingRecognized())
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		1800 * time.Millisecond: 3900 * time.Millisecond,
 		3000 * time.Millisecond: 2700 * time.Millisecond,
 	} {
-		if got := answerTime(grace, since); got != want {
+		if got := responseTime(grace, since); got != want {
 			t.Errorf("%v after the SIGTERM: %v, want %v", since, got, want)
 		}
 	}
@@ -76,7 +76,7 @@
 		{2700 * time.Millisecond, quiet / 2, false}, // too late for their answers
 		{2700 * time.Millisecond, 0, false},         // never believed
 	} {
-		if got := accepts(grace, c.since, c.calm, quiet); got != c.want {
+		if got := stillAccepts(grace, c.since, c.calm, quiet); got != c.want {
 			t.Errorf("%v after the SIGTERM, calm for %v: %v", c.since, c.calm, got)
 		}
 	}
--- /dev/null
+++ b/internal/gateway/shutdown.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"madderwing/internal/settings"
+)
+
+const (
+	// acceptFraction is the fraction of the setting graceS for which connections are accepted at most
+	// after SIGTERM. Later requests might not be answered in time.
+	acceptFraction = 0.45
+	// finishFraction is the fraction of graceS for which requests that have been read are answered.
+	finishFraction = 0.95
+	// quietFraction is the fraction of a beat without a new connection after which none is expected.
+	quietFraction = 0.25
+)
+
+// shutDown ends the service of clients after SIGTERM. The platform continues to send connections until
+// enough readiness probes have failed, and even longer if too few other nodes of the zone are ready.
+// The gateway accepts connections while they arrive, for a part of graceS.
+func (g *Gateway) shutDown() {
+	g.log.Info("leaving")
+	g.readiness.leaving.Store(true)
+	g.handler.Drain()
+	g.handler.Pace.SetRate(linkRate(g.settings) * shutdownFraction)
+	g.members.Leave(false)
+	began, grace := time.Now(), settings.Seconds(g.settings.Bounds.GraceS)
+	quiet := time.Duration(float64(g.settings.Beat()) * quietFraction)
+	poll := time.NewTicker(quiet / 4)
+	defer poll.Stop()
+	var recognizedAt time.Time
+	for {
+		if recognizedAt.IsZero() && g.readiness.leavingRecognized() && !g.settings.HasRegistry() { // clients use a registry's answers for longer
+			recognizedAt = time.Now()
+		}
+		var idle time.Duration // how long the platform has recognized the shutdown and no connection has arrived
+		if !recognizedAt.IsZero() {
+			idle = min(time.Since(recognizedAt), g.listener.Quiet())
+		}
+		if !stillAccepts(grace, time.Since(began), idle, quiet) {
+			break
+		}
+		<-poll.C
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), responseTime(grace, time.Since(began)))
+	defer cancel()
+	g.listener.Shutdown(ctx)
+}
+
+// stillAccepts reports whether a gateway accepts connections at a time since SIGTERM: until the
+// platform has recognized the shutdown and no connection has arrived for a while, but not beyond
+// acceptFraction.
+func stillAccepts(grace, since, idle, quiet time.Duration) bool {
+	return idle < quiet && since < time.Duration(float64(grace)*acceptFraction)
+}
+
+// responseTime is how long a gateway continues to answer what it has read, if it stopped accepting
+// connections at a time since SIGTERM. It lasts until finishFraction of graceS has passed, however
+// early the platform recognized the shutdown.
+func responseTime(grace, since time.Duration) time.Duration {
+	return max(time.Duration(float64(grace)*finishFraction)-since, time.Duration(float64(grace)*acceptFraction))
+}
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -11,156 +11,157 @@
 	"madderwing/internal/quota"
 )
 
-// draws is what requests have asked of the branches that lend tenants' quotas.
-type draws struct {
-	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]drawing
-	at      [2]string // the control nodes that the gateway watches, the nearer first
-	badTill time.Time // the first of them has been silent
+// tokenRequests holds the requests for quota tokens that wait for a control node's answer.
+type tokenRequests struct {
+	mu                sync.Mutex
+	lastSeq           uint64
+	pending           map[uint64]pendingRequest // by sequence number
+	controlNodes      [2]string                 // those that the gateway watches, the nearer first
+	avoidNearestUntil time.Time                 // the nearer one couldn't answer recently
 }
 
-// drawing is a draw that waits for its answer, and the control node that it was sent to.
-type drawing struct {
-	to  string
-	got chan quota.AcquireReply
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
+	to      string // control node that was asked
+	replies chan quota.AcquireReply
 }
 
-// newDraws makes the draws of one life, numbered from a random start: a control node answers
-// at this node's address, and may answer a draw of the life before.
-func newDraws() draws {
-	return draws{next: rand.Uint64(), waiting: map[uint64]drawing{}}
+// newTokenRequests starts at a random sequence number: after a restart, a control node may still answer
+// a request of the previous process at the same address.
+func newTokenRequests() tokenRequests {
+	return tokenRequests{lastSeq: rand.Uint64(), pending: map[uint64]pendingRequest{}}
 }
 
-// serveTenants makes the gateway hold to what must be true of tenants' keys and
-// quotas on every machine, in touch or not.
-func (d *Gateway) serveTenants() {
-	if d.set.BoundsRevocation() {
-		d.handler.LeaseKeys(&d.lease)
+// setUpTenants enables the leases of API keys and the quotas if the settings require them. Their limits
+// hold for all gateways together, also for those without contact to control nodes.
+func (g *Gateway) setUpTenants() {
+	if g.settings.BoundsRevocation() {
+		g.handler.LeaseKeys(&g.keyLeaseUntil)
 	}
-	if d.set.HasQuotas() {
-		d.draws = newDraws()
-		d.handler.DrawOn(d.draw)
+	if g.settings.HasQuotas() {
+		g.tokenRequests = newTokenRequests()
+		g.handler.DrawOn(g.acquireToken)
 	}
 }
 
-// draw draws on a tenant's quota at the nearer control node, or at the other one if the
-// nearer cannot tell or has lately been silent. It ends with ctx. The kind says why there is no
-// token; with apierror.Internal there is one, and giveBack returns it if it is not used.
-func (d *Gateway) draw(ctx context.Context, tenant string, limit time.Duration) (giveBack func(), refused apierror.Kind) {
-	w := &d.draws
-	w.mu.Lock()
-	order := w.at
-	if order[1] != "" && time.Now().Before(w.badTill) {
+// acquireToken acquires a token of a tenant's quota at the nearer control node, or at the other one if
+// the nearer can't answer or recently failed to. It ends with ctx. kind says why there is no token; if
+// it is apierror.Internal there is one, and returnUnused returns it if it isn't used.
+func (g *Gateway) acquireToken(ctx context.Context, tenant string, timeout time.Duration) (returnUnused func(), kind apierror.Kind) {
+	requests := &g.tokenRequests
+	requests.mu.Lock()
+	order := requests.controlNodes
+	if order[1] != "" && time.Now().Before(requests.avoidNearestUntil) {
 		order[0], order[1] = order[1], order[0]
 	}
-	nearer := w.at[0]
-	w.mu.Unlock()
-	timer := time.NewTimer(limit)
+	nearer := requests.controlNodes[0]
+	requests.mu.Unlock()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for _, to := range order {
 		if to == "" {
 			continue
 		}
-		got := make(chan quota.AcquireReply, 1)
-		w.mu.Lock()
-		w.next++
-		seq := w.next
-		w.waiting[seq] = drawing{to, got}
-		w.mu.Unlock()
-		d.post.Send(to, delivery.AcquireKind, quota.AcquireRequest{Seq: seq, Tenant: tenant})
-		var a quota.AcquireReply
-		late, left := false, false
+		replies := make(chan quota.AcquireReply, 1)
+		requests.mu.Lock()
+		requests.lastSeq++
+		seq := requests.lastSeq
+		requests.pending[seq] = pendingRequest{to, replies}
+		requests.mu.Unlock()
+		g.endpoint.Send(to, delivery.AcquireKind, quota.AcquireRequest{Seq: seq, Tenant: tenant})
+		var reply quota.AcquireReply
+		timedOut, clientGone := false, false
 		select {
-		case a = <-got:
+		case reply = <-replies:
 		case <-timer.C:
-			late = true
+			timedOut = true
 		case <-ctx.Done():
-			left = true
+			clientGone = true
 		}
 		switch {
-		case a.OK:
-			return func() { d.giveBack(to, tenant, a.Life) }, apierror.Internal
-		case left:
-			d.abandon(to, tenant, seq, got)
+		case reply.OK:
+			return func() { g.returnToken(to, tenant, reply.Life) }, apierror.Internal
+		case clientGone:
+			g.cancelRequest(to, tenant, seq, replies)
 			return nil, apierror.ClientGone
-		case !late && !a.Away:
+		case !timedOut && !reply.Away:
 			return nil, apierror.OverQuota
 		}
-		w.mu.Lock()
-		delete(w.waiting, seq)
+		requests.mu.Lock()
+		delete(requests.pending, seq)
 		if to == nearer {
-			w.badTill = time.Now().Add(d.set.Beat())
+			requests.avoidNearestUntil = time.Now().Add(g.settings.Beat())
 		}
-		w.mu.Unlock()
-		if late {
+		requests.mu.Unlock()
+		if timedOut {
 			break
 		}
 	}
 	return nil, apierror.QuotaUnknown
 }
 
-// giveBack returns a token that was not used to the control node that it came from. Life is 0
-// where that is of a release that takes none back.
-func (d *Gateway) giveBack(to, tenant string, life uint64) {
-	if life != 0 {
-		d.post.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, Life: life})
+// returnToken returns an unused token to the control node that granted it. The incarnation is 0 if that
+// node's version takes no tokens back.
+func (g *Gateway) returnToken(to, tenant string, incarnation uint64) {
+	if incarnation != 0 {
+		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, Life: incarnation})
 	}
 }
 
-// abandon ends the wait for a draw whose client has left. A token that came at the same moment goes
-// back; one that comes later is lost.
-func (d *Gateway) abandon(to, tenant string, seq uint64, got <-chan quota.AcquireReply) {
-	d.draws.mu.Lock()
-	delete(d.draws.waiting, seq)
-	d.draws.mu.Unlock()
+// cancelRequest ends the wait for a token whose client has disconnected. A token that arrived at the
+// same moment is returned; a later one is lost.
+func (g *Gateway) cancelRequest(to, tenant string, seq uint64, replies <-chan quota.AcquireReply) {
+	g.tokenRequests.mu.Lock()
+	delete(g.tokenRequests.pending, seq)
+	g.tokenRequests.mu.Unlock()
 	select {
-	case a := <-got:
-		if a.OK {
-			d.giveBack(to, tenant, a.Life)
+	case reply := <-replies:
+		if reply.OK {
+			g.returnToken(to, tenant, reply.Life)
 		}
 	default:
 	}
 }
 
-// drawn takes the answer of the branch that was asked. One that comes too late is lost.
-func (d *Gateway) drawn(from string, a quota.AcquireReply) {
-	d.draws.mu.Lock()
-	defer d.draws.mu.Unlock()
-	if w, ok := d.draws.waiting[a.Seq]; ok && w.to == from {
-		delete(d.draws.waiting, a.Seq)
-		w.got <- a
+// handleAcquireReply passes on the answer of the control node that was asked. An answer that is too
+// late or comes from another node is dropped.
+func (g *Gateway) handleAcquireReply(from string, reply quota.AcquireReply) {
+	g.tokenRequests.mu.Lock()
+	defer g.tokenRequests.mu.Unlock()
+	if request, ok := g.tokenRequests.pending[reply.Seq]; ok && request.to == from {
+		delete(g.tokenRequests.pending, reply.Seq)
+		request.replies <- reply
 	}
 }
 
-// newEpoch draws what a life's clock is told to others from.
-func newEpoch() time.Duration { return 1 + time.Duration(rand.Int64N(1<<61)) }
+// newClockOffset returns a random offset for the clock in messages, so that answers to messages of an
+// earlier process at this address are recognized (see toLocalClock).
+func newClockOffset() time.Duration { return 1 + time.Duration(rand.Int64N(1<<61)) }
 
-// dated turns what an issue says of its age to this life's own clock. An answer to a
-// question of a former life, whose clock was another, says nothing.
-func (d *Gateway) dated(now time.Duration, i delivery.Issue) delivery.Issue {
-	if i.Sure == nil {
-		return i
+// toLocalClock converts the time in Issue.Sure to this process's clock. It drops Sure if the time is in
+// the future: then the update answers an earlier process, whose clock had another offset.
+func (g *Gateway) toLocalClock(now time.Duration, issue delivery.Issue) delivery.Issue {
+	if issue.Sure == nil {
+		return issue
 	}
-	own := *i.Sure
-	own.Asked -= d.epoch
-	i.Sure = &own
-	if own.Asked > now { // far below zero it lapses by itself
-		i.Sure = nil
+	local := *issue.Sure
+	local.Asked -= g.clockOffset
+	issue.Sure = &local
+	if local.Asked > now { // a time far in the past needs no check, it is too old anyway
+		issue.Sure = nil
 	}
-	return i
+	return issue
 }
 
-// confirm takes what an issue says of its own age. The lease counts from before
-// the question was asked, so however long the answer was on its way, it never
-// lasts longer than it should.
-func (d *Gateway) confirm(now time.Duration, i delivery.Issue) {
-	i = d.dated(now, i)
-	if i.Sure == nil {
+// extendKeyLease extends the lease of the API keys by what an update says of the age of the records.
+// The lease counts from before the request was sent, so a delayed answer can't make it last too long.
+func (g *Gateway) extendKeyLease(now time.Duration, issue delivery.Issue) {
+	issue = g.toLocalClock(now, issue)
+	if issue.Sure == nil {
 		return
 	}
-	until := i.Sure.Asked - i.Sure.Age + d.set.KeyLease()
-	if int64(until) > d.lease.Load() {
-		d.lease.Store(int64(until))
+	until := issue.Sure.Asked - issue.Sure.Age + g.settings.KeyLease()
+	if int64(until) > g.keyLeaseUntil.Load() {
+		g.keyLeaseUntil.Store(int64(until))
 	}
 }
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -34,26 +34,26 @@
 	var asked []uint64
 	for life := range 3 {
 		branch := newMesh(t)
-		d := &Gateway{post: newMesh(t), draws: newDraws()}
-		d.draws.at = [2]string{branch.Self()}
+		d := &Gateway{endpoint: newMesh(t), tokenRequests: newTokenRequests()}
+		d.tokenRequests.controlNodes = [2]string{branch.Self()}
 		branch.Handle(delivery.AcquireKind, func(from string, body []byte) (any, error) {
 			var q quota.AcquireRequest
 			if err := cbor.Unmarshal(body, &q); err != nil {
 				t.Error(err)
 			}
 			for _, seq := range asked { // late, to a life before
-				d.drawn(branch.Self(), quota.AcquireReply{Seq: seq, OK: true})
+				d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: seq, OK: true})
 			}
 			asked = append(asked, q.Seq)
-			d.drawn("another:1", quota.AcquireReply{Seq: q.Seq, OK: true})
-			d.drawn(branch.Self(), quota.AcquireReply{Seq: q.Seq})
-			d.drawn(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true}) // twice
+			d.handleAcquireReply("another:1", quota.AcquireReply{Seq: q.Seq, OK: true})
+			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq})
+			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true}) // twice
 			return nil, nil
 		})
-		d.post.Start()
+		d.endpoint.Start()
 		branch.Start()
 		for range 3 {
-			if _, kind := d.draw(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
+			if _, kind := d.acquireToken(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
 				t.Errorf("life %d: %v, not refused", life, apierror.AnswerFor(kind))
 			}
 		}
@@ -68,14 +68,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			set := &settings.Settings{Ingress: ingress, Bounds: settings.Bounds{ContactS: 5, AckS: 6, RevokeS: 5, RevocationGlobal: true}}
 			dispatcher := proxy.NewDispatcher(upstream.NewBalancer(upstream.Config{}), time.Second, time.Second)
-			d := &Gateway{set: set, start: time.Now(), epoch: newEpoch(), handler: proxy.NewHandler(dispatcher, nil)}
-			d.serveTenants()
+			d := &Gateway{settings: set, startedAt: time.Now(), clockOffset: newClockOffset(), handler: proxy.NewHandler(dispatcher, nil)}
+			d.setUpTenants()
 			if d.handler.Confirmed() {
 				t.Errorf("%s: keys are relied on that nobody has confirmed", ingress)
 			}
 			time.Sleep(time.Second)
-			confirmed := time.Since(d.start)
-			d.confirm(confirmed, delivery.Issue{Sure: &delivery.Sure{Asked: d.epoch + confirmed}})
+			confirmed := time.Since(d.startedAt)
+			d.extendKeyLease(confirmed, delivery.Issue{Sure: &delivery.Sure{Asked: d.clockOffset + confirmed}})
 			if !d.handler.Confirmed() {
 				t.Errorf("%s: keys are not relied on", ingress)
 			}
@@ -100,23 +100,23 @@
 		returns <- r
 		return nil, err
 	})
-	d := &Gateway{post: newMesh(t), draws: newDraws()}
-	d.draws.at = [2]string{branch.Self()}
+	d := &Gateway{endpoint: newMesh(t), tokenRequests: newTokenRequests()}
+	d.tokenRequests.controlNodes = [2]string{branch.Self()}
 	gone, leave := context.WithCancel(t.Context())
 	answers := true
 	branch.Handle(delivery.AcquireKind, func(_ string, body []byte) (any, error) {
 		var q quota.AcquireRequest
 		err := cbor.Unmarshal(body, &q)
 		if answers {
-			d.drawn(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true, Life: 7})
+			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true, Life: 7})
 		} else {
 			leave()
 		}
 		return nil, err
 	})
-	d.post.Start()
+	d.endpoint.Start()
 	branch.Start()
-	giveBack, kind := d.draw(t.Context(), "t", 10*time.Second)
+	giveBack, kind := d.acquireToken(t.Context(), "t", 10*time.Second)
 	if kind != apierror.Internal {
 		t.Fatal(apierror.AnswerFor(kind))
 	}
@@ -125,8 +125,8 @@
 		t.Errorf("%+v", r)
 	}
 	answers = false
-	if _, kind := d.draw(gone, "t", time.Hour); kind != apierror.ClientGone || len(d.draws.waiting) != 0 {
-		t.Errorf("%v, %d draws are waited for", apierror.AnswerFor(kind), len(d.draws.waiting))
+	if _, kind := d.acquireToken(gone, "t", time.Hour); kind != apierror.ClientGone || len(d.tokenRequests.pending) != 0 {
+		t.Errorf("%v, %d draws are waited for", apierror.AnswerFor(kind), len(d.tokenRequests.pending))
 	}
 }
 
@@ -139,19 +139,19 @@
 		asked func(d, former *Gateway) time.Duration
 		takes bool
 	}{
-		{"a second ago", func(d, _ *Gateway) time.Duration { return d.epoch + now - time.Second }, true},
-		{"late in a former life", func(_, f *Gateway) time.Duration { return f.epoch + time.Hour }, false},
-		{"early in a former life", func(_, f *Gateway) time.Duration { return f.epoch + time.Second }, false},
+		{"a second ago", func(d, _ *Gateway) time.Duration { return d.clockOffset + now - time.Second }, true},
+		{"late in a former life", func(_, f *Gateway) time.Duration { return f.clockOffset + time.Hour }, false},
+		{"early in a former life", func(_, f *Gateway) time.Duration { return f.clockOffset + time.Second }, false},
 		{"by the bare clock of a former life", func(*Gateway, *Gateway) time.Duration { return time.Second }, false},
-		{"not yet", func(d, _ *Gateway) time.Duration { return d.epoch + now + time.Second }, false},
+		{"not yet", func(d, _ *Gateway) time.Duration { return d.clockOffset + now + time.Second }, false},
 	} {
-		d, former := &Gateway{set: set, epoch: newEpoch()}, &Gateway{set: set, epoch: newEpoch()}
-		d.confirm(now, delivery.Issue{Sure: &delivery.Sure{Asked: c.asked(d, former)}})
+		d, former := &Gateway{settings: set, clockOffset: newClockOffset()}, &Gateway{settings: set, clockOffset: newClockOffset()}
+		d.extendKeyLease(now, delivery.Issue{Sure: &delivery.Sure{Asked: c.asked(d, former)}})
 		want := int64(0)
 		if c.takes {
 			want = int64(now - time.Second + set.KeyLease())
 		}
-		if got := d.lease.Load(); got != want {
+		if got := d.keyLeaseUntil.Load(); got != want {
 			t.Errorf("%s: the lease lasts until %v, not %v", c.name, time.Duration(got), time.Duration(want))
 		}
 	}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -5,315 +5,321 @@
 	"time"
 )
 
-// AllocatorConfig holds the figures that an allocator works by.
+// AllocatorConfig configures an Allocator.
 type AllocatorConfig struct {
-	Overshoot float64       // quotaOvershoot
-	Slack     float64       // quotaSlack
-	Window    time.Duration // quotaWindowS
-	Life      time.Duration // of a share, counted from when the allocator's word was sure
-	Sure      time.Duration // how old that may be when an allocator gives anything
-	// Branches names all that may borrow.
+	Overshoot float64       // setting quotaOvershoot: fraction by which a quota may be exceeded
+	Slack     float64       // setting quotaSlack: requests by which a quota may be exceeded beyond that
+	Window    time.Duration // setting quotaWindowS: time over which quotas are checked
+	Life      time.Duration // lifetime of a share, counted from when the allocator's ownership was last confirmed
+	Sure      time.Duration // age of that confirmation up to which the caller lets an allocator answer reports
+	// Branches returns the addresses of all nodes that may hold shares.
 	Branches func() []string
 }
 
 const (
-	use      = 0.25 // of overshoot and slack, at any time
-	useFirst = 0.4  // of them, once, by an allocator that follows another
-	// The rest is for requests on their way.
+	usableFraction  = 0.25 // of Overshoot and Slack that may be allocated at any time
+	initialFraction = 0.4  // of Overshoot and Slack that an allocator with a predecessor may grant once
+	// The rest of Overshoot and Slack allows for requests in flight.
 
-	steady    = 0.4 // requests a second from which on a branch gets a share
-	lentRate  = 0.9 // at most this part of a tenant's rate is lent out ...
-	lentCap   = 0.8 // ... and of its cap; the rest serves branches that ask at once
-	generous  = 3.0 // a share is at most this many times a branch's demand
-	breath    = 1.5 // seconds of its rate that a share's cap holds
-	askedSpan = 2.0 // seconds over which what is asked for one by one is averaged
+	minSteadyRate       = 0.4 // requests per second from which on a node gets a share
+	maxAllocatedRate    = 0.9 // a tenant's shares are at most this fraction of its rate ...
+	maxAllocatedCap     = 0.8 // ... and of its capacity; the rest serves nodes that ask for single tokens
+	maxDemandFactor     = 3.0 // a share is at most this multiple of a node's demand
+	capSeconds          = 1.5 // a share's capacity is its rate times this
+	directDemandSeconds = 2.0 // time over which the demand for single tokens is averaged
 )
 
-// most is the part of a quota that one of n branches may have.
-func most(n int) float64 { return min(1, 2/float64(n)+0.1) }
+// maxNodeFraction is the fraction of a quota that one node of several may hold.
+func maxNodeFraction(nodes int) float64 { return min(1, 2/float64(nodes)+0.1) }
 
-type held struct {
-	force, offer Share // what the gateway said that it has, and what it was last offered
+// nodeShare is one node's share of one tenant's quota.
+type nodeShare struct {
+	inUse, offered Share // what the node last reported that it holds, and what it was last given
 }
 
-func (h *held) rate() float64 { return max(h.force.Rate, h.offer.Rate) }
-func (h *held) cap() float64  { return max(h.force.Cap, h.offer.Cap) }
+// rate and cap count the higher of the two, since an allocation may get lost.
+func (s *nodeShare) rate() float64 { return max(s.inUse.Rate, s.offered.Rate) }
+func (s *nodeShare) cap() float64  { return max(s.inUse.Cap, s.offered.Cap) }
 
-type borrower struct {
-	life, seq uint64
-	until     time.Duration
-	shares    map[string]*held
+// nodeState is what the allocator knows of one node.
+type nodeState struct {
+	incarnation, seq uint64
+	expiresAt        time.Duration
+	shares           map[string]*nodeShare // by tenant
 }
 
+// account is the state of one tenant's quota.
 type account struct {
 	quota             Quota
-	rate, cap, demand float64 // of all shares that are out
-	fill              float64
-	first             float64 // may be given though another lender's gifts still count
-	asked             float64 // requests a second that are asked for one by one
-	at                time.Duration
+	rate, cap, demand float64 // sums over all shares of the quota
+	tokens            float64 // available to requests of nodes without a sufficient share
+	initialTokens     float64 // may be granted once, while grants of a previous allocator still count
+	directDemand      float64 // demand for single tokens, per second
+	refilledAt        time.Duration
 }
 
-// Allocator hands out shares of all tenants' quotas to the branches. It does so only
-// while it owns the catalogue. One that follows another learns from the branches
-// what they have and goes on from there; for each that is silent it keeps back the
-// most that it can have, until that has lapsed.
+// Allocator allocates shares of all tenants' quotas to the nodes. It does so only while its node owns
+// the configuration. An allocator that replaces another learns from the nodes' reports which shares
+// they hold. For a node that hasn't reported, it reserves the most that the node can hold until all
+// shares of the previous allocator have expired.
 type Allocator struct {
-	cfg       AllocatorConfig
-	term      Term
-	lending   bool
-	heard     map[string]bool // branches that have told this lender what they have
-	began     time.Duration
-	askFrom   time.Duration // from then on no other can give anything
-	openFrom  time.Duration // from then on nothing that another has lent is in use
-	borrowers map[string]*borrower
-	accounts  map[string]*account
-	Lent      uint64
-	Refused   uint64
+	cfg             AllocatorConfig
+	term            Term
+	active          bool
+	reported        map[string]bool // nodes that have told this allocator what they hold
+	beganAt         time.Duration
+	soleFrom        time.Duration         // from then on no previous allocator can allocate anything
+	othersExpiredAt time.Duration         // from then on no share of a previous allocator is in use
+	nodes           map[string]*nodeState // by address, those with unexpired shares
+	accounts        map[string]*account   // by tenant
+	Lent            uint64
+	Refused         uint64
 }
 
-// NewAllocator makes an allocator that does not lend.
+// NewAllocator returns an allocator that isn't active yet.
 func NewAllocator(cfg AllocatorConfig) *Allocator { return &Allocator{cfg: cfg} }
 
-// Begin begins a tenure. heir says that there may have been another lender, and
-// free that its word was sure until then at the latest.
-func (l *Allocator) Begin(now time.Duration, term Term, free time.Duration, heir bool) {
-	if l.term == term && l.borrowers != nil {
-		l.lending = true // it was unsure for a while; nobody else can have lent since
+// Begin activates the allocator under a term. inherited says that there may have been another
+// allocator; its ownership was confirmed no later than predecessorUntil.
+func (alloc *Allocator) Begin(now time.Duration, term Term, predecessorUntil time.Duration, inherited bool) {
+	if alloc.term == term && alloc.nodes != nil {
+		alloc.active = true // its ownership was unconfirmed for a while; no other node can have allocated anything since
 		return
 	}
-	l.term, l.lending, l.openFrom, l.askFrom, l.began = term, true, now, now, now
-	if heir {
-		l.askFrom, l.openFrom = free+l.cfg.Sure, free+l.cfg.Life
+	alloc.term, alloc.active, alloc.othersExpiredAt, alloc.soleFrom, alloc.beganAt = term, true, now, now, now
+	if inherited {
+		alloc.soleFrom, alloc.othersExpiredAt = predecessorUntil+alloc.cfg.Sure, predecessorUntil+alloc.cfg.Life
 	}
-	l.borrowers, l.accounts, l.heard = map[string]*borrower{}, map[string]*account{}, map[string]bool{}
+	alloc.nodes, alloc.accounts, alloc.reported = map[string]*nodeState{}, map[string]*account{}, map[string]bool{}
 }
 
-// End ends the tenure.
-func (l *Allocator) End() { l.lending = false }
+// End deactivates the allocator.
+func (alloc *Allocator) End() { alloc.active = false }
 
-// Silent names the branches that have not told this lender what they have, while
-// that matters.
-func (l *Allocator) Silent() (out []string) {
-	if !l.lending || l.openFrom == l.began {
+// Silent returns the nodes that haven't told this allocator what they hold, if there may have been
+// another allocator.
+func (alloc *Allocator) Silent() (out []string) {
+	if !alloc.active || alloc.othersExpiredAt == alloc.beganAt {
 		return nil
 	}
-	for _, id := range l.cfg.Branches() {
-		if !l.heard[id] {
+	for _, id := range alloc.cfg.Branches() {
+		if !alloc.reported[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Lending says whether this lender lends, and under which term.
-func (l *Allocator) Lending() (Term, bool) { return l.term, l.lending }
+// Lending returns the allocator's term and reports whether it is active.
+func (alloc *Allocator) Lending() (Term, bool) { return alloc.term, alloc.active }
 
-func (l *Allocator) whole(q Quota) Share {
-	return Share{Rate: q.Rate * (1 + use*l.cfg.Overshoot), Cap: q.Burst*(1+use*l.cfg.Overshoot) + use*l.cfg.Slack}
+// budget returns the most that may be allocated of a quota: the quota and the usable part of Overshoot
+// and Slack.
+func (alloc *Allocator) budget(q Quota) Share {
+	return Share{Rate: q.Rate * (1 + usableFraction*alloc.cfg.Overshoot), Cap: q.Burst*(1+usableFraction*alloc.cfg.Overshoot) + usableFraction*alloc.cfg.Slack}
 }
 
-// free says that no other lender can be giving anything: all branches, each of
-// which may have been the allocator, follow this one, or what made another sure of
-// itself is too old.
-func (l *Allocator) free(now time.Duration) bool {
-	if now >= l.askFrom {
+// isSole reports whether no other allocator can be allocating: either all nodes, each of which may have
+// been the allocator, have reported to this one, or the confirmation of any previous one is too old.
+func (alloc *Allocator) isSole(now time.Duration) bool {
+	if now >= alloc.soleFrom {
 		return true
 	}
-	for _, id := range l.cfg.Branches() {
-		if !l.heard[id] {
+	for _, id := range alloc.cfg.Branches() {
+		if !alloc.reported[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// unheard is the part of every quota that branches may have which have not yet
-// told this lender what they have.
-func (l *Allocator) unheard(now time.Duration) float64 {
-	if now >= l.openFrom {
+// unreportedFraction is the fraction of every quota that may be held by nodes which haven't reported to
+// this allocator.
+func (alloc *Allocator) unreportedFraction(now time.Duration) float64 {
+	if now >= alloc.othersExpiredAt {
 		return 0
 	}
-	all, silent := l.cfg.Branches(), 0
+	all, unreported := alloc.cfg.Branches(), 0
 	for _, id := range all {
-		if !l.heard[id] {
-			silent++
+		if !alloc.reported[id] {
+			unreported++
 		}
 	}
-	return min(1, float64(silent)*most(max(1, len(all))))
+	return min(1, float64(unreported)*maxNodeFraction(max(1, len(all))))
 }
 
-// ceiling is what may be out at most, beside what silent branches may have.
-func (l *Allocator) ceiling(now time.Duration, a *account) Share {
-	w := l.whole(a.quota)
-	part := 1 - l.unheard(now)
-	return Share{Rate: w.Rate * part, Cap: w.Cap * part}
+// limit is the most that may be allocated, besides what nodes that haven't reported may hold.
+func (alloc *Allocator) limit(now time.Duration, acct *account) Share {
+	budget := alloc.budget(acct.quota)
+	fraction := 1 - alloc.unreportedFraction(now)
+	return Share{Rate: budget.Rate * fraction, Cap: budget.Cap * fraction}
 }
 
-func (l *Allocator) account(now time.Duration, tenant string, q Quota) *account {
-	a := l.accounts[tenant]
-	if a == nil {
-		a = &account{quota: q, at: now}
-		if l.openFrom == l.began {
-			a.fill = l.whole(q).Cap // nobody else has given anything
+// account returns the account of a tenant, which it creates if needed, and updates the quota in it.
+func (alloc *Allocator) account(now time.Duration, tenant string, q Quota) *account {
+	acct := alloc.accounts[tenant]
+	if acct == nil {
+		acct = &account{quota: q, refilledAt: now}
+		if alloc.othersExpiredAt == alloc.beganAt {
+			acct.tokens = alloc.budget(q).Cap // no other allocator has allocated anything
 		} else {
-			a.first = useFirst * (l.cfg.Overshoot*(q.Rate*l.cfg.Window.Seconds()+q.Burst) + l.cfg.Slack)
+			acct.initialTokens = initialFraction * (alloc.cfg.Overshoot*(q.Rate*alloc.cfg.Window.Seconds()+q.Burst) + alloc.cfg.Slack)
 		}
-		l.accounts[tenant] = a
+		alloc.accounts[tenant] = acct
 	}
-	a.quota = q
-	return a
+	acct.quota = q
+	return acct
 }
 
-// refill fills the bucket from which those are served who ask at once.
-func (l *Allocator) refill(now time.Duration, a *account) {
-	top := l.ceiling(now, a)
-	if now > a.at {
-		if l.free(now) {
-			a.fill += max(0, top.Rate-a.rate) * (now - a.at).Seconds()
+// refill updates the tokens from which requests of nodes without a sufficient share are served.
+func (alloc *Allocator) refill(now time.Duration, acct *account) {
+	limit := alloc.limit(now, acct)
+	if now > acct.refilledAt {
+		if alloc.isSole(now) {
+			acct.tokens += max(0, limit.Rate-acct.rate) * (now - acct.refilledAt).Seconds()
 		}
-		a.asked *= math.Exp(-(now - a.at).Seconds() / askedSpan)
-		a.at = now
+		acct.directDemand *= math.Exp(-(now - acct.refilledAt).Seconds() / directDemandSeconds)
+		acct.refilledAt = now
 	}
-	a.fill = max(0, min(a.fill, top.Cap-a.cap))
+	acct.tokens = max(0, min(acct.tokens, limit.Cap-acct.cap))
 }
 
-// drop takes a share off the account.
-func (a *account) drop(h *held) {
-	a.rate -= h.rate()
-	a.cap -= h.cap()
-	a.demand -= h.force.Demand
+func (acct *account) subtract(share *nodeShare) {
+	acct.rate -= share.rate()
+	acct.cap -= share.cap()
+	acct.demand -= share.inUse.Demand
 }
 
-func (a *account) add(h *held) {
-	a.rate += h.rate()
-	a.cap += h.cap()
-	a.demand += h.force.Demand
+func (acct *account) add(share *nodeShare) {
+	acct.rate += share.rate()
+	acct.cap += share.cap()
+	acct.demand += share.inUse.Demand
 }
 
-// forget ends what a gateway has.
-func (l *Allocator) forget(now time.Duration, id string) {
-	for t, h := range l.borrowers[id].shares {
-		if a := l.accounts[t]; a != nil {
-			l.refill(now, a)
-			a.drop(h)
+// removeNode removes a node and all its shares.
+func (alloc *Allocator) removeNode(now time.Duration, id string) {
+	for tenant, share := range alloc.nodes[id].shares {
+		if acct := alloc.accounts[tenant]; acct != nil {
+			alloc.refill(now, acct)
+			acct.subtract(share)
 		}
 	}
-	delete(l.borrowers, id)
+	delete(alloc.nodes, id)
 }
 
-// Tick lets shares lapse.
-func (l *Allocator) Tick(now time.Duration) {
-	for id, b := range l.borrowers {
-		if now >= b.until {
-			l.forget(now, id)
+// Tick removes the nodes whose shares have expired.
+func (alloc *Allocator) Tick(now time.Duration) {
+	for id, node := range alloc.nodes {
+		if now >= node.expiresAt {
+			alloc.removeNode(now, id)
 		}
 	}
 }
 
-// Report takes a gateway's report and answers it. sure is when it was last certain
-// that there was no other lender. quotas gives the tenants' limits.
-func (l *Allocator) Report(now, sure time.Duration, from string, r Report, quotas map[string]Quota) (Allocation, bool) {
-	l.Tick(now)
-	life := l.cfg.Life - (now - sure)
-	if !l.lending || life <= 0 {
+// Report handles a node's report and returns the answer, if there is one. confirmedAt is when the
+// allocator's ownership of the configuration was last confirmed. quotas holds the tenants' quotas.
+func (alloc *Allocator) Report(now, confirmedAt time.Duration, from string, report Report, quotas map[string]Quota) (Allocation, bool) {
+	alloc.Tick(now)
+	lifetime := alloc.cfg.Life - (now - confirmedAt)
+	if !alloc.active || lifetime <= 0 {
 		return Allocation{}, false
 	}
-	b := l.borrowers[from]
-	if b != nil && b.life != r.Life {
-		l.forget(now, from) // a process that has ended has nothing any more
-		b = nil
+	node := alloc.nodes[from]
+	if node != nil && node.incarnation != report.Life {
+		alloc.removeNode(now, from) // the process has restarted and holds nothing any more
+		node = nil
 	}
-	if b != nil && r.Seq <= b.seq {
+	if node != nil && report.Seq <= node.seq {
 		return Allocation{}, false
 	}
-	if b == nil {
-		if !r.Whole {
+	if node == nil {
+		if !report.Whole {
 			return Allocation{}, false
 		}
-		b = &borrower{life: r.Life, shares: map[string]*held{}}
-		l.borrowers[from] = b
-		l.heard[from] = true
+		node = &nodeState{incarnation: report.Life, shares: map[string]*nodeShare{}}
+		alloc.nodes[from] = node
+		alloc.reported[from] = true
 	}
-	b.seq, b.until = r.Seq, now+l.cfg.Life
-	named := map[string]bool{}
-	out := Allocation{Term: l.term, Seq: r.Seq, Life: life}
-	for _, s := range r.Shares {
-		q := quotas[s.Tenant]
-		if q.Rate <= 0 || named[s.Tenant] {
+	node.seq, node.expiresAt = report.Seq, now+alloc.cfg.Life
+	seen := map[string]bool{}
+	allocation := Allocation{Term: alloc.term, Seq: report.Seq, Life: lifetime}
+	for _, request := range report.Shares {
+		q := quotas[request.Tenant]
+		if q.Rate <= 0 || seen[request.Tenant] {
 			continue
 		}
-		named[s.Tenant] = true
-		a := l.account(now, s.Tenant, q)
-		l.refill(now, a)
-		h := b.shares[s.Tenant]
-		if h == nil {
-			h = &held{}
-			b.shares[s.Tenant] = h
+		seen[request.Tenant] = true
+		acct := alloc.account(now, request.Tenant, q)
+		alloc.refill(now, acct)
+		share := node.shares[request.Tenant]
+		if share == nil {
+			share = &nodeShare{}
+			node.shares[request.Tenant] = share
 		} else {
-			a.drop(h)
+			acct.subtract(share)
 		}
-		if !r.Whole && s.Demand < h.force.Demand {
-			s.Demand = h.force.Demand
+		if !report.Whole && request.Demand < share.inUse.Demand {
+			request.Demand = share.inUse.Demand
 		}
-		h.force = s
-		h.offer = l.offer(now, a, s)
-		a.add(h)
-		l.refill(now, a)
-		h.offer.Tokens = 0
-		given := h.offer
-		given.Tenant, given.Demand = s.Tenant, 0
-		given.Tokens = min(s.Tokens, int(a.fill))
-		a.fill -= float64(given.Tokens)
-		if now < l.openFrom+l.cfg.Window {
-			more := min(s.Tokens-given.Tokens, int(a.first))
-			a.first -= float64(more)
-			given.Tokens += more
+		share.inUse = request
+		share.offered = alloc.computeShare(now, acct, request)
+		acct.add(share)
+		alloc.refill(now, acct)
+		share.offered.Tokens = 0
+		granted := share.offered
+		granted.Tenant, granted.Demand = request.Tenant, 0
+		granted.Tokens = min(request.Tokens, int(acct.tokens))
+		acct.tokens -= float64(granted.Tokens)
+		if now < alloc.othersExpiredAt+alloc.cfg.Window {
+			initial := min(request.Tokens-granted.Tokens, int(acct.initialTokens))
+			acct.initialTokens -= float64(initial)
+			granted.Tokens += initial
 		}
-		a.asked += float64(s.Tokens) / askedSpan
-		l.Lent += uint64(given.Tokens)
-		l.Refused += uint64(s.Tokens - given.Tokens)
-		out.Shares = append(out.Shares, given)
+		acct.directDemand += float64(request.Tokens) / directDemandSeconds
+		alloc.Lent += uint64(granted.Tokens)
+		alloc.Refused += uint64(request.Tokens - granted.Tokens)
+		allocation.Shares = append(allocation.Shares, granted)
 	}
-	if r.Whole {
-		for t, h := range b.shares {
-			if !named[t] {
-				if a := l.accounts[t]; a != nil {
-					l.refill(now, a)
-					a.drop(h)
+	if report.Whole {
+		for tenant, share := range node.shares {
+			if !seen[tenant] {
+				if acct := alloc.accounts[tenant]; acct != nil {
+					alloc.refill(now, acct)
+					acct.subtract(share)
 				}
-				delete(b.shares, t)
+				delete(node.shares, tenant)
 			}
 		}
 	}
-	return out, true
+	return allocation, true
 }
 
-// offer works out a gateway's share, given what the others have.
-func (l *Allocator) offer(now time.Duration, a *account, s Share) Share {
-	top := l.ceiling(now, a)
-	demand := a.demand + s.Demand + a.asked
-	if s.Demand < steady || top.Rate <= 0 {
-		// A share would lie idle there and be missing elsewhere. The branch asks
-		// for each request.
+// computeShare returns the share to offer to a node, given what the others hold. The caller has
+// subtracted the node's present share from the account.
+func (alloc *Allocator) computeShare(now time.Duration, acct *account, request Share) Share {
+	limit := alloc.limit(now, acct)
+	demand := acct.demand + request.Demand + acct.directDemand
+	if request.Demand < minSteadyRate || limit.Rate <= 0 {
+		// A share would lie idle at this node and be missing at others. The node asks for each
+		// token instead.
 		return Share{}
 	}
-	whole, part := l.whole(a.quota), most(max(1, len(l.cfg.Branches())))
-	factor := min(generous, lentRate*top.Rate/demand)
-	rate := max(0, min(s.Demand*factor, lentRate*top.Rate-a.rate, part*whole.Rate))
-	cap := max(0, min(rate*breath, lentCap*top.Cap-a.cap, part*whole.Cap))
-	if l.unheard(now) > 0 {
-		// What may be out at most is too little as long as some are silent: what the
-		// branch has it may keep in any case.
-		rate, cap = max(rate, s.Rate), max(cap, s.Cap)
+	budget, fraction := alloc.budget(acct.quota), maxNodeFraction(max(1, len(alloc.cfg.Branches())))
+	factor := min(maxDemandFactor, maxAllocatedRate*limit.Rate/demand)
+	rate := max(0, min(request.Demand*factor, maxAllocatedRate*limit.Rate-acct.rate, fraction*budget.Rate))
+	capacity := max(0, min(rate*capSeconds, maxAllocatedCap*limit.Cap-acct.cap, fraction*budget.Cap))
+	if alloc.unreportedFraction(now) > 0 {
+		// The limit is too low while some nodes haven't reported. The node keeps at least what
+		// it holds.
+		rate, capacity = max(rate, request.Rate), max(capacity, request.Cap)
 	}
-	if cap < 1 {
-		return Share{} // it could never fill up to a whole request
+	if capacity < 1 {
+		return Share{} // it would never hold a whole token
 	}
-	return Share{Rate: math.Floor(rate*100) / 100, Cap: math.Floor(cap*100) / 100}
+	return Share{Rate: math.Floor(rate*100) / 100, Cap: math.Floor(capacity*100) / 100}
 }
 
-// AllocationState is what is lent of one tenant's quota, as status shows it.
+// AllocationState is the state of one tenant's quota as the status shows it.
 type AllocationState struct {
 	Tenant   string  `json:"tenant"`
 	Rate     float64 `json:"ratePerS"`
@@ -323,16 +329,16 @@
 	Branches int     `json:"branches"`
 }
 
-// States shows what is lent of a tenant's quota.
-func (l *Allocator) State(tenant string, q Quota) AllocationState {
-	s := AllocationState{Tenant: tenant, Rate: q.Rate, Burst: q.Burst}
-	if a := l.accounts[tenant]; a != nil && l.lending {
-		s.Lent, s.Demand = math.Round(a.rate*100)/100, math.Round(a.demand*100)/100
-		for _, b := range l.borrowers {
-			if b.shares[tenant] != nil {
-				s.Branches++
+// State returns what is allocated of a tenant's quota.
+func (alloc *Allocator) State(tenant string, q Quota) AllocationState {
+	state := AllocationState{Tenant: tenant, Rate: q.Rate, Burst: q.Burst}
+	if acct := alloc.accounts[tenant]; acct != nil && alloc.active {
+		state.Lent, state.Demand = math.Round(acct.rate*100)/100, math.Round(acct.demand*100)/100
+		for _, node := range alloc.nodes {
+			if node.shares[tenant] != nil {
+				state.Branches++
 			}
 		}
 	}
-	return s
+	return state
 }
--- a/internal/quota/key.go
+++ b/internal/quota/key.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Key is the key that a request carries; empty if it carries none, or two.
+// Key returns the bearer token of a request, which is the tenant's API key. It is empty if the request
+// has no Authorization header, several, or one of another scheme.
 func Key(h http.Header) string {
 	lines := h["Authorization"]
 	if len(lines) != 1 {
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -1,11 +1,11 @@
-// Package quota knows the tenants: the keys they come with, and the shares of
-// their quotas that one control node lends to the others, its branches, at which gateways
-// draw for each request.
+// Package quota enforces the tenants' request quotas. One control node, the allocator, allocates shares
+// of each quota to all control nodes, itself included; in this package a node is one of these. Gateways
+// acquire a token at such a node for each request.
 //
-// A share is a rate and a cap, used up by a bucket at the branch. All shares of a
-// tenant together never exceed what the tenant may have, and each lapses by
-// itself, so that no branch has to be reached for that. Lender and Purse are plain
-// state machines that do no input or output and read no clock.
+// A share is a rate and a capacity of a token bucket at the node. The shares of a tenant together never
+// exceed its quota by more than a part of the permitted overshoot. Each share expires by itself, so
+// that no node has to be reached to take its share back. Allocator and LocalQuota are plain state
+// machines that do no I/O and read no clock: the caller passes the time in.
 package quota
 
 import (
@@ -16,287 +16,292 @@
 	"madderwing/internal/replication"
 )
 
-// Term names one lender: the epoch under which it owns the catalogue. It is that
-// very type, since branches must order allocators as the owners order themselves.
+// Term identifies an allocator: it is the epoch under which the node owns the configuration. It is the
+// same type, since nodes must order allocators exactly as replication orders owners.
 type Term = replication.Epoch
 
-// Share is what a branch has or gets of one tenant's quota.
+// Share is the share of one tenant's quota that a node holds or is given.
 type Share struct {
 	Tenant string  `cbor:"1,keyasint"`
-	Rate   float64 `cbor:"2,keyasint,omitempty"` // requests a second
-	Cap    float64 `cbor:"3,keyasint,omitempty"` // requests at once
-	Demand float64 `cbor:"4,keyasint,omitempty"` // in a report: requests a second that came
-	Tokens int     `cbor:"5,keyasint,omitempty"` // in a report: wanted now; in an allocation: given now
+	Rate   float64 `cbor:"2,keyasint,omitempty"` // requests per second
+	Cap    float64 `cbor:"3,keyasint,omitempty"` // bucket capacity in requests
+	Demand float64 `cbor:"4,keyasint,omitempty"` // in a report: requests per second that arrived
+	Tokens int     `cbor:"5,keyasint,omitempty"` // in a report: needed now; in an allocation: granted now, beside the share
 }
 
-// Report is what a branch tells the allocator.
+// Report tells the allocator what a node holds and needs.
 type Report struct {
-	Life   uint64  `cbor:"1,keyasint"` // of the branch's process
+	Life   uint64  `cbor:"1,keyasint"` // incarnation of the node: changes with each start of its process
 	Seq    uint64  `cbor:"2,keyasint"`
-	Whole  bool    `cbor:"3,keyasint,omitempty"` // it names all that the branch has
+	Whole  bool    `cbor:"3,keyasint,omitempty"` // it lists everything that the node holds
 	Shares []Share `cbor:"4,keyasint,omitempty"`
 }
 
-// Allocation answers a report.
+// Allocation is the answer to a report.
 type Allocation struct {
 	Term   Term          `cbor:"1,keyasint"`
 	Seq    uint64        `cbor:"2,keyasint"`
-	Life   time.Duration `cbor:"3,keyasint"` // counted from when the report was made
+	Life   time.Duration `cbor:"3,keyasint"` // lifetime of the shares, counted from when the report was made
 	Shares []Share       `cbor:"4,keyasint,omitempty"`
 }
 
-// Quota is what a tenant may have.
+// Quota is the limit of a tenant: requests per second, and requests at once. A rate of 0 means
+// unlimited.
 type Quota struct{ Rate, Burst float64 }
 
-// Grant is what a branch can say to a request that draws on a quota.
+// Grant is a node's answer to a request for a token.
 type Grant int
 
-// The grants.
 const (
-	Unknown Grant = iota // the limit is not known here, or the allocator is silent: another may tell
+	Unknown Grant = iota // the limit is unknown here or the allocator didn't answer; another node may know
 	Granted
 	Over // the quota is used up
 )
 
+// bucket is the token bucket of a node's share of one tenant's quota.
 type bucket struct {
-	rate, cap, fill float64
-	at              time.Duration
-	came            float64 // requests since the last report
-	demand          float64
-	waiting         []func(Grant)
-	wanted          int // of those who wait, as last reported
-	idle            int
+	rate, cap, tokens float64
+	refilledAt        time.Duration
+	arrived           float64       // requests since the last report
+	demand            float64       // smoothed, in requests per second
+	waiting           []func(Grant) // callbacks of requests that wait for the allocator's answer
+	reportedWaiting   int           // length of waiting at the last report
+	idleReports       int           // complete reports in a row without requests
 }
 
-// LocalQuota is a branch's part of the quotas. NewPurse makes one.
+// LocalQuota holds a node's shares of all tenants' quotas. NewLocalQuota returns one.
 type LocalQuota struct {
-	Life     uint64
-	Patience time.Duration // how long a request waits for the allocator
-	term     Term
-	until    time.Duration // when the shares lapse
-	seq      uint64
-	asked    time.Duration // when the last report was made
-	waits    bool          // its answer is awaited
-	told     time.Duration // when demand was last told
-	buckets  map[string]*bucket
-	limits   map[string]Quota
+	Life             uint64
+	Patience         time.Duration // how long a request waits for the allocator's answer
+	term             Term
+	sharesExpireAt   time.Duration // 0: there are none, or they have expired
+	seq              uint64        // of the last report
+	reportedAt       time.Duration // time of the last report
+	awaiting         bool          // the answer to the last report is awaited
+	demandReportedAt time.Duration // time of the last complete report
+	buckets          map[string]*bucket
+	limits           map[string]Quota
 }
 
-// NewLocalQuota makes the local quota of one life of a branch. The numbers of its reports go on
-// from lastSeq, which is to be drawn at random for each life: an allocation names its report by
-// number only, so one for a former life would else be taken for this one's.
-func NewLocalQuota(life, lastSeq uint64, patience time.Duration) *LocalQuota {
-	const room = 1 << 32 // for the reports of one life
-	return &LocalQuota{Life: life, Patience: patience, seq: min(lastSeq, math.MaxUint64-room)}
+// NewLocalQuota returns the local quota of one incarnation of a node. Its reports are numbered from
+// lastSeq on, which must be random for each incarnation: an allocation names its report by number only,
+// so one for an earlier incarnation could otherwise be taken for this one's.
+func NewLocalQuota(incarnation, lastSeq uint64, patience time.Duration) *LocalQuota {
+	const reportsPerLife = 1 << 32 // room before the number overflows
+	return &LocalQuota{Life: incarnation, Patience: patience, seq: min(lastSeq, math.MaxUint64-reportsPerLife)}
 }
 
-// SetLimits takes the limits of all tenants; a rate of 0 is none.
-func (p *LocalQuota) SetLimits(limits map[string]Quota) {
-	p.limits = limits
-	for name, b := range p.buckets {
+// SetLimits sets the quotas of all tenants. A rate of 0 means unlimited.
+func (lq *LocalQuota) SetLimits(limits map[string]Quota) {
+	lq.limits = limits
+	for name, b := range lq.buckets {
 		if q, ok := limits[name]; !ok || q.Rate == 0 {
-			b.end(known(ok))
-			delete(p.buckets, name)
+			b.answerWaiting(grantWithoutLimit(ok))
+			delete(lq.buckets, name)
 		}
 	}
 }
 
-// known is what is said to those for whom there is no limit, if that is known.
-func known(ok bool) Grant {
-	if ok {
+// grantWithoutLimit is the answer for a tenant without a limit: a known tenant is unlimited; of an
+// unknown one the limit isn't known here.
+func grantWithoutLimit(tenantKnown bool) Grant {
+	if tenantKnown {
 		return Granted
 	}
 	return Unknown
 }
 
-func (p *LocalQuota) bucket(name string) *bucket {
-	b := p.buckets[name]
+func (lq *LocalQuota) bucket(name string) *bucket {
+	b := lq.buckets[name]
 	if b == nil {
-		if p.buckets == nil {
-			p.buckets = map[string]*bucket{}
+		if lq.buckets == nil {
+			lq.buckets = map[string]*bucket{}
 		}
 		b = &bucket{}
-		p.buckets[name] = b
+		lq.buckets[name] = b
 	}
 	return b
 }
 
 func (b *bucket) refill(now time.Duration) {
-	if now > b.at {
-		if b.fill < b.cap {
-			b.fill = min(b.cap, b.fill+b.rate*(now-b.at).Seconds())
+	if now > b.refilledAt {
+		if b.tokens < b.cap {
+			b.tokens = min(b.cap, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 }
 
-// end ends the wait of whoever waits.
-func (b *bucket) end(g Grant) {
-	for _, give := range b.waiting {
-		give(g)
+// answerWaiting gives the same answer to all waiting requests.
+func (b *bucket) answerWaiting(grant Grant) {
+	for _, done := range b.waiting {
+		done(grant)
 	}
 	b.waiting = nil
 }
 
-func (p *LocalQuota) lapse(now time.Duration) {
-	if p.until > 0 && now >= p.until {
-		p.until = 0
-		for _, b := range p.buckets {
-			b.rate, b.cap, b.fill = 0, 0, 0
+func (lq *LocalQuota) expireShares(now time.Duration) {
+	if lq.sharesExpireAt > 0 && now >= lq.sharesExpireAt {
+		lq.sharesExpireAt = 0
+		for _, b := range lq.buckets {
+			b.rate, b.cap, b.tokens = 0, 0, 0
 		}
 	}
 }
 
-// Unlimited says whether a tenant is known here to have no limit.
-func (p *LocalQuota) Unlimited(tenant string) bool {
-	q, ok := p.limits[tenant]
+// Unlimited reports whether this node knows the tenant and the tenant has no limit.
+func (lq *LocalQuota) Unlimited(tenant string) bool {
+	q, ok := lq.limits[tenant]
 	return ok && q.Rate == 0
 }
 
-// Heeds says whether a branch at self answers an allocator's call with all that it has.
-// An allocator's call to itself is none: taking it for another's would end its tenure,
-// and with it all that it knows of what is lent.
-func (p *LocalQuota) Heeds(self, from string, t Term) bool { return from != self && !t.Less(p.term) }
-
-// Take takes one request's worth of a tenant's quota. give is called with the
-// outcome, at once or when the allocator has answered; ask says that the allocator is
-// to be asked now.
-func (p *LocalQuota) Take(now time.Duration, tenant string, give func(Grant)) (ask bool) {
-	if q, ok := p.limits[tenant]; !ok || q.Rate == 0 {
-		give(known(ok)) // of a tenant that is not known here the limit is not either
+// Heeds reports whether the node self obeys an allocator's recall, that is, answers it with a complete
+// report. A recall from the node itself is ignored: the caller ends its own allocator on a recall, and
+// would lose its record of all allocated shares.
+func (lq *LocalQuota) Heeds(self, from string, term Term) bool {
+	return from != self && !term.Less(lq.term)
+}
+
+// Take acquires a token of a tenant's quota for one request. done is called with the result, either
+// immediately or when the allocator has answered. ask says that a report to the allocator is due now.
+func (lq *LocalQuota) Take(now time.Duration, tenant string, done func(Grant)) (ask bool) {
+	if q, ok := lq.limits[tenant]; !ok || q.Rate == 0 {
+		done(grantWithoutLimit(ok))
 		return false
 	}
-	p.lapse(now)
-	b := p.bucket(tenant)
-	b.came++
+	lq.expireShares(now)
+	b := lq.bucket(tenant)
+	b.arrived++
 	b.refill(now)
-	if b.fill >= 1 && len(b.waiting) == 0 {
-		b.fill--
-		give(Granted)
+	if b.tokens >= 1 && len(b.waiting) == 0 {
+		b.tokens--
+		done(Granted)
 		return false
 	}
-	b.waiting = append(b.waiting, give)
-	return !p.Awaits(now)
+	b.waiting = append(b.waiting, done)
+	return !lq.Awaits(now)
 }
 
-// GiveBack takes a token back whose request was not sent to any upstream. Tokens of a former life
-// of this process are not this one's. It may come at any time, since the request could have been
-// sent at any time: bucket and cap bound what is used at once, as they do for requests on their way.
-func (p *LocalQuota) GiveBack(now time.Duration, life uint64, tenant string) {
-	b := p.buckets[tenant]
-	if b == nil || life != p.Life {
+// GiveBack returns a token whose request was not sent to any upstream. Tokens of earlier incarnations
+// of this process are ignored. A token may come back at any time, since its request could have been
+// sent at any time: bucket and capacity limit bursts as they do for requests in flight.
+func (lq *LocalQuota) GiveBack(now time.Duration, incarnation uint64, tenant string) {
+	b := lq.buckets[tenant]
+	if b == nil || incarnation != lq.Life {
 		return
 	}
-	p.lapse(now)
+	lq.expireShares(now)
 	b.refill(now)
-	b.fill = min(b.cap, b.fill+1)
+	b.tokens = min(b.cap, b.tokens+1)
 }
 
-// Expire ends the wait of whoever has waited too long for the allocator. That is no word on
-// the quota.
-func (p *LocalQuota) Expire(now time.Duration) {
-	if now-p.asked <= p.Patience {
+// Expire ends the wait of all requests if the allocator hasn't answered in time. They get Unknown,
+// since that says nothing about the quota.
+func (lq *LocalQuota) Expire(now time.Duration) {
+	if now-lq.reportedAt <= lq.Patience {
 		return
 	}
-	p.waits = false
-	for _, b := range p.buckets {
-		b.end(Unknown)
-		b.wanted = 0
+	lq.awaiting = false
+	for _, b := range lq.buckets {
+		b.answerWaiting(Unknown)
+		b.reportedWaiting = 0
 	}
 }
 
-// idleMax is how many whole reports a tenant that nobody asks for stays named.
-const idleMax = 3
-
-// Report says what the branch has and needs. whole makes it name everything;
-// otherwise it names those whom requests wait for.
-func (p *LocalQuota) Report(now time.Duration, whole bool) Report {
-	p.lapse(now)
-	p.seq++
-	p.asked, p.waits = now, true
-	r := Report{Life: p.Life, Seq: p.seq, Whole: whole}
-	span := (now - p.told).Seconds()
-	names := make([]string, 0, len(p.buckets))
-	for n := range p.buckets {
-		names = append(names, n)
+// maxIdleReports is the number of complete reports in a row that still list a tenant without requests.
+const maxIdleReports = 3
+
+// Report makes the next report. A complete one lists all tenants, otherwise only those for which
+// requests wait.
+func (lq *LocalQuota) Report(now time.Duration, complete bool) Report {
+	lq.expireShares(now)
+	lq.seq++
+	lq.reportedAt, lq.awaiting = now, true
+	report := Report{Life: lq.Life, Seq: lq.seq, Whole: complete}
+	seconds := (now - lq.demandReportedAt).Seconds()
+	names := make([]string, 0, len(lq.buckets))
+	for name := range lq.buckets {
+		names = append(names, name)
 	}
 	sort.Strings(names)
-	for _, n := range names {
-		b := p.buckets[n]
-		if whole {
-			if rate := b.came / max(span, 0.1); rate > b.demand {
+	for _, name := range names {
+		b := lq.buckets[name]
+		if complete {
+			if rate := b.arrived / max(seconds, 0.1); rate > b.demand {
 				b.demand = (b.demand + rate) / 2
 			} else {
 				b.demand += (rate - b.demand) * 0.35
 			}
-			if b.came == 0 && len(b.waiting) == 0 {
-				b.idle++
+			if b.arrived == 0 && len(b.waiting) == 0 {
+				b.idleReports++
 			} else {
-				b.idle = 0
+				b.idleReports = 0
 			}
-			b.came = 0
-			if b.idle > idleMax {
-				delete(p.buckets, n) // not named: given back
+			b.arrived = 0
+			if b.idleReports > maxIdleReports {
+				delete(lq.buckets, name) // not listed, so the share goes back to the allocator
 				continue
 			}
-			if b.cap == 0 && b.demand < steady/2 && len(b.waiting) == 0 {
-				continue // nothing to tell, and far from getting a share
+			if b.cap == 0 && b.demand < minSteadyRate/2 && len(b.waiting) == 0 {
+				continue // holds no share, and its demand is far from getting one
 			}
 		} else if len(b.waiting) == 0 {
 			continue
 		}
-		b.wanted = len(b.waiting)
-		r.Shares = append(r.Shares, Share{n, b.rate, b.cap, math.Round(b.demand*100) / 100, len(b.waiting)})
+		b.reportedWaiting = len(b.waiting)
+		report.Shares = append(report.Shares, Share{name, b.rate, b.cap, math.Round(b.demand*100) / 100, len(b.waiting)})
 	}
-	if whole {
-		p.told = now
+	if complete {
+		lq.demandReportedAt = now
 	}
-	return r
+	return report
 }
 
-// Take over what the allocator has answered; only the answer to the last report
-// counts, and none of an allocator that has been replaced.
-func (p *LocalQuota) Lent(now time.Duration, l Allocation) {
-	if l.Seq != p.seq || !p.waits || l.Term.Less(p.term) {
+// Lent applies an allocation. Only the answer to the last report counts, and none from an allocator
+// that has been replaced.
+func (lq *LocalQuota) Lent(now time.Duration, allocation Allocation) {
+	if allocation.Seq != lq.seq || !lq.awaiting || allocation.Term.Less(lq.term) {
 		return
 	}
-	p.waits, p.term = false, l.Term
-	until := p.asked + l.Life
-	if now >= until {
+	lq.awaiting, lq.term = false, allocation.Term
+	expiresAt := lq.reportedAt + allocation.Life
+	if now >= expiresAt {
 		return
 	}
-	p.lapse(now)
-	p.until = until
-	for _, s := range l.Shares {
-		b := p.buckets[s.Tenant]
+	lq.expireShares(now)
+	lq.sharesExpireAt = expiresAt
+	for _, share := range allocation.Shares {
+		b := lq.buckets[share.Tenant]
 		if b == nil {
 			continue
 		}
 		b.refill(now)
-		b.rate, b.cap = s.Rate, s.Cap
-		// What was given for those who wait is theirs; the rest fills the bucket.
-		have := min(b.fill, b.cap) + float64(s.Tokens)
-		for len(b.waiting) > 0 && have >= 1 {
-			have--
-			give := b.waiting[0]
+		b.rate, b.cap = share.Rate, share.Cap
+		// Granted tokens serve the waiting requests first; the rest goes into the bucket.
+		available := min(b.tokens, b.cap) + float64(share.Tokens)
+		for len(b.waiting) > 0 && available >= 1 {
+			available--
+			done := b.waiting[0]
 			b.waiting = b.waiting[1:]
-			give(Granted)
+			done(Granted)
 		}
-		b.fill = min(have, b.cap)
-		if s.Tokens < b.wanted {
-			// The quota is used up; whoever came since is told as well.
-			b.end(Over)
+		b.tokens = min(available, b.cap)
+		if share.Tokens < b.reportedWaiting {
+			// The quota is used up, also for requests that arrived after the report.
+			b.answerWaiting(Over)
 		}
-		b.wanted = 0
+		b.reportedWaiting = 0
 	}
 }
 
-// Awaits says whether the allocator's answer is still awaited.
-func (p *LocalQuota) Awaits(now time.Duration) bool { return p.waits && now-p.asked <= p.Patience }
+// Awaits reports whether the allocator's answer is still awaited.
+func (lq *LocalQuota) Awaits(now time.Duration) bool {
+	return lq.awaiting && now-lq.reportedAt <= lq.Patience
+}
 
-// Waiting says whether any request waits for a report to be made.
-func (p *LocalQuota) Waiting() bool {
-	for _, b := range p.buckets {
+// Waiting reports whether any request waits for the allocator's answer.
+func (lq *LocalQuota) Waiting() bool {
+	for _, b := range lq.buckets {
 		if len(b.waiting) > 0 {
 			return true
 		}
@@ -304,28 +309,30 @@
 	return false
 }
 
-// AcquireRequest asks a branch for one request's worth of a tenant's quota; Drawn answers.
+// AcquireRequest asks a node for one token of a tenant's quota. The answer is an AcquireReply.
 type AcquireRequest struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Tenant string `cbor:"2,keyasint"`
 }
 
-// AcquireReply answers Draw. Away: the branch cannot tell; another may.
+// AcquireReply answers the AcquireRequest with the same Seq. OK: the token is granted. Away: the node
+// can't tell, another one may. Neither: the quota is used up.
 type AcquireReply struct {
 	Seq  uint64 `cbor:"1,keyasint"`
 	OK   bool   `cbor:"2,keyasint,omitempty"`
 	Away bool   `cbor:"3,keyasint,omitempty"`
-	// Life is that of the branch, for the token to be given back to; 0: it takes none back.
+	// Life is the node's incarnation, to which the token can be returned (see Return). Nodes of
+	// versions that take no tokens back send 0.
 	Life uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Return gives a token back that was got with an AcquireReply of the same Life and was not used.
+// Return returns an unused token. Life is that of the AcquireReply that granted it.
 type Return struct {
 	Tenant string `cbor:"1,keyasint"`
 	Life   uint64 `cbor:"2,keyasint"`
 }
 
-// Recall is a new lender's word to the branches to report to it at once.
+// Recall asks a node to report to a new allocator immediately.
 type Recall struct {
 	Term Term `cbor:"1,keyasint"`
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -264,18 +264,18 @@
 	p := NewLocalQuota(7, 0, 300*ms)
 	p.SetLimits(quotas)
 	b := p.bucket("small")
-	b.cap, p.until = 2, time.Hour
+	b.cap, p.sharesExpireAt = 2, time.Hour
 	for _, c := range []struct {
 		life   uint64
 		tenant string
 		want   float64
 	}{{6, "small", 0}, {0, "small", 0}, {7, "ghost", 0}, {7, "small", 1}, {7, "small", 2}, {7, "small", 2}} {
-		if p.GiveBack(ms, c.life, c.tenant); b.fill != c.want {
-			t.Errorf("%+v: %g", c, b.fill)
+		if p.GiveBack(ms, c.life, c.tenant); b.tokens != c.want {
+			t.Errorf("%+v: %g", c, b.tokens)
 		}
 	}
-	if p.GiveBack(2*time.Hour, 7, "small"); b.fill != 0 {
-		t.Errorf("a share that has lapsed: %g", b.fill)
+	if p.GiveBack(2*time.Hour, 7, "small"); b.tokens != 0 {
+		t.Errorf("a share that has lapsed: %g", b.tokens)
 	}
 }
 
@@ -441,7 +441,7 @@
 		now += ms
 	}
 	// The requests come at a now.
-	for ; now < l.openFrom/2; now += l.openFrom / 20 {
+	for ; now < l.othersExpiredAt/2; now += l.othersExpiredAt / 20 {
 		for _, id := range []string{"a", "b", "c"} {
 			report(now, id, map[string]float64{"a": large / 2, "b": large / 20, "c": large / 20}[id])
 		}
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -12,11 +12,11 @@
 	"madderwing/internal/apierror"
 )
 
-// Directory answers from the last view that it was given.
+// Directory answers queries for gateway addresses from the last list of gateways that it was given.
 type Directory struct {
 	ttl  time.Duration
 	view atomic.Pointer[view]
-	// InContact, where it is set, says whether the view may still be told.
+	// InContact, if set, reports whether the list of gateways is recent enough to be served.
 	InContact func() bool
 	Answered  atomic.Uint64
 	Refused   atomic.Uint64
@@ -26,29 +26,29 @@
 type view struct {
 	gateways []Gateway
 	mu       sync.Mutex
-	ready    map[string][]byte // answers by asker
+	answers  map[string][]byte // by zone, region and residency
 }
 
-// readyMax bounds the answers that are kept; askers name what they like.
-const readyMax = 1024
+// maxCachedAnswers bounds the cache, since clients may send any zone and region.
+const maxCachedAnswers = 1024
 
-// NewDirectory makes a directory whose answers hold for ttl. residency tells the
-// regions of a host.
+// NewDirectory returns a directory whose answers are valid for ttl. residency returns the regions
+// in which a host is served.
 func NewDirectory(ttl time.Duration, residency func(host string) []string) *Directory {
 	d := &Directory{ttl: ttl, residency: residency}
 	d.view.Store(&view{})
 	return d
 }
 
-// SetGateways gives the directory another view. One that knows no gateway is not
-// taken over from one that does: while there is contact an old answer beats none.
+// SetGateways replaces the list of gateways. An empty list doesn't replace one with gateways: an old
+// answer is better than none while InContact holds.
 func (d *Directory) SetGateways(gateways []Gateway) {
 	if len(gateways) > 0 || len(d.view.Load().gateways) == 0 {
-		d.view.Store(&view{gateways: gateways, ready: map[string][]byte{}})
+		d.view.Store(&view{gateways: gateways, answers: map[string][]byte{}})
 	}
 }
 
-// Ask answers one asker.
+// Ask returns the JSON answer to the query for a host name from a client in a region and zone.
 func (d *Directory) Ask(name, region, zone string) ([]byte, error) {
 	if name == "" {
 		return nil, apierror.New(apierror.BadQuestion, "name: missing")
@@ -58,29 +58,29 @@
 	}
 	v := d.view.Load()
 	if len(v.gateways) == 0 {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no node known yet")
+		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no gateway is known yet")
 	}
 	if d.InContact != nil && !d.InContact() {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact")
+		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact with a majority of the control nodes")
 	}
 	a := Asker{Zone: zone, Region: region, Residency: d.residency(name)}
 	key := strings.Join(append([]string{zone, region}, a.Residency...), "\x00")
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if b, ok := v.ready[key]; ok {
+	if b, ok := v.answers[key]; ok {
 		return b, nil
 	}
 	b, err := json.Marshal(struct {
 		Addresses []string `json:"addresses"`
 		TTLS      float64  `json:"ttlS"`
 	}{Resolve(v.gateways, a), math.Round(d.ttl.Seconds()*1000) / 1000})
-	if err == nil && len(v.ready) < readyMax {
-		v.ready[key] = b
+	if err == nil && len(v.answers) < maxCachedAnswers {
+		v.answers[key] = b
 	}
 	return b, err
 }
 
-// ServeHTTP serves GET /v1/resolve.
+// ServeHTTP answers GET /v1/resolve.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var err error
 	var body []byte
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,5 @@
-// Package registry answers clients who ask where to go. Resolve is a pure
-// function of what is known of the gateways and of who asks; Directory keeps the
-// answers ready.
+// Package registry tells clients which gateways to connect to. Resolve is a pure function of the
+// known gateways and the client's query; Directory caches its answers and serves them over HTTP.
 package registry
 
 import (
@@ -9,37 +8,37 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Gateway is a gateway as the registry sees it.
+// Gateway is what the registry knows of one gateway.
 type Gateway struct {
-	Address string // where it serves clients
+	Address string // on which it serves clients
 	Zone    string
 	Region  string
-	Open    bool // ready and neither leaving nor suspected of being down
+	Open    bool // ready, not shutting down and not suspected to have failed
 }
 
-// Asker is who asks, and for what.
+// Asker is a client's query: where the client is, and where the host that it wants is served.
 type Asker struct {
 	Zone, Region string
-	Residency    []string // regions in which the host is served; none: all
+	Residency    []string // regions in which the host is served; empty: all
 }
 
-// MaxAnswer is how many addresses an answer may name.
+// MaxAnswer is the maximum number of addresses in an answer.
 const MaxAnswer = 64
 
-// enough is the share of a zone's gateways that must be open for the zone to serve
-// its clients alone.
-const enough = 0.5
+// minOpenFraction is the fraction of a zone's gateways that must be open for its clients to get
+// addresses of that zone only.
+const minOpenFraction = 0.5
 
-// Resolve lists the addresses that an asker is to use. Its own zone comes first;
-// where too few of its gateways are open, those of the region join in, and where
-// the region has none, those of the others. While any gateway may be up the answer
-// is not empty: if none is known to be open, all are named.
+// Resolve returns the addresses that a client should use: the open gateways of its zone; if too few
+// of these are open, those of its region; if there are none, those of any region. Only if the regions
+// in which the host is served have no open gateway are gateways of other regions returned. If no
+// gateway is known to be open, all are returned, so the answer is empty only without gateways.
 func Resolve(gateways []Gateway, a Asker) []string {
 	region := a.Region
 	zoneKnown := false
-	for _, d := range gateways {
-		if d.Zone == a.Zone {
-			zoneKnown, region = true, d.Region // the zone's own region counts
+	for _, g := range gateways {
+		if g.Zone == a.Zone {
+			zoneKnown, region = true, g.Region // overrides the region that the client named
 		}
 	}
 	allowed := func(d Gateway) bool {
@@ -53,9 +52,9 @@
 		}
 		return false
 	}
-	pick := func(fit func(Gateway) bool) (open []string, known int) {
+	pick := func(matches func(Gateway) bool) (open []string, known int) {
 		for _, d := range gateways {
-			if fit(d) {
+			if matches(d) {
 				known++
 				if d.Open {
 					open = append(open, d.Address)
@@ -66,8 +65,8 @@
 	}
 	if zoneKnown {
 		open, known := pick(func(d Gateway) bool { return d.Zone == a.Zone && allowed(d) })
-		if known > 0 && float64(len(open)) >= enough*float64(known) {
-			return bound(a, open)
+		if known > 0 && float64(len(open)) >= minOpenFraction*float64(known) {
+			return truncate(a, open)
 		}
 	}
 	for _, fit := range []func(Gateway) bool{
@@ -76,19 +75,19 @@
 		func(Gateway) bool { return true },
 	} {
 		if open, _ := pick(fit); len(open) > 0 {
-			return bound(a, open)
+			return truncate(a, open)
 		}
 	}
 	all := make([]string, 0, len(gateways))
 	for _, d := range gateways {
 		all = append(all, d.Address)
 	}
-	return bound(a, all)
+	return truncate(a, all)
 }
 
-// bound keeps an answer to its greatest size; which gateways it leaves out differs
-// from zone to zone.
-func bound(a Asker, list []string) []string {
+// truncate limits an answer to MaxAnswer addresses and sorts it. Which gateways it leaves out depends
+// on the client's zone and region.
+func truncate(a Asker, list []string) []string {
 	if len(list) > MaxAnswer {
 		list = rendezvous.Pick(a.Zone+"/"+a.Region, list, MaxAnswer)
 	}
