--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -113,7 +113,7 @@
 	if len(ids) == 0 {
 		ids = append(ids, s.Seeds...)
 		for _, id := range ids {
-			zones[id] = id
+			zones[id] = id // the zones of seeds are unknown: each counts as one of its own
 		}
 	}
 	ordered := rendezvous.Order(s.Self, ids)
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -10,97 +10,98 @@
 	"madderwing/internal/membership"
 )
 
-// sourceWorld plays a gateway that asks once a beat, is cut off from all for a while, and is then
-// joined again to control nodes of which some are silent or out of contact.
-type sourceWorld struct {
-	rng   *rand.Rand
-	nodes []membership.Node
-	state []int // of each node after the cut: good, stale or silent
-	seeds []string
+// world simulates a gateway that asks once per beat, is partitioned from all control nodes for a while,
+// and then reconnects to control nodes of which some are silent or out of contact with the majority.
+type world struct {
+	rng        *rand.Rand
+	nodes      []membership.Node
+	nodeStates []int // by node, after the partition: fresh, stale or silent
+	seeds      []string
 }
 
-// The states of a control node.
+// States of a control node.
 const (
-	good = iota
+	fresh = iota
 	stale
 	silent
 )
 
-func newSourceWorld(seed uint64) *sourceWorld {
-	w := &sourceWorld{rng: rand.New(rand.NewPCG(seed, 1))}
+func newSourceWorld(seed uint64) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1))}
 	zones := 1 + w.rng.IntN(5)
-	n := 3 + w.rng.IntN(10)
-	for i := range n {
+	count := 3 + w.rng.IntN(10)
+	for i := range count {
 		w.nodes = append(w.nodes, membership.Node{Address: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%zones)})
-		w.state = append(w.state, good)
+		w.nodeStates = append(w.nodeStates, fresh)
 	}
-	for _, i := range w.rng.Perm(n)[:w.rng.IntN((n+1)/2)] { // fewer than half
-		w.state[i] = stale + w.rng.IntN(2)
+	for _, i := range w.rng.Perm(count)[:w.rng.IntN((count+1)/2)] { // fewer than half
+		w.nodeStates[i] = stale + w.rng.IntN(2)
 	}
-	for _, i := range w.rng.Perm(n)[:3] {
+	for _, i := range w.rng.Perm(count)[:3] {
 		w.seeds = append(w.seeds, w.nodes[i].Address)
 	}
 	return w
 }
 
-// live is the list that the gateway has of control nodes that seem alive: all before the cut, none
-// once it has lasted, and after it those that answer come back one by one.
-func (w *sourceWorld) live(beat, cut, joined, back int) (out []membership.Node) {
+// alive returns the control nodes that the gateway's membership shows as alive: all before the
+// partition, none when it has lasted a while, and after it those that answer, one by one.
+func (w *world) alive(beat, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
 	switch {
-	case beat < cut+4:
+	case beat < partitionedAt+4:
 		return w.nodes
-	case beat < joined+back:
+	case beat < healedAt+rejoinDelay:
 		return nil
 	}
 	for i, n := range w.nodes {
-		if w.state[i] != silent && (i+beat)%2 == 0 {
+		if w.nodeStates[i] != silent && (i+beat)%2 == 0 {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// play says how many beats after the cut the gateway has a fresh word.
-func (w *sourceWorld) play() int {
+// run returns the number of beats after the partition until the gateway gets a fresh update.
+func (w *world) run() int {
 	const beat = time.Second
-	cut := 2 + w.rng.IntN(8)
-	joined := cut + 5 + w.rng.IntN(30)
-	back := w.rng.IntN(8)
-	s := Sources{Self: "gateway", Zone: "z0", Patience: 3 * beat, Seeds: w.seeds}
+	partitionedAt := 2 + w.rng.IntN(8)
+	healedAt := partitionedAt + 5 + w.rng.IntN(30)
+	rejoinDelay := w.rng.IntN(8)
+	sources := Sources{Self: "gateway", Zone: "z0", Patience: 3 * beat, Seeds: w.seeds}
 	for b := 1; ; b++ {
 		now := time.Duration(b) * beat
-		live := w.live(b, cut, joined, back)
-		fresh := false
-		for _, id := range slices.Concat(s.Choose(now, live), s.AlsoAsk(now)) {
+		alive := w.alive(b, partitionedAt, healedAt, rejoinDelay)
+		gotFresh := false
+		for _, id := range slices.Concat(sources.Choose(now, alive), sources.AlsoAsk(now)) {
 			i := slices.IndexFunc(w.nodes, func(n membership.Node) bool { return n.Address == id })
-			state := w.state[i]
-			if b < cut {
-				state = good
-			} else if b < joined {
+			state := w.nodeStates[i]
+			if b < partitionedAt {
+				state = fresh
+			} else if b < healedAt {
 				state = silent
 			}
 			if state != silent {
-				s.Heard(now+beat/20, id, state == good)
-				fresh = fresh || state == good
+				sources.Heard(now+beat/20, id, state == fresh)
+				gotFresh = gotFresh || state == fresh
 			}
 		}
-		if b >= joined && fresh || b > joined+100 {
-			return b - joined + 1
+		if b >= healedAt && gotFresh || b > healedAt+100 {
+			return b - healedAt + 1
 		}
 	}
 }
 
-// Whatever a gateway tried in vain while it was cut off, it has a fresh word within three beats, half
-// of contactS, after it can reach control nodes most of which are in contact.
-func TestAFreshWordSoonAfterACut(t *testing.T) {
+// Whichever control nodes a gateway tried during a partition, it gets a fresh update within three beats
+// (half of contactS) after it reconnects to control nodes most of which are in contact with the
+// majority.
+func TestFreshUpdateSoonAfterPartition(t *testing.T) {
 	worst, late := 0, 0
 	for seed := range uint64(3000) {
-		took := newSourceWorld(seed).play()
+		took := newSourceWorld(seed).run()
 		if worst = max(worst, took); took > 3 {
 			late++
 		}
 	}
 	if worst > 3 {
-		t.Errorf("a fresh word after %d beats, later than three in %d of 3000 worlds", worst, late)
+		t.Errorf("first fresh update after %d beats, want at most 3; later in %d of 3000 worlds", worst, late)
 	}
 }
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -8,46 +8,46 @@
 )
 
 func TestReadiness(t *testing.T) {
-	confirmed := true
+	keysConfirmed := true
 	const now, contactS = 20 * time.Second, 3 * time.Second
-	answer := func(fresh bool, asked time.Duration) delivery.Issue {
+	update := func(fresh bool, asked time.Duration) delivery.Issue {
 		i := delivery.Issue{Fresh: fresh}
 		if asked > 0 {
 			i.Sure = &delivery.Sure{Asked: asked}
 		}
 		return i
 	}
-	r := newReadiness(func() bool { return confirmed })
+	r := newReadiness(func() bool { return keysConfirmed })
 	for i, c := range []struct {
-		name     string
-		change   func()
-		ok, gone bool
+		name           string
+		change         func()
+		ok, recognized bool
 	}{
-		{"nothing known", func() {}, false, false},
-		{"items", func() { r.hasItems.Store(true) }, false, false},
-		{"and the list", func() { r.hasList.Store(true) }, false, false},
-		{"a control node that is cut off", func() { r.confirmItems(now, answer(false, now-1), contactS) }, false, false},
-		{"one that has sent a part", func() { r.confirmItems(now, answer(true, 0), contactS) }, false, false},
-		{"an answer from before a freeze", func() { r.confirmItems(now, answer(true, now-contactS-1), contactS) }, false, false},
-		{"confirmed", func() { r.confirmItems(now, answer(true, now-1), contactS) }, true, false},
-		{"all control nodes cut off later", func() { r.confirmItems(now, answer(false, now-1), contactS) }, true, false},
-		{"keys in doubt", func() { confirmed = false }, false, false},
-		{"still in doubt", func() {}, false, false}, // no sign that it leaves
-		{"keys sure", func() { confirmed = true }, true, false},
-		{"leaving, first miss", func() { r.leaving.Store(true) }, false, false},
-		{"second miss", func() {}, false, true},
-		{"third miss", func() {}, false, true},
+		{"no data", func() {}, false, false},
+		{"items only", func() { r.hasItems.Store(true) }, false, false},
+		{"items and list, not confirmed", func() { r.hasList.Store(true) }, false, false},
+		{"update from a control node without majority", func() { r.confirmItems(now, update(false, now-1), contactS) }, false, false},
+		{"incomplete update", func() { r.confirmItems(now, update(true, 0), contactS) }, false, false},
+		{"answer to a request from before a freeze", func() { r.confirmItems(now, update(true, now-contactS-1), contactS) }, false, false},
+		{"confirmed", func() { r.confirmItems(now, update(true, now-1), contactS) }, true, false},
+		{"later all control nodes without majority", func() { r.confirmItems(now, update(false, now-1), contactS) }, true, false},
+		{"keys unconfirmed", func() { keysConfirmed = false }, false, false},
+		{"keys still unconfirmed", func() {}, false, false}, // failed probes without a shutdown
+		{"keys confirmed", func() { keysConfirmed = true }, true, false},
+		{"shutdown, first failed probe", func() { r.leaving.Store(true) }, false, false},
+		{"second failed probe", func() {}, false, true},
+		{"third failed probe", func() {}, false, true},
 	} {
 		c.change()
-		if ok := r.answerProbe(); ok != c.ok || r.leavingRecognized() != c.gone {
-			t.Errorf("%d, %s: ready %v, believed gone %v", i, c.name, ok, r.leavingRecognized())
+		if ok := r.answerProbe(); ok != c.ok || r.leavingRecognized() != c.recognized {
+			t.Errorf("%d, %s: ready %v, shutdown recognized %v", i, c.name, ok, r.leavingRecognized())
 		}
 	}
 }
 
-// Large answers on a narrow link were cut short 4.5 s after a SIGTERM, of 6 s of grace,
-// where the platform had believed it early.
-func TestAnswersHaveTheRestOfTheGrace(t *testing.T) {
+// Large responses on a slow link must get the rest of the grace period. They were cut short 4.5 s after
+// SIGTERM, of 6 s of grace, when the platform had recognized the shutdown early.
+func TestResponseTime(t *testing.T) {
 	const grace = 6 * time.Second
 	for since, want := range map[time.Duration]time.Duration{
 		0:                       5700 * time.Millisecond,
@@ -55,29 +55,29 @@
 		3000 * time.Millisecond: 2700 * time.Millisecond,
 	} {
 		if got := responseTime(grace, since); got != want {
-			t.Errorf("%v after the SIGTERM: %v, want %v", since, got, want)
+			t.Errorf("%v after SIGTERM: %v, want %v", since, got, want)
 		}
 	}
 }
 
-// Where too few other nodes of a zone are ready, the platform goes on to send connections to one
-// that leaves: they are taken as long as they come, until there would be no time to answer them.
-func TestConnectionsAreTakenWhileTheyCome(t *testing.T) {
+// If too few other nodes of a zone are ready, the platform continues to send connections to a node that
+// shuts down. These are accepted while they arrive, until there is no time left to answer them.
+func TestStillAccepts(t *testing.T) {
 	const grace, quiet = 6 * time.Second, 200 * time.Millisecond
 	for _, c := range []struct {
-		since, calm time.Duration
+		since, idle time.Duration
 		want        bool
 	}{
 		{0, 0, true},
-		{time.Second, 0, true}, // not believed yet
-		{1200 * time.Millisecond, quiet - 1, true},  // some may still be under way
-		{1200 * time.Millisecond, quiet, false},     // none comes any more
-		{2600 * time.Millisecond, quiet / 2, true},  // they still come
-		{2700 * time.Millisecond, quiet / 2, false}, // too late for their answers
-		{2700 * time.Millisecond, 0, false},         // never believed
+		{time.Second, 0, true}, // shutdown not recognized yet
+		{1200 * time.Millisecond, quiet - 1, true},  // connections may still be on their way
+		{1200 * time.Millisecond, quiet, false},     // no connection arrives any more
+		{2600 * time.Millisecond, quiet / 2, true},  // connections still arrive
+		{2700 * time.Millisecond, quiet / 2, false}, // too late to answer them
+		{2700 * time.Millisecond, 0, false},         // shutdown never recognized
 	} {
-		if got := stillAccepts(grace, c.since, c.calm, quiet); got != c.want {
-			t.Errorf("%v after the SIGTERM, calm for %v: %v", c.since, c.calm, got)
+		if got := stillAccepts(grace, c.since, c.idle, quiet); got != c.want {
+			t.Errorf("%v after SIGTERM, idle for %v: accepts %v", c.since, c.idle, got)
 		}
 	}
 }
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -18,141 +18,141 @@
 	"madderwing/internal/upstream"
 )
 
-func newMesh(t *testing.T) *transport.Endpoint {
+func newEndpoint(t *testing.T) *transport.Endpoint {
 	t.Helper()
-	m, err := transport.New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
+	endpoint, err := transport.New("127.0.0.1:0", 5*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(m.Close)
-	return m
+	t.Cleanup(endpoint.Close)
+	return endpoint
 }
 
-// An answer lets in only the request whose draw it answers: not one of the same number of
-// a former life, and not one drawn at another control node.
-func TestADrawIsAnsweredByTheControlNodeAsked(t *testing.T) {
-	var asked []uint64
-	for life := range 3 {
-		branch := newMesh(t)
-		d := &Gateway{endpoint: newMesh(t), tokenRequests: newTokenRequests()}
-		d.tokenRequests.controlNodes = [2]string{branch.Self()}
-		branch.Handle(delivery.AcquireKind, func(from string, body []byte) (any, error) {
-			var q quota.AcquireRequest
-			if err := cbor.Unmarshal(body, &q); err != nil {
+// A reply grants only the token request that it answers, not one with the same number of an earlier
+// process, nor one sent to another control node.
+func TestOnlyTheAskedControlNodeAnswers(t *testing.T) {
+	var askedSeqs []uint64
+	for incarnation := range 3 {
+		controlNode := newEndpoint(t)
+		g := &Gateway{endpoint: newEndpoint(t), tokenRequests: newTokenRequests()}
+		g.tokenRequests.controlNodes = [2]string{controlNode.Self()}
+		controlNode.Handle(delivery.AcquireKind, func(from string, body []byte) (any, error) {
+			var request quota.AcquireRequest
+			if err := cbor.Unmarshal(body, &request); err != nil {
 				t.Error(err)
 			}
-			for _, seq := range asked { // late, to a life before
-				d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: seq, OK: true})
+			for _, seq := range askedSeqs { // late replies to earlier processes
+				g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: seq, OK: true})
 			}
-			asked = append(asked, q.Seq)
-			d.handleAcquireReply("another:1", quota.AcquireReply{Seq: q.Seq, OK: true})
-			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq})
-			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true}) // twice
+			askedSeqs = append(askedSeqs, request.Seq)
+			g.handleAcquireReply("another:1", quota.AcquireReply{Seq: request.Seq, OK: true})
+			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq})
+			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq, OK: true}) // twice
 			return nil, nil
 		})
-		d.endpoint.Start()
-		branch.Start()
+		g.endpoint.Start()
+		controlNode.Start()
 		for range 3 {
-			if _, kind := d.acquireToken(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
-				t.Errorf("life %d: %v, not refused", life, apierror.AnswerFor(kind))
+			if _, kind := g.acquireToken(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
+				t.Errorf("incarnation %d: %v, want over quota", incarnation, apierror.AnswerFor(kind))
 			}
 		}
 	}
 }
 
-// Where the use of keys that were taken away is bounded, a gateway uses keys only as long as that has
-// been confirmed to it, whether or not there is a registry: one that is cut off, so that it does not
-// hear of a removal, stops before revokeS after the answer to the removal, which is held for that long.
-func TestAGatewayThatIsCutOffStopsUsingKeys(t *testing.T) {
+// If the use of removed keys is bounded, a gateway uses keys only while they are confirmed, with or
+// without a registry. A partitioned gateway, which doesn't hear of a removal, stops using keys within
+// revokeS after the removal was acknowledged. The acknowledgement is delayed for that purpose.
+func TestPartitionedGatewayStopsUsingKeys(t *testing.T) {
 	for _, ingress := range []string{"vip", "registry"} {
 		synctest.Test(t, func(t *testing.T) {
-			set := &settings.Settings{Ingress: ingress, Bounds: settings.Bounds{ContactS: 5, AckS: 6, RevokeS: 5, RevocationGlobal: true}}
+			cfg := &settings.Settings{Ingress: ingress, Bounds: settings.Bounds{ContactS: 5, AckS: 6, RevokeS: 5, RevocationGlobal: true}}
 			dispatcher := proxy.NewDispatcher(upstream.NewBalancer(upstream.Config{}), time.Second, time.Second)
-			d := &Gateway{settings: set, startedAt: time.Now(), clockOffset: newClockOffset(), handler: proxy.NewHandler(dispatcher, nil)}
-			d.setUpTenants()
-			if d.handler.Confirmed() {
-				t.Errorf("%s: keys are relied on that nobody has confirmed", ingress)
+			g := &Gateway{settings: cfg, startedAt: time.Now(), clockOffset: newClockOffset(), handler: proxy.NewHandler(dispatcher, nil)}
+			g.setUpTenants()
+			if g.handler.Confirmed() {
+				t.Errorf("%s: unconfirmed keys are used", ingress)
 			}
 			time.Sleep(time.Second)
-			confirmed := time.Since(d.startedAt)
-			d.extendKeyLease(confirmed, delivery.Issue{Sure: &delivery.Sure{Asked: d.clockOffset + confirmed}})
-			if !d.handler.Confirmed() {
-				t.Errorf("%s: keys are not relied on", ingress)
+			confirmed := time.Since(g.startedAt)
+			g.extendKeyLease(confirmed, delivery.Issue{Sure: &delivery.Sure{Asked: g.clockOffset + confirmed}})
+			if !g.handler.Confirmed() {
+				t.Errorf("%s: confirmed keys are not used", ingress)
 			}
-			// A key that is taken away right after that; the answer to it is held.
-			acknowledged := set.HoldRevocation()
-			time.Sleep(acknowledged + settings.Seconds(set.Bounds.RevokeS))
-			if d.handler.Confirmed() {
-				t.Errorf("%s: keys are relied on for longer than they may be", ingress)
+			// A key is removed right after that. The acknowledgement is delayed.
+			acknowledged := cfg.HoldRevocation()
+			time.Sleep(acknowledged + settings.Seconds(cfg.Bounds.RevokeS))
+			if g.handler.Confirmed() {
+				t.Errorf("%s: keys are used for too long after a removal", ingress)
 			}
 		})
 	}
 }
 
-// A token that nobody uses goes back to the control node that gave it, with the life that gave it.
-// A draw whose client leaves is not waited for.
-func TestTokensGoBackToTheirBranch(t *testing.T) {
-	branch := newMesh(t)
+// An unused token goes back to the control node that granted it, with its incarnation. A request whose
+// client disconnects is no longer waited for.
+func TestUnusedTokensAreReturned(t *testing.T) {
+	controlNode := newEndpoint(t)
 	returns := make(chan quota.Return, 1)
-	branch.Handle(delivery.ReturnKind, func(_ string, body []byte) (any, error) {
+	controlNode.Handle(delivery.ReturnKind, func(_ string, body []byte) (any, error) {
 		var r quota.Return
 		err := cbor.Unmarshal(body, &r)
 		returns <- r
 		return nil, err
 	})
-	d := &Gateway{endpoint: newMesh(t), tokenRequests: newTokenRequests()}
-	d.tokenRequests.controlNodes = [2]string{branch.Self()}
-	gone, leave := context.WithCancel(t.Context())
-	answers := true
-	branch.Handle(delivery.AcquireKind, func(_ string, body []byte) (any, error) {
-		var q quota.AcquireRequest
-		err := cbor.Unmarshal(body, &q)
-		if answers {
-			d.handleAcquireReply(branch.Self(), quota.AcquireReply{Seq: q.Seq, OK: true, Life: 7})
+	g := &Gateway{endpoint: newEndpoint(t), tokenRequests: newTokenRequests()}
+	g.tokenRequests.controlNodes = [2]string{controlNode.Self()}
+	ctx, cancel := context.WithCancel(t.Context())
+	respond := true
+	controlNode.Handle(delivery.AcquireKind, func(_ string, body []byte) (any, error) {
+		var request quota.AcquireRequest
+		err := cbor.Unmarshal(body, &request)
+		if respond {
+			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq, OK: true, Life: 7})
 		} else {
-			leave()
+			cancel()
 		}
 		return nil, err
 	})
-	d.endpoint.Start()
-	branch.Start()
-	giveBack, kind := d.acquireToken(t.Context(), "t", 10*time.Second)
+	g.endpoint.Start()
+	controlNode.Start()
+	returnUnused, kind := g.acquireToken(t.Context(), "t", 10*time.Second)
 	if kind != apierror.Internal {
 		t.Fatal(apierror.AnswerFor(kind))
 	}
-	giveBack()
+	returnUnused()
 	if r := <-returns; r != (quota.Return{Tenant: "t", Life: 7}) {
-		t.Errorf("%+v", r)
+		t.Errorf("returned %+v", r)
 	}
-	answers = false
-	if _, kind := d.acquireToken(gone, "t", time.Hour); kind != apierror.ClientGone || len(d.tokenRequests.pending) != 0 {
-		t.Errorf("%v, %d draws are waited for", apierror.AnswerFor(kind), len(d.tokenRequests.pending))
+	respond = false
+	if _, kind := g.acquireToken(ctx, "t", time.Hour); kind != apierror.ClientGone || len(g.tokenRequests.pending) != 0 {
+		t.Errorf("%v, %d requests pending", apierror.AnswerFor(kind), len(g.tokenRequests.pending))
 	}
 }
 
-// A lease on keys comes only of a question of this life that has been asked.
-func TestALeaseComesOfThisLifesQuestions(t *testing.T) {
-	set := &settings.Settings{Bounds: settings.Bounds{RevokeS: 10}}
+// Only an answer to a request that this process has sent extends the lease of the API keys.
+func TestKeyLeaseComesOnlyFromOwnRequests(t *testing.T) {
+	cfg := &settings.Settings{Bounds: settings.Bounds{RevokeS: 10}}
 	const now = 2 * time.Second
 	for _, c := range []struct {
-		name  string
-		asked func(d, former *Gateway) time.Duration
-		takes bool
+		name    string
+		asked   func(g, earlier *Gateway) time.Duration
+		extends bool
 	}{
-		{"a second ago", func(d, _ *Gateway) time.Duration { return d.clockOffset + now - time.Second }, true},
-		{"late in a former life", func(_, f *Gateway) time.Duration { return f.clockOffset + time.Hour }, false},
-		{"early in a former life", func(_, f *Gateway) time.Duration { return f.clockOffset + time.Second }, false},
-		{"by the bare clock of a former life", func(*Gateway, *Gateway) time.Duration { return time.Second }, false},
-		{"not yet", func(d, _ *Gateway) time.Duration { return d.clockOffset + now + time.Second }, false},
+		{"sent a second ago", func(g, _ *Gateway) time.Duration { return g.clockOffset + now - time.Second }, true},
+		{"sent late by an earlier process", func(_, earlier *Gateway) time.Duration { return earlier.clockOffset + time.Hour }, false},
+		{"sent early by an earlier process", func(_, earlier *Gateway) time.Duration { return earlier.clockOffset + time.Second }, false},
+		{"sent by an earlier process without clock offset", func(*Gateway, *Gateway) time.Duration { return time.Second }, false},
+		{"time in the future", func(g, _ *Gateway) time.Duration { return g.clockOffset + now + time.Second }, false},
 	} {
-		d, former := &Gateway{settings: set, clockOffset: newClockOffset()}, &Gateway{settings: set, clockOffset: newClockOffset()}
-		d.extendKeyLease(now, delivery.Issue{Sure: &delivery.Sure{Asked: c.asked(d, former)}})
+		g, earlier := &Gateway{settings: cfg, clockOffset: newClockOffset()}, &Gateway{settings: cfg, clockOffset: newClockOffset()}
+		g.extendKeyLease(now, delivery.Issue{Sure: &delivery.Sure{Asked: c.asked(g, earlier)}})
 		want := int64(0)
-		if c.takes {
-			want = int64(now - time.Second + set.KeyLease())
+		if c.extends {
+			want = int64(now - time.Second + cfg.KeyLease())
 		}
-		if got := d.keyLeaseUntil.Load(); got != want {
-			t.Errorf("%s: the lease lasts until %v, not %v", c.name, time.Duration(got), time.Duration(want))
+		if got := g.keyLeaseUntil.Load(); got != want {
+			t.Errorf("%s: lease lasts until %v, want %v", c.name, time.Duration(got), time.Duration(want))
 		}
 	}
 }
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -56,28 +56,28 @@
 	if region == "" && zone == "" {
 		return nil, apierror.New(apierror.BadQuestion, "region and zone: missing")
 	}
-	v := d.view.Load()
-	if len(v.gateways) == 0 {
+	current := d.view.Load()
+	if len(current.gateways) == 0 {
 		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no gateway is known yet")
 	}
 	if d.InContact != nil && !d.InContact() {
 		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact with a majority of the control nodes")
 	}
-	a := Asker{Zone: zone, Region: region, Residency: d.residency(name)}
-	key := strings.Join(append([]string{zone, region}, a.Residency...), "\x00")
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if b, ok := v.answers[key]; ok {
-		return b, nil
+	client := Asker{Zone: zone, Region: region, Residency: d.residency(name)}
+	key := strings.Join(append([]string{zone, region}, client.Residency...), "\x00")
+	current.mu.Lock()
+	defer current.mu.Unlock()
+	if body, ok := current.answers[key]; ok {
+		return body, nil
 	}
-	b, err := json.Marshal(struct {
+	body, err := json.Marshal(struct {
 		Addresses []string `json:"addresses"`
 		TTLS      float64  `json:"ttlS"`
-	}{Resolve(v.gateways, a), math.Round(d.ttl.Seconds()*1000) / 1000})
-	if err == nil && len(v.answers) < maxCachedAnswers {
-		v.answers[key] = b
+	}{Resolve(current.gateways, client), math.Round(d.ttl.Seconds()*1000) / 1000})
+	if err == nil && len(current.answers) < maxCachedAnswers {
+		current.answers[key] = body
 	}
-	return b, err
+	return body, err
 }
 
 // ServeHTTP answers GET /v1/resolve.
@@ -90,8 +90,8 @@
 	case r.Method != http.MethodGet:
 		err = apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	default:
-		q := r.URL.Query()
-		body, err = d.Ask(q.Get("name"), q.Get("region"), q.Get("zone"))
+		query := r.URL.Query()
+		body, err = d.Ask(query.Get("name"), query.Get("region"), query.Get("zone"))
 	}
 	if err != nil {
 		d.Refused.Add(1)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -33,63 +33,63 @@
 // of these are open, those of its region; if there are none, those of any region. Only if the regions
 // in which the host is served have no open gateway are gateways of other regions returned. If no
 // gateway is known to be open, all are returned, so the answer is empty only without gateways.
-func Resolve(gateways []Gateway, a Asker) []string {
-	region := a.Region
+func Resolve(gateways []Gateway, client Asker) []string {
+	region := client.Region
 	zoneKnown := false
 	for _, g := range gateways {
-		if g.Zone == a.Zone {
+		if g.Zone == client.Zone {
 			zoneKnown, region = true, g.Region // overrides the region that the client named
 		}
 	}
-	allowed := func(d Gateway) bool {
-		if len(a.Residency) == 0 {
+	allowed := func(g Gateway) bool {
+		if len(client.Residency) == 0 {
 			return true
 		}
-		for _, r := range a.Residency {
-			if r == d.Region {
+		for _, r := range client.Residency {
+			if r == g.Region {
 				return true
 			}
 		}
 		return false
 	}
 	pick := func(matches func(Gateway) bool) (open []string, known int) {
-		for _, d := range gateways {
-			if matches(d) {
+		for _, g := range gateways {
+			if matches(g) {
 				known++
-				if d.Open {
-					open = append(open, d.Address)
+				if g.Open {
+					open = append(open, g.Address)
 				}
 			}
 		}
 		return open, known
 	}
 	if zoneKnown {
-		open, known := pick(func(d Gateway) bool { return d.Zone == a.Zone && allowed(d) })
+		open, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
 		if known > 0 && float64(len(open)) >= minOpenFraction*float64(known) {
-			return truncate(a, open)
+			return truncate(client, open)
 		}
 	}
-	for _, fit := range []func(Gateway) bool{
-		func(d Gateway) bool { return d.Region == region && allowed(d) },
+	for _, matches := range []func(Gateway) bool{
+		func(g Gateway) bool { return g.Region == region && allowed(g) },
 		allowed,
 		func(Gateway) bool { return true },
 	} {
-		if open, _ := pick(fit); len(open) > 0 {
-			return truncate(a, open)
+		if open, _ := pick(matches); len(open) > 0 {
+			return truncate(client, open)
 		}
 	}
 	all := make([]string, 0, len(gateways))
-	for _, d := range gateways {
-		all = append(all, d.Address)
+	for _, g := range gateways {
+		all = append(all, g.Address)
 	}
-	return truncate(a, all)
+	return truncate(client, all)
 }
 
 // truncate limits an answer to MaxAnswer addresses and sorts it. Which gateways it leaves out depends
 // on the client's zone and region.
-func truncate(a Asker, list []string) []string {
+func truncate(client Asker, list []string) []string {
 	if len(list) > MaxAnswer {
-		list = rendezvous.Pick(a.Zone+"/"+a.Region, list, MaxAnswer)
+		list = rendezvous.Pick(client.Zone+"/"+client.Region, list, MaxAnswer)
 	}
 	sort.Strings(list)
 	return list
