--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -188,8 +188,7 @@
 // syncLoop keeps the configuration and the list of upstreams up to date: it tells the control nodes
 // what the gateway holds, and applies their updates.
 func (g *Gateway) syncLoop(beat time.Duration, stop chan struct{}) {
-	// A gateway without data asks often, one with unconfirmed data less often, a ready one once per
-	// beat.
+	// A gateway asks often until it has data, less often until it is ready, and then once per beat.
 	ticker := time.NewTicker(beat / 10)
 	defer ticker.Stop()
 	catchingUp, wasReady := true, false
