--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -244,12 +244,12 @@
 	seen := map[string]bool{}
 	allocation := Allocation{Term: alloc.term, Seq: report.Seq, Life: lifetime}
 	for _, request := range report.Shares {
-		q := quotas[request.Tenant]
-		if q.Rate <= 0 || seen[request.Tenant] {
+		quota := quotas[request.Tenant]
+		if quota.Rate <= 0 || seen[request.Tenant] {
 			continue
 		}
 		seen[request.Tenant] = true
-		acct := alloc.account(now, request.Tenant, q)
+		acct := alloc.account(now, request.Tenant, quota)
 		alloc.refill(now, acct)
 		share := node.shares[request.Tenant]
 		if share == nil {
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -170,15 +170,15 @@
 		return false
 	}
 	lq.expireShares(now)
-	b := lq.bucket(tenant)
-	b.arrived++
-	b.refill(now)
-	if b.tokens >= 1 && len(b.waiting) == 0 {
-		b.tokens--
+	tenantBucket := lq.bucket(tenant)
+	tenantBucket.arrived++
+	tenantBucket.refill(now)
+	if tenantBucket.tokens >= 1 && len(tenantBucket.waiting) == 0 {
+		tenantBucket.tokens--
 		done(Granted)
 		return false
 	}
-	b.waiting = append(b.waiting, done)
+	tenantBucket.waiting = append(tenantBucket.waiting, done)
 	return !lq.Awaits(now)
 }
 
@@ -225,31 +225,31 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		b := lq.buckets[name]
+		tenantBucket := lq.buckets[name]
 		if complete {
-			if rate := b.arrived / max(seconds, 0.1); rate > b.demand {
-				b.demand = (b.demand + rate) / 2
+			if rate := tenantBucket.arrived / max(seconds, 0.1); rate > tenantBucket.demand {
+				tenantBucket.demand = (tenantBucket.demand + rate) / 2
 			} else {
-				b.demand += (rate - b.demand) * 0.35
+				tenantBucket.demand += (rate - tenantBucket.demand) * 0.35
 			}
-			if b.arrived == 0 && len(b.waiting) == 0 {
-				b.idleReports++
+			if tenantBucket.arrived == 0 && len(tenantBucket.waiting) == 0 {
+				tenantBucket.idleReports++
 			} else {
-				b.idleReports = 0
+				tenantBucket.idleReports = 0
 			}
-			b.arrived = 0
-			if b.idleReports > maxIdleReports {
+			tenantBucket.arrived = 0
+			if tenantBucket.idleReports > maxIdleReports {
 				delete(lq.buckets, name) // not listed, so the share goes back to the allocator
 				continue
 			}
-			if b.cap == 0 && b.demand < minSteadyRate/2 && len(b.waiting) == 0 {
+			if tenantBucket.cap == 0 && tenantBucket.demand < minSteadyRate/2 && len(tenantBucket.waiting) == 0 {
 				continue // holds no share, and its demand is far from getting one
 			}
-		} else if len(b.waiting) == 0 {
+		} else if len(tenantBucket.waiting) == 0 {
 			continue
 		}
-		b.reportedWaiting = len(b.waiting)
-		report.Shares = append(report.Shares, Share{name, b.rate, b.cap, math.Round(b.demand*100) / 100, len(b.waiting)})
+		tenantBucket.reportedWaiting = len(tenantBucket.waiting)
+		report.Shares = append(report.Shares, Share{name, tenantBucket.rate, tenantBucket.cap, math.Round(tenantBucket.demand*100) / 100, len(tenantBucket.waiting)})
 	}
 	if complete {
 		lq.demandReportedAt = now
@@ -271,26 +271,26 @@
 	lq.expireShares(now)
 	lq.sharesExpireAt = expiresAt
 	for _, share := range allocation.Shares {
-		b := lq.buckets[share.Tenant]
-		if b == nil {
+		tenantBucket := lq.buckets[share.Tenant]
+		if tenantBucket == nil {
 			continue
 		}
-		b.refill(now)
-		b.rate, b.cap = share.Rate, share.Cap
+		tenantBucket.refill(now)
+		tenantBucket.rate, tenantBucket.cap = share.Rate, share.Cap
 		// Granted tokens serve the waiting requests first; the rest goes into the bucket.
-		available := min(b.tokens, b.cap) + float64(share.Tokens)
-		for len(b.waiting) > 0 && available >= 1 {
+		available := min(tenantBucket.tokens, tenantBucket.cap) + float64(share.Tokens)
+		for len(tenantBucket.waiting) > 0 && available >= 1 {
 			available--
-			done := b.waiting[0]
-			b.waiting = b.waiting[1:]
+			done := tenantBucket.waiting[0]
+			tenantBucket.waiting = tenantBucket.waiting[1:]
 			done(Granted)
 		}
-		b.tokens = min(available, b.cap)
-		if share.Tokens < b.reportedWaiting {
+		tenantBucket.tokens = min(available, tenantBucket.cap)
+		if share.Tokens < tenantBucket.reportedWaiting {
 			// The quota is used up, also for requests that arrived after the report.
-			b.answerWaiting(Over)
+			tenantBucket.answerWaiting(Over)
 		}
-		b.reportedWaiting = 0
+		tenantBucket.reportedWaiting = 0
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -265,19 +265,19 @@
 func TestTokenReturnsToItsIncarnationOnly(t *testing.T) {
 	local := NewLocalQuota(7, 0, 300*ms)
 	local.SetLimits(quotas)
-	b := local.bucket("small")
-	b.cap, local.sharesExpireAt = 2, time.Hour
+	tenantBucket := local.bucket("small")
+	tenantBucket.cap, local.sharesExpireAt = 2, time.Hour
 	for _, c := range []struct {
 		incarnation uint64
 		tenant      string
 		want        float64
 	}{{6, "small", 0}, {0, "small", 0}, {7, "ghost", 0}, {7, "small", 1}, {7, "small", 2}, {7, "small", 2}} {
-		if local.GiveBack(ms, c.incarnation, c.tenant); b.tokens != c.want {
-			t.Errorf("%+v: %g tokens", c, b.tokens)
+		if local.GiveBack(ms, c.incarnation, c.tenant); tenantBucket.tokens != c.want {
+			t.Errorf("%+v: %g tokens", c, tenantBucket.tokens)
 		}
 	}
-	if local.GiveBack(2*time.Hour, 7, "small"); b.tokens != 0 {
-		t.Errorf("expired share: %g tokens, want 0", b.tokens)
+	if local.GiveBack(2*time.Hour, 7, "small"); tenantBucket.tokens != 0 {
+		t.Errorf("expired share: %g tokens, want 0", tenantBucket.tokens)
 	}
 }
 
