--- a/cmd/madderwing/client_test.go
+++ b/cmd/madderwing/client_test.go
@@ -13,21 +13,21 @@
 	"madderwing/internal/config"
 )
 
-// A change that the control nodes refuse for its number ends at once with exit code 3 and
-// says which item and number it was; other refusals and silence have codes of their own.
-func TestConfigApplyTellsWhyItWasRefused(t *testing.T) {
+// A change that reuses a generation number with other content, or that is invalid, is rejected
+// after a single call with exit code 3. The error names the item and its generation.
+func TestConfigApplyReportsRefusals(t *testing.T) {
 	const first = `{"upsert":{"services":[{"name":"a","generation":5,"maxConns":1}]}}`
-	have := map[string]config.Record{}
+	stored := map[string]config.Record{}
 	calls := 0
-	controlNode := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	controlNode := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, root *http.Request) {
 		calls++
-		body, _ := io.ReadAll(r.Body)
+		body, _ := io.ReadAll(root.Body)
 		change, err := config.Read(body)
 		if err == nil {
 			var changes []config.Record
-			changes, err = change.Apply(have, &config.Reader{})
+			changes, err = change.Apply(stored, &config.Reader{})
 			for _, c := range changes {
-				have[c.Name] = c
+				stored[c.Name] = c
 			}
 		}
 		if err != nil {
@@ -38,20 +38,20 @@
 	for _, c := range []struct {
 		name, body string
 		code       int
-		says       string
+		wantText   string
 	}{
-		{"taken", first, 0, ""},
-		{"sent again", first, 0, ""},
-		{"the number is taken", strings.Replace(first, `"maxConns":1`, `"maxConns":2`, 1), exitRefused, "409: "},
-		{"it names the item", strings.Replace(first, `"maxConns":1`, `"maxConns":2`, 1), exitRefused, "service a: generation 5 "},
-		{"invalid", `{"upsert":{"services":[{"name":"a"}]}}`, exitRefused, "400: "},
+		{"first call", first, 0, ""},
+		{"same call again", first, 0, ""},
+		{"same generation, other content", strings.Replace(first, `"maxConns":1`, `"maxConns":2`, 1), exitRefused, "409: "},
+		{"error names the item", strings.Replace(first, `"maxConns":1`, `"maxConns":2`, 1), exitRefused, "service a: generation 5 "},
+		{"invalid service", `{"upsert":{"services":[{"name":"a"}]}}`, exitRefused, "400: "},
 	} {
 		file := filepath.Join(t.TempDir(), "call.json")
 		if err := os.WriteFile(file, []byte(c.body), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		calls = 0
-		r := root()
+		r := rootCommand()
 		var out strings.Builder
 		r.SetOut(&out)
 		r.SetArgs([]string{"config", "apply", file, "--control", controlNode.Listener.Addr().String()})
@@ -60,7 +60,7 @@
 		if err != nil {
 			code, text = exitCode(err), err.Error()
 		}
-		if code != c.code || !strings.Contains(text, c.says) || calls != 1 || (code == 0) != strings.Contains(out.String(), "taken") {
+		if code != c.code || !strings.Contains(text, c.wantText) || calls != 1 || (code == 0) != strings.Contains(out.String(), "taken") {
 			t.Errorf("%s: code %d, %q, %d calls, printed %q", c.name, code, text, calls, out.String())
 		}
 	}
--- a/cmd/madderwing/commands.go
+++ b/cmd/madderwing/commands.go
@@ -19,210 +19,212 @@
 	"madderwing/internal/settings"
 )
 
-// version is set by the build where one is known.
+// version is overridden at build time where the release is known.
 var version = "dev"
 
-// The exit codes.
+// Exit codes of the commands.
 const (
-	exitFailed  = 1 // the work could not be done
-	exitUsage   = 2 // the call or the settings are wrong
-	exitRefused = 3 // the system refused the order
-	exitAway    = 4 // no control node answered
+	exitFailed      = 1 // the command failed
+	exitUsage       = 2 // invalid arguments or settings
+	exitRefused     = 3 // the system rejected the request
+	exitUnavailable = 4 // no control node answered
 )
 
-// coded is an error with an exit code of its own.
-type coded struct {
-	code int
-	err  error
+// exitError is an error that sets the exit code of the process.
+type exitError struct {
+	code  int
+	cause error
 }
 
-func (c coded) Error() string { return c.err.Error() }
-func (c coded) Unwrap() error { return c.err }
+func (e exitError) Error() string { return e.cause.Error() }
+func (e exitError) Unwrap() error { return e.cause }
 
-// begun says that a command's arguments were taken and its work was begun.
-var begun bool
+// commandStarted is set once the arguments and the log flags are valid. Errors before that
+// are usage errors.
+var commandStarted bool
 
 func exitCode(err error) int {
-	var c coded
+	var withCode exitError
 	switch {
-	case errors.As(err, &c):
-		return c.code
-	case !begun:
+	case errors.As(err, &withCode):
+		return withCode.code
+	case !commandStarted:
 		return exitUsage
 	}
 	return exitFailed
 }
 
-func usage(err error) error { return coded{exitUsage, err} }
+func usageError(err error) error { return exitError{exitUsage, err} }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var logFormat, logLevel string
-	r := &cobra.Command{
+	root := &cobra.Command{
 		Use:           "madderwing",
 		Short:         "An API gateway of many nodes",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if err := logging.Setup(os.Stderr, logFormat, logLevel); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
-			begun = true
+			commandStarted = true
 			return nil
 		},
 	}
-	r.PersistentFlags().StringVar(&logFormat, "log-format", logging.FormatText, "format of the log: text or json")
-	r.PersistentFlags().StringVar(&logLevel, "log-level", "info", "least level that is logged: debug, info, warn or error")
-	r.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	r.AddCommand(gatewayCommand(), controlCommand(), formerly("desk", gatewayCommand()), formerly("archive", controlCommand()), checkCommand(), statusCommand(), resolveCommand(), configCommand(), evacuateCommand(), rolloutCommand(), retireCommand(),
+	root.PersistentFlags().StringVar(&logFormat, "log-format", logging.FormatText, "format of the log: text or json")
+	root.PersistentFlags().StringVar(&logLevel, "log-level", "info", "least level that is logged: debug, info, warn or error")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
+	root.AddCommand(gatewayCommand(), controlCommand(), deprecatedAlias("desk", gatewayCommand()), deprecatedAlias("archive", controlCommand()), checkCommand(), statusCommand(), resolveCommand(), configCommand(), evacuateCommand(), rolloutCommand(), retireCommand(),
 		lockCommand(), electionCommand(), counterCommand(), kvCommand(), watchCommand(),
-		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), "madderwing "+version)
+		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
+			fmt.Fprintln(cmd.OutOrStdout(), "madderwing "+version)
 		}})
-	return r
+	return root
 }
 
-// formerly keeps a command under the name that it had in earlier releases: it is hidden,
-// and says which name to use now.
-func formerly(name string, c *cobra.Command) *cobra.Command {
-	c.Deprecated = fmt.Sprintf("use %q instead", c.Name())
-	c.Use = name
-	return c
+// deprecatedAlias registers a command under its name of earlier releases. Cobra hides the alias
+// and prints the new name when it is used.
+func deprecatedAlias(name string, command *cobra.Command) *cobra.Command {
+	command.Deprecated = fmt.Sprintf("use %q instead", command.Name())
+	command.Use = name
+	return command
 }
 
-// settingsFlag adds --settings.
-func settingsFlag(c *cobra.Command) *string {
-	return c.Flags().String("settings", os.Getenv(settings.PathVariable), "path of the settings file")
+// addSettingsFlag adds the flag --settings, which defaults to the environment variable.
+func addSettingsFlag(command *cobra.Command) *string {
+	return command.Flags().String("settings", os.Getenv(settings.PathVariable), "path of the settings file")
 }
 
 func gatewayCommand() *cobra.Command {
-	c := &cobra.Command{Use: "gateway", Short: "Carry traffic: serve clients on an edge machine", Args: cobra.NoArgs}
-	path := settingsFlag(c)
-	shards := c.Flags().Int("shards", 2, "how many shards the gateways are divided into; the same on all nodes")
-	pace := c.Flags().Float64("pace", gateway.DefaultPace, "part of the link's rate (limits.linkMbps) at which large answers are passed on; 0: as fast as they come")
-	c.RunE = func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "gateway", Short: "Carry traffic: serve clients on an edge machine", Args: cobra.NoArgs}
+	path := addSettingsFlag(command)
+	shards := command.Flags().Int("shards", 2, "how many shards the gateways are divided into; the same on all nodes")
+	pace := command.Flags().Float64("pace", gateway.DefaultPace, "part of the link's rate (limits.linkMbps) at which large answers are passed on; 0: as fast as they come")
+	command.RunE = func(*cobra.Command, []string) error {
 		if *pace < 0 || *pace > 1 {
-			return usage(errors.New("--pace must be between 0 and 1"))
+			return usageError(errors.New("--pace must be between 0 and 1"))
 		}
-		return serve(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
+		return runNode(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
 			if s.Bind.Front == "" || s.Bind.Readiness == "" {
-				return usage(settings.Check{"bind: a gateway needs front and readiness"})
+				return usageError(settings.Check{"bind: a gateway needs front and readiness"})
 			}
 			return gateway.Run(ctx, s, gateway.Options{Shards: *shards, Pace: *pace}, reload)
 		})
 	}
-	return c
+	return command
 }
 
 func controlCommand() *cobra.Command {
-	c := &cobra.Command{Use: "control", Short: "Hold and deliver the configuration", Args: cobra.NoArgs}
-	path := settingsFlag(c)
-	shards := c.Flags().Int("shards", 2, "how many shards the gateways are divided into; the same on all nodes")
-	relist := c.Flags().Duration("relist", 30*time.Second, "how often all unscheduled routes are listed again")
-	handBack := c.Flags().Duration("hand-back", time.Minute, "calm after which a key goes back to its first heir; 0: never")
-	c.RunE = func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "control", Short: "Hold and deliver the configuration", Args: cobra.NoArgs}
+	path := addSettingsFlag(command)
+	shards := command.Flags().Int("shards", 2, "how many shards the gateways are divided into; the same on all nodes")
+	relist := command.Flags().Duration("relist", 30*time.Second, "how often all unscheduled routes are listed again")
+	handBack := command.Flags().Duration("hand-back", time.Minute, "calm after which a key goes back to its first heir; 0: never")
+	command.RunE = func(*cobra.Command, []string) error {
 		if *relist <= 0 || *handBack < 0 {
-			return usage(errors.New("--relist must be above 0, --hand-back not below"))
+			return usageError(errors.New("--relist must be above 0, --hand-back not below"))
 		}
-		return serve(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
+		return runNode(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
 			if s.Bind.Control == "" {
-				return usage(settings.Check{"bind: a control node needs control"})
+				return usageError(settings.Check{"bind: a control node needs control"})
 			}
 			return controlplane.Run(ctx, s, controlplane.Options{Shards: *shards, Relist: *relist, HandBack: *handBack}, reload)
 		})
 	}
-	return c
+	return command
 }
 
-// serve loads the settings and runs a program until SIGTERM or SIGINT.
-func serve(path string, shards int, run func(context.Context, *settings.Settings, <-chan *settings.Settings) error) error {
+// runNode loads the settings and runs a gateway or a control node until SIGTERM or SIGINT.
+func runNode(path string, shards int, run func(context.Context, *settings.Settings, <-chan *settings.Settings) error) error {
 	if shards < 1 {
-		return usage(errors.New("--shards: must be at least 1"))
+		return usageError(errors.New("--shards: must be at least 1"))
 	}
-	s, err := settings.Load(path)
+	initial, err := settings.Load(path)
 	if err != nil {
-		return usage(fmt.Errorf("settings: %w", err))
+		return usageError(fmt.Errorf("settings: %w", err))
 	}
-	// The collector holds the process well under its limit; below that it may
-	// let the heap grow to twice what is in use.
-	debug.SetMemoryLimit(int64(s.Limits.MemoryMb * 0.7 * (1 << 20)))
+	// The soft limit keeps the process well under its memory limit. Below the soft limit the
+	// heap may grow to twice the live data, as is the garbage collector's default.
+	debug.SetMemoryLimit(int64(initial.Limits.MemoryMb * 0.7 * (1 << 20)))
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	return run(ctx, s, follow(ctx, path, s))
+	return run(ctx, initial, watchSettings(ctx, path, initial))
 }
 
-// follow reads the settings again on SIGHUP and when the file has changed. A
-// file that cannot be used is logged, and the settings in force stay.
-func follow(ctx context.Context, path string, s *settings.Settings) <-chan *settings.Settings {
-	out := make(chan *settings.Settings, 1)
+// watchSettings reloads the settings on SIGHUP and when the modification time or the size of
+// the file has changed, and sends each valid version on the returned channel. An invalid file
+// is logged, and the current settings stay in force.
+func watchSettings(ctx context.Context, path string, initial *settings.Settings) <-chan *settings.Settings {
+	updates := make(chan *settings.Settings, 1)
 	logger := logging.For(logging.Settings)
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	stamp := func() (t time.Time, size int64) {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	fileVersion := func() (modified time.Time, size int64) {
 		if st, err := os.Stat(path); err == nil {
 			return st.ModTime(), st.Size()
 		}
 		return
 	}
-	last, size := stamp()
+	lastModified, lastSize := fileVersion()
 	go func() {
-		tick := time.NewTicker(settings.Seconds(s.Bounds.ContactS))
-		defer tick.Stop()
+		ticker := time.NewTicker(settings.Seconds(initial.Bounds.ContactS))
+		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hup:
-			case <-tick.C:
-				if t, n := stamp(); t.Equal(last) && n == size {
+			case <-hangup:
+			case <-ticker.C:
+				if modified, size := fileVersion(); modified.Equal(lastModified) && size == lastSize {
 					continue
 				}
 			}
-			last, size = stamp()
-			fresh, err := settings.Load(path)
+			lastModified, lastSize = fileVersion()
+			reloaded, err := settings.Load(path)
 			if err != nil {
-				logger.Warn("new settings refused", "error", err)
+				logger.Warn("invalid settings file; the current settings stay in force", "error", err)
 				continue
 			}
-			logger.Info("settings read again")
+			logger.Info("settings reloaded")
 			select {
-			case out <- fresh:
+			case updates <- reloaded:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return out
+	return updates
 }
 
 func checkCommand() *cobra.Command {
-	c := &cobra.Command{Use: "check", Short: "Check a settings file or a configuration"}
-	c.AddCommand(&cobra.Command{Use: "settings FILE", Short: "Check a settings file (TOML)", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			s, err := settings.Load(args[0])
+	command := &cobra.Command{Use: "check", Short: "Check a settings file or a configuration"}
+	command.AddCommand(&cobra.Command{Use: "settings FILE", Short: "Check a settings file (TOML)", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			loaded, err := settings.Load(args[0])
 			if err != nil {
-				return usage(fmt.Errorf("%s: %w", args[0], err))
+				return usageError(fmt.Errorf("%s: %w", args[0], err))
 			}
-			for _, warning := range s.Warnings() {
-				fmt.Fprintf(c.ErrOrStderr(), "%s: warning: %s\n", args[0], warning)
+			for _, warning := range loaded.Warnings() {
+				fmt.Fprintf(cmd.ErrOrStderr(), "%s: warning: %s\n", args[0], warning)
 			}
-			fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
+			fmt.Fprintln(cmd.OutOrStdout(), args[0]+": good")
 			return nil
 		}})
-	c.AddCommand(&cobra.Command{Use: "config FILE", Short: "Check a first configuration call (JSON)", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+	command.AddCommand(&cobra.Command{Use: "config FILE", Short: "Check a first configuration call (JSON)", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			change, err := config.Read(text)
 			if err == nil {
 				_, err = change.Apply(map[string]config.Record{}, &config.Reader{})
 			}
 			if err != nil {
-				return usage(fmt.Errorf("%s: %w", args[0], err))
+				return usageError(fmt.Errorf("%s: %w", args[0], err))
 			}
-			fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
+			fmt.Fprintln(cmd.OutOrStdout(), args[0]+": good")
 			return nil
 		}})
-	return c
+	return command
 }
--- a/cmd/madderwing/coordination.go
+++ b/cmd/madderwing/coordination.go
@@ -17,8 +17,8 @@
 	"madderwing/internal/settings"
 )
 
-// coordinationFlags are the flags of all commands for locks, elections, counters, keys and
-// watches.
+// coordinationFlags are the common flags of the commands for locks, elections, counters, keys
+// and watches.
 type coordinationFlags struct {
 	endpoints []string
 	settings  string
@@ -26,51 +26,52 @@
 	json      bool
 }
 
-// addCoordinationFlags adds them to a command.
-func addCoordinationFlags(c *cobra.Command) *coordinationFlags {
-	f := &coordinationFlags{}
-	c.Flags().SetNormalizeFunc(func(_ *pflag.FlagSet, name string) pflag.NormalizedName {
+// addCoordinationFlags adds the common flags to a command. --endpoint is an alias of --control.
+func addCoordinationFlags(command *cobra.Command) *coordinationFlags {
+	flags := &coordinationFlags{}
+	command.Flags().SetNormalizeFunc(func(_ *pflag.FlagSet, name string) pflag.NormalizedName {
 		if name == "endpoint" {
 			name = "control"
 		}
 		return pflag.NormalizedName(name)
 	})
-	c.Flags().StringSliceVar(&f.endpoints, "control", nil, "control addresses, host:port, also as --endpoint (default: the seeds in the settings)")
-	c.Flags().StringVar(&f.settings, "settings", os.Getenv(settings.PathVariable), "path of the settings file")
-	c.Flags().DurationVar(&f.timeout, "timeout", 5*time.Second, "how long to go on trying")
-	c.Flags().BoolVar(&f.json, "json", false, "print JSON")
-	return f
+	command.Flags().StringSliceVar(&flags.endpoints, "control", nil, "control addresses, host:port, also as --endpoint (default: the seeds in the settings)")
+	command.Flags().StringVar(&flags.settings, "settings", os.Getenv(settings.PathVariable), "path of the settings file")
+	command.Flags().DurationVar(&flags.timeout, "timeout", 5*time.Second, "how long to go on trying")
+	command.Flags().BoolVar(&flags.json, "json", false, "print JSON")
+	return flags
 }
 
-// client makes a client of the nodes that the flags name.
+// client returns a client of the endpoints that the flags name, or else of the seed nodes in
+// the settings.
 func (f *coordinationFlags) client() (*coordination.Client, error) {
 	endpoints := f.endpoints
 	if len(endpoints) == 0 {
-		s, err := settings.Load(f.settings)
+		loaded, err := settings.Load(f.settings)
 		if err != nil {
-			return nil, usage(fmt.Errorf("no --control given, and settings: %w", err))
+			return nil, usageError(fmt.Errorf("no --control given, and settings: %w", err))
 		}
-		endpoints = s.SeedNodes
+		endpoints = loaded.SeedNodes
 	}
-	c, err := coordination.New(endpoints, coordination.Options{})
+	client, err := coordination.New(endpoints, coordination.Options{})
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
-	return c, nil
+	return client, nil
 }
 
-// call runs one call within the time that the flags allow, and gives its error an exit code.
-func (f *coordinationFlags) call(cmd *cobra.Command, call func(context.Context, *coordination.Client) error) error {
-	c, err := f.client()
+// call runs a request with a context that ends after --timeout, and gives its error an exit code.
+func (f *coordinationFlags) call(cmd *cobra.Command, request func(context.Context, *coordination.Client) error) error {
+	client, err := f.client()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(commandContext(cmd), f.timeout)
 	defer cancel()
-	return withExitCode(call(ctx, c))
+	return withExitCode(request(ctx, client))
 }
 
-// print prints a result as JSON, or as text.
+// print prints a result as JSON if --json is given, else as text in the given format.
 func (f *coordinationFlags) print(cmd *cobra.Command, result any, format string, args ...any) error {
 	if f.json {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(result)
@@ -79,7 +80,7 @@
 	return err
 }
 
-// commandContext is the context of a command, which may have been run without one.
+// commandContext returns the command's context, or the background context if it has none.
 func commandContext(cmd *cobra.Command) context.Context {
 	if ctx := cmd.Context(); ctx != nil {
 		return ctx
@@ -87,26 +88,26 @@
 	return context.Background()
 }
 
-// untilSignal is a context that ends with SIGINT or SIGTERM.
+// untilSignal returns a context that is cancelled on SIGINT or SIGTERM.
 func untilSignal(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(commandContext(cmd), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// withExitCode gives the client's errors the exit codes of all commands: refused by the
-// system, or no node that answered.
+// withExitCode maps the errors of the client package to exit codes: rejected by the system, no
+// clear answer from a control node, or another failure.
 func withExitCode(err error) error {
-	var refused *coordination.StatusError
-	var given coded
+	var statusErr *coordination.StatusError
+	var withCode exitError
 	switch {
-	case err == nil, errors.As(err, &given):
+	case err == nil, errors.As(err, &withCode):
 		return err
-	case errors.As(err, &refused),
+	case errors.As(err, &statusErr),
 		errors.Is(err, coordination.ErrHeld), errors.Is(err, coordination.ErrLeaseLost),
 		errors.Is(err, coordination.ErrNotFound), errors.Is(err, coordination.ErrConflict),
 		errors.Is(err, coordination.ErrCompacted):
-		return coded{exitRefused, err}
+		return exitError{exitRefused, err}
 	case errors.Is(err, coordination.ErrUnavailable), errors.Is(err, coordination.ErrUnclear):
-		return coded{exitAway, err}
+		return exitError{exitUnavailable, err}
 	}
-	return coded{exitFailed, err}
+	return exitError{exitFailed, err}
 }
--- a/cmd/madderwing/election.go
+++ b/cmd/madderwing/election.go
@@ -12,35 +12,35 @@
 )
 
 func electionCommand() *cobra.Command {
-	c := &cobra.Command{Use: "election", Short: "Run a command on the elected leader only, or see who leads"}
-	c.AddCommand(electionRunCommand(), electionObserveCommand())
-	return c
+	command := &cobra.Command{Use: "election", Short: "Run a command on the elected leader only, or see who leads"}
+	command.AddCommand(electionRunCommand(), electionObserveCommand())
+	return command
 }
 
 func electionRunCommand() *cobra.Command {
-	c := &cobra.Command{Use: "run NAME -- COMMAND [ARG...]", Short: "Wait to be elected, then run a command for as long as this is the leader",
+	command := &cobra.Command{Use: "run NAME -- COMMAND [ARG...]", Short: "Wait to be elected, then run a command for as long as this is the leader",
 		Long: "Runs the command as 'lock run' does, once this candidate leads, with the fencing token in\n" +
 			tokenVariable + ". 'election observe' shows who leads.",
 		Args: cobra.MinimumNArgs(2)}
-	flags := addCoordinationFlags(c)
+	flags := addCoordinationFlags(command)
 	hostname, _ := os.Hostname()
-	candidate := c.Flags().String("candidate", fmt.Sprintf("%s-%d", hostname, os.Getpid()), "the name that observers see")
-	hold := c.Flags().Duration("hold", defaultHold, "how long a leader that dies keeps the next one waiting")
-	runWhileHeld(c, flags, func(ctx context.Context, client *coordination.Client, name string) (holding, error) {
+	candidate := command.Flags().String("candidate", fmt.Sprintf("%s-%d", hostname, os.Getpid()), "the name that observers see")
+	hold := command.Flags().Duration("hold", defaultHold, "how long a leader that dies keeps the next one waiting")
+	runWhileHeld(command, flags, func(ctx context.Context, client *coordination.Client, name string) (heldLease, error) {
 		leadership, err := client.Election(name, *hold).Campaign(ctx, *candidate)
 		if err != nil {
-			return holding{}, err
+			return heldLease{}, err
 		}
-		return holding{name: name, lease: leadership.Context(), token: leadership.Token(), release: leadership.Resign}, nil
+		return heldLease{name: name, ctx: leadership.Context(), token: leadership.Token(), release: leadership.Resign}, nil
 	})
-	return c
+	return command
 }
 
 func electionObserveCommand() *cobra.Command {
-	c := &cobra.Command{Use: "observe NAME", Short: "Print who leads, and each change, until SIGINT or SIGTERM", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	_ = c.Flags().MarkHidden("timeout")
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "observe NAME", Short: "Print who leads, and each change, until SIGINT or SIGTERM", Args: cobra.ExactArgs(1)}
+	flags := addCoordinationFlags(command)
+	_ = command.Flags().MarkHidden("timeout")
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		client, err := flags.client()
 		if err != nil {
 			return err
@@ -49,7 +49,7 @@
 		defer stop()
 		for leader, err := range client.Election(args[0], defaultHold).Observe(ctx) {
 			if err != nil {
-				return afterSignal(ctx, err)
+				return errorUnlessSignaled(ctx, err)
 			}
 			if err := printLeader(cmd, flags, leader); err != nil {
 				return err
@@ -57,7 +57,7 @@
 		}
 		return nil
 	}
-	return c
+	return command
 }
 
 func printLeader(cmd *cobra.Command, flags *coordinationFlags, leader coordination.Leader) error {
--- a/cmd/madderwing/keys.go
+++ b/cmd/madderwing/keys.go
@@ -12,7 +12,7 @@
 )
 
 func counterCommand() *cobra.Command {
-	c := &cobra.Command{Use: "counter", Short: "Draw numbers that rise and never come twice"}
+	command := &cobra.Command{Use: "counter", Short: "Draw numbers that rise and never come twice"}
 	next := &cobra.Command{Use: "next NAME", Short: "Draw the next number", Args: cobra.ExactArgs(1)}
 	flags := addCoordinationFlags(next)
 	next.RunE = func(cmd *cobra.Command, args []string) error {
@@ -24,11 +24,11 @@
 			return flags.print(cmd, map[string]uint64{"value": number}, "%d", number)
 		})
 	}
-	c.AddCommand(next)
-	return c
+	command.AddCommand(next)
+	return command
 }
 
-// entryOutput is a key as it is printed.
+// entryOutput is the JSON output for a key.
 type entryOutput struct {
 	Key      string `json:"key"`
 	Value    string `json:"value"`
@@ -36,15 +36,15 @@
 }
 
 func kvCommand() *cobra.Command {
-	c := &cobra.Command{Use: "kv", Short: "Read and put small keys"}
-	c.AddCommand(kvGetCommand(), kvPutCommand())
-	return c
+	command := &cobra.Command{Use: "kv", Short: "Read and put small keys"}
+	command.AddCommand(kvGetCommand(), kvPutCommand())
+	return command
 }
 
 func kvGetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "get KEY", Short: "Print a key's value", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "get KEY", Short: "Print a key's value", Args: cobra.ExactArgs(1)}
+	flags := addCoordinationFlags(command)
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		return flags.call(cmd, func(ctx context.Context, client *coordination.Client) error {
 			entry, err := client.Get(ctx, args[0])
 			if err != nil {
@@ -53,14 +53,14 @@
 			return flags.print(cmd, entryOutput(entry), "%s", entry.Value)
 		})
 	}
-	return c
+	return command
 }
 
 func kvPutCommand() *cobra.Command {
-	c := &cobra.Command{Use: "put KEY VALUE", Short: "Put a key's value (- for standard input) and print its revision", Args: cobra.ExactArgs(2)}
-	flags := addCoordinationFlags(c)
-	revision := c.Flags().Uint64("revision", 0, "put only if the key is at this revision; 0: if it doesn't exist")
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "put KEY VALUE", Short: "Put a key's value (- for standard input) and print its revision", Args: cobra.ExactArgs(2)}
+	flags := addCoordinationFlags(command)
+	revision := command.Flags().Uint64("revision", 0, "put only if the key is at this revision; 0: if it doesn't exist")
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		value := args[1]
 		if value == "-" {
 			text, err := readFile(cmd, value)
@@ -70,53 +70,54 @@
 			value = string(text)
 		}
 		return flags.call(cmd, func(ctx context.Context, client *coordination.Client) (err error) {
-			given := uint64(0)
+			newRevision := uint64(0)
 			if cmd.Flags().Changed("revision") {
-				given, err = client.PutIf(ctx, args[0], value, *revision)
+				newRevision, err = client.PutIf(ctx, args[0], value, *revision)
 			} else {
-				given, err = client.Put(ctx, args[0], value)
+				newRevision, err = client.Put(ctx, args[0], value)
 			}
 			if err != nil {
 				return err
 			}
-			return flags.print(cmd, entryOutput{args[0], value, given}, "%d", given)
+			return flags.print(cmd, entryOutput{args[0], value, newRevision}, "%d", newRevision)
 		})
 	}
-	return c
+	return command
 }
 
 func watchCommand() *cobra.Command {
-	c := &cobra.Command{Use: "watch GROUP", Short: "Print the puts to a group of keys as they come: revision, key, value",
+	command := &cobra.Command{Use: "watch GROUP", Short: "Print the puts to a group of keys as they come: revision, key, value",
 		Long: "A group is what its keys have before their first dot. Goes on until SIGINT or SIGTERM.", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	_ = c.Flags().MarkHidden("timeout") // a watch goes on for as long as no node answers
-	after := c.Flags().Uint64("after", 0, "begin after this revision; 0: with the next put")
-	count := c.Flags().Int("count", 0, "end after so many puts; 0: never")
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	flags := addCoordinationFlags(command)
+	_ = command.Flags().MarkHidden("timeout") // a watch keeps trying while no node answers
+	after := command.Flags().Uint64("after", 0, "begin after this revision; 0: with the next put")
+	count := command.Flags().Int("count", 0, "end after so many puts; 0: never")
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		client, err := flags.client()
 		if err != nil {
 			return err
 		}
 		ctx, stop := untilSignal(cmd)
 		defer stop()
-		seen := 0
+		printed := 0
 		for event, err := range client.Watch(ctx, args[0], *after) {
 			if err != nil {
-				return afterSignal(ctx, err)
+				return errorUnlessSignaled(ctx, err)
 			}
 			if err := printEvent(cmd, flags, event); err != nil {
 				return err
 			}
-			if seen++; seen == *count {
+			if printed++; printed == *count {
 				break
 			}
 		}
 		return nil
 	}
-	return c
+	return command
 }
 
-// unknownKey stands for the key of a group's first put, which a watch may not be told.
+// unknownKey is printed for an event without a key: the first put to a group that was empty when
+// the watch began.
 const unknownKey = "?"
 
 func printEvent(cmd *cobra.Command, flags *coordinationFlags, event coordination.Event) error {
@@ -130,8 +131,9 @@
 	return err
 }
 
-// afterSignal is the end of a command that goes on until a signal: no error then.
-func afterSignal(ctx context.Context, err error) error {
+// errorUnlessSignaled returns nil if err is the end of a context that a signal has cancelled, and
+// otherwise err with an exit code.
+func errorUnlessSignaled(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
 		return nil
 	}
--- a/cmd/madderwing/lock.go
+++ b/cmd/madderwing/lock.go
@@ -14,12 +14,12 @@
 const defaultHold = 10 * time.Second
 
 func lockCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lock", Short: "Take, renew and give back locks, or hold one while a command runs"}
-	c.AddCommand(lockAcquireCommand(), lockRenewCommand(), lockReleaseCommand(), lockRunCommand())
-	return c
+	command := &cobra.Command{Use: "lock", Short: "Take, renew and give back locks, or hold one while a command runs"}
+	command.AddCommand(lockAcquireCommand(), lockRenewCommand(), lockReleaseCommand(), lockRunCommand())
+	return command
 }
 
-// grantOutput is a grant as it is printed.
+// grantOutput is the JSON output for a grant.
 type grantOutput struct {
 	Lock  string  `json:"lock"`
 	Owner string  `json:"owner"`
@@ -27,46 +27,47 @@
 	HoldS float64 `json:"holdS"`
 }
 
-func outputOf(g coordination.Grant) grantOutput {
-	return grantOutput{Lock: g.Name, Owner: g.Owner, Token: g.Token, HoldS: g.Hold.Seconds()}
+func newGrantOutput(grant coordination.Grant) grantOutput {
+	return grantOutput{Lock: grant.Name, Owner: grant.Owner, Token: grant.Token, HoldS: grant.Hold.Seconds()}
 }
 
 func lockAcquireCommand() *cobra.Command {
-	c := &cobra.Command{Use: "acquire NAME", Short: "Take a lock for a time, and print the owner and the fencing token", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	owner := c.Flags().String("owner", "", "name of the holder (default: one that is made up)")
-	hold := c.Flags().Duration("hold", defaultHold, "how long the lock is held unless it is renewed")
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "acquire NAME", Short: "Take a lock for a time, and print the owner and the fencing token", Args: cobra.ExactArgs(1)}
+	flags := addCoordinationFlags(command)
+	owner := command.Flags().String("owner", "", "name of the holder (default: one that is made up)")
+	hold := command.Flags().Duration("hold", defaultHold, "how long the lock is held unless it is renewed")
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		return flags.call(cmd, func(ctx context.Context, client *coordination.Client) error {
 			grant, err := client.RequestGrant(ctx, args[0], *owner, *hold)
 			if err != nil {
 				return err
 			}
-			return flags.print(cmd, outputOf(grant), "owner %s token %d", grant.Owner, grant.Token)
+			return flags.print(cmd, newGrantOutput(grant), "owner %s token %d", grant.Owner, grant.Token)
 		})
 	}
-	return c
+	return command
 }
 
-// grantFlags adds the flags that name a grant.
-func grantFlags(c *cobra.Command) func(lock string) (coordination.Grant, error) {
-	owner := c.Flags().String("owner", "", "name of the holder (needed)")
-	token := c.Flags().Uint64("token", 0, "the fencing token that the holder was given (needed)")
+// addGrantFlags adds the flags --owner and --token. The returned function makes the grant that
+// they name for a lock.
+func addGrantFlags(command *cobra.Command) func(lock string) (coordination.Grant, error) {
+	owner := command.Flags().String("owner", "", "name of the holder (needed)")
+	token := command.Flags().Uint64("token", 0, "the fencing token that the holder was given (needed)")
 	return func(lock string) (coordination.Grant, error) {
 		if *owner == "" || *token == 0 {
-			return coordination.Grant{}, usage(errors.New("--owner and --token are needed, as 'lock acquire' printed them"))
+			return coordination.Grant{}, usageError(errors.New("--owner and --token are needed, as 'lock acquire' printed them"))
 		}
 		return coordination.Grant{Name: lock, Owner: *owner, Token: *token}, nil
 	}
 }
 
 func lockRenewCommand() *cobra.Command {
-	c := &cobra.Command{Use: "renew NAME", Short: "Hold a lock for longer", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	named := grantFlags(c)
-	hold := c.Flags().Duration("hold", defaultHold, "how long the lock is held from now on")
-	c.RunE = func(cmd *cobra.Command, args []string) error {
-		grant, err := named(args[0])
+	command := &cobra.Command{Use: "renew NAME", Short: "Hold a lock for longer", Args: cobra.ExactArgs(1)}
+	flags := addCoordinationFlags(command)
+	grantFromFlags := addGrantFlags(command)
+	hold := command.Flags().Duration("hold", defaultHold, "how long the lock is held from now on")
+	command.RunE = func(cmd *cobra.Command, args []string) error {
+		grant, err := grantFromFlags(args[0])
 		if err != nil {
 			return err
 		}
@@ -76,18 +77,18 @@
 			if err != nil {
 				return err
 			}
-			return flags.print(cmd, outputOf(grant), "renewed")
+			return flags.print(cmd, newGrantOutput(grant), "renewed")
 		})
 	}
-	return c
+	return command
 }
 
 func lockReleaseCommand() *cobra.Command {
-	c := &cobra.Command{Use: "release NAME", Short: "Give a lock back", Args: cobra.ExactArgs(1)}
-	flags := addCoordinationFlags(c)
-	named := grantFlags(c)
-	c.RunE = func(cmd *cobra.Command, args []string) error {
-		grant, err := named(args[0])
+	command := &cobra.Command{Use: "release NAME", Short: "Give a lock back", Args: cobra.ExactArgs(1)}
+	flags := addCoordinationFlags(command)
+	grantFromFlags := addGrantFlags(command)
+	command.RunE = func(cmd *cobra.Command, args []string) error {
+		grant, err := grantFromFlags(args[0])
 		if err != nil {
 			return err
 		}
@@ -95,36 +96,36 @@
 			if err := client.ReturnGrant(ctx, grant); err != nil {
 				return err
 			}
-			return flags.print(cmd, outputOf(grant), "released")
+			return flags.print(cmd, newGrantOutput(grant), "released")
 		})
 	}
-	return c
+	return command
 }
 
 func lockRunCommand() *cobra.Command {
-	c := &cobra.Command{Use: "run NAME -- COMMAND [ARG...]", Short: "Hold a lock while a command runs; end the command if the lock is lost",
+	command := &cobra.Command{Use: "run NAME -- COMMAND [ARG...]", Short: "Hold a lock while a command runs; end the command if the lock is lost",
 		Long: "Waits for the lock, runs the command with the fencing token in " + tokenVariable + ", renews\n" +
 			"the lock meanwhile and gives it back afterwards. If the lock is lost, the command's process\n" +
 			"group gets SIGTERM, and SIGKILL a while later. Ends with the command's exit code.",
 		Args: cobra.MinimumNArgs(2)}
-	flags := addCoordinationFlags(c)
-	owner := c.Flags().String("owner", "", "name of the holder (default: one that is made up)")
-	hold := c.Flags().Duration("hold", defaultHold, "how long the lock stays taken if this machine dies")
-	runWhileHeld(c, flags, func(ctx context.Context, client *coordination.Client, name string) (holding, error) {
+	flags := addCoordinationFlags(command)
+	owner := command.Flags().String("owner", "", "name of the holder (default: one that is made up)")
+	hold := command.Flags().Duration("hold", defaultHold, "how long the lock stays taken if this machine dies")
+	runWhileHeld(command, flags, func(ctx context.Context, client *coordination.Client, name string) (heldLease, error) {
 		lease, err := client.Acquire(ctx, name, *owner, *hold)
 		if err != nil {
-			return holding{}, err
+			return heldLease{}, err
 		}
-		return holding{name: name, lease: lease.Context(), token: lease.Token(), release: lease.Release}, nil
+		return heldLease{name: name, ctx: lease.Context(), token: lease.Token(), release: lease.Release}, nil
 	})
-	return c
+	return command
 }
 
-func waitFlag(c *cobra.Command) *time.Duration {
-	return c.Flags().Duration("wait", 0, "how long to wait until it is held; 0: until it is")
+func addWaitFlag(command *cobra.Command) *time.Duration {
+	return command.Flags().Duration("wait", 0, "how long to wait until it is held; 0: until it is")
 }
 
-// waitContext bounds a context by --wait.
+// waitContext returns a context that ends after wait; 0: without a time limit.
 func waitContext(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	if wait <= 0 {
 		return context.WithCancel(ctx)
@@ -132,7 +133,7 @@
 	return context.WithTimeout(ctx, wait)
 }
 
-// errEnded is what a command that was ended for the loss of its lock ends with.
-func errEnded(cause error) error {
-	return coded{exitFailed, fmt.Errorf("the command was ended: %w", cause)}
+// leaseLostError is the result of a command that was stopped because its lease was lost.
+func leaseLostError(cause error) error {
+	return exitError{exitFailed, fmt.Errorf("the command was ended: %w", cause)}
 }
--- a/cmd/madderwing/lock_test.go
+++ b/cmd/madderwing/lock_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// runCommand runs a command against a node and returns what it printed and its exit code.
+// runCommand runs a command against a node and returns its output and exit code.
 func runCommand(t *testing.T, node *httptest.Server, args ...string) (string, int) {
 	t.Helper()
-	r := root()
+	root := rootCommand()
 	var out strings.Builder
-	r.SetOut(&out)
-	r.SetErr(&out)
-	r.SetIn(strings.NewReader("from input"))
+	root.SetOut(&out)
+	root.SetErr(&out)
+	root.SetIn(strings.NewReader("from input"))
 	split := len(args)
 	for i, arg := range args {
 		if arg == "--" {
@@ -25,25 +25,26 @@
 		}
 	}
 	flags := []string{"--endpoint", node.Listener.Addr().String()}
-	r.SetArgs(append(append(append([]string{}, args[:split]...), flags...), args[split:]...))
-	if err := r.Execute(); err != nil {
+	root.SetArgs(append(append(append([]string{}, args[:split]...), flags...), args[split:]...))
+	if err := root.Execute(); err != nil {
 		return out.String() + err.Error(), exitCode(err)
 	}
 	return out.String(), 0
 }
 
-// The commands send what the interface takes, and print what it answers, as text or JSON.
+// Each coordination command sends the expected request, prints the answer as text or JSON, and
+// maps errors to exit codes.
 func TestCoordinationCommands(t *testing.T) {
 	for _, c := range []struct {
-		args, call    string
-		status        int
-		answer, shows string
-		code          int
+		args, call         string
+		status             int
+		answer, wantOutput string
+		code               int
 	}{
 		{"lock acquire a --owner me --hold 3s", `POST /v1/locks/a {"owner":"me","holdS":3}`, 200, `{"fence":41}`, "owner me token 41\n", 0},
 		{"lock acquire a --owner me --json", `POST /v1/locks/a {"owner":"me","holdS":10}`, 200, `{"fence":41}`, `{"lock":"a","owner":"me","token":41,"holdS":10}` + "\n", 0},
 		{"lock acquire a --owner me", "", 409, "", "held by another", exitRefused},
-		{"lock acquire a --timeout 50ms", "", 503, "", "POST /v1/locks/a: ", exitAway},
+		{"lock acquire a --timeout 50ms", "", 503, "", "POST /v1/locks/a: ", exitUnavailable},
 		{"lock renew a --owner me --token 41 --hold 3s", `PUT /v1/locks/a {"owner":"me","fence":41,"holdS":3}`, 200, "", "renewed\n", 0},
 		{"lock renew a --owner me --token 41", "", 409, "", "lost", exitRefused},
 		{"lock renew a --owner me", "", 200, "", "--token", exitUsage},
@@ -70,31 +71,31 @@
 			w.WriteHeader(c.status)
 			fmt.Fprint(w, c.answer)
 		}))
-		shown, code := runCommand(t, node, strings.Fields(c.args)...)
+		output, code := runCommand(t, node, strings.Fields(c.args)...)
 		node.Close()
-		if code != c.code || !strings.Contains(shown, c.shows) || code == 0 && shown != c.shows || c.call != "" && call != c.call {
-			t.Errorf("%s: code %d, printed %q, sent %q", c.args, code, shown, call)
+		if code != c.code || !strings.Contains(output, c.wantOutput) || code == 0 && output != c.wantOutput || c.call != "" && call != c.call {
+			t.Errorf("%s: code %d, printed %q, sent %q", c.args, code, output, call)
 		}
 	}
 }
 
-// A command that runs under a lock or a leadership is told the token and ends with its own
-// exit code; when the lease is lost it is ended, with all that it has started.
-func TestLockRun(t *testing.T) {
-	left := filepath.Join(t.TempDir(), "left")
+// 'lock run' and 'election run' pass the name and the fencing token to the command and end with
+// its exit code. When the lease is lost, the command and its child processes are stopped.
+func TestRunUnderLease(t *testing.T) {
+	survivorFile := filepath.Join(t.TempDir(), "left")
 	for _, c := range []struct {
 		name, command string
 		election      bool
-		renewal       int // what a renewal is answered
-		shows         string
+		renewal       int // HTTP status of the answer to a renewal
+		wantOutput    string
 		code          int
 	}{
-		{"as it ends", `echo "$MADDERWING_LOCK $MADDERWING_TOKEN"; exit 7`, false, 200, "a 41\n", 7},
-		{"done", `true`, false, 200, "", 0},
-		{"killed", `kill -9 $$`, false, 200, "", exitSignalled + 9},
+		{"exit code is passed on", `echo "$MADDERWING_LOCK $MADDERWING_TOKEN"; exit 7`, false, 200, "a 41\n", 7},
+		{"success", `true`, false, 200, "", 0},
+		{"killed by a signal", `kill -9 $$`, false, 200, "", exitSignalBase + 9},
 		{"elected", `echo "$MADDERWING_LOCK $MADDERWING_TOKEN"`, true, 200, "a 41\n", 0},
-		{"lost", `sleep 600; echo late > ` + left, false, 409, "the lease was lost", exitFailed},
-		{"lost, deaf to SIGTERM", `trap '' TERM; sleep 600 & wait; echo late > ` + left, false, 409, "the lease was lost", exitFailed},
+		{"lease lost", `sleep 600; echo late > ` + survivorFile, false, 409, "the lease was lost", exitFailed},
+		{"lease lost, SIGTERM ignored", `trap '' TERM; sleep 600 & wait; echo late > ` + survivorFile, false, 409, "the lease was lost", exitFailed},
 	} {
 		released := false
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,13 +116,13 @@
 		if c.election {
 			args[0] = "election"
 		}
-		shown, code := runCommand(t, node, args...)
+		output, code := runCommand(t, node, args...)
 		node.Close()
-		if code != c.code || !strings.Contains(shown, c.shows) || !released {
-			t.Errorf("%s: code %d, printed %q, released %v", c.name, code, shown, released)
+		if code != c.code || !strings.Contains(output, c.wantOutput) || !released {
+			t.Errorf("%s: code %d, printed %q, released %v", c.name, code, output, released)
 		}
 	}
-	if _, err := os.Stat(left); err == nil {
-		t.Error("a command went on after its lock was lost")
+	if _, err := os.Stat(survivorFile); err == nil {
+		t.Error("a command kept running after its lease was lost")
 	}
 }
--- a/cmd/madderwing/main.go
+++ b/cmd/madderwing/main.go
@@ -1,17 +1,16 @@
-// Command madderwing is an API gateway: the gateways that carry traffic, the
-// control nodes that hold the configuration and deliver it, and the tools for their
-// operators.
+// Command madderwing is an API gateway. It runs gateways, which carry traffic, and control
+// nodes, which store and deliver the configuration, and provides the operators' commands.
 package main
 
 import (
 	"fmt"
 	"os"
 
-	_ "runtime/cgo" // the program is linked against the system's C library
+	_ "runtime/cgo" // links the program against the system's C library
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "madderwing: "+err.Error())
 		os.Exit(exitCode(err))
 	}
--- a/cmd/madderwing/rollout.go
+++ b/cmd/madderwing/rollout.go
@@ -17,17 +17,17 @@
 )
 
 func rolloutCommand() *cobra.Command {
-	c := &cobra.Command{Use: "rollout", Short: "Bring a new version of a service in, or watch it come"}
+	command := &cobra.Command{Use: "rollout", Short: "Bring a new version of a service in, or watch it come"}
 
 	start := &cobra.Command{Use: "start SERVICE VERSION", Short: "Move a service to upstreams of a version", Args: cobra.ExactArgs(2)}
 	within := start.Flags().Duration("within", 0, "the time that the rollout may take (needed)")
 	wait := start.Flags().Bool("wait", false, "wait until it is complete or reverted; reverted exits with 1")
-	startClient := clientFlags(start)
+	clientForStart := addClientFlags(start)
 	start.RunE = func(cmd *cobra.Command, args []string) error {
 		if *within <= 0 {
-			return usage(fmt.Errorf("--within: a time above 0 is needed"))
+			return usageError(fmt.Errorf("--within: a time above 0 is needed"))
 		}
-		cl, err := startClient()
+		client, err := clientForStart()
 		if err != nil {
 			return err
 		}
@@ -35,49 +35,49 @@
 		if err != nil {
 			return err
 		}
-		if _, err := cl.call(http.MethodPost, "/v1/rollouts", body); err != nil {
+		if _, err := client.call(http.MethodPost, "/v1/rollouts", body); err != nil {
 			return err
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "%s is on its way to %s\n", args[0], args[1])
 		if *wait {
-			return cl.outcome(cmd.OutOrStdout(), args[0], 2**within)
+			return client.waitForOutcome(cmd.OutOrStdout(), args[0], 2**within)
 		}
 		return nil
 	}
 
 	status := &cobra.Command{Use: "status SERVICE", Short: "Show a service's rollout: stage, weight, both arms", Args: cobra.ExactArgs(1)}
 	statusJSON := status.Flags().Bool("json", false, "print JSON")
-	statusClient := clientFlags(status)
+	clientForStatus := addClientFlags(status)
 	status.RunE = func(cmd *cobra.Command, args []string) error {
-		cl, err := statusClient()
+		client, err := clientForStatus()
 		if err != nil {
 			return err
 		}
-		r, err := cl.rollout(args[0])
+		state, err := client.getRollout(args[0])
 		if err != nil {
 			return err
 		}
 		if *statusJSON {
-			return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
+			return json.NewEncoder(cmd.OutOrStdout()).Encode(state)
 		}
-		return printRollout(cmd.OutOrStdout(), r)
+		return printRollout(cmd.OutOrStdout(), state)
 	}
 
 	abort := &cobra.Command{Use: "abort SERVICE [VERSION]", Short: "Reverse a service's rollout, that to a version or the newest", Args: cobra.RangeArgs(1, 2)}
-	abortClient := clientFlags(abort)
+	clientForAbort := addClientFlags(abort)
 	abort.RunE = func(cmd *cobra.Command, args []string) error {
-		cl, err := abortClient()
+		client, err := clientForAbort()
 		if err != nil {
 			return err
 		}
-		// The version is named, so that a call that is sent again after a lost answer
-		// can't reverse the next rollout.
-		version, err := cl.candidate(args)
+		// The request names the version: when it is retried after a lost response, it can't
+		// abort a rollout that was started since.
+		version, err := client.candidateVersion(args)
 		if err != nil {
 			return err
 		}
 		path := "/v1/rollouts/" + url.PathEscape(args[0]) + "?targetVersion=" + url.QueryEscape(version)
-		if _, err := cl.call(http.MethodDelete, path, nil); err != nil {
+		if _, err := client.call(http.MethodDelete, path, nil); err != nil {
 			return err
 		}
 		fmt.Fprintln(cmd.OutOrStdout(), args[0]+" reverted")
@@ -86,13 +86,13 @@
 
 	list := &cobra.Command{Use: "list", Short: "List the rollouts of all services", Args: cobra.NoArgs}
 	listJSON := list.Flags().Bool("json", false, "print JSON")
-	listClient := clientFlags(list)
+	clientForList := addClientFlags(list)
 	list.RunE = func(cmd *cobra.Command, _ []string) error {
-		cl, err := listClient()
+		client, err := clientForList()
 		if err != nil {
 			return err
 		}
-		all, err := cl.rollouts()
+		all, err := client.listRollouts()
 		if err != nil {
 			return err
 		}
@@ -107,13 +107,13 @@
 		}
 		return w.Flush()
 	}
-	c.AddCommand(start, status, abort, list)
-	return c
+	command.AddCommand(start, status, abort, list)
+	return command
 }
 
-// candidate is the version that the arguments name after the service, or else that of the
-// service's newest rollout.
-func (c *client) candidate(args []string) (string, error) {
+// candidateVersion returns the version in the arguments (SERVICE [VERSION]), or else the target
+// version of the service's newest rollout.
+func (c *client) candidateVersion(args []string) (string, error) {
 	if len(args) > 1 {
 		return args[1], nil
 	}
@@ -125,8 +125,8 @@
 	return newest.TargetVersion, json.Unmarshal(text, &newest)
 }
 
-// rollouts asks for all rollouts.
-func (c *client) rollouts() (all []controlplane.RolloutState, err error) {
+// listRollouts requests the rollouts of all services.
+func (c *client) listRollouts() (all []controlplane.RolloutState, err error) {
 	text, err := c.call(http.MethodGet, "/v1/admin/rollouts", nil)
 	if err == nil {
 		err = json.Unmarshal(text, &all)
@@ -134,50 +134,51 @@
 	return all, err
 }
 
-// rollout is one service's rollout as its controller shows it.
-func (c *client) rollout(service string) (*controlplane.RolloutState, error) {
+// getRollout requests the state of a service's rollout.
+func (c *client) getRollout(service string) (*controlplane.RolloutState, error) {
 	text, err := c.call(http.MethodGet, "/v1/admin/rollouts/"+url.PathEscape(service), nil)
 	if err != nil {
 		return nil, err
 	}
-	r := &controlplane.RolloutState{}
-	return r, json.Unmarshal(text, r)
+	state := &controlplane.RolloutState{}
+	return state, json.Unmarshal(text, state)
 }
 
-// outcome waits for the end of a rollout.
-func (c *client) outcome(out io.Writer, service string, limit time.Duration) error {
-	last := ""
-	for end := time.Now().Add(limit); ; time.Sleep(300 * time.Millisecond) {
-		r, err := c.rollout(service)
+// waitForOutcome waits until a rollout is complete, prints its progress meanwhile, and returns an
+// error if it is reverted or still undecided after limit.
+func (c *client) waitForOutcome(out io.Writer, service string, limit time.Duration) error {
+	lastProgress := ""
+	for deadline := time.Now().Add(limit); ; time.Sleep(300 * time.Millisecond) {
+		state, err := c.getRollout(service)
 		if err != nil {
 			return err
 		}
-		if at := fmt.Sprintf("%s, %g %%", r.Stage, rollout.Percent(r.Weight)); at != last {
-			fmt.Fprintf(out, "%6.1f s  %s\n", r.AgeS, at)
-			last = at
+		if progress := fmt.Sprintf("%s, %g %%", state.Stage, rollout.Percent(state.Weight)); progress != lastProgress {
+			fmt.Fprintf(out, "%6.1f s  %s\n", state.AgeS, progress)
+			lastProgress = progress
 		}
 		switch {
-		case r.Stage == rollout.Complete.String():
+		case state.Stage == rollout.Complete.String():
 			return nil
-		case r.Stage == rollout.Reverted.String():
-			return fmt.Errorf("reverted: %s", r.Reason)
-		case time.Now().After(end):
+		case state.Stage == rollout.Reverted.String():
+			return fmt.Errorf("reverted: %s", state.Reason)
+		case time.Now().After(deadline):
 			return fmt.Errorf("not decided after %v", limit)
 		}
 	}
 }
 
-func printRollout(out io.Writer, r *controlplane.RolloutState) error {
-	fmt.Fprintf(out, "%s: %s, stage %s, weight %g %%, %.1f s of %g s\n", r.Service, r.State, r.Stage, rollout.Percent(r.Weight), r.AgeS, r.WithinS)
-	if r.Reason != "" {
-		fmt.Fprintf(out, "reason: %s\n", r.Reason)
+func printRollout(out io.Writer, state *controlplane.RolloutState) error {
+	fmt.Fprintf(out, "%s: %s, stage %s, weight %g %%, %.1f s of %g s\n", state.Service, state.State, state.Stage, rollout.Percent(state.Weight), state.AgeS, state.WithinS)
+	if state.Reason != "" {
+		fmt.Fprintf(out, "reason: %s\n", state.Reason)
 	}
-	fmt.Fprintf(out, "controller %s; in force on %d nodes, %d have stopped it by themselves\n", cmp.Or(r.Controller, "-"), r.Heard, r.Braked)
+	fmt.Fprintf(out, "controller %s; in force on %d nodes, %d have stopped it by themselves\n", cmp.Or(state.Controller, "-"), state.Heard, state.Braked)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "\nARM\tVERSION\tANSWERS\tFAILED\tP99 UP TO\tMEAN TIME SCORE\n")
 	for i, name := range []string{"prior", "candidate"} {
-		a := r.Arms[i]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f ms\t%.3f\n", name, cmp.Or(a.Version, "-"), a.Answers, a.Failed, a.P99AtMs, a.MeanTime)
+		arm := state.Arms[i]
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.0f ms\t%.3f\n", name, cmp.Or(arm.Version, "-"), arm.Answers, arm.Failed, arm.P99AtMs, arm.MeanTime)
 	}
 	return w.Flush()
 }
--- a/cmd/madderwing/runner.go
+++ b/cmd/madderwing/runner.go
@@ -17,53 +17,54 @@
 	coordination "madderwing/client"
 )
 
-// The environment of a command that runs while a lock is held.
+// Environment variables of a command that runs under a lease.
 const (
 	tokenVariable = "MADDERWING_TOKEN" // the fencing token
 	nameVariable  = "MADDERWING_LOCK"  // the name of the lock or election
 )
 
-// exitSignalled is added to the number of the signal that a command died of, as shells do.
-const exitSignalled = 128
+// exitSignalBase plus the signal number is the exit code for a command that was killed by a
+// signal, as in shells.
+const exitSignalBase = 128
 
-// holding is a lock or a leadership that is held.
-type holding struct {
+// heldLease is a lock that is held, or the leadership of an election. Its context is cancelled
+// when the lease is lost.
+type heldLease struct {
 	name    string
-	lease   context.Context
+	ctx     context.Context
 	token   uint64
 	release func(context.Context) error
 }
 
-// runner runs a command for as long as something is held.
+// runner runs a command under a lease. After SIGTERM it waits killAfter before SIGKILL.
 type runner struct {
 	killAfter time.Duration
 }
 
-func addRunnerFlags(c *cobra.Command) *runner {
-	r := &runner{}
-	c.Flags().DurationVar(&r.killAfter, "kill-after", 2*time.Second, "time between SIGTERM and SIGKILL when the lock is lost")
-	return r
+func addRunnerFlags(command *cobra.Command) *runner {
+	added := &runner{}
+	command.Flags().DurationVar(&added.killAfter, "kill-after", 2*time.Second, "time between SIGTERM and SIGKILL when the lock is lost")
+	return added
 }
 
-// runWhileHeld makes a command of "NAME -- COMMAND [ARG...]" that runs COMMAND for as long as it
-// holds what acquire takes under NAME.
-func runWhileHeld(c *cobra.Command, flags *coordinationFlags, acquire func(ctx context.Context, client *coordination.Client, name string) (holding, error)) {
-	wait := waitFlag(c)
-	runner := addRunnerFlags(c)
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+// runWhileHeld sets up a command with the arguments "NAME -- COMMAND [ARG...]". It acquires the
+// lease of NAME and runs COMMAND for as long as the lease is held.
+func runWhileHeld(command *cobra.Command, flags *coordinationFlags, acquire func(ctx context.Context, client *coordination.Client, name string) (heldLease, error)) {
+	wait := addWaitFlag(command)
+	runner := addRunnerFlags(command)
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		client, err := flags.client()
 		if err != nil {
 			return err
 		}
-		return runner.run(cmd, flags, args[1:], *wait, func(ctx context.Context) (holding, error) {
+		return runner.run(cmd, flags, args[1:], *wait, func(ctx context.Context) (heldLease, error) {
 			return acquire(ctx, client, args[0])
 		})
 	}
 }
 
-// run waits for what is to be held, runs the command, gives back what was held, and ends as
-// the command did.
-func (r *runner) run(cmd *cobra.Command, flags *coordinationFlags, command []string, wait time.Duration, acquire func(context.Context) (holding, error)) error {
+// run acquires the lease, runs the command, releases the lease and returns the command's result.
+func (r *runner) run(cmd *cobra.Command, flags *coordinationFlags, command []string, wait time.Duration, acquire func(context.Context) (heldLease, error)) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -74,7 +75,7 @@
 	process := exec.Command(command[0], command[1:]...)
 	process.Stdin, process.Stdout, process.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
 	process.Env = append(os.Environ(), tokenVariable+"="+strconv.FormatUint(held.token, 10), nameVariable+"="+held.name)
-	result := r.supervise(process, held.lease, signals)
+	result := r.supervise(process, held.ctx, signals)
 	ctx, cancel := context.WithTimeout(commandContext(cmd), flags.timeout)
 	defer cancel()
 	if err := held.release(ctx); err != nil {
@@ -88,8 +89,8 @@
 	return result
 }
 
-// acquireUntilSignal waits until it is held, --wait is over or a signal comes.
-func acquireUntilSignal(cmd *cobra.Command, wait time.Duration, acquire func(context.Context) (holding, error)) (holding, error) {
+// acquireUntilSignal acquires a lease. It gives up when --wait is over or on SIGINT or SIGTERM.
+func acquireUntilSignal(cmd *cobra.Command, wait time.Duration, acquire func(context.Context) (heldLease, error)) (heldLease, error) {
 	ctx, stop := untilSignal(cmd)
 	defer stop()
 	ctx, cancel := waitContext(ctx, wait)
@@ -97,7 +98,7 @@
 	return acquire(ctx)
 }
 
-// runOutput is printed after the command with --json.
+// runOutput is the JSON output after the command has ended.
 type runOutput struct {
 	Name  string `json:"name"`
 	Token uint64 `json:"token"`
@@ -105,7 +106,7 @@
 	Error string `json:"error,omitempty"`
 }
 
-func newRunOutput(held holding, result error) runOutput {
+func newRunOutput(held heldLease, result error) runOutput {
 	out := runOutput{Name: held.name, Token: held.token}
 	if result != nil {
 		out.Exit, out.Error = exitCode(result), result.Error()
@@ -113,16 +114,15 @@
 	return out
 }
 
-// supervise runs a command to its end. It passes signals on, and ends the command when the
-// lease ends. The command has a process group of its own, so that what it has started ends
-// with it.
+// supervise runs a command to its end. It forwards signals, and stops the command when the lease
+// is lost. The command has its own process group, so that signals reach its child processes too.
 func (r *runner) supervise(process *exec.Cmd, lease context.Context, signals <-chan os.Signal) error {
-	// If this process is killed the command must not go on without a lease. That does not
-	// reach what the command has started.
+	// If this process is killed, the command must not keep running without a lease. Pdeathsig
+	// kills the command alone, not its child processes.
 	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started, ended := make(chan error, 1), make(chan error, 1)
 	go func() {
-		runtime.LockOSThread() // Pdeathsig goes by the thread that started the command
+		runtime.LockOSThread() // Pdeathsig is tied to the thread that starts the command, not to the process
 		defer runtime.UnlockOSThread()
 		err := process.Start()
 		started <- err
@@ -131,32 +131,32 @@
 		}
 	}()
 	if err := <-started; err != nil {
-		return coded{exitFailed, err}
+		return exitError{exitFailed, err}
 	}
-	group := -process.Process.Pid
-	var kill <-chan time.Time
-	lost := lease.Done()
+	processGroup := -process.Process.Pid
+	var killTime <-chan time.Time
+	leaseDone := lease.Done()
 	for {
 		select {
 		case err := <-ended:
 			if lease.Err() != nil {
-				_ = syscall.Kill(group, syscall.SIGKILL) // what the command left behind
-				return errEnded(context.Cause(lease))
+				_ = syscall.Kill(processGroup, syscall.SIGKILL) // child processes that outlived the command
+				return leaseLostError(context.Cause(lease))
 			}
 			return commandError(err)
-		case s := <-signals:
-			_ = syscall.Kill(group, s.(syscall.Signal))
-		case <-lost:
-			lost = nil
-			_ = syscall.Kill(group, syscall.SIGTERM)
-			kill = time.After(r.killAfter)
-		case <-kill:
-			_ = syscall.Kill(group, syscall.SIGKILL)
+		case received := <-signals:
+			_ = syscall.Kill(processGroup, received.(syscall.Signal))
+		case <-leaseDone:
+			leaseDone = nil
+			_ = syscall.Kill(processGroup, syscall.SIGTERM)
+			killTime = time.After(r.killAfter)
+		case <-killTime:
+			_ = syscall.Kill(processGroup, syscall.SIGKILL)
 		}
 	}
 }
 
-// commandError gives the end of a command its exit code.
+// commandError converts the error of a command that has ended to one with its exit code.
 func commandError(err error) error {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -164,7 +164,7 @@
 	}
 	code := exit.ExitCode()
 	if status, ok := exit.Sys().(syscall.WaitStatus); ok && status.Signaled() {
-		code = exitSignalled + int(status.Signal())
+		code = exitSignalBase + int(status.Signal())
 	}
-	return coded{code, fmt.Errorf("the command ended with %w", exit)}
+	return exitError{code, fmt.Errorf("the command ended with %w", exit)}
 }
--- a/examples/leader/main.go
+++ b/examples/leader/main.go
@@ -1,15 +1,15 @@
-// Command leader shows an election: three processes of which one leads at a time, and a
-// small store that the leader writes to with its fencing token.
+// Command leader is an example of leader election: three worker processes, of which one leads
+// at a time, and a small store to which the leader writes with its fencing token.
 //
 //	go run ./examples/leader -control 127.0.0.1:8146,127.0.0.2:8146,127.0.0.3:8146
 //
-// starts the store and three workers and prints what happens, until Ctrl-C. Try:
+// starts the store and three workers and logs what happens, until Ctrl-C. Try:
 //
-//	kill -9 PID                            # another worker leads once the hold time is over
-//	kill -STOP PID; sleep 8; kill -CONT PID # the one that slept doesn't lead any more
+//	kill -9 PID                             # another worker leads once the hold time is over
+//	kill -STOP PID; sleep 8; kill -CONT PID # the paused worker no longer leads
 //
-// A worker that wakes may still write before it learns that it no longer leads. The store
-// refuses that write, since it has seen a higher token.
+// A paused worker that continues may still send a write before it learns that it no longer
+// leads. The store rejects that write, since it has seen a higher token.
 package main
 
 import (
@@ -33,7 +33,7 @@
 
 const (
 	workers       = 3
-	hold          = 3 * time.Second
+	holdTime      = 3 * time.Second
 	writeInterval = 500 * time.Millisecond
 	writeTimeout  = time.Second
 	resignTimeout = 2 * time.Second
@@ -59,7 +59,7 @@
 	}
 }
 
-// runAll serves the store and runs the workers as processes of their own.
+// runAll serves the store and runs each worker as a child process.
 func runAll(ctx context.Context) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,9 +72,9 @@
 	if err != nil {
 		return err
 	}
-	var running sync.WaitGroup
-	for nth := range workers {
-		name := fmt.Sprintf("worker-%d", nth+1)
+	var workersRunning sync.WaitGroup
+	for index := range workers {
+		name := fmt.Sprintf("worker-%d", index+1)
 		args := append([]string{"-worker", name, "-store", listener.Addr().String()}, os.Args[1:]...)
 		process := exec.CommandContext(ctx, program, args...)
 		process.Cancel = func() error { return process.Process.Signal(syscall.SIGTERM) }
@@ -83,20 +83,20 @@
 			return err
 		}
 		log.Printf("%s is process %d", name, process.Process.Pid)
-		running.Go(func() { log.Printf("%s ended: %v", name, process.Wait()) })
+		workersRunning.Go(func() { log.Printf("%s ended: %v", name, process.Wait()) })
 	}
-	running.Wait()
+	workersRunning.Wait()
 	return nil
 }
 
-// runWorker campaigns, and writes while it leads, again and again.
+// runWorker campaigns in the election and writes to the store while it leads, until ctx ends.
 func runWorker(ctx context.Context, name, election string, control []string, storeAddress string) error {
-	c, err := client.New(control, client.Options{Name: name})
+	coordination, err := client.New(control, client.Options{Name: name})
 	if err != nil {
 		return err
 	}
 	for ctx.Err() == nil {
-		leadership, err := c.Election(election, hold).Campaign(ctx, name)
+		leadership, err := coordination.Election(election, holdTime).Campaign(ctx, name)
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// lead writes to the store until the leadership or the program ends.
+// lead writes to the store until the leadership or ctx ends.
 func lead(ctx context.Context, leadership *client.Leadership, name, storeAddress string) {
 	ticker := time.NewTicker(writeInterval)
 	defer ticker.Stop()
@@ -127,8 +127,8 @@
 	}
 }
 
-// write sends one line with the fencing token. It ends with the leadership: but a write that
-// the store has received by then can't be called back, which is what the token is for.
+// write sends one line with the fencing token. The request is cancelled when the leadership ends.
+// It may have reached the store's machine by then, so the store must check the token itself.
 func write(leadership *client.Leadership, storeAddress, line string) error {
 	ctx, cancel := context.WithTimeout(leadership.Context(), writeTimeout)
 	defer cancel()
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// resign lets the next candidate lead without waiting for the hold time.
+// resign gives up the leadership, so that the next candidate need not wait for the hold time.
 func resign(leadership *client.Leadership) {
 	ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
--- a/examples/leader/store.go
+++ b/examples/leader/store.go
@@ -8,21 +8,21 @@
 	"sync"
 )
 
-// tokenHeader carries the writer's fencing token.
+// tokenHeader is the HTTP header with the writer's fencing token.
 const tokenHeader = "Fencing-Token"
 
-// maxLine bounds what is written at once.
-const maxLine = 1 << 10
+// maxLineBytes is the maximum length of a line.
+const maxLineBytes = 1 << 10
 
-// store keeps lines. It refuses a write with a token below the highest that it has seen:
-// whoever sends one has been followed by another writer, and may not know it yet.
+// store keeps lines in memory. It rejects a write whose token is below the highest that it has
+// seen: the writer has been replaced by another and may not know it yet.
 type store struct {
 	mu      sync.Mutex
 	highest uint64
 	lines   []string
 }
 
-// append takes a line, unless its writer has been followed by another.
+// append adds a line and returns true, unless a higher token has been seen.
 func (s *store) append(token uint64, line string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,14 +34,14 @@
 	return true
 }
 
-// ServeHTTP takes a line as the body of a POST.
+// ServeHTTP accepts a POST with a line as its body.
 func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	token, err := strconv.ParseUint(r.Header.Get(tokenHeader), 10, 64)
 	if err != nil || r.Method != http.MethodPost {
 		http.Error(w, "a POST with a "+tokenHeader+" is wanted", http.StatusBadRequest)
 		return
 	}
-	line, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxLine))
+	line, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxLineBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/examples/leader/store_test.go
+++ b/examples/leader/store_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A write under a token below the highest that was seen is refused.
+// The store rejects a write with a token below the highest that it has seen.
 func TestStoreRefusesOldTokens(t *testing.T) {
 	s := &store{}
 	for _, c := range []struct {
--- a/examples/local/add.sh
+++ b/examples/local/add.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts one more node, N from 5 up, beside those of start.sh: a machine that takes the
-# place of one that is lost. It knows the first seeds and nothing else.
+# Usage: add.sh N, with N from 5 up. Starts one more node, besides those of start.sh, as a
+# replacement for a lost machine. It knows only the addresses of the seed nodes.
 set -eu
 cd "$(dirname "$0")/../.."
 n=${1:?the number of the node, 5 or more}
--- a/examples/local/start.sh
+++ b/examples/local/start.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Starts the stand-in and four nodes, each a gateway and a control node. Ctrl-C ends
-# them all. The first start founds the system; later ones go on with its disks.
+# Starts standin (the simulated environment) and four nodes, each a gateway and a control node.
+# Ctrl-C stops them all. The first start bootstraps the system; later starts continue with the
+# data on disk, for which bootstrap must be false.
 set -u
 cd "$(dirname "$0")/../.."
 go build -o target/ ./cmd/... ./examples/standin || exit 1
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror is the closed list of the kinds of error that madderwing
-// answers with, and the table from each kind to its answer.
+// Package apierror defines the kinds of errors that gateways and control nodes answer with, and
+// the HTTP response for each kind. The list of kinds is closed.
 package apierror
 
 import (
@@ -11,60 +11,60 @@
 	"time"
 )
 
-// Kind is one kind of error.
+// Kind is the kind of an error. The numbers are sent between nodes: new kinds go at the end.
 type Kind int
 
-// The kinds.
+// Error kinds. An order is a request to the control interface that changes something.
 const (
 	Internal        Kind = iota
-	InvalidConfig        // a configuration that may not come into force
-	UnknownRoute         // no route for host and path
-	UnknownZone          // an order for a zone that does not exist
-	UnknownPage          // no such page of the control interface
-	WrongMethod          // the page exists, the method does not
-	BodyTooLarge         // a body above the limit
-	BadRequest           // a request that cannot be handled as HTTP
-	NoConfiguration      // this node knows no configuration yet
-	NoUpstream           // no upstream may be sent to at present
-	Overloaded           // admission refused the request
-	Expired              // the deadline passed before the request was sent on
-	DeadlinePassed       // the deadline passed after the request was sent on
-	Broken               // the upstream broke off; the request may have run
-	Unsealed             // an answer that is not the upstream's own
-	NoQuorum             // too few copies can be reached
-	Conflict             // a conditional write that lost, or another content under a number that was taken
-	UnknownNode          // an order for a node that is not known
-	NotNow               // an order that what stands forbids
-	UnknownKey           // no key, or one that no tenant holds
-	OverQuota            // the tenant is over its limit
-	QuotaUnknown         // nobody could say whether the tenant is within its limit
-	KeysUnconfirmed      // this node cannot say which keys hold at present
-	NotYet               // an order that was carried out and may not be confirmed yet
-	BadQuestion          // a question to the registry that cannot be answered
-	ClientGone           // the client left before the request was sent on
-	BadOrder             // an order for a rollout that cannot be read
-	UnknownService       // an order for a service that does not exist
-	NoRollout            // no rollout was ever ordered for the service
-	UnderWay             // another rollout of the service is under way
-	NoControlNode        // a relay that reaches no control node at work
-	OutcomeUnknown       // a call that may have taken effect, or may yet
-	TooMany              // a bound on calls, watches or records is reached
-	NoCell               // a cell that holds no value
-	HistoryGone          // a watch from a revision whose history is no longer kept
-	MaybeRepeated        // an order that may be one sent again that was carried out
-	ClientLeft           // the client left while an upstream was at work on the request, which was ended
-	Outdated             // an order that is, or may be, older than one that was carried out
+	InvalidConfig        // the configuration is invalid
+	UnknownRoute         // no route matches host and path
+	UnknownZone          // the order names an unknown zone
+	UnknownPage          // the control interface has no such path
+	WrongMethod          // the path doesn't support the method
+	BodyTooLarge         // the body is larger than the limit
+	BadRequest           // the request can't be read, or misses a value, or has an invalid one
+	NoConfiguration      // this node has received no configuration yet
+	NoUpstream           // no upstream is eligible at present
+	Overloaded           // rejected by admission control or by the upstream
+	Expired              // the deadline passed before the request was sent to an upstream
+	DeadlinePassed       // the deadline passed after the request was sent to an upstream
+	Broken               // no usable response from the upstream; the request may have been executed
+	Unsealed             // a response without the upstream's seal (Server-Seal)
+	NoQuorum             // too few replicas can be reached
+	Conflict             // a conditional write failed, or a generation number is in use with other content
+	UnknownNode          // the order names an unknown node
+	NotNow               // the current state of the system forbids the order
+	UnknownKey           // no API key, or one that belongs to no tenant
+	OverQuota            // the tenant has used up its quota
+	QuotaUnknown         // the quota could not be checked
+	KeysUnconfirmed      // this node's lease on API keys has ended: it can't know which are valid
+	NotYet               // the order was carried out, but is not in force everywhere yet
+	BadQuestion          // an invalid query to the registry or to a view
+	ClientGone           // the client closed the connection before the request was sent to an upstream or carried out
+	BadOrder             // an invalid order for a rollout
+	UnknownService       // the order names an unknown service
+	NoRollout            // the service never had a rollout
+	UnderWay             // another rollout of the service is in progress or complete
+	NoControlNode        // the relay reaches no working control node
+	OutcomeUnknown       // the call may have taken effect, or may do so later
+	TooMany              // a limit on calls, watches or records is reached
+	NoCell               // the cell (a key of the key-value store) has no value
+	HistoryGone          // the events after the watch's revision are no longer kept
+	MaybeRepeated        // the order may be a retry of one that was already carried out
+	ClientLeft           // the client closed the connection while an upstream worked on the request, which was cancelled
+	Outdated             // the order is, or may be, older than one that was carried out
 )
 
-// Answer is what a kind is answered with. NotRun says that the answer promises
-// that the request has not run and never will.
+// Answer is the HTTP response for a kind. NotRun says that the response guarantees that the
+// request was not executed and never will be.
 type Answer struct {
 	Status int
 	NotRun bool
 	Text   string
 }
 
-var table = map[Kind]Answer{
+var answers = map[Kind]Answer{
 	Internal:        {http.StatusInternalServerError, false, "internal error"},
 	InvalidConfig:   {http.StatusBadRequest, true, "invalid configuration"},
 	UnknownRoute:    {http.StatusNotFound, true, "no such route"},
@@ -105,7 +105,8 @@
 	Outdated:        {http.StatusServiceUnavailable, true, "outdated order"},
 }
 
-// Error is an error of a kind, with what is to be told about it.
+// Error is an error of a kind. Detail is sent to the client; RetryAfter is the time after which
+// the client may retry, 0: not sent.
 type Error struct {
 	Kind       Kind
 	Detail     string
@@ -114,27 +115,27 @@
 
 func (e *Error) Error() string {
 	if e.Detail == "" {
-		return table[e.Kind].Text
+		return answers[e.Kind].Text
 	}
-	return table[e.Kind].Text + ": " + e.Detail
+	return answers[e.Kind].Text + ": " + e.Detail
 }
 
-// New makes an error of a kind.
+// New returns an error of a kind with a formatted detail.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Later makes an error of a kind that tells when to come back.
+// Later returns an error like New that tells the client to retry after a time.
 func Later(kind Kind, after time.Duration, format string, args ...any) *Error {
 	e := New(kind, format, args...)
 	e.RetryAfter = after
 	return e
 }
 
-// AnswerFor looks a kind up in the table.
-func AnswerFor(kind Kind) Answer { return table[kind] }
+// AnswerFor returns the HTTP response for a kind.
+func AnswerFor(kind Kind) Answer { return answers[kind] }
 
-// KindOf is the kind of any error.
+// KindOf returns the kind of an error; Internal if it is no *Error.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -143,33 +144,32 @@
 	return Internal
 }
 
-// TooLarge is the error for a body that http.MaxBytesReader has cut off; nil if
-// err is of another kind.
+// TooLarge returns a BodyTooLarge error if err comes from http.MaxBytesReader, else nil.
 func TooLarge(err error) error {
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return New(BodyTooLarge, "more than %d bytes", large.Limit)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return New(BodyTooLarge, "more than %d bytes", tooLarge.Limit)
 	}
 	return nil
 }
 
-// Write answers a request with an error.
+// Write sends an error as the response to a request.
 func Write(w http.ResponseWriter, err error) {
 	var e *Error
 	if !errors.As(err, &e) {
 		e = &Error{Kind: Internal, Detail: err.Error()}
 	}
-	a, known := table[e.Kind]
-	if !known { // of a node of a later release
-		a = table[Internal]
+	answer, known := answers[e.Kind]
+	if !known { // the error comes from a node of a later release
+		answer = answers[Internal]
 	}
-	h := w.Header()
+	header := w.Header()
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	h.Set("Content-Type", "application/json")
-	body, _ := json.Marshal(map[string]string{"error": a.Text, "detail": e.Detail})
-	h.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(a.Status)
+	header.Set("Content-Type", "application/json")
+	body, _ := json.Marshal(map[string]string{"error": answer.Text, "detail": e.Detail})
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(answer.Status)
 	_, _ = w.Write(body)
 }
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,6 +1,6 @@
-// Command knownfailures reads the events of go test -json on standard input and decides
-// whether tests that fail are those, and just those, that a list names as red for a
-// known fault. It is what .ci/run uses where there is such a list.
+// Command knownfailures reads the output of go test -json on standard input, and succeeds if the
+// failing tests are exactly those in a list of known failures. The script .ci/run uses it if there
+// is such a list.
 package main
 
 import (
@@ -14,70 +14,70 @@
 	"strings"
 )
 
-// most is how many tests a list may name.
-const most = 3
+// maxKnownFailures is the maximum length of a list.
+const maxKnownFailures = 3
 
-// entry is one line of a list: test, cause, issue. A test is named by its package and
-// name, with a dot between, as in internal/delivery.TestX.
-type entry struct{ test, cause, issue string }
+// knownFailure is one line of a list: "test, cause, issue". A test is given as PACKAGE.NAME, the
+// package relative to the module, as in internal/delivery.TestX.
+type knownFailure struct{ test, cause, issue string }
 
-func readList(r io.Reader) (list []entry, err error) {
+func readList(r io.Reader) (list []knownFailure, err error) {
 	lines := bufio.NewScanner(r)
-	for n := 1; lines.Scan(); n++ {
+	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		parts := strings.Split(line, ",")
-		if len(parts) != 3 {
-			return nil, fmt.Errorf("line %d: test, cause and issue are needed, with commas between", n)
+		fields := strings.Split(line, ",")
+		if len(fields) != 3 {
+			return nil, fmt.Errorf("line %d: test, cause and issue are needed, with commas between", number)
 		}
-		e := entry{strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])}
-		if e.test == "" || e.cause == "" || e.issue == "" {
-			return nil, fmt.Errorf("line %d: test, cause or issue is empty", n)
+		failure := knownFailure{strings.TrimSpace(fields[0]), strings.TrimSpace(fields[1]), strings.TrimSpace(fields[2])}
+		if failure.test == "" || failure.cause == "" || failure.issue == "" {
+			return nil, fmt.Errorf("line %d: test, cause or issue is empty", number)
 		}
-		if slices.ContainsFunc(list, func(o entry) bool { return o.test == e.test }) {
-			return nil, fmt.Errorf("line %d: %s is named twice", n, e.test)
+		if slices.ContainsFunc(list, func(other knownFailure) bool { return other.test == failure.test }) {
+			return nil, fmt.Errorf("line %d: %s is named twice", number, failure.test)
 		}
-		list = append(list, e)
+		list = append(list, failure)
 	}
-	if len(list) > most {
-		return nil, fmt.Errorf("%d tests are named, %d at most may be", len(list), most)
+	if len(list) > maxKnownFailures {
+		return nil, fmt.Errorf("%d tests are named, %d at most may be", len(list), maxKnownFailures)
 	}
 	return list, lines.Err()
 }
 
-// event is one line of go test -json.
+// event is one line of the output of go test -json.
 type event struct{ Action, Package, Test, Output string }
 
-// judge prints what go test would, of failing tests and packages only, and says why
-// the run has failed; empty: it has not.
-func judge(module string, list []entry, events io.Reader, out io.Writer) (faults []string, err error) {
-	results := map[string]string{} // top-level test -> its result
-	inside := map[string]bool{}    // packages in which a test has failed
-	failed := map[string]bool{}    // packages that have failed
+// evaluate prints the output of packages and of failing tests, and returns the reasons why the
+// run counts as failed. Without any it has passed.
+func evaluate(module string, list []knownFailure, events io.Reader, out io.Writer) (problems []string, err error) {
+	results := map[string]string{}      // by top-level test
+	failedInTest := map[string]bool{}   // packages with a failing test
+	failedPackages := map[string]bool{} // packages that failed
 	output := map[string][]string{}
-	dec := json.NewDecoder(events)
+	decoder := json.NewDecoder(events)
 	for {
 		var e event
-		if err := dec.Decode(&e); err == io.EOF {
+		if err := decoder.Decode(&e); err == io.EOF {
 			break
 		} else if err != nil {
 			return nil, fmt.Errorf("events of go test: %w", err)
 		}
 		pkg := strings.TrimPrefix(e.Package, module+"/")
-		top, sub, _ := strings.Cut(e.Test, "/")
-		name := pkg + "." + top
+		topLevel, subtest, _ := strings.Cut(e.Test, "/")
+		name := pkg + "." + topLevel
 		switch {
 		case e.Action == "output" && e.Test == "":
 			fmt.Fprint(out, e.Output)
 		case e.Action == "output":
 			output[name] = append(output[name], e.Output)
 		case e.Test == "" && e.Action == "fail":
-			failed[pkg] = true
-		case e.Test != "" && sub == "" && (e.Action == "pass" || e.Action == "fail" || e.Action == "skip"):
+			failedPackages[pkg] = true
+		case e.Test != "" && subtest == "" && (e.Action == "pass" || e.Action == "fail" || e.Action == "skip"):
 			results[name] = e.Action
-			inside[pkg] = inside[pkg] || e.Action == "fail"
+			failedInTest[pkg] = failedInTest[pkg] || e.Action == "fail"
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
@@ -85,30 +85,30 @@
 			continue
 		}
 		fmt.Fprint(out, strings.Join(output[name], ""))
-		if i := slices.IndexFunc(list, func(e entry) bool { return e.test == name }); i >= 0 {
+		if i := slices.IndexFunc(list, func(e knownFailure) bool { return e.test == name }); i >= 0 {
 			fmt.Fprintf(out, "known red: %s, %s, %s\n", list[i].test, list[i].cause, list[i].issue)
 		} else {
-			faults = append(faults, name+" fails")
+			problems = append(problems, name+" fails")
 		}
 	}
 	for _, e := range list {
 		switch results[e.test] {
 		case "fail":
 		case "":
-			faults = append(faults, e.test+" is listed as red but did not run")
+			problems = append(problems, e.test+" is listed as red but did not run")
 		default:
-			faults = append(faults, e.test+" is listed as red but does not fail ("+results[e.test]+")")
+			problems = append(problems, e.test+" is listed as red but does not fail ("+results[e.test]+")")
 		}
 	}
-	for _, pkg := range slices.Sorted(maps.Keys(failed)) {
-		if !inside[pkg] {
-			faults = append(faults, pkg+" fails outside its tests")
+	for _, pkg := range slices.Sorted(maps.Keys(failedPackages)) {
+		if !failedInTest[pkg] {
+			problems = append(problems, pkg+" fails outside its tests")
 		}
 	}
 	if len(results) == 0 {
-		faults = append(faults, "no test ran")
+		problems = append(problems, "no test ran")
 	}
-	return faults, nil
+	return problems, nil
 }
 
 func main() {
@@ -116,13 +116,13 @@
 		fmt.Fprintln(os.Stderr, "knownfailures MODULE LIST, with the events of go test -json on standard input")
 		os.Exit(2)
 	}
-	f, err := os.Open(os.Args[2])
+	file, err := os.Open(os.Args[2])
 	if err == nil {
-		var list []entry
-		if list, err = readList(f); err == nil {
-			var faults []string
-			if faults, err = judge(os.Args[1], list, os.Stdin, os.Stdout); err == nil && len(faults) > 0 {
-				err = fmt.Errorf("%s", strings.Join(faults, "; "))
+		var list []knownFailure
+		if list, err = readList(file); err == nil {
+			var problems []string
+			if problems, err = evaluate(os.Args[1], list, os.Stdin, os.Stdout); err == nil && len(problems) > 0 {
+				err = fmt.Errorf("%s", strings.Join(problems, "; "))
 			}
 		}
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up the process's structured log: short messages, with their values
-// and the component that speaks as attributes.
+// Package logging configures the structured log of the process. Messages are short; values and
+// the component that logs are attributes.
 package logging
 
 import (
@@ -8,10 +8,10 @@
 	"log/slog"
 )
 
-// ComponentKey is the attribute that names the part of the program that logs.
+// ComponentKey is the key of the attribute that names the component.
 const ComponentKey = "component"
 
-// The components.
+// Components, the values of ComponentKey.
 const (
 	Control      = "control"
 	Coordination = "coordination"
@@ -28,20 +28,20 @@
 	Upstream     = "upstream"
 )
 
-// The formats.
+// Log formats.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// Setup makes the process's logger write lines of a format (text or json), from a level
-// (debug, info, warn, error) on.
+// Setup sets the default logger of the process. The format is text or json; level (debug, info,
+// warn or error) is the lowest level that is logged.
 func Setup(w io.Writer, format, level string) error {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return fmt.Errorf("log level %q: must be debug, info, warn or error", level)
 	}
-	options := &slog.HandlerOptions{Level: least}
+	options := &slog.HandlerOptions{Level: minLevel}
 	switch format {
 	case FormatText:
 		slog.SetDefault(slog.New(slog.NewTextHandler(w, options)))
@@ -53,5 +53,5 @@
 	return nil
 }
 
-// For returns the logger of a component. It follows the Setup that came before it.
+// For returns the logger of a component. A later call of Setup doesn't affect it.
 func For(component string) *slog.Logger { return slog.Default().With(ComponentKey, component) }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestSetup(t *testing.T) {
-	before := slog.Default()
-	t.Cleanup(func() { slog.SetDefault(before) })
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	for _, c := range []struct {
 		format, level string
-		info, warn    bool // whether lines of the level appear
+		info, warn    bool // whether lines of this level are written
 	}{
 		{FormatText, "debug", true, true},
 		{FormatText, "info", true, true},
@@ -26,14 +26,14 @@
 		For(Storage).Info("first", "bytes", 7)
 		For(Storage).Warn("second", "bytes", 8)
 		if info, warn := strings.Contains(out.String(), "first"), strings.Contains(out.String(), "second"); info != c.info || warn != c.warn {
-			t.Errorf("%s from %s on: %q", c.format, c.level, out.String())
+			t.Errorf("format %s, level %s: %q", c.format, c.level, out.String())
 		}
 	}
 }
 
-func TestLinesNameTheirComponent(t *testing.T) {
-	before := slog.Default()
-	t.Cleanup(func() { slog.SetDefault(before) })
+func TestLogLinesNameTheirComponent(t *testing.T) {
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	var out strings.Builder
 	if err := Setup(&out, FormatText, "info"); err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 	}
 }
 
-func TestSetupRefusesWhatItDoesNotKnow(t *testing.T) {
-	before := slog.Default()
-	t.Cleanup(func() { slog.SetDefault(before) })
+func TestSetupRejectsUnknownFormatsAndLevels(t *testing.T) {
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	for _, c := range [][2]string{{"xml", "info"}, {FormatText, "loud"}, {FormatText, ""}, {"", "info"}} {
 		if err := Setup(&strings.Builder{}, c[0], c[1]); err == nil {
-			t.Errorf("format %q and level %q are taken", c[0], c[1])
+			t.Errorf("format %q and level %q are accepted", c[0], c[1])
 		}
 	}
-	if slog.Default() != before {
-		t.Error("a refused setup has changed the logger")
+	if slog.Default() != previous {
+		t.Error("a rejected setup has changed the logger")
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics writes counters in the text form that monitoring systems scrape.
-// There is one line for each counter and no label with values without bound.
+// Package metrics writes counters and gauges in the Prometheus text format. Metrics have no
+// labels, so their number is bounded.
 package metrics
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Write writes counters under names like madderwing_desk_requests_total.
+// Write writes counters, sorted by name. The metric name is made of the part and the counter's
+// key in snake case, as in madderwing_desk_requests_total.
 func Write(w *bytes.Buffer, part string, counters map[string]uint64) {
 	names := make([]string, 0, len(counters))
 	for n := range counters {
@@ -18,16 +19,16 @@
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		metrics.WriteCounterUint64(w, "madderwing_"+part+"_"+snake(n)+"_total", counters[n])
+		metrics.WriteCounterUint64(w, "madderwing_"+part+"_"+snakeCase(n)+"_total", counters[n])
 	}
 }
 
-// Gauge writes one value that may fall.
+// Gauge writes the current value of a gauge.
 func Gauge(w *bytes.Buffer, part, name string, value uint64) {
-	metrics.WriteGaugeUint64(w, "madderwing_"+part+"_"+snake(name), value)
+	metrics.WriteGaugeUint64(w, "madderwing_"+part+"_"+snakeCase(name), value)
 }
 
-func snake(s string) string {
+func snakeCase(s string) string {
 	var out []rune
 	for _, r := range s {
 		if unicode.IsUpper(r) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings holds the settings of one process: their shape, their check
-// against a schema, and the durations that the rest of the program derives
-// from the bounds in them.
+// Package settings loads the settings file of a process, validates it against a schema, and
+// derives the durations that other packages use from its bounds.
 package settings
 
 import (
@@ -24,14 +23,14 @@
 	"golang.org/x/text/message"
 )
 
-// PathVariable names the environment variable that holds the settings' path.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "MADDERWING_SETTINGS"
 
 //go:embed schema.json
 var schemaText []byte
 
-// Settings is what one process is told, as far as it is used. The schema checks
-// what is not used as well.
+// Settings holds the settings that the program knows. The schema also validates some others,
+// which are ignored.
 type Settings struct {
 	Node          string            `toml:"node"`
 	Role          string            `toml:"role"`
@@ -54,7 +53,8 @@
 	CloudAPI      CloudAPI          `toml:"cloudApi"`
 }
 
-// Bind holds the addresses on which a process serves.
+// Bind holds the listen addresses of a process: for clients (front), readiness probes, the
+// control interface, and the registry's clients (directory).
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
@@ -62,7 +62,7 @@
 	Directory string `toml:"directory"`
 }
 
-// Limits holds what the machine grants to a process.
+// Limits holds the resource limits of a process.
 type Limits struct {
 	CPUFraction float64 `toml:"cpuFraction"`
 	MemoryMb    float64 `toml:"memoryMb"`
@@ -71,16 +71,16 @@
 	DiskMb      float64 `toml:"diskMb"`
 }
 
-// FaultBudget says what may be lost at once with all rules kept: so many machines that
-// count for the quorum, or zones, or regions.
+// FaultBudget says how many failures at once the system must tolerate with all its guarantees
+// kept: so many machines that count for the quorum, or zones, or regions.
 type FaultBudget struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// Bounds are the figures that the rules are judged by, in seconds where the
-// name ends in S.
+// Bounds holds the service-level limits that the system must keep. They are in seconds where
+// the name ends in S.
 type Bounds struct {
 	ContactS     float64 `toml:"contactS"`
 	AckS         float64 `toml:"ackS"`
@@ -92,18 +92,18 @@
 	RetrySlack   float64 `toml:"retrySlack"`
 	EvacuateS    float64 `toml:"evacuateS"`
 	RecoveryS    float64 `toml:"recoveryS"`
-	// CatchUpS is for how long a machine that is back still counts as lost; 0: not told.
+	// CatchUpS is how long a machine that has come back still counts as failed; 0: not set.
 	CatchUpS float64 `toml:"catchUpS"`
-	// RetentionS is for how long watches can resume from a revision, and ReleaseS how soon
-	// a lock is free after its lease. 0: not told; see Retention.
+	// RetentionS is how long a watch can resume from a revision (0: not set, see Retention).
+	// ReleaseS is the time within which a lock is free after its lease has ended (0: not set).
 	RetentionS float64 `toml:"retentionS"`
 	ReleaseS   float64 `toml:"releaseS"`
 
-	// Only where versions are rolled out.
+	// For deployments with rollouts of service versions.
 	ExposureShare float64 `toml:"exposureShare"`
 	RollbackS     float64 `toml:"rollbackS"`
 
-	// Only where there are tenants or a registry.
+	// For deployments with tenants or a registry.
 	RevocationGlobal bool    `toml:"revocationGlobal"`
 	RevokeS          float64 `toml:"revokeS"`
 	QuotaWindowS     float64 `toml:"quotaWindowS"`
@@ -112,23 +112,23 @@
 	TTLMaxS          float64 `toml:"ttl_max_s"`
 }
 
-// CloudAPI tells where the platform's list of upstreams is.
+// CloudAPI holds the address of the platform API that lists the upstreams, and its limits.
 type CloudAPI struct {
 	Address  string  `toml:"address"`
 	RatePerS float64 `toml:"ratePerS"`
 	MaxLagS  float64 `toml:"maxLagS"`
 }
 
-// Seconds turns a figure of the settings into a duration.
+// Seconds converts a number of seconds from the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Beat is the step of everything that nodes do at intervals: a sixth of the
-// time for which a calm machine must have been in touch.
+// Beat is the base interval of the periodic work of a node, such as heartbeats. It is a sixth of
+// contactS, the time for which a machine must have run and been reachable before the guarantees
+// apply to it.
 func (s *Settings) Beat() time.Duration { return Seconds(s.Bounds.ContactS / 6) }
 
-// Rollback is the time, in seconds, within which a bad version gets nothing more, and
-// Exposure the share of requests that it may have had; where the settings are silent,
-// ackS and a tenth.
+// Rollback is the time, in seconds, within which a bad version must stop receiving requests:
+// rollbackS, or ackS if that is not set.
 func (s *Settings) Rollback() float64 {
 	if s.Bounds.RollbackS > 0 {
 		return s.Bounds.RollbackS
@@ -136,7 +136,8 @@
 	return s.Bounds.AckS
 }
 
-// Exposure: see Rollback.
+// Exposure is the share of requests that a bad version may receive before it is rolled back:
+// exposureShare, or a tenth if that is not set.
 func (s *Settings) Exposure() float64 {
 	if s.Bounds.ExposureShare > 0 {
 		return s.Bounds.ExposureShare
@@ -144,28 +145,29 @@
 	return 0.1
 }
 
-// retentionContacts is the retention, in contactS, where the settings name none.
-const retentionContacts = 4
+// defaultRetentionContacts is the default retention as a multiple of contactS.
+const defaultRetentionContacts = 4
 
-// Retention is for how long watches can resume from a revision that they were given.
+// Retention is how long a watch can resume from a revision that it has received.
 func (s *Settings) Retention() time.Duration {
 	if s.Bounds.RetentionS > 0 {
 		return Seconds(s.Bounds.RetentionS)
 	}
-	return Seconds(retentionContacts * s.Bounds.ContactS)
+	return Seconds(defaultRetentionContacts * s.Bounds.ContactS)
 }
 
-// HasRegistry says that clients ask a registry where to go.
+// HasRegistry reports whether clients look up the address of a gateway in the registry.
 func (s *Settings) HasRegistry() bool { return s.Ingress == "registry" }
 
-// BoundsRevocation says that a key that was taken away may be used on no machine, in touch or not,
-// for longer than revokeS after that was acknowledged: gateways need leases on keys.
+// BoundsRevocation reports whether a revoked API key must stop working on every machine, also on
+// one without contact, within revokeS after the revocation was acknowledged. Gateways then need
+// leases on keys.
 func (s *Settings) BoundsRevocation() bool { return s.Bounds.RevocationGlobal && s.Bounds.RevokeS > 0 }
 
-// HasQuotas says that the rate of a tenant's requests is bounded over all machines.
+// HasQuotas reports whether a tenant's request rate is limited across all machines.
 func (s *Settings) HasQuotas() bool { return s.Bounds.QuotaWindowS > 0 }
 
-// RegionOf is the region of a zone; a zone that is not listed is its own.
+// RegionOf returns the region of a zone. A zone that is not listed is a region of its own.
 func (s *Settings) RegionOf(zone string) string {
 	if r, ok := s.Zones[zone]; ok {
 		return r
@@ -173,10 +175,10 @@
 	return zone
 }
 
-// KeyLease is how long a gateway may go on using keys that it cannot have confirmed,
-// and HoldRevocation how long the acknowledgement of a removal waits for that:
-// leases are longer than revokeS by the time that the acknowledgement is held,
-// less a margin.
+// KeyLease is how long a gateway may keep using API keys after it last had them confirmed;
+// 0: revocation is not bounded, keys need no lease. A lease may be longer than revokeS by the
+// time for which the acknowledgement of a revocation is held back, less a margin: it ends less
+// than revokeS after the acknowledgement.
 func (s *Settings) KeyLease() time.Duration {
 	if !s.BoundsRevocation() {
 		return 0
@@ -184,7 +186,8 @@
 	return Seconds(s.Bounds.RevokeS*0.9) + s.HoldRevocation()
 }
 
-// HoldRevocation: see KeyLease. An order is answered within ackS all the same.
+// HoldRevocation is how long the acknowledgement of a revocation is held back, see KeyLease. It
+// is a part of ackS, since requests to the control interface must be answered within ackS.
 func (s *Settings) HoldRevocation() time.Duration {
 	if !s.BoundsRevocation() {
 		return 0
@@ -192,25 +195,25 @@
 	return Seconds(s.Bounds.AckS * 0.4)
 }
 
-// FrontPort is the port that serves clients.
+// FrontPort returns the port on which the gateway serves clients.
 func (s *Settings) FrontPort() uint16 {
 	_, port, _ := net.SplitHostPort(s.Bind.Front)
-	n, _ := strconv.ParseUint(port, 10, 16)
-	return uint16(n)
+	number, _ := strconv.ParseUint(port, 10, 16)
+	return uint16(number)
 }
 
-// GatewayAddress and ControlAddress are where the two kinds of process listen for
-// other nodes on a machine.
+// GatewayAddress returns the address at which the gateway on a machine listens for other nodes.
 func (s *Settings) GatewayAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]))
 }
 
-// ControlAddress is the address for other nodes of the control node on a machine.
+// ControlAddress returns the address at which the control node on a machine listens for other
+// nodes.
 func (s *Settings) ControlAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+1))
 }
 
-// SeedControlNodes are the addresses for other nodes of the seeds, sorted.
+// SeedControlNodes returns the ControlAddress of each seed node, sorted.
 func (s *Settings) SeedControlNodes() []string {
 	var out []string
 	for _, seed := range s.SeedNodes {
@@ -222,13 +225,13 @@
 	return out
 }
 
-// seedsNamed is how many seeds the settings name, if there are as many machines that
-// serve control.
-const seedsNamed = 3
+// fullSeedCount is the number of seed nodes in the settings if at least that many machines run
+// control nodes. Where there are fewer seeds, no other machines run any.
+const fullSeedCount = 3
 
-// Warnings are lines on settings that can be used, but not as may be meant. Of the
-// fault budget they name only what no number of control nodes could bear: what is left must
-// be a majority.
+// Warnings returns one line for each setting that is valid but probably not intended. Of the
+// fault budget it reports only what can't be tolerated with any number of control nodes, since
+// a majority must survive.
 func (s *Settings) Warnings() (out []string) {
 	if s.Bind.Control != "" && s.DataDir == "" {
 		out = append(out, "dataDir: none, so a control node runs as a relay here")
@@ -240,28 +243,28 @@
 	for _, r := range s.Zones {
 		regions[r] = true
 	}
-	for _, b := range []struct {
-		name       string
-		lost, have int
-		known      bool
+	for _, budget := range []struct {
+		name            string
+		lost, available int
+		known           bool
 	}{
-		{"machines", s.FaultBudget.Machines, len(s.SeedNodes), len(s.SeedNodes) < seedsNamed},
+		{"machines", s.FaultBudget.Machines, len(s.SeedNodes), len(s.SeedNodes) < fullSeedCount},
 		{"zones", s.FaultBudget.Zones, len(s.Zones), len(s.Zones) > 0},
 		{"regions", s.FaultBudget.Regions, len(regions), len(regions) > 0},
 	} {
-		if need := 2*b.lost + 1; b.known && b.have < need {
-			out = append(out, fmt.Sprintf("faultBudget.%s: to bear the loss of %d, %d are needed, and there are %d", b.name, b.lost, need, b.have))
+		if needed := 2*budget.lost + 1; budget.known && budget.available < needed {
+			out = append(out, fmt.Sprintf("faultBudget.%s: to bear the loss of %d, %d are needed, and there are %d", budget.name, budget.lost, needed, budget.available))
 		}
 	}
 	return out
 }
 
-// Check is the list of what is wrong with a document, one line each.
+// Check is a list of validation errors, one line each.
 type Check []string
 
 func (c Check) Error() string { return strings.Join(c, "; ") }
 
-// Load reads and checks the settings file.
+// Load reads and validates the settings file.
 func Load(path string) (*Settings, error) {
 	if path == "" {
 		return nil, fmt.Errorf("%s is not set and no --settings was given", PathVariable)
@@ -273,13 +276,13 @@
 	return Parse(text)
 }
 
-// Parse reads settings from TOML and checks them against the schema.
+// Parse decodes settings from TOML and validates them.
 func Parse(text []byte) (*Settings, error) {
-	var raw map[string]any
-	if err := toml.Unmarshal(text, &raw); err != nil {
+	var document map[string]any
+	if err := toml.Unmarshal(text, &document); err != nil {
 		return nil, fmt.Errorf("not TOML: %w", err)
 	}
-	asJSON, err := json.Marshal(raw)
+	asJSON, err := json.Marshal(document)
 	if err != nil {
 		return nil, err
 	}
@@ -293,10 +296,10 @@
 	if s.InternalPorts[1] < s.InternalPorts[0]+1 {
 		return nil, Check{"internalPorts: two ports at least are needed"}
 	}
-	for _, a := range append([]string{s.Bind.Front, s.Bind.Readiness, s.Bind.Control, s.Bind.Directory}, s.SeedNodes...) {
-		if _, port, err := net.SplitHostPort(a); a != "" {
+	for _, address := range append([]string{s.Bind.Front, s.Bind.Readiness, s.Bind.Control, s.Bind.Directory}, s.SeedNodes...) {
+		if _, port, err := net.SplitHostPort(address); address != "" {
 			if n, _ := strconv.Atoi(port); err != nil || n < 1 || n > math.MaxUint16 {
-				return nil, Check{fmt.Sprintf("address %q: no valid port", a)}
+				return nil, Check{fmt.Sprintf("address %q: no valid port", address)}
 			}
 		}
 	}
@@ -305,20 +308,21 @@
 
 var settingsSchema = sync.OnceValue(func() *jsonschema.Schema { return MustCompile("settings.json", schemaText) })
 
-// MustCompile compiles a schema that is part of the program.
+// MustCompile compiles an embedded schema, and panics if it is invalid.
 func MustCompile(name string, text []byte) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		panic(err)
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, doc); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(name, doc); err != nil {
 		panic(err)
 	}
-	return c.MustCompile(name)
+	return compiler.MustCompile(name)
 }
 
-// Validate checks a JSON text against a schema and names every place at fault.
+// Validate checks a JSON document against a schema. Its error is a Check that names the location
+// of each violation.
 func Validate(schema *jsonschema.Schema, text []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -330,20 +334,20 @@
 		return err
 	}
 	var check Check
-	var walk func(*jsonschema.ValidationError)
+	var collect func(*jsonschema.ValidationError)
 	printer := message.NewPrinter(language.English)
-	walk = func(e *jsonschema.ValidationError) {
-		if len(e.Causes) == 0 {
-			at := strings.Join(e.InstanceLocation, ".")
-			if at == "" {
-				at = "top"
+	collect = func(cause *jsonschema.ValidationError) {
+		if len(cause.Causes) == 0 {
+			location := strings.Join(cause.InstanceLocation, ".")
+			if location == "" {
+				location = "top"
 			}
-			check = append(check, at+": "+e.ErrorKind.LocalizedString(printer))
+			check = append(check, location+": "+cause.ErrorKind.LocalizedString(printer))
 		}
-		for _, c := range e.Causes {
-			walk(c)
+		for _, c := range cause.Causes {
+			collect(c)
 		}
 	}
-	walk(invalid)
+	collect(invalid)
 	return check
 }
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -11,10 +11,11 @@
 	"strings"
 )
 
-// trouble is an entry of a day, by field; times are in seconds from the start of traffic.
-type trouble map[string]any
+// event is a fault or a planned operation of a day, by field name. Times are in seconds from the
+// start of traffic. Field "how" holds words that select a variant of the kind.
+type event map[string]any
 
-// day is a day of the bench, as a site file and a day file hold it.
+// day is a scenario of the bench in the format of site files and day files.
 type day struct {
 	Name         string         `toml:"name"`
 	Slot         string         `toml:"slot"`
@@ -26,262 +27,271 @@
 	Goal         map[string]any `toml:"goal,inline"`
 	FloorClasses []float64      `toml:"floor_classes,omitempty"`
 	FloorZones   []float64      `toml:"floor_zones,omitempty"`
-	Plan         []trouble      `toml:"plan,inline,multiline"`
-	Faults       []trouble      `toml:"faults,inline,multiline"`
+	Plan         []event        `toml:"plan,inline,multiline"`
+	Faults       []event        `toml:"faults,inline,multiline"`
 }
 
-// site is what is read of a site file.
+// site holds the parts of a site file that are used. Field names are keys of the file.
 type site struct {
 	Name     string
 	Zones    []struct{ Name string }
-	Troubles []trouble
+	Troubles []event
 	Day      []day
 }
 
-// entries gives what stands under plan and faults in all days.
-func (s site) entries() (plan, faults []trouble) {
-	for _, o := range s.Day {
-		plan, faults = append(plan, o.Plan...), append(faults, o.Faults...)
+// events returns the planned operations and the faults of all days of the site.
+func (s site) events() (plan, faults []event) {
+	for _, siteDay := range s.Day {
+		plan, faults = append(plan, siteDay.Plan...), append(faults, siteDay.Faults...)
 	}
 	return plan, faults
 }
 
-// profile says what days are about.
+// profile says which events are frequent in a day.
 type profile struct {
-	name    string
-	focus   string  // the kinds that it favours
-	words   string  // words that it favours in how
-	longS   float64 // how long troubles of the focus last; 0: as the examples do
-	lengthS float64
-	closes  bool      // always with a closing fault
-	with    []trouble // entries that each day has, with their values varied
+	name             string
+	favoredKinds     string  // names of kinds that are drawn more often
+	favoredVariants  string  // words for how that are drawn more often
+	favoredDurationS float64 // duration of events of favoredKinds before variation; 0: as in the examples
+	lengthS          float64
+	alwaysCloses     bool    // each day has a closing fault
+	requiredEvents   []event // events that each day has, with varied values
 }
 
 var profiles = []profile{
-	{name: "long-cuts", focus: "core_cut node_cut one_way bridge_cut zone_loss", longS: 20, lengthS: 60},
-	{name: "storms", focus: "config_storm config_race bad_config config_change core_cut node_cut", words: "meet race", lengthS: 45},
-	{name: "replacements", focus: "replace_core after_ack_wipe roll_term", words: "remove", lengthS: 45},
-	{name: "closing", closes: true, lengthS: 45},
+	{name: "long-cuts", favoredKinds: "core_cut node_cut one_way bridge_cut zone_loss", favoredDurationS: 20, lengthS: 60},
+	{name: "storms", favoredKinds: "config_storm config_race bad_config config_change core_cut node_cut", favoredVariants: "meet race", lengthS: 45},
+	{name: "replacements", favoredKinds: "replace_core after_ack_wipe roll_term", favoredVariants: "remove", lengthS: 45},
+	{name: "closing", alwaysCloses: true, lengthS: 45},
 	{name: "mixed", lengthS: 45},
-	{name: "leavers", lengthS: 45, with: []trouble{leavers, leavers, leavers, slowUpstreams, slowUpstreams}},
+	{name: "leavers", lengthS: 45, requiredEvents: []event{clientsLeave, clientsLeave, clientsLeave, slowUpstreams, slowUpstreams}},
 }
 
-// leavers are clients that close their connection long before their answer; x is in ms.
-var leavers = trouble{"kind": "give_up", "share": .5, "x": 200., "for_s": 14.}
+// clientsLeave makes clients close their connections long before the response; x is in ms.
+var clientsLeave = event{"kind": "give_up", "share": .5, "x": 200., "for_s": 14.}
 
-// slowUpstreams make a request last long after its client has left.
-var slowUpstreams = trouble{"kind": "srv_slow", "share": .8, "x": 6., "for_s": 14.}
+// slowUpstreams makes requests last until long after their clients have left.
+var slowUpstreams = event{"kind": "srv_slow", "share": .8, "x": 6., "for_s": 14.}
 
-// plannedKinds stand under plan where no day of the site shows the place of a kind.
+// plannedKinds lists the kinds that are planned operations, for kinds of which no day of the site
+// has an example.
 const plannedKinds = `release scale_in scale_out roll_term config_change config_storm config_race bad_config
  big_config evacuate rollout_good rollout_bad hup seed_turnover`
 
-// drawer draws one day.
-type drawer struct {
+// generator draws the events of one day.
+type generator struct {
 	*rand.Rand
-	site site
-	spec spec
+	site    site
+	catalog kindCatalog
 	profile
 }
 
-// drawDay draws a day; the same arguments give the same day. There must be a kind.
-func drawDay(st site, sp spec, p profile, seed uint64) day {
+// generateDay draws a day. The same arguments give the same day. The catalog must have a kind.
+func generateDay(parsedSite site, catalog kindCatalog, p profile, seed uint64) day {
 	name := fmt.Sprintf("%s-%d", p.name, seed)
-	d := drawer{rand.New(rand.NewChaCha8(sha256.Sum256([]byte(name)))), st, sp, p}
-	var out day // with the figures of the site's first such day
-	if i := slices.IndexFunc(st.Day, func(o day) bool { return o.Slot == "trouble" }); i >= 0 {
-		out = st.Day[i]
+	g := generator{rand.New(rand.NewChaCha8(sha256.Sum256([]byte(name)))), parsedSite, catalog, p}
+	var generated day // starts from the other values of the site's first day in this slot
+	if i := slices.IndexFunc(parsedSite.Day, func(siteDay day) bool { return siteDay.Slot == "trouble" }); i >= 0 {
+		generated = parsedSite.Day[i]
 	}
-	out.Name, out.Slot, out.Seed, out.LengthS = name, "trouble", seed, p.lengthS
-	out.Closing, out.Plan, out.Faults = nil, []trouble{}, []trouble{}
-	add := func(t trouble) {
-		if d.planned(t) {
-			out.Plan = append(out.Plan, t)
+	generated.Name, generated.Slot, generated.Seed, generated.LengthS = name, "trouble", seed, p.lengthS
+	generated.Closing, generated.Plan, generated.Faults = nil, []event{}, []event{}
+	add := func(required event) {
+		if g.isPlanned(required) {
+			generated.Plan = append(generated.Plan, required)
 		} else {
-			out.Faults = append(out.Faults, t)
+			generated.Faults = append(generated.Faults, required)
 		}
 	}
-	for _, t := range p.with {
-		if !slices.ContainsFunc(sp.kinds, func(k kind) bool { return k.name == t["kind"] }) {
-			continue // this bench cannot play it
+	for _, drawn := range p.requiredEvents {
+		if !slices.ContainsFunc(catalog.kinds, func(k kind) bool { return k.name == drawn["kind"] }) {
+			continue // the bench doesn't support this kind
 		}
-		t = maps.Clone(t)
-		d.vary(t)
-		d.place(t)
-		add(t)
+		drawn = maps.Clone(drawn)
+		g.varyValues(drawn)
+		g.drawStart(drawn)
+		add(drawn)
 	}
-	var k kind
-	for n := 4 + d.IntN(6); n > 0; n-- {
-		if k.name == "" || !d.chance(.2) { // else the same kind once more
-			k = d.kind()
+	var current kind
+	for remaining := 4 + g.IntN(6); remaining > 0; remaining-- {
+		if current.name == "" || !g.chance(.2) { // else the previous kind again
+			current = g.drawKind()
 		}
-		add(d.trouble(k))
+		add(g.drawEvent(current))
 	}
-	for _, list := range [][]trouble{out.Plan, out.Faults} {
-		slices.SortStableFunc(list, func(a, b trouble) int { return cmp.Compare(a.number("at"), b.number("at")) })
+	for _, list := range [][]event{generated.Plan, generated.Faults} {
+		slices.SortStableFunc(list, func(a, b event) int { return cmp.Compare(a.number("at"), b.number("at")) })
 	}
-	if len(sp.closings) > 0 && (p.closes || d.chance(.6)) {
-		out.Closing = d.closing()
+	if len(catalog.closingKinds) > 0 && (p.alwaysCloses || g.chance(.6)) {
+		generated.Closing = g.drawClosing()
 	}
-	return out
+	return generated
 }
 
-func (d *drawer) chance(p float64) bool { return d.Float64() < p }
+func (g *generator) chance(probability float64) bool { return g.Float64() < probability }
 
-func pick[T any](d *drawer, from []T) T { return from[d.IntN(len(from))] }
+func pick[T any](g *generator, from []T) T { return from[g.IntN(len(from))] }
 
-// near draws a value within low and high times v, and within least and most.
-func (d *drawer) near(v, low, high, least, most float64) float64 {
-	v *= low * math.Pow(high/low, d.Float64())
-	return min(max(math.Round(v*1000)/1000, least), most)
+// randomMultiple returns value times a random factor from lowFactor to highFactor (uniform on a
+// logarithmic scale), rounded to 3 digits after the point and limited to minimum and maximum.
+func (g *generator) randomMultiple(value, lowFactor, highFactor, minimum, maximum float64) float64 {
+	value *= lowFactor * math.Pow(highFactor/lowFactor, g.Float64())
+	return min(max(math.Round(value*1000)/1000, minimum), maximum)
 }
 
-func has(words, w string) bool { return slices.Contains(strings.Fields(words), w) }
+func containsWord(words, word string) bool { return slices.Contains(strings.Fields(words), word) }
 
-// anyOf says whether the how of a trouble holds one of the words.
-func (t trouble) anyOf(words ...string) bool {
-	how, _ := t["how"].(string)
-	return slices.ContainsFunc(words, func(w string) bool { return has(how, w) })
+// hasAnyVariant reports whether the event's how contains one of the words.
+func (e event) hasAnyVariant(words ...string) bool {
+	variants, _ := e["how"].(string)
+	return slices.ContainsFunc(words, func(w string) bool { return containsWord(variants, w) })
 }
 
-// number gives a field as a number; 0: it has none.
-func (t trouble) number(field string) float64 {
-	if n, is := t[field].(int64); is {
-		return float64(n)
+// number returns a field as a number; 0 if there is none.
+func (e event) number(field string) float64 {
+	if integer, isInteger := e[field].(int64); isInteger {
+		return float64(integer)
 	}
-	v, _ := t[field].(float64)
-	return v
+	float, _ := e[field].(float64)
+	return float
 }
 
-// only keeps those that fit; all, if none does.
-func only[T any](from []T, fits func(T) bool) []T {
-	if in := slices.DeleteFunc(slices.Clone(from), func(e T) bool { return !fits(e) }); len(in) > 0 {
-		return in
+// matchingOrAll returns the elements that match, or all if none does.
+func matchingOrAll[T any](from []T, matches func(T) bool) []T {
+	if matching := slices.DeleteFunc(slices.Clone(from), func(e T) bool { return !matches(e) }); len(matching) > 0 {
+		return matching
 	}
 	return from
 }
 
-// kind draws a kind that the site has: most are of the profile's focus.
-func (d *drawer) kind() kind {
-	if d.chance(.65) {
-		return pick(d, only(d.spec.kinds, func(k kind) bool { return has(d.focus, k.name) }))
+// drawKind draws one of the site's kinds, and mostly one that the profile favors.
+func (g *generator) drawKind() kind {
+	if g.chance(.65) {
+		return pick(g, matchingOrAll(g.catalog.kinds, func(k kind) bool { return containsWord(g.favoredKinds, k.name) }))
 	}
-	return pick(d, d.spec.kinds)
+	return pick(g, g.catalog.kinds)
 }
 
-// trouble draws an entry: an example of the site, with values and variants changed.
-func (d *drawer) trouble(k kind) trouble {
-	plan, faults := d.site.entries()
-	examples := slices.DeleteFunc(slices.Concat(d.site.Troubles, plan, faults), func(e trouble) bool { return e["kind"] != k.name })
-	how := d.how(k, examples)
-	if slices.ContainsFunc(how, func(w string) bool { return slices.Contains(d.spec.shared["machines"], w) }) {
-		examples = only(examples, func(e trouble) bool { return e["on"] != nil })
+// drawEvent draws an event of a kind: an example from the site file, if there is one, with other
+// values and variants.
+func (g *generator) drawEvent(k kind) event {
+	plan, faults := g.site.events()
+	examples := slices.DeleteFunc(slices.Concat(g.site.Troubles, plan, faults), func(e event) bool { return e["kind"] != k.name })
+	variants := g.drawVariants(k, examples)
+	if slices.ContainsFunc(variants, func(w string) bool { return slices.Contains(g.catalog.sharedVariants["machines"], w) }) {
+		examples = matchingOrAll(examples, func(e event) bool { return e["on"] != nil })
 	}
-	t := trouble{"kind": k.name}
+	drawn := event{"kind": k.name}
 	if len(examples) > 0 {
-		t = maps.Clone(pick(d, examples))
+		drawn = maps.Clone(pick(g, examples))
 	}
-	if len(how) > 0 {
-		if !t.anyOf(how[0]) && strings.Contains(k.text, "(x (") {
-			delete(t, "x") // it means another thing with another variant, and has a default
+	if len(variants) > 0 {
+		if !drawn.hasAnyVariant(variants[0]) && strings.Contains(k.text, "(x (") {
+			delete(drawn, "x") // its meaning depends on the variant, and it has a default
 		}
-		t["how"] = strings.Join(how, " ")
+		drawn["how"] = strings.Join(variants, " ")
 	}
-	d.vary(t)
-	d.place(t)
-	return t
+	g.varyValues(drawn)
+	g.drawStart(drawn)
+	return drawn
 }
 
-// place draws when an entry begins, so that it has ended before the day has.
-func (d *drawer) place(t trouble) {
-	last := min(.85*d.lengthS, d.lengthS-1-max(t.number("for_s"), t.number("count")*t.number("gap_s")))
-	t["at"] = math.Round((1+d.Float64()*max(last-1, 0))*100) / 100
+// drawStart draws the start time of an event such that it ends before the day does.
+func (g *generator) drawStart(e event) {
+	latest := min(.85*g.lengthS, g.lengthS-1-max(e.number("for_s"), e.number("count")*e.number("gap_s")))
+	e["at"] = math.Round((1+g.Float64()*max(latest-1, 0))*100) / 100
 }
 
-// how draws a variant; none: the example's stays.
-func (d *drawer) how(k kind, examples []trouble) (words []string) {
-	add := func(chance float64, fits bool, from []string) {
-		if fits && len(from) > 0 && d.chance(chance) {
-			if w := pick(d, from); !slices.Contains(words, w) {
-				words = append(words, w)
+// drawVariants draws the words for how. Without any, the example's words stay.
+func (g *generator) drawVariants(k kind, examples []event) (drawn []string) {
+	add := func(chance float64, applicable bool, from []string) {
+		if applicable && len(from) > 0 && g.chance(chance) {
+			if w := pick(g, from); !slices.Contains(drawn, w) {
+				drawn = append(drawn, w)
 			}
 		}
 	}
-	// The words for machines fit if the text speaks of machines or an example holds one.
-	machines := strings.Contains(k.text, "machine") ||
-		slices.ContainsFunc(examples, func(e trouble) bool { return e.anyOf(d.spec.shared["machines"]...) })
-	own, after := k.words, d.spec.shared["followers"]
-	if has(d.focus, k.name) && d.chance(.7) {
-		favoured := func(w string) bool { return has(d.words, w) }
-		own, after = only(own, favoured), only(after, favoured)
+	// The words for machines apply if the kind's description mentions machines or an example has
+	// one of these words.
+	onMachines := strings.Contains(k.text, "machine") ||
+		slices.ContainsFunc(examples, func(e event) bool { return e.hasAnyVariant(g.catalog.sharedVariants["machines"]...) })
+	own, followers := k.variants, g.catalog.sharedVariants["followers"]
+	if containsWord(g.favoredKinds, k.name) && g.chance(.7) {
+		isFavored := func(w string) bool { return containsWord(g.favoredVariants, w) }
+		own, followers = matchingOrAll(own, isFavored), matchingOrAll(followers, isFavored)
 	}
 	add(.6, true, own)
-	add(.3, len(words) > 0, k.extra)
-	add(.35, machines, d.spec.shared["machines"])
-	add(.2, strings.HasPrefix(k.name, "srv_"), d.spec.shared["servers"])
-	add(.4, strings.HasSuffix(k.name, "_cut"), d.spec.shared["cuts"])
-	add(.4, machines, after)
-	return words
+	add(.3, len(drawn) > 0, k.secondVariants)
+	add(.35, onMachines, g.catalog.sharedVariants["machines"])
+	add(.2, strings.HasPrefix(k.name, "srv_"), g.catalog.sharedVariants["servers"])
+	add(.4, strings.HasSuffix(k.name, "_cut"), g.catalog.sharedVariants["cuts"])
+	add(.4, onMachines, followers)
+	return drawn
 }
 
-// vary changes the values of an example within half and twice what they are.
-func (d *drawer) vary(t trouble) {
-	if d.longS > 0 && has(d.focus, t["kind"].(string)) {
-		t["for_s"] = d.longS
+// varyValues replaces the values of an event by random ones, in general from half to twice the
+// value, and often its zone by a random one of the site's.
+func (g *generator) varyValues(e event) {
+	if g.favoredDurationS > 0 && containsWord(g.favoredKinds, e["kind"].(string)) {
+		e["for_s"] = g.favoredDurationS
 	}
-	for _, f := range []string{"share", "count", "x", "for_s", "gap_s"} {
-		v := t.number(f)
-		low, high, least, most := .5, 2., .002, math.MaxInt32+0.
+	for _, field := range []string{"share", "count", "x", "for_s", "gap_s"} {
+		value := e.number(field)
+		lowFactor, highFactor, minimum, maximum := .5, 2., .002, math.MaxInt32+0.
 		switch {
-		case f == "count", f == "x" && v >= 1:
-			least = 1
-		case f == "share", f == "x":
-			most = .95
-		case f == "for_s":
-			least, most = .3, .6*d.lengthS
-			if v == d.longS {
-				low, high = .8, 1.2
-			} else if d.planned(t) {
-				low = 1 // planned work needs its time
+		case field == "count", field == "x" && value >= 1:
+			minimum = 1
+		case field == "share", field == "x":
+			maximum = .95
+		case field == "for_s":
+			minimum, maximum = .3, .6*g.lengthS
+			if value == g.favoredDurationS {
+				lowFactor, highFactor = .8, 1.2
+			} else if g.isPlanned(e) {
+				lowFactor = 1 // planned operations need at least the time of the example
 			}
-		case f == "gap_s":
-			least, most = .05, .6*d.lengthS/max(t.number("count"), 1)
+		case field == "gap_s":
+			minimum, maximum = .05, .6*g.lengthS/max(e.number("count"), 1)
 		}
-		if v == 0 {
+		if value == 0 {
 			continue
 		}
-		changed := d.near(v, low, high, least, most)
-		if t[f] = changed; f == "count" {
-			t[f] = int64(math.Round(changed))
-		} else if f == "x" && v >= 1 && v == math.Trunc(v) {
-			t[f] = math.Round(changed)
+		changed := g.randomMultiple(value, lowFactor, highFactor, minimum, maximum)
+		if e[field] = changed; field == "count" {
+			e[field] = int64(math.Round(changed))
+		} else if field == "x" && value >= 1 && value == math.Trunc(value) {
+			e[field] = math.Round(changed)
 		}
 	}
-	if zones := d.site.Zones; t["zone"] != nil && len(zones) > 0 && d.chance(.6) {
-		t["zone"] = pick(d, zones).Name
+	if zones := g.site.Zones; e["zone"] != nil && len(zones) > 0 && g.chance(.6) {
+		e["zone"] = pick(g, zones).Name
 	}
 }
 
-// planned says whether an entry stands under plan: where the site's days have most of
-// its kind; where they have none, what a planned replacement or a planned kind is.
-func (d *drawer) planned(t trouble) bool {
-	plan, faults := d.site.entries()
-	other := func(e trouble) bool { return e["kind"] != t["kind"] || e.anyOf("planned") != t.anyOf("planned") }
-	if p, f := len(slices.DeleteFunc(plan, other)), len(slices.DeleteFunc(faults, other)); p+f > 0 {
-		return p >= f
+// isPlanned reports whether an event belongs in the day's plan, not in its faults. It goes where
+// the site's days have most events of its kind. Where they have none, plannedKinds and events with
+// the variant "planned" go into the plan.
+func (g *generator) isPlanned(candidate event) bool {
+	plan, faults := g.site.events()
+	differs := func(e event) bool {
+		return e["kind"] != candidate["kind"] || e.hasAnyVariant("planned") != candidate.hasAnyVariant("planned")
 	}
-	return t.anyOf("planned") || has(plannedKinds, t["kind"].(string))
+	if inPlan, inFaults := len(slices.DeleteFunc(plan, differs)), len(slices.DeleteFunc(faults, differs)); inPlan+inFaults > 0 {
+		return inPlan >= inFaults
+	}
+	return candidate.hasAnyVariant("planned") || containsWord(plannedKinds, candidate["kind"].(string))
 }
 
-// closing draws a closing fault: one of the site's days, or one that the text lists.
-func (d *drawer) closing() map[string]any {
-	c := map[string]any{"kind": pick(d, d.spec.closings)}
-	seen := slices.DeleteFunc(slices.Clone(d.site.Day), func(o day) bool { return o.Closing["how"] == nil })
-	if how := d.spec.closingWords; len(seen) > 0 && d.chance(.3) {
-		maps.Copy(c, pick(d, seen).Closing)
-	} else if len(how) > 0 && (d.closes || d.chance(.5)) {
-		c["how"] = pick(d, how)
+// drawClosing draws the fault at the end of a day: one from the site's days, or one that the
+// bench lists.
+func (g *generator) drawClosing() map[string]any {
+	closing := map[string]any{"kind": pick(g, g.catalog.closingKinds)}
+	daysWithVariant := slices.DeleteFunc(slices.Clone(g.site.Day), func(d day) bool { return d.Closing["how"] == nil })
+	if variants := g.catalog.closingVariants; len(daysWithVariant) > 0 && g.chance(.3) {
+		maps.Copy(closing, pick(g, daysWithVariant).Closing)
+	} else if len(variants) > 0 && (g.alwaysCloses || g.chance(.5)) {
+		closing["how"] = pick(g, variants)
 	}
-	c["down_s"] = d.near(1, .5, 2, .2, 5)
-	return c
+	closing["down_s"] = g.randomMultiple(1, .5, 2, .2, 5)
+	return closing
 }
--- a/tools/days/kinds.go
+++ b/tools/days/kinds.go
@@ -6,102 +6,108 @@
 	"strings"
 )
 
-// kind is a kind of trouble as the bench describes it.
+// kind is a kind of event with the bench's description of it.
 type kind struct {
-	name, text string
-	words      []string // variants of how; one at a time
-	extra      []string // variants that may follow one of words
+	name, text     string
+	variants       []string // words for how, one at a time
+	secondVariants []string // words that may follow one of variants
 }
 
-// spec is what the bench's text on the kinds of one site holds.
-type spec struct {
-	kinds                  []kind              // in the order of the text
-	shared                 map[string][]string // words that many kinds share, by key of sharedWords
-	closings, closingWords []string
+// kindCatalog holds the kinds of events of one site and the words for how, as the bench lists
+// them.
+type kindCatalog struct {
+	kinds                         []kind              // in the order of the bench's text
+	sharedVariants                map[string][]string // words for how of many kinds, by key of sharedVariantPatterns
+	closingKinds, closingVariants []string
 }
 
 var (
-	kindLine    = regexp.MustCompile(`^([a-z][a-z0-9_]*): (.+)$`)
-	closingLine = regexp.MustCompile(`^closing = \{ *kind = ([a-z_ |]+)`)
-	howWord     = regexp.MustCompile(`\bhow ([a-z_]+):`)
-	between     = regexp.MustCompile(`,|\band\b|\bor\b`)
-	oneWord     = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
-	sharedWords = map[string]*regexp.Regexp{
+	kindPattern           = regexp.MustCompile(`^([a-z][a-z0-9_]*): (.+)$`)
+	closingPattern        = regexp.MustCompile(`^closing = \{ *kind = ([a-z_ |]+)`)
+	variantPattern        = regexp.MustCompile(`\bhow ([a-z_]+):`)
+	listSeparator         = regexp.MustCompile(`,|\band\b|\bor\b`)
+	wordPattern           = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	sharedVariantPatterns = map[string]*regexp.Regexp{
 		"servers":   regexp.MustCompile(`For servers,.*? hold ([^.]*)`),
 		"machines":  regexp.MustCompile(`For machines,.*? hold ([^.]*)`),
-		"followers": regexp.MustCompile(`may stand (.*?)(?: for |\.)`), // after those for machines
+		"followers": regexp.MustCompile(`may stand (.*?)(?: for |\.)`), // words that follow one for machines
 		"cuts":      regexp.MustCompile(`Cuts .*? holds ([^.]*)`),
 	}
-	listEnd  = regexp.MustCompile(`[;)]`) // a bracket here was opened before the list
-	brackets = regexp.MustCompile(`\([^()]*\)`)
+	listEnd       = regexp.MustCompile(`[;)]`) // a closing parenthesis here was opened before the list
+	parenthesized = regexp.MustCompile(`\([^()]*\)`)
 )
 
-// parseKinds reads the bench's text on kinds. What it doesn't know it passes over.
-func parseKinds(text string) spec {
-	s := spec{shared: map[string][]string{}}
+// parseKinds parses the output of the bench's command kinds. It skips lines that it doesn't know.
+func parseKinds(text string) kindCatalog {
+	catalog := kindCatalog{sharedVariants: map[string][]string{}}
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
-		if m := kindLine.FindStringSubmatch(line); m != nil {
-			s.addKind(m[1], m[2])
-		} else if m := closingLine.FindStringSubmatch(line); m != nil {
-			s.closings = strings.Fields(strings.ReplaceAll(m[1], "|", " "))
-			s.closingWords = howWords(line)
+		if m := kindPattern.FindStringSubmatch(line); m != nil {
+			catalog.addKind(m[1], m[2])
+		} else if m := closingPattern.FindStringSubmatch(line); m != nil {
+			catalog.closingKinds = strings.Fields(strings.ReplaceAll(m[1], "|", " "))
+			catalog.closingVariants = namedVariants(line)
 		} else {
-			for of, re := range sharedWords {
-				if m := re.FindStringSubmatch(outside(line)); m != nil {
-					s.shared[of] = names(m[1])
+			for appliesTo, pattern := range sharedVariantPatterns {
+				if m := pattern.FindStringSubmatch(withoutParentheses(line)); m != nil {
+					catalog.sharedVariants[appliesTo] = listedWords(m[1])
 				}
 			}
 		}
 	}
-	return s
+	return catalog
 }
 
-func (s *spec) addKind(name, text string) {
-	k := kind{name: name, text: text}
+// addKind adds a kind with the words for how in its description. A kind that is described as "the
+// same" as the kind before it in its family (same name up to the last "_") also has that kind's
+// words.
+func (s *kindCatalog) addKind(name, text string) {
+	added := kind{name: name, text: text}
 	family := name[:max(strings.LastIndexByte(name, '_'), 0)] + "_"
-	if n := len(s.kinds); n > 0 && strings.HasPrefix(text, "the same") && strings.HasPrefix(s.kinds[n-1].name, family) {
-		k.words = slices.Clone(s.kinds[n-1].words)
+	if count := len(s.kinds); count > 0 && strings.HasPrefix(text, "the same") && strings.HasPrefix(s.kinds[count-1].name, family) {
+		added.variants = slices.Clone(s.kinds[count-1].variants)
 	}
 	for _, part := range strings.Split(text, "how: ")[1:] {
-		list := listEnd.Split(outside(part), 2)[0]
-		for i, chunk := range strings.Split(list, ",") {
-			words := strings.Fields(chunk)
+		list := listEnd.Split(withoutParentheses(part), 2)[0]
+		for i, item := range strings.Split(list, ",") {
+			words := strings.Fields(item)
 			switch {
 			case i == 0:
-				k.words = append(k.words, words...)
-			case len(words) == 1, len(words) > 1 && slices.Contains(k.words, words[0]):
-				k.words = append(k.words, strings.Join(words, " "))
+				added.variants = append(added.variants, words...)
+			case len(words) == 1, len(words) > 1 && slices.Contains(added.variants, words[0]):
+				added.variants = append(added.variants, strings.Join(words, " "))
 			case len(words) == 2 && words[0] == "+":
-				k.extra = append(k.extra, words[1])
+				added.secondVariants = append(added.secondVariants, words[1])
 			}
 		}
 	}
-	k.words = append(k.words, howWords(text)...)
-	s.kinds = append(s.kinds, k)
+	added.variants = append(added.variants, namedVariants(text)...)
+	s.kinds = append(s.kinds, added)
 }
 
-// names gives the single words of a list with commas, "and" and "or".
-func names(list string) (words []string) {
-	for _, w := range between.Split(list, -1) {
-		if w = strings.TrimSpace(w); oneWord.MatchString(w) {
-			words = append(words, w)
+// listedWords returns the items of a list, separated by commas, "and" and "or", that are single
+// words.
+func listedWords(list string) (words []string) {
+	for _, word := range listSeparator.Split(list, -1) {
+		if word = strings.TrimSpace(word); wordPattern.MatchString(word) {
+			words = append(words, word)
 		}
 	}
 	return words
 }
 
-func howWords(text string) (words []string) {
-	for _, m := range howWord.FindAllStringSubmatch(text, -1) {
+// namedVariants returns each word that the text introduces by "how WORD:".
+func namedVariants(text string) (words []string) {
+	for _, m := range variantPattern.FindAllStringSubmatch(text, -1) {
 		words = append(words, m[1])
 	}
 	return words
 }
 
-// outside gives the text without what stands in brackets.
-func outside(text string) string {
-	for brackets.MatchString(text) {
-		text = brackets.ReplaceAllString(text, "")
+// withoutParentheses removes all parentheses and their content.
+func withoutParentheses(text string) string {
+	for parenthesized.MatchString(text) {
+		text = parenthesized.ReplaceAllString(text, "")
 	}
 	return text
 }
