--- a/tools/days/days_test.go
+++ b/tools/days/days_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Removals affect a share of the machines near the example's, or the bench's default, but not a
-// smaller one.
+// Removals affect a share of the machines near the example's, or all machines as is the bench's
+// default, but not fewer.
 func TestRemovalsKeepMachineShare(t *testing.T) {
 	const file = `troubles = [ { kind = "roll", share = 0.6, x = 4.0 } ]
 [[day]]
