--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,7 +15,7 @@
 		for _, callers := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("sync=%v/callers=%d", sync, callers), func(b *testing.B) {
 				for b.Loop() {
-					grants, took := grantsOf(b, sync, callers)
+					grants, took := measureGrants(b, sync, callers)
 					b.ReportMetric(float64(grants)/benchmarkSpan.Seconds(), "grants/simulated-s")
 					b.ReportMetric(took.Seconds()*1000/float64(max(grants, 1)), "simulated-ms/grant")
 				}
@@ -26,11 +26,11 @@
 
 const benchmarkSpan = 3 * time.Second
 
-// grantsOf runs callers that take and give back a lock each, all of one partition.
-func grantsOf(b *testing.B, sync time.Duration, callers int) (grants int, took time.Duration) {
-	w := newWorld(b, 1, 5)
+// measureGrants runs callers that take and give back a lock each, all of one partition.
+func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, took time.Duration) {
+	w := newSimulation(b, 1, 5)
 	w.latency, w.sync = 900*time.Microsecond, sync
-	names := namesOf(partitionKey(lockPrefix+"l0"), callers)
+	names := lockNamesIn(partitionKey(lockPrefix+"l0"), callers)
 	w.run(3 * time.Second)
 	w.call(w.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
 	w.run(6 * time.Second)
@@ -56,8 +56,8 @@
 	return grants, took
 }
 
-// namesOf finds names of locks in a partition.
-func namesOf(key string, count int) (names []string) {
+// lockNamesIn finds names of locks in a partition.
+func lockNamesIn(key string, count int) (names []string) {
 	for i := 0; len(names) < count; i++ {
 		if name := fmt.Sprintf("l%d", i); partitionKey(lockPrefix+name) == key {
 			names = append(names, name)
@@ -90,7 +90,7 @@
 func BenchmarkPut(b *testing.B) {
 	for _, watching := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprintf("watches=%d", watching), func(b *testing.B) {
-			s := newStandIn()
+			s := newTestServer()
 			s.replica.records = map[string]Record{}
 			p, err := Load(s.replica.records, 0, Limits{History: time.Hour, Bytes: 1 << 40, HistoryBytes: 1 << 40})
 			if err != nil {
--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -9,52 +9,52 @@
 
 // put puts a value into a cell. One that was put before gets its first revision again,
 // whatever it was conditioned on and whatever was put since.
-func (p *Partition) put(now time.Duration, c Call) (Answer, []Record) {
-	name := GroupOf(c.Name)
-	cell := p.cells[c.Name] // revision 0 if there is none
-	if revision, repeated := p.repeated(c, cell); repeated {
+func (p *Partition) put(now time.Duration, call Call) (Answer, []Record) {
+	groupName := GroupOf(call.Name)
+	cell := p.cells[call.Name] // revision 0 if there is none
+	if revision, repeated := p.earlierRevision(call, cell); repeated {
 		return Answer{Status: OK, Revision: revision}, nil
 	}
-	if c.Expected != nil && *c.Expected != cell.Revision {
+	if call.Expected != nil && *call.Expected != cell.Revision {
 		return Answer{Status: Mismatch, Revision: cell.Revision}, nil
 	}
 	next := uint64(1)
-	if g := p.groups[name]; g != nil {
-		next = g.revision + 1
+	if existing := p.groups[groupName]; existing != nil {
+		next = existing.revision + 1
 	}
-	record := cellRecord{Value: c.Value, Revision: next}
-	stored := encode(cellPrefix+c.Name, record)
-	made := event{eventRecord{Name: c.Name, Value: c.Value}, next, now}
-	history := encode(eventName(name, next), made.eventRecord)
-	if p.full(stored) || p.full(history) || p.historyBytes+weight(history) > p.limits.HistoryBytes {
+	record := cellRecord{Value: call.Value, Revision: next}
+	cellChange := encode(cellPrefix+call.Name, record)
+	newEvent := event{eventRecord{Name: call.Name, Value: call.Value}, next, now}
+	eventChange := encode(eventName(groupName, next), newEvent.eventRecord)
+	if p.exceedsLimits(cellChange) || p.exceedsLimits(eventChange) || p.historyBytes+recordSize(eventChange) > p.limits.HistoryBytes {
 		return Answer{Status: Full}, nil
 	}
-	p.cells[c.Name] = record
-	g := p.group(name)
+	p.cells[call.Name] = record
+	g := p.group(groupName)
 	g.revision = next
-	g.add(made)
-	return Answer{Status: OK, Revision: next}, []Record{stored, history}
+	g.addEvent(newEvent)
+	return Answer{Status: OK, Revision: next}, []Record{cellChange, eventChange}
 }
 
-// repeated gives the revision of a put that was carried out before.
-func (p *Partition) repeated(c Call, cell cellRecord) (uint64, bool) {
-	if cell.Revision > 0 && cell.Value == c.Value {
+// earlierRevision gives the revision of a put that was carried out before.
+func (p *Partition) earlierRevision(call Call, cell cellRecord) (uint64, bool) {
+	if cell.Revision > 0 && cell.Value == call.Value {
 		return cell.Revision, true
 	}
-	g := p.groups[GroupOf(c.Name)]
+	g := p.groups[GroupOf(call.Name)]
 	if g == nil {
 		return 0, false
 	}
-	revision, ok := g.puts[put{c.Name, c.Value}]
+	revision, ok := g.puts[putIdentity{call.Name, call.Value}]
 	return revision, ok
 }
 
-func (g *group) add(e event) {
+func (g *group) addEvent(e event) {
 	g.events = append(g.events, e)
-	g.puts[put{e.Name, e.Value}] = e.revision
+	g.puts[putIdentity{e.Name, e.Value}] = e.revision
 }
 
-func (g *group) sort() {
+func (g *group) sortEvents() {
 	slices.SortFunc(g.events, func(a, b event) int {
 		if a.revision < b.revision {
 			return -1
@@ -66,12 +66,12 @@
 // SweepDue says whether Sweep has anything to erase.
 func (p *Partition) SweepDue(now time.Duration) bool {
 	for _, l := range p.locks {
-		if now >= l.end {
+		if now >= l.leaseEnd {
 			return true
 		}
 	}
 	for _, g := range p.groups {
-		if len(g.events) > 0 && now-g.events[0].at > p.limits.History {
+		if len(g.events) > 0 && now-g.events[0].putAt > p.limits.History {
 			return true
 		}
 	}
@@ -83,32 +83,32 @@
 func (p *Partition) Sweep(now time.Duration) []Record {
 	var changes []Record
 	for name, l := range p.locks {
-		if now >= l.end {
+		if now >= l.leaseEnd {
 			delete(p.locks, name)
-			changes = append(changes, erase(lockPrefix+name))
+			changes = append(changes, erasure(lockPrefix+name))
 		}
 	}
 	for name, g := range p.groups {
 		changes = append(changes, p.sweepGroup(now, name, g)...)
 	}
-	return p.changed(changes)
+	return p.accountChanges(changes)
 }
 
 func (p *Partition) sweepGroup(now time.Duration, name string, g *group) []Record {
-	old := 0
-	for old < len(g.events) && now-g.events[old].at > p.limits.History {
-		old++
+	expired := 0
+	for expired < len(g.events) && now-g.events[expired].putAt > p.limits.History {
+		expired++
 	}
-	if old == 0 {
+	if expired == 0 {
 		return nil
 	}
 	var changes []Record
-	for _, e := range g.events[:old] {
-		delete(g.puts, put{e.Name, e.Value})
-		changes = append(changes, erase(eventName(name, e.revision)))
+	for _, e := range g.events[:expired] {
+		delete(g.puts, putIdentity{e.Name, e.Value})
+		changes = append(changes, erasure(eventName(name, e.revision)))
 		g.oldest = e.revision + 1
 	}
-	g.events = slices.Clone(g.events[old:])
+	g.events = slices.Clone(g.events[expired:])
 	return append(changes, encode(groupPrefix+name, groupRecord{Oldest: g.oldest}))
 }
 
@@ -119,7 +119,7 @@
 
 // Counts tells how much the partition holds.
 func (p *Partition) Counts() Counts {
-	c := Counts{Locks: len(p.locks), Counters: len(p.counters), Cells: len(p.cells), Groups: len(p.groups), Bytes: p.bytes}
+	c := Counts{Locks: len(p.locks), Counters: len(p.counters), Cells: len(p.cells), Groups: len(p.groups), Bytes: p.totalBytes}
 	for _, g := range p.groups {
 		c.Events += len(g.events)
 	}
--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -24,7 +24,7 @@
 // ahead, which may be negative.
 type peerClock struct {
 	life  uint64
-	ahead time.Duration
+	minOffset time.Duration
 }
 
 // NewPeerClocks makes estimates that know no clock yet.
@@ -32,15 +32,15 @@
 
 // Heard takes note of a reading that a peer's answer brought now, by the own clock. The
 // peer read its clock before, so the reading that came the fastest is the best one.
-func (p *PeerClocks) Heard(peer string, r ClockReading, now time.Duration) {
+func (p *PeerClocks) Heard(peer string, reading ClockReading, now time.Duration) {
 	known, ok := p.peers[peer]
-	if ahead := r.Time - now; !ok || known.life != r.Life || known.ahead < ahead {
-		p.peers[peer] = peerClock{life: r.Life, ahead: ahead}
+	if offset := reading.Time - now; !ok || known.life != reading.Life || known.minOffset < offset {
+		p.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
 	}
 }
 
 // At estimates what a peer's clock showed when the own one showed now.
 func (p *PeerClocks) At(peer string, now time.Duration) (ClockReading, bool) {
 	known, ok := p.peers[peer]
-	return ClockReading{Life: known.life, Time: now + known.ahead}, ok
+	return ClockReading{Life: known.life, Time: now + known.minOffset}, ok
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -103,9 +103,9 @@
 
 func groupKey(group string) string { return partitionKey(cellPrefix + group) }
 
-func partitionKey(text string) string {
+func partitionKey(name string) string {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(text))
+	_, _ = h.Write([]byte(name))
 	v := h.Sum32()
 	return fmt.Sprintf("%s%02d", KeyPrefix, (v^v>>16)%Partitions)
 }
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -39,7 +39,7 @@
 func NewFeed(records map[string]Record) *Feed {
 	f := &Feed{groups: map[string]*feedGroup{}}
 	for _, r := range records {
-		f.take(r)
+		f.applyRecord(r)
 	}
 	return f
 }
@@ -49,7 +49,7 @@
 func (f *Feed) Apply(records []Record) (groups []string) {
 	changed := map[string]bool{}
 	for _, r := range records {
-		if group := f.take(r); group != "" {
+		if group := f.applyRecord(r); group != "" {
 			changed[group] = true
 		}
 	}
@@ -59,8 +59,8 @@
 	return groups
 }
 
-// take takes in one record and gives the group that it is a put of, if it is one.
-func (f *Feed) take(r Record) string {
+// applyRecord takes in one record and gives the group that it is a put of, if it is one.
+func (f *Feed) applyRecord(r Record) string {
 	switch {
 	case r.Erased:
 	case strings.HasPrefix(r.Name, cellPrefix):
@@ -80,7 +80,7 @@
 	case strings.HasPrefix(r.Name, groupPrefix):
 		var record groupRecord
 		if cbor.Unmarshal(r.Data, &record) == nil {
-			f.group(strings.TrimPrefix(r.Name, groupPrefix)).forget(record.Oldest)
+			f.group(strings.TrimPrefix(r.Name, groupPrefix)).compact(record.Oldest)
 		}
 	}
 	return ""
@@ -95,9 +95,9 @@
 	return g
 }
 
-// forget drops the events below a revision, whose records were erased with the step that
+// compact drops the events below a revision, whose records were erased with the step that
 // says so.
-func (g *feedGroup) forget(oldest uint64) {
+func (g *feedGroup) compact(oldest uint64) {
 	for ; g.oldest < oldest && len(g.events) > 0; g.oldest++ {
 		delete(g.events, g.oldest)
 	}
@@ -115,17 +115,17 @@
 // Since gives the puts of a group above a revision, in order, and the revision up to
 // which they are complete, which is never below the one asked for.
 func (f *Feed) Since(group string, after uint64) ([]Event, uint64, error) {
-	g := f.groups[group]
-	if g == nil || after >= g.revision {
+	history := f.groups[group]
+	if history == nil || after >= history.revision {
 		return nil, after, nil
 	}
-	if after+1 < g.oldest {
+	if after+1 < history.oldest {
 		return nil, 0, ErrCompacted
 	}
 	var events []Event
 	size := 0
-	for revision := after + 1; revision <= g.revision && len(events) < maxEvents && size < maxEventBytes; revision++ {
-		e, ok := g.events[revision]
+	for revision := after + 1; revision <= history.revision && len(events) < maxEvents && size < maxEventBytes; revision++ {
+		e, ok := history.events[revision]
 		if !ok {
 			return nil, 0, ErrCompacted
 		}
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -12,43 +12,43 @@
 
 // history is what all callers of a run did and were told.
 type history struct {
-	*world
-	holds   map[string][]*hold // by lock
-	numbers []numbered
+	*simulation
+	leases   map[string][]*heldLease // by lock
+	numbers []drawnNumber
 	puts    []*putCall
 	reads   []readCall
-	refused []mismatch
-	seen    []seenEvents
+	mismatches []mismatch
+	watched    []watchAnswer
 	answers int
 }
 
-// hold is the time in which a caller counts itself holder of a lock, by its own count.
-type hold struct {
+// heldLease is the time in which a caller counts itself holder of a lock, by its own count.
+type heldLease struct {
 	owner      string
 	fence      uint64
-	sent       time.Duration // the call that took it
+	sentAt       time.Duration // the call that took it
 	begin, end time.Duration
 }
 
-type numbered struct {
+type drawnNumber struct {
 	name       string
 	value      uint64
-	sent, came time.Duration
+	sentAt, answeredAt time.Duration
 }
 
 // putCall is a put with all its repeats.
 type putCall struct {
 	name, value string
 	expected    *uint64
-	sent, came  time.Duration // first sent; answered
+	sentAt, answeredAt  time.Duration // first sent; answered
 	revision    uint64        // 0: it got none
-	unclear     bool          // some try of it may have taken effect
+	maybeDone     bool          // some try of it may have taken effect
 	refused     bool
 }
 
 type readCall struct {
 	name  string
-	sent  time.Duration
+	sentAt  time.Duration
 	value string
 	// revision is 0 if there was no cell.
 	revision uint64
@@ -59,7 +59,7 @@
 	revision uint64
 }
 
-type seenEvents struct {
+type watchAnswer struct {
 	group           string
 	after, revision uint64
 	events          []Event
@@ -79,32 +79,32 @@
 	owner  string
 	random *rand.Rand
 	until  time.Duration
-	made   int
-	known  map[string]uint64 // revisions that it saw
+	calls   int
+	lastRevisions  map[string]uint64 // revisions that it saw
 }
 
-// ask sends a call to any node; told is called with ok false after testPatience.
-func (c *caller) ask(call Call, told func(r Result, ok bool)) {
-	over := false
+// send sends a call to any node; told is called with ok false after testPatience.
+func (c *caller) send(call Call, done func(r Result, ok bool)) {
+	finished := false
 	end := func(r Result, ok bool) {
-		if !over {
-			over = true
-			told(r, ok)
+		if !finished {
+			finished = true
+			done(r, ok)
 		}
 	}
 	n := c.h.nodes[c.random.Intn(len(c.h.nodes))]
 	if n.up {
 		c.h.call(n, call, func(r Result) { end(r, true) })
 	}
-	c.h.after(testPatience, func() { end(Result{Effect: MaybeDone}, false) })
+	c.h.schedule(testCallerTimeout, func() { end(Result{Effect: MaybeDone}, false) })
 }
 
-func (c *caller) next() {
+func (c *caller) scheduleCall() {
 	if c.h.now > c.until {
 		return
 	}
-	c.h.after(time.Duration(10+c.random.Intn(150))*time.Millisecond, func() {
-		c.made++
+	c.h.schedule(time.Duration(10+c.random.Intn(150))*time.Millisecond, func() {
+		c.calls++
 		switch c.random.Intn(5) {
 		case 0, 1:
 			c.lock()
@@ -118,78 +118,78 @@
 	})
 }
 
-// pick picks a name.
-func (c *caller) pick(names []string) string { return names[c.random.Intn(len(names))] }
+// pickName picks a name.
+func (c *caller) pickName(names []string) string { return names[c.random.Intn(len(names))] }
 
 // lock takes a lock, renews it at times, and gives it back, dies with it or sleeps too long.
 func (c *caller) lock() {
-	name, sent := c.pick(testLocks), c.h.now
-	span := time.Duration(500+c.random.Intn(2500)) * time.Millisecond
-	c.ask(Call{Operation: Acquire, Name: name, Owner: c.owner, Hold: span}, func(r Result, ok bool) {
+	name, sent := c.pickName(testLocks), c.h.now
+	lease := time.Duration(500+c.random.Intn(2500)) * time.Millisecond
+	c.send(Call{Operation: Acquire, Name: name, Owner: c.owner, Hold: lease}, func(r Result, ok bool) {
 		if !ok || r.Effect != Answered || r.Answer.Status != OK {
-			c.next()
+			c.scheduleCall()
 			return
 		}
 		c.h.answers++
-		h := &hold{owner: c.owner, fence: r.Answer.Fence, sent: sent, begin: c.h.now, end: sent + span}
-		c.h.holds[name] = append(c.h.holds[name], h)
-		c.keep(name, h, span)
+		h := &heldLease{owner: c.owner, fence: r.Answer.Fence, sentAt: sent, begin: c.h.now, end: sent + lease}
+		c.h.leases[name] = append(c.h.leases[name], h)
+		c.useLock(name, h, lease)
 	})
 }
 
-// keep goes on with a lock that the caller holds.
-func (c *caller) keep(name string, h *hold, span time.Duration) {
-	c.h.after(time.Duration(c.random.Intn(int(span))), func() {
+// useLock goes on with a lock that the caller holds.
+func (c *caller) useLock(name string, lease *heldLease, leaseTime time.Duration) {
+	c.h.schedule(time.Duration(c.random.Intn(int(leaseTime))), func() {
 		switch c.random.Intn(4) {
 		case 0: // it dies with the lock, or sleeps
-			c.next()
+			c.scheduleCall()
 		case 1, 2:
 			sent := c.h.now
-			c.ask(Call{Operation: Renew, Name: name, Owner: c.owner, Fence: h.fence, Hold: span}, func(r Result, ok bool) {
+			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, Fence: lease.fence, Hold: leaseTime}, func(r Result, ok bool) {
 				switch {
-				case c.h.now >= h.end: // too late, it counts for nothing
+				case c.h.now >= lease.end: // too late, it counts for nothing
 				case ok && r.Effect == Answered && r.Answer.Status == OK:
-					h.end = sent + span
-					c.keep(name, h, span)
+					lease.end = sent + leaseTime
+					c.useLock(name, lease, leaseTime)
 					return
 				}
-				c.next()
+				c.scheduleCall()
 			})
 		default:
-			for _, own := range c.h.holds[name] {
+			for _, own := range c.h.leases[name] {
 				if own.owner == c.owner { // also those that it died with
 					own.end = min(own.end, c.h.now)
 				}
 			}
-			c.ask(Call{Operation: Release, Name: name, Owner: c.owner, Fence: h.fence}, func(Result, bool) { c.next() })
+			c.send(Call{Operation: Release, Name: name, Owner: c.owner, Fence: lease.fence}, func(Result, bool) { c.scheduleCall() })
 		}
 	})
 }
 
 func (c *caller) draw() {
-	name, sent := c.pick(testCounters), c.h.now
-	c.ask(Call{Operation: Draw, Name: name}, func(r Result, ok bool) {
+	name, sent := c.pickName(testCounters), c.h.now
+	c.send(Call{Operation: Draw, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered && r.Answer.Status == OK {
 			c.h.answers++
-			c.h.numbers = append(c.h.numbers, numbered{name, r.Answer.Number, sent, c.h.now})
+			c.h.numbers = append(c.h.numbers, drawnNumber{name, r.Answer.Number, sent, c.h.now})
 		}
-		c.next()
+		c.scheduleCall()
 	})
 }
 
 func (c *caller) put() {
-	p := &putCall{name: c.pick(testCells), value: fmt.Sprintf("%s-%d", c.owner, c.made), sent: c.h.now}
+	p := &putCall{name: c.pickName(testCells), value: fmt.Sprintf("%s-%d", c.owner, c.calls), sentAt: c.h.now}
 	if c.random.Intn(2) == 0 {
-		expected := c.known[p.name]
+		expected := c.lastRevisions[p.name]
 		p.expected = &expected
 	}
 	c.h.puts = append(c.h.puts, p)
-	c.try(p, 6)
+	c.sendPut(p, 6)
 }
 
-// try sends a put until there is a clear answer, and at times once more after that.
-func (c *caller) try(p *putCall, tries int) {
-	c.ask(Call{Operation: Put, Name: p.name, Value: p.value, Expected: p.expected}, func(r Result, ok bool) {
+// sendPut sends a put until there is a clear answer, and at times once more after that.
+func (c *caller) sendPut(p *putCall, tries int) {
+	c.send(Call{Operation: Put, Name: p.name, Value: p.value, Expected: p.expected}, func(r Result, ok bool) {
 		answered := ok && r.Effect == Answered
 		switch {
 		case answered && r.Answer.Status == OK:
@@ -199,11 +199,11 @@
 			}
 			first := p.revision == 0
 			if first {
-				p.revision, p.came = r.Answer.Revision, c.h.now
+				p.revision, p.answeredAt = r.Answer.Revision, c.h.now
 			}
-			c.known[p.name] = p.revision
+			c.lastRevisions[p.name] = p.revision
 			if first && c.random.Intn(3) == 0 {
-				c.try(p, 1)
+				c.sendPut(p, 1)
 				return
 			}
 		case answered && r.Answer.Status == Mismatch:
@@ -211,28 +211,28 @@
 				c.h.t.Fatalf("at %v: put of %s to %s got revision %d, then it was refused", c.h.now, p.value, p.name, p.revision)
 			}
 			p.refused = true
-			c.known[p.name] = r.Answer.Revision
-			c.h.refused = append(c.h.refused, mismatch{p.name, r.Answer.Revision})
+			c.lastRevisions[p.name] = r.Answer.Revision
+			c.h.mismatches = append(c.h.mismatches, mismatch{p.name, r.Answer.Revision})
 		default:
-			p.unclear = p.unclear || !ok || r.Effect != NotDone
+			p.maybeDone = p.maybeDone || !ok || r.Effect != NotDone
 			if tries > 1 {
-				c.try(p, tries-1)
+				c.sendPut(p, tries-1)
 				return
 			}
 		}
-		c.next()
+		c.scheduleCall()
 	})
 }
 
 func (c *caller) read() {
-	name, sent := c.pick(testCells), c.h.now
-	c.ask(Call{Operation: Get, Name: name}, func(r Result, ok bool) {
+	name, sent := c.pickName(testCells), c.h.now
+	c.send(Call{Operation: Get, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered {
 			c.h.answers++
 			c.h.reads = append(c.h.reads, readCall{name, sent, r.Answer.Value, r.Answer.Revision})
-			c.known[name] = r.Answer.Revision
+			c.lastRevisions[name] = r.Answer.Revision
 		}
-		c.next()
+		c.scheduleCall()
 	})
 }
 
@@ -243,73 +243,73 @@
 	}
 	n := h.nodes[h.random.Intn(len(h.nodes))]
 	life := n.life
-	over := false
-	again := func(after uint64) {
-		if !over {
-			over = true
-			h.after(5*time.Millisecond, func() { h.watchGroup(group, after, until) })
+	finished := false
+	watchAgain := func(after uint64) {
+		if !finished {
+			finished = true
+			h.schedule(5*time.Millisecond, func() { h.watchGroup(group, after, until) })
 		}
 	}
 	w := &Watch{Group: group, After: after, Done: func(r WatchResult) {
 		if r.Err != nil {
-			again(after)
+			watchAgain(after)
 			return
 		}
-		h.seen = append(h.seen, seenEvents{group, after, r.Revision, r.Events})
-		again(r.Revision)
+		h.watched = append(h.watched, watchAnswer{group, after, r.Revision, r.Events})
+		watchAgain(r.Revision)
 	}}
-	h.on(n, life, func() { n.server.Watch(w) })
-	h.after(time.Second, func() { h.on(n, life, func() { n.server.EndWatch(w) }) })
-	h.after(2*time.Second, func() { again(after) }) // the node is gone, or frozen
+	h.runStep(n, life, func() { n.server.Watch(w) })
+	h.schedule(time.Second, func() { h.runStep(n, life, func() { n.server.EndWatch(w) }) })
+	h.schedule(2*time.Second, func() { watchAgain(after) }) // the node is gone, or frozen
 }
 
-// play runs callers and troubles, then lets the world calm down.
-func play(t *testing.T, seed int64) *history {
-	h := &history{world: newWorld(t, seed, 5), holds: map[string][]*hold{}}
+// runScenario runs callers and troubles, then lets the world calm down.
+func runScenario(t *testing.T, seed int64) *history {
+	h := &history{simulation: newSimulation(t, seed, 5), leases: map[string][]*heldLease{}}
 	const length = 45 * time.Second
 	h.run(3 * time.Second)
 	for i := range 6 {
 		c := &caller{h: h, owner: fmt.Sprintf("a%d", i), random: rand.New(rand.NewSource(seed*100 + int64(i))),
-			until: length, known: map[string]uint64{}}
-		c.next()
+			until: length, lastRevisions: map[string]uint64{}}
+		c.scheduleCall()
 	}
 	for _, group := range testGroups {
 		h.watchGroup(group, 0, length+8*time.Second)
 	}
-	h.troubles(length)
+	h.injectFailures(length)
 	h.run(length + 10*time.Second)
 	return h
 }
 
-// troubles strikes one or two nodes at a time, and at times all.
-func (h *history) troubles(until time.Duration) {
+// injectFailures strikes one or two nodes at a time, and at times all.
+func (h *history) injectFailures(until time.Duration) {
 	for at := 4 * time.Second; at < until-4*time.Second; at += time.Duration(1500+h.random.Intn(4000)) * time.Millisecond {
 		kind, who, span := h.random.Intn(6), h.random.Intn(len(h.nodes)), time.Duration(300+h.random.Intn(4500))*time.Millisecond
-		h.after(at-h.now, func() { h.strike(kind, h.nodes[who], span) })
+		h.schedule(at-h.now, func() { h.injectFailure(kind, h.nodes[who], span) })
 	}
 }
 
-func (h *history) strike(kind int, n *node, span time.Duration) {
+func (h *history) injectFailure(kind int, n *node, span time.Duration) {
 	switch kind {
 	case 0:
 		h.crash(n)
-		h.after(span, func() {
+		h.schedule(span, func() {
 			if !n.up {
 				h.start(n)
 			}
 		})
 	case 1, 2:
-		n.frozen = max(n.frozen, h.now+span)
+		n.frozenUntil = max(n.frozenUntil, h.now+span)
 	case 3:
 		sends, hears := h.random.Intn(3) > 0, h.random.Intn(3) > 0
-		h.cut(n, sends, hears, 1)
-		h.after(span, func() { h.cut(n, sends, hears, -1) })
+		h.adjustBlocked(n, sends, hears, 1)
+		h.schedule(span, func() { h.adjustBlocked(n, sends, hears, -1) })
 	case 4:
-		h.noisy = h.now + span/2
+		h.slowUntil = h.now + span/2
 	default:
 		for _, o := range h.nodes {
 			h.crash(o)
-			h.after(span/4, func() {
+			h.schedule(span/4, func() {
 				if !o.up {
 					h.start(o)
 				}
@@ -318,8 +318,8 @@
 	}
 }
 
-// log is all that was put into a group, by revision, as the owner knows it at the end.
-func (h *history) log(group string) map[uint64]Event {
+// committedEvents is all that was put into a group, by revision, as the owner knows it at the end.
+func (h *history) committedEvents(group string) map[uint64]Event {
 	var records map[string]Record
 	var newest replication.Position
 	for _, n := range h.nodes {
@@ -338,12 +338,12 @@
 	return out
 }
 
-func TestModel(t *testing.T) {
+func TestRandomFailures(t *testing.T) {
 	const seeds = 20
 	for seed := int64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			h := play(t, seed)
+			h := runScenario(t, seed)
 			if h.answers < 150 {
 				t.Fatalf("only %d calls were answered", h.answers)
 			}
@@ -358,7 +358,7 @@
 // checkLocks checks ONE: no two owners hold a lock at once by their own count, and tokens
 // rise from holder to holder.
 func (h *history) checkLocks() {
-	for name, holds := range h.holds {
+	for name, holds := range h.leases {
 		for _, a := range holds {
 			for _, b := range holds {
 				if a.owner == b.owner {
@@ -370,7 +370,7 @@
 				if a.begin < b.end && b.begin < a.end {
 					h.t.Fatalf("%s: %+v and %+v at once", name, *a, *b)
 				}
-				if a.begin < b.sent && a.fence > b.fence {
+				if a.begin < b.sentAt && a.fence > b.fence {
 					h.t.Fatalf("%s: %+v has a lower token than %+v, which was given before", name, *b, *a)
 				}
 			}
@@ -385,7 +385,7 @@
 			if a.name != b.name {
 				continue
 			}
-			if a.value == b.value || a.came < b.sent && a.value > b.value || b.came < a.sent && b.value > a.value {
+			if a.value == b.value || a.answeredAt < b.sentAt && a.value > b.value || b.answeredAt < a.sentAt && b.value > a.value {
 				h.t.Fatalf("%+v and %+v", a, b)
 			}
 		}
@@ -397,7 +397,7 @@
 	logs := map[string]map[uint64]Event{}
 	values := map[string]uint64{}
 	for _, group := range testGroups {
-		logs[group] = h.log(group)
+		logs[group] = h.committedEvents(group)
 		for revision, e := range logs[group] {
 			if values[e.Value] != 0 {
 				h.t.Fatalf("%s stands at revisions %d and %d", e.Value, values[e.Value], revision)
@@ -409,7 +409,7 @@
 	for _, p := range h.puts {
 		h.checkPut(p, of, values, logs[GroupOf(p.name)])
 	}
-	for _, m := range h.refused {
+	for _, m := range h.mismatches {
 		if m.revision > 0 && of(m.name, m.revision).Name != m.name {
 			h.t.Fatalf("a refusal named revision %d of %s, which has %+v", m.revision, m.name, of(m.name, m.revision))
 		}
@@ -419,7 +419,7 @@
 			h.t.Fatalf("read %+v, but the history has %+v", r, e)
 		}
 		for _, p := range h.puts {
-			if p.name == r.name && p.revision > r.revision && p.came < r.sent {
+			if p.name == r.name && p.revision > r.revision && p.answeredAt < r.sentAt {
 				h.t.Fatalf("read %+v after %+v", r, *p)
 			}
 		}
@@ -428,7 +428,7 @@
 
 func (h *history) checkPut(p *putCall, of func(string, uint64) Event, values map[string]uint64, log map[uint64]Event) {
 	switch {
-	case p.revision == 0 && !p.unclear && values[p.value] != 0:
+	case p.revision == 0 && !p.maybeDone && values[p.value] != 0:
 		h.t.Fatalf("%+v was turned away but stands", *p)
 	case p.revision == 0:
 		return
@@ -443,7 +443,7 @@
 		}
 	}
 	for _, o := range h.puts {
-		if GroupOf(o.name) == GroupOf(p.name) && o.revision > 0 && o.came < p.sent && o.revision > p.revision {
+		if GroupOf(o.name) == GroupOf(p.name) && o.revision > 0 && o.answeredAt < p.sentAt && o.revision > p.revision {
 			h.t.Fatalf("%+v has a lower revision than %+v", *p, *o)
 		}
 	}
@@ -452,8 +452,8 @@
 // checkWatches checks that watches showed all puts of their span in order.
 func (h *history) checkWatches() {
 	shown := 0
-	for _, s := range h.seen {
-		log := h.log(s.group)
+	for _, s := range h.watched {
+		log := h.committedEvents(s.group)
 		revisions := []uint64{}
 		for _, e := range s.events {
 			shown++
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -23,22 +23,22 @@
 // the history is. It lives for one term of ownership.
 type Partition struct {
 	limits   Limits
-	hasHead  bool
+	headWritten  bool
 	fence    uint64
 	locks    map[string]*lock
 	counters map[string]uint64
 	cells    map[string]cellRecord
 	groups   map[string]*group
 
-	weights      map[string]int // by name of record
-	bytes        int
+	recordSizes      map[string]int // by name of record
+	totalBytes        int
 	historyBytes int
 }
 
 // lock is a lock that is held, or whose lease has ended and that nobody took since.
 type lock struct {
 	lockRecord
-	end time.Duration
+	leaseEnd time.Duration
 }
 
 // group is a group of cells with the history of its puts.
@@ -46,37 +46,37 @@
 	revision uint64
 	oldest   uint64 // of the events that are kept
 	events   []event
-	puts     map[put]uint64 // revision by put, for those in the history
+	puts     map[putIdentity]uint64 // revision by put, for those in the history
 }
 
 type event struct {
 	eventRecord
 	revision uint64
-	at       time.Duration
+	putAt       time.Duration
 }
 
-// put identifies a put: a cell gets every value once.
-type put struct{ name, value string }
+// putIdentity identifies a putIdentity: a cell gets every value once.
+type putIdentity struct{ name, value string }
 
 // Load makes the state of a partition from its records, for an owner whose term began at
 // the time since. Every lease counts as whole from then and all history as new, since no
 // earlier owner's clock is known.
-func Load(records map[string]Record, since time.Duration, limits Limits) (*Partition, error) {
+func Load(records map[string]Record, termStart time.Duration, limits Limits) (*Partition, error) {
 	p := &Partition{limits: limits, locks: map[string]*lock{}, counters: map[string]uint64{},
-		cells: map[string]cellRecord{}, groups: map[string]*group{}, weights: map[string]int{}}
+		cells: map[string]cellRecord{}, groups: map[string]*group{}, recordSizes: map[string]int{}}
 	for name, r := range records {
-		if err := p.load(r, since); err != nil {
+		if err := p.load(r, termStart); err != nil {
 			return nil, fmt.Errorf("record %q: %w", name, err)
 		}
-		p.weigh(r)
+		p.account(r)
 	}
 	for _, g := range p.groups {
-		g.sort()
+		g.sortEvents()
 	}
 	return p, nil
 }
 
-func (p *Partition) load(r Record, since time.Duration) error {
+func (p *Partition) load(r Record, termStart time.Duration) error {
 	kind, name, _ := strings.Cut(r.Name, "/")
 	switch kind + "/" {
 	case headName + "/":
@@ -87,13 +87,13 @@
 		if head.Partitions != Partitions {
 			return fmt.Errorf("made for %d partitions, not %d", head.Partitions, Partitions)
 		}
-		p.hasHead, p.fence = true, head.Fence
+		p.headWritten, p.fence = true, head.Fence
 	case lockPrefix:
 		var record lockRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
 			return err
 		}
-		p.locks[name] = &lock{record, since + record.Hold}
+		p.locks[name] = &lock{record, termStart + record.Hold}
 	case counterPrefix:
 		var record counterRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
@@ -124,7 +124,7 @@
 			return err
 		}
 		g := p.group(name)
-		g.add(event{record, revision, since})
+		g.addEvent(event{record, revision, termStart})
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 func (p *Partition) group(name string) *group {
 	g := p.groups[name]
 	if g == nil {
-		g = &group{oldest: 1, puts: map[put]uint64{}}
+		g = &group{oldest: 1, puts: map[putIdentity]uint64{}}
 		p.groups[name] = g
 	}
 	return g
@@ -140,69 +140,69 @@
 
 // Execute carries out a call. The answer counts, and may be given, only once the returned
 // changes are committed and the owner's term is confirmed after the execution.
-func (p *Partition) Execute(now time.Duration, c Call) (Answer, []Record) {
+func (p *Partition) Execute(now time.Duration, call Call) (Answer, []Record) {
 	var answer Answer
 	var changes []Record
-	switch c.Operation {
+	switch call.Operation {
 	case Acquire:
-		answer, changes = p.acquire(now, c)
+		answer, changes = p.acquire(now, call)
 	case Renew:
-		answer, changes = p.renew(now, c)
+		answer, changes = p.renew(now, call)
 	case Release:
-		answer, changes = p.release(c)
+		answer, changes = p.release(call)
 	case Draw:
-		answer, changes = p.draw(c)
+		answer, changes = p.draw(call)
 	case Put:
-		answer, changes = p.put(now, c)
+		answer, changes = p.put(now, call)
 	case Get:
-		cell, ok := p.cells[c.Name]
+		cell, ok := p.cells[call.Name]
 		if !ok {
 			return Answer{Status: Missing}, nil
 		}
 		return Answer{Status: OK, Value: cell.Value, Revision: cell.Revision}, nil
 	case Revision:
 		answer = Answer{Status: OK}
-		if g := p.groups[c.Name]; g != nil {
+		if g := p.groups[call.Name]; g != nil {
 			answer.Revision = g.revision
 		}
 	}
-	return answer, p.changed(changes)
+	return answer, p.accountChanges(changes)
 }
 
-// changed accounts for changes and adds the partition's own record to the first ones.
-func (p *Partition) changed(changes []Record) []Record {
-	if len(changes) > 0 && !p.hasHead {
-		p.hasHead = true
-		changes = append(changes, p.head())
+// accountChanges accounts for changes and adds the partition's own record to the first ones.
+func (p *Partition) accountChanges(changes []Record) []Record {
+	if len(changes) > 0 && !p.headWritten {
+		p.headWritten = true
+		changes = append(changes, p.encodeHead())
 	}
 	for _, r := range changes {
-		p.weigh(r)
+		p.account(r)
 	}
 	return changes
 }
 
-func (p *Partition) head() Record {
+func (p *Partition) encodeHead() Record {
 	return encode(headName, headRecord{Partitions: Partitions, Fence: p.fence})
 }
 
-// weigh accounts for a record that is added, replaced or erased.
-func (p *Partition) weigh(r Record) {
-	difference := -p.weights[r.Name]
-	delete(p.weights, r.Name)
+// account accounts for a record that is added, replaced or erased.
+func (p *Partition) account(r Record) {
+	difference := -p.recordSizes[r.Name]
+	delete(p.recordSizes, r.Name)
 	if !r.Erased {
-		p.weights[r.Name] = weight(r)
-		difference += weight(r)
+		p.recordSizes[r.Name] = recordSize(r)
+		difference += recordSize(r)
 	}
-	p.bytes += difference
+	p.totalBytes += difference
 	if strings.HasPrefix(r.Name, eventPrefix) {
 		p.historyBytes += difference
 	}
 }
 
-// full says whether a new record would exceed the bound of the partition or the disk.
-func (p *Partition) full(r Record) bool {
-	growth := weight(r) - p.weights[r.Name]
-	if p.bytes+growth > p.limits.Bytes {
+// exceedsLimits says whether a new record would exceed the bound of the partition or the disk.
+func (p *Partition) exceedsLimits(r Record) bool {
+	growth := recordSize(r) - p.recordSizes[r.Name]
+	if p.totalBytes+growth > p.limits.Bytes {
 		return true
 	}
 	return p.limits.HasRoom != nil && !p.limits.HasRoom(growth)
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -10,22 +10,22 @@
 // testLimits are large enough for all tables but those on bounds.
 var testLimits = Limits{History: 30 * time.Second, Bytes: 1 << 20, HistoryBytes: 1 << 19}
 
-// state is a partition with the records that its changes make.
-type state struct {
+// testPartition is a partition with the records that its changes make.
+type testPartition struct {
 	*Partition
 	records map[string]Record
 }
 
-func load(t *testing.T, records map[string]Record, since time.Duration, limits Limits) *state {
+func load(t *testing.T, records map[string]Record, since time.Duration, limits Limits) *testPartition {
 	t.Helper()
 	p, err := Load(records, since, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &state{p, records}
+	return &testPartition{p, records}
 }
 
-func (s *state) take(changes []Record) {
+func (s *testPartition) apply(changes []Record) {
 	for _, r := range changes {
 		if delete(s.records, r.Name); !r.Erased {
 			s.records[r.Name] = r
@@ -33,9 +33,9 @@
 	}
 }
 
-func (s *state) do(at time.Duration, c Call) Answer {
+func (s *testPartition) execute(at time.Duration, c Call) Answer {
 	answer, changes := s.Execute(at, c)
-	s.take(changes)
+	s.apply(changes)
 	return answer
 }
 
@@ -178,9 +178,9 @@
 					continue
 				}
 				if s.SweepDue(seconds(step.at)) && step.call.Operation == Put {
-					s.take(s.Sweep(seconds(step.at))) // as the owner does at intervals
+					s.apply(s.Sweep(seconds(step.at))) // as the owner does at intervals
 				}
-				if got := s.do(seconds(step.at), step.call); got != step.want {
+				if got := s.execute(seconds(step.at), step.call); got != step.want {
 					t.Fatalf("step %d, %+v: %+v, want %+v", i, step.call, got, step.want)
 				}
 			}
@@ -189,17 +189,17 @@
 }
 
 // What has lapsed leaves nothing but the partition's own record.
-func TestSweepErasesLapsedLocksAndOldHistory(t *testing.T) {
+func TestSweepErasesExpiredLocksAndHistory(t *testing.T) {
 	s := load(t, map[string]Record{}, 0, testLimits)
-	s.do(seconds(1), acquire("a", 3))
-	s.do(seconds(1), putCell("g.a", "x", nil))
-	s.do(seconds(20), putCell("g.a", "y", nil))
+	s.execute(seconds(1), acquire("a", 3))
+	s.execute(seconds(1), putCell("g.a", "x", nil))
+	s.execute(seconds(20), putCell("g.a", "y", nil))
 	feed := NewFeed(s.records)
 	if s.SweepDue(seconds(3.9)) {
 		t.Fatal("nothing has ended yet")
 	}
 	swept := s.Sweep(seconds(40))
-	s.take(swept)
+	s.apply(swept)
 	feed.Apply(swept)
 	for name := range s.records {
 		if strings.HasPrefix(name, lockPrefix) || name == eventName("g.", 1) {
@@ -213,80 +213,80 @@
 	if err != nil || upTo != 2 || len(events) != 1 || events[0] != (Event{"g.a", "y", 2}) {
 		t.Errorf("watch from 1: %v %d %v", events, upTo, err)
 	}
-	if got := s.do(seconds(41), putCell("g.a", "z", nil)); got != revised(3) {
+	if got := s.execute(seconds(41), putCell("g.a", "z", nil)); got != revised(3) {
 		t.Errorf("the next put: %+v", got)
 	}
-	if s.bytes != weightOf(s.records) {
-		t.Errorf("accounted for %d bytes, there are %d", s.bytes, weightOf(s.records))
+	if s.totalBytes != sizeOfRecords(s.records) {
+		t.Errorf("accounted for %d bytes, there are %d", s.totalBytes, sizeOfRecords(s.records))
 	}
 }
 
-func weightOf(records map[string]Record) (n int) {
+func sizeOfRecords(records map[string]Record) (n int) {
 	for _, r := range records {
-		n += weight(r)
+		n += recordSize(r)
 	}
 	return n
 }
 
-func TestBoundsOfAPartition(t *testing.T) {
+func TestPartitionLimits(t *testing.T) {
 	full := Answer{Status: Full}
 	s := load(t, map[string]Record{}, 0, Limits{History: time.Second, Bytes: 4000, HistoryBytes: 1000})
 	last := OK
 	for i := 0; last == OK && i < 100; i++ {
-		last = s.do(0, putCell("g.a", strconv.Itoa(i), nil)).Status
+		last = s.execute(0, putCell("g.a", strconv.Itoa(i), nil)).Status
 	}
 	if last != Full {
 		t.Fatal("the history has no bound")
 	}
-	if got := s.do(0, putCell("g.a", "0", nil)); got != revised(1) {
+	if got := s.execute(0, putCell("g.a", "0", nil)); got != revised(1) {
 		t.Errorf("a repeat is answered %+v", got)
 	}
-	s.take(s.Sweep(seconds(2)))
-	if got := s.do(seconds(2), putCell("g.a", "again", nil)); got.Status != OK {
+	s.apply(s.Sweep(seconds(2)))
+	if got := s.execute(seconds(2), putCell("g.a", "again", nil)); got.Status != OK {
 		t.Errorf("once the history is old: %+v", got)
 	}
 	for i := 0; i < 100; i++ {
-		last = s.do(0, Call{Operation: Acquire, Name: "l" + strconv.Itoa(i), Owner: "a", Hold: time.Second}).Status
+		last = s.execute(0, Call{Operation: Acquire, Name: "l" + strconv.Itoa(i), Owner: "a", Hold: time.Second}).Status
 	}
 	if last != Full {
 		t.Error("locks have no bound")
 	}
-	if got := s.do(0, acquire("b", 1)); got != full {
+	if got := s.execute(0, acquire("b", 1)); got != full {
 		t.Errorf("beyond the bound: %+v", got)
 	}
 }
 
 // Where the disk has no room, what adds a record is refused, and what changes or frees
 // one is not.
-func TestADiskWithoutRoom(t *testing.T) {
+func TestFullDiskRefusesNewRecords(t *testing.T) {
 	room := 1 << 20
 	limits := testLimits
 	limits.HasRoom = func(bytes int) bool { return bytes <= room }
 	s := load(t, map[string]Record{}, 0, limits)
-	if got := s.do(0, acquire("a", 1)); got.Status != OK {
+	if got := s.execute(0, acquire("a", 1)); got.Status != OK {
 		t.Fatalf("with room: %+v", got)
 	}
 	room = 0
-	if got := s.do(0, acquire("a", 1)); got.Status != OK {
+	if got := s.execute(0, acquire("a", 1)); got.Status != OK {
 		t.Errorf("the holder comes again: %+v", got)
 	}
 	other := acquire("b", 1)
 	other.Name = "other"
 	for _, call := range []Call{other, putCell("g.a", "x", nil)} {
-		if got := s.do(0, call); got.Status != Full {
+		if got := s.execute(0, call); got.Status != Full {
 			t.Errorf("%+v without room: %+v", call, got)
 		}
 	}
 }
 
-func TestAPartitionOfAnotherNumberIsRefused(t *testing.T) {
+func TestPartitionCountMismatchIsRefused(t *testing.T) {
 	head := encode(headName, headRecord{Partitions: Partitions + 1})
 	if _, err := Load(map[string]Record{headName: head}, 0, testLimits); err == nil {
 		t.Error("it is loaded")
 	}
 }
 
-func TestNames(t *testing.T) {
+func TestNameChecks(t *testing.T) {
 	for name, good := range map[string]bool{"l1": true, "trip 7": true, "hós.að": true, "": false, "a/b": false,
 		"a\x00": false, "\xff": false, strings.Repeat("x", MaxName): true, strings.Repeat("x", MaxName+1): false} {
 		if err := CheckName("name", name); (err == nil) != good {
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -70,7 +70,7 @@
 	return Record{Name: name, Gen: 1, Data: data}
 }
 
-func erase(name string) Record { return Record{Name: name, Erased: true} }
+func erasure(name string) Record { return Record{Name: name, Erased: true} }
 
 // eventName is the name of the record of a put. Revisions are written with a fixed width,
 // so that records sort by revision.
@@ -89,8 +89,8 @@
 	return group, revision, err
 }
 
-// weight is about how many bytes a record takes, in memory as on disk.
-func weight(r Record) int { return len(r.Name) + len(r.Data) + recordOverhead }
+// recordSize is about how many bytes a record takes, in memory as on disk.
+func recordSize(r Record) int { return len(r.Name) + len(r.Data) + recordOverhead }
 
 // recordOverhead is what a record takes beside its name and its data.
 const recordOverhead = 64
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -75,15 +75,15 @@
 	done     func(Result)
 	stage    atomic.Int32
 	answer   Answer
-	changes  bool
-	usable   bool // the partition can be used
+	hasChanges  bool
+	partitionUsable   bool // the partition can be used
 }
 
 // The stages of an execution.
 const (
 	queued int32 = iota
-	begun
-	abandoned // it will never begin
+	started
+	cancelled // it will never begin
 )
 
 // NewExecution prepares a call that does not begin after a deadline on the clock of the
@@ -95,7 +95,7 @@
 // Abandon gives a call up that has no result in time, and says what that means. Any
 // goroutine may call it.
 func (e *Execution) Abandon() Effect {
-	if e.stage.CompareAndSwap(queued, abandoned) {
+	if e.stage.CompareAndSwap(queued, cancelled) {
 		return NotDone
 	}
 	return MaybeDone
@@ -105,21 +105,21 @@
 // once the changes are committed and a majority has confirmed that the replica was still
 // the owner after the execution.
 func (s *Server) Execute(now time.Duration, e *Execution) {
-	if !s.inTime(e.deadline) {
+	if !s.beforeDeadline(e.deadline) {
 		e.done(Result{Effect: NotDone})
 		return
 	}
 	key := e.call.Key()
 	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
-		if !s.inTime(e.deadline) || !e.stage.CompareAndSwap(queued, begun) {
+		if !s.beforeDeadline(e.deadline) || !e.stage.CompareAndSwap(queued, started) {
 			return nil, nil
 		}
-		state := s.partition(key, records)
-		if e.usable = state != nil; !e.usable {
+		state := s.ownedState(key, records)
+		if e.partitionUsable = state != nil; !e.partitionUsable {
 			return nil, nil
 		}
 		answer, changes := state.Execute(s.config.Clock(), e.call)
-		e.answer, e.changes = answer, len(changes) > 0
+		e.answer, e.hasChanges = answer, len(changes) > 0
 		return changes, nil
 	}, func(err error) { e.done(e.result(err)) })
 }
@@ -129,31 +129,31 @@
 	return ClockReading{Life: s.config.Life, Time: s.config.Clock()}
 }
 
-// inTime says whether a call with this deadline may begin.
-func (s *Server) inTime(deadline ClockReading) bool {
+// beforeDeadline says whether a call with this deadline may begin.
+func (s *Server) beforeDeadline(deadline ClockReading) bool {
 	return deadline.Life == s.config.Life && s.config.Clock() <= deadline.Time
 }
 
 // result is what has become of a call whose proposal has ended.
 func (e *Execution) result(err error) Result {
-	hasBegun := e.stage.Load() == begun
+	hasStarted := e.stage.Load() == started
 	switch {
-	case err == nil && hasBegun && e.usable:
+	case err == nil && hasStarted && e.partitionUsable:
 		return Result{Effect: Answered, Answer: e.answer}
-	case hasBegun && e.changes:
+	case hasStarted && e.hasChanges:
 		return Result{Effect: MaybeDone}
 	}
 	return Result{Effect: NotDone}
 }
 
-// partition gives the state of a partition that the replica owns; nil if it cannot be used.
+// ownedState gives the state of a ownedState that the replica owns; nil if it cannot be used.
 // It is called with the records of a proposal that is about to run, so the replica owns
-// the partition, and all changes of this term have gone through the state.
-func (s *Server) partition(key string, records map[string]Record) *Partition {
+// the ownedState, and all changes of this term have gone through the state.
+func (s *Server) ownedState(key string, records map[string]Record) *Partition {
 	now := s.config.Clock()
 	tenure, _ := s.replica.Tenure(now, key)
-	if had := s.owned[key]; had != nil && had.epoch == tenure.Epoch {
-		return had.state
+	if known := s.owned[key]; known != nil && known.epoch == tenure.Epoch {
+		return known.state
 	}
 	state, err := Load(records, tenure.Since, s.config.Limits)
 	if err != nil {
@@ -186,7 +186,7 @@
 		return
 	}
 	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
-		if state := s.partition(key, records); state != nil {
+		if state := s.ownedState(key, records); state != nil {
 			return state.Sweep(s.config.Clock()), nil
 		}
 		return nil, nil
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -9,17 +9,17 @@
 	"madderwing/internal/replication"
 )
 
-// standIn is a replica that owns everything. Its proposals run when they are let.
-type standIn struct {
+// fakeReplica is a replica that owns everything. Its proposals run when they are let.
+type fakeReplica struct {
 	records map[string]Record
 	epoch   replication.Epoch
-	took    time.Duration
-	fail    error
+	ownedSince    time.Duration
+	proposalErr    error
 	queued  []func()
-	holds   bool // proposals wait
+	holdProposals   bool // proposals wait
 }
 
-func (r *standIn) Propose(_ time.Duration, _ string, fn func(map[string]Record) ([]Record, error), done func(error)) {
+func (r *fakeReplica) Propose(_ time.Duration, _ string, fn func(map[string]Record) ([]Record, error), done func(error)) {
 	run := func() {
 		changes, err := fn(r.records)
 		for _, c := range changes {
@@ -27,45 +27,45 @@
 				r.records[c.Name] = c
 			}
 		}
-		done(errors.Join(err, r.fail))
+		done(errors.Join(err, r.proposalErr))
 	}
-	if r.holds {
+	if r.holdProposals {
 		r.queued = append(r.queued, run)
 	} else {
 		run()
 	}
 }
 
-func (r *standIn) Tenure(time.Duration, string) (replication.Tenure, bool) {
-	return replication.Tenure{Epoch: r.epoch, Since: r.took}, true
+func (r *fakeReplica) Tenure(time.Duration, string) (replication.Tenure, bool) {
+	return replication.Tenure{Epoch: r.epoch, Since: r.ownedSince}, true
 }
-func (r *standIn) Owner(time.Duration, string) string { return "self" }
-func (r *standIn) Committed(string) (map[string]Record, replication.Position, bool) {
+func (r *fakeReplica) Owner(time.Duration, string) string { return "self" }
+func (r *fakeReplica) Committed(string) (map[string]Record, replication.Position, bool) {
 	return r.records, replication.Position{}, true
 }
-func (r *standIn) Current(string) (time.Duration, bool) { return 0, true }
+func (r *fakeReplica) Current(string) (time.Duration, bool) { return 0, true }
 
-type standInServer struct {
+type testServer struct {
 	*Server
-	replica *standIn
+	replica *fakeReplica
 	now     time.Duration
 }
 
-func newStandIn() *standInServer {
-	s := &standInServer{replica: &standIn{records: map[string]Record{}, epoch: replication.Epoch{N: 1}}}
+func newTestServer() *testServer {
+	s := &testServer{replica: &fakeReplica{records: map[string]Record{}, epoch: replication.Epoch{N: 1}}}
 	s.Server = NewServer(ServerConfig{Self: "self", Life: 7, Clock: func() time.Duration { return s.now }, Limits: testLimits,
 		Sweep: time.Second, Freshness: time.Second, Log: slog.New(slog.DiscardHandler)}, s.replica)
 	return s
 }
 
-// do carries a call out that has time until a deadline.
-func (s *standInServer) do(c Call, deadline ClockReading) (result Result, e *Execution) {
+// execute carries a call out that has time until a deadline.
+func (s *testServer) execute(c Call, deadline ClockReading) (result Result, e *Execution) {
 	e = NewExecution(c, deadline, func(r Result) { result = r })
 	s.Execute(s.now, e)
 	return result, e
 }
 
-func TestWhatBecameOfACall(t *testing.T) {
+func TestEffectOfACall(t *testing.T) {
 	inTime := ClockReading{Life: 7, Time: time.Second}
 	lost := errors.New("lost")
 	write, noWrite := acquire("a", 3), renew("b", 9, 3)
@@ -83,9 +83,9 @@
 		"a deadline on a clock not known": {write, nil, ClockReading{}, NotDone},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn()
-			s.replica.fail = c.fail
-			if got, _ := s.do(c.call, c.deadline); got.Effect != c.want {
+			s := newTestServer()
+			s.replica.proposalErr = c.fail
+			if got, _ := s.execute(c.call, c.deadline); got.Effect != c.want {
 				t.Errorf("%v, want %v", got.Effect, c.want)
 			}
 			if c.want == NotDone && len(s.replica.records) > 0 {
@@ -96,12 +96,12 @@
 }
 
 // A call that waits until its deadline, or is abandoned, never begins.
-func TestACallThatWaitedTooLongNeverBegins(t *testing.T) {
+func TestQueuedCallDoesNotStartAfterDeadline(t *testing.T) {
 	for name, abandon := range map[string]bool{"too late": false, "abandoned": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn()
-			s.replica.holds = true
-			_, e := s.do(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
+			s := newTestServer()
+			s.replica.holdProposals = true
+			_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
 			if abandon {
 				if got := e.Abandon(); got != NotDone {
 					t.Errorf("abandoned: %v", got)
@@ -115,31 +115,31 @@
 			}
 		})
 	}
-	s := newStandIn()
-	_, e := s.do(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
+	s := newTestServer()
+	_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
 	if got := e.Abandon(); got != MaybeDone {
 		t.Errorf("one that has begun: %v", got)
 	}
 }
 
 // A new term begins from the records, whatever the former one knew.
-func TestANewTermLoadsTheRecords(t *testing.T) {
-	s := newStandIn()
+func TestNewTermReloadsRecords(t *testing.T) {
+	s := newTestServer()
 	inTime := ClockReading{Life: 7, Time: time.Hour}
-	s.do(acquire("a", 3), inTime)
+	s.execute(acquire("a", 3), inTime)
 	s.now = 2 * time.Second
-	s.replica.epoch, s.replica.took = replication.Epoch{N: 3}, s.now
+	s.replica.epoch, s.replica.ownedSince = replication.Epoch{N: 3}, s.now
 	delete(s.replica.records, lockPrefix+"l") // another owner erased it in between
-	if got, _ := s.do(acquire("b", 3), inTime); got.Answer.Status != OK {
+	if got, _ := s.execute(acquire("b", 3), inTime); got.Answer.Status != OK {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestWatchesAreToldOnceTheCopyHasWhatWasAcknowledged(t *testing.T) {
-	s := newStandIn()
+func TestWatchAnsweredOnceCopyHasAcknowledgedRevision(t *testing.T) {
+	s := newTestServer()
 	key := groupKey("g.")
 	p := load(t, map[string]Record{}, 0, testLimits)
-	p.do(0, putCell("g.a", "x", nil))
+	p.execute(0, putCell("g.a", "x", nil))
 	s.replica.records = p.records
 	s.Committed(key, nil)
 	var results []WatchResult
@@ -181,30 +181,30 @@
 
 // A release that was long on its way must not give back a lock that its holder has taken
 // anew, under the same token, since.
-func TestALateReleaseIsNotCarriedOut(t *testing.T) {
-	s := newStandIn()
+func TestLateReleaseIsNotExecuted(t *testing.T) {
+	s := newTestServer()
 	clocks := NewPeerClocks()
 	within := func(d time.Duration) ClockReading {
 		c, _ := clocks.At("self", s.now+d)
 		return c
 	}
-	if got, _ := s.do(acquire("a", 3), within(time.Second)); got.Effect != NotDone {
+	if got, _ := s.execute(acquire("a", 3), within(time.Second)); got.Effect != NotDone {
 		t.Fatalf("before the clock is known: %+v", got)
 	}
 	clocks.Heard("self", s.Clock(), s.now)
-	s.do(acquire("a", 3), within(time.Second))
+	s.execute(acquire("a", 3), within(time.Second))
 	sent := within(time.Second)
 	s.now += 1100 * time.Millisecond
-	s.do(acquire("a", 3), within(time.Second))
-	if got, _ := s.do(release("a", 1), sent); got.Effect != NotDone {
+	s.execute(acquire("a", 3), within(time.Second))
+	if got, _ := s.execute(release("a", 1), sent); got.Effect != NotDone {
 		t.Errorf("the late release: %+v", got)
 	}
-	if got, _ := s.do(acquire("b", 3), within(time.Second)); got.Answer != held {
+	if got, _ := s.execute(acquire("b", 3), within(time.Second)); got.Answer != held {
 		t.Errorf("another caller: %+v", got)
 	}
 }
 
-func TestClocksOfPeersAreNeverEstimatedAhead(t *testing.T) {
+func TestPeerClockEstimateIsNeverAhead(t *testing.T) {
 	c := NewPeerClocks()
 	c.Heard("p", ClockReading{Life: 1, Time: 100}, 40)
 	c.Heard("p", ClockReading{Life: 1, Time: 200}, 180) // slower on its way
--- a/internal/coordination/watches.go
+++ b/internal/coordination/watches.go
@@ -34,7 +34,7 @@
 	feed := s.feeds[key]
 	if feed != nil && records != nil {
 		for _, group := range feed.Apply(records) {
-			s.wake(group)
+			s.notifyWatches(group)
 		}
 		return
 	}
@@ -45,13 +45,13 @@
 	s.feeds[key] = NewFeed(all)
 	for group := range s.watches {
 		if groupKey(group) == key {
-			s.wake(group)
+			s.notifyWatches(group)
 		}
 	}
 }
 
-// wake answers the watches of a group that have something to be told.
-func (s *Server) wake(group string) {
+// notifyWatches answers the watches of a group that have something to be told.
+func (s *Server) notifyWatches(group string) {
 	for w := range s.watches[group] {
 		s.answerWatch(w)
 	}
@@ -78,24 +78,24 @@
 	if len(events) == 0 && err == nil {
 		return false
 	}
-	s.forget(w)
+	s.removeWatch(w)
 	w.Done(WatchResult{Events: events, Revision: revision, Err: err})
 	return true
 }
 
 // EndWatch ends a watch, if it has not ended, whose time is over.
-func (s *Server) EndWatch(w *Watch) {
+func (s *Server) EndWatch(watch *Watch) {
 	switch {
-	case !s.forget(w):
-	case w.After < w.Least:
-		w.Done(WatchResult{Err: ErrStale}) // the copy here lacks what is to be told
+	case !s.removeWatch(watch):
+	case watch.After < watch.Least:
+		watch.Done(WatchResult{Err: ErrStale}) // the copy here lacks what is to be told
 	default:
-		w.Done(WatchResult{Revision: w.After})
+		watch.Done(WatchResult{Revision: watch.After})
 	}
 }
 
-// forget takes a watch off the list; false: it is not on it.
-func (s *Server) forget(w *Watch) bool {
+// removeWatch takes a watch off the list; false: it is not on it.
+func (s *Server) removeWatch(w *Watch) bool {
 	list := s.watches[w.Group]
 	if !list[w] {
 		return false
@@ -121,7 +121,7 @@
 			continue
 		}
 		for w := range list {
-			s.forget(w)
+			s.removeWatch(w)
 			w.Done(WatchResult{Err: ErrStale})
 		}
 	}
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -12,72 +12,72 @@
 // Arms is a node's part in rollouts: it chooses an arm for each request, scores the
 // answers, and has a brake of its own.
 type Arms struct {
-	self string
-	// silence is for how long a candidate may be given more without word that there
+	nodeID string
+	// controllerTimeout is for how long a candidate may be given more without word that there
 	// is a controller.
-	silence time.Duration
+	controllerTimeout time.Duration
 
 	mu    sync.Mutex
-	now   func() time.Duration
-	heard time.Duration
-	by    map[string]*split
+	clock   func() time.Duration
+	controllerSeenAt time.Duration
+	splits    map[string]*serviceSplit
 }
 
-// split is the splitting of one service's requests.
-type split struct {
+// serviceSplit is the splitting of one service's requests.
+type serviceSplit struct {
 	plan  *Plan              // nil: none under way
 	order uint64             // the newest order seen
-	steps map[string]float64 // by stratum: how far it is to the candidate's next request
+	accumulated map[string]float64 // by stratum: how far it is to the candidate's next request
 	sums  Sums               // of the plan's present record
-	base  Sums               // of the record before
-	brake string             // why this node gives the candidate nothing; empty: it does
-	open  map[*Sample]struct{}
+	baseline  Sums               // of the record before
+	stopReason string             // why this node gives the candidate nothing; empty: it does
+	inFlight  map[*Sample]struct{}
 }
 
 // NewArms makes the arms of a node; now tells its steady time.
-func NewArms(self string, silence time.Duration, now func() time.Duration) *Arms {
-	return &Arms{self: self, silence: silence, now: now, by: map[string]*split{}}
+func NewArms(nodeID string, controllerTimeout time.Duration, clock func() time.Duration) *Arms {
+	return &Arms{nodeID: nodeID, controllerTimeout: controllerTimeout, clock: clock, splits: map[string]*serviceSplit{}}
 }
 
-func (a *Arms) split(service string) *split {
-	s := a.by[service]
-	if s == nil {
-		s = &split{steps: map[string]float64{}, sums: Sums{}, base: Sums{}, open: map[*Sample]struct{}{}}
-		a.by[service] = s
+func (a *Arms) splitFor(service string) *serviceSplit {
+	split := a.splits[service]
+	if split == nil {
+		split = &serviceSplit{accumulated: map[string]float64{}, sums: Sums{}, baseline: Sums{}, inFlight: map[*Sample]struct{}{}}
+		a.splits[service] = split
 	}
-	return s
+	return split
 }
 
 // Set takes the plans that stand.
 func (a *Arms) Set(services map[string]Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name, v := range services {
-		if v.Plan == nil {
+	for name, service := range services {
+		if service.Plan == nil {
 			continue
 		}
-		s := a.split(name)
-		if s.plan != nil && v.Plan.Gen <= s.plan.Gen {
+		split := a.splitFor(name)
+		if split.plan != nil && service.Plan.Gen <= split.plan.Gen {
 			continue
 		}
-		if v.Plan.Order != s.order {
-			s.order, s.base, s.sums, s.brake = v.Plan.Order, Sums{}, Sums{}, ""
-			s.steps = map[string]float64{}
+		if service.Plan.Order != split.order {
+			split.order, split.baseline, split.sums, split.stopReason = service.Plan.Order, Sums{}, Sums{}, ""
+			split.accumulated = map[string]float64{}
 		}
 		// Each stage asks its own question of answers that it got itself. What it is
 		// compared with may be older where the prior version gets nothing any more.
-		if all := s.sums.All(); all[Prior].Ended > 0 {
-			s.base = s.sums
+		if all := split.sums.All(); all[Prior].Ended > 0 {
+			split.baseline = split.sums
 		}
-		s.sums, s.brake = Sums{}, ""
-		s.plan = v.Plan
+		split.sums, split.stopReason = Sums{}, ""
+		split.plan = service.Plan
 	}
 }
 
 // Heard notes word that every rollout under way has a controller.
 func (a *Arms) Heard() {
 	a.mu.Lock()
-	a.heard = a.now()
+	a.controllerSeenAt = a.clock()
 	a.mu.Unlock()
 }
 
@@ -86,21 +86,21 @@
 func (a *Arms) Whole(service string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p := a.split(service).plan
+	p := a.splitFor(service).plan
 	return p == nil || p.Weight >= 1
 }
 
 // Sample is one sending of a request.
 type Sample struct {
-	a       *Arms
-	s       *split
+	arms       *Arms
+	split       *serviceSplit
 	order   uint64
-	gen     uint64
+	generation     uint64
 	arm     Arm
 	version string
 	bucket  uint8
-	aim     time.Duration
-	sent    time.Duration // 0: not yet
+	latencyTarget     time.Duration
+	sentAt    time.Duration // 0: not yet
 	cold    bool
 	scored  bool
 }
@@ -109,61 +109,61 @@
 // systematic within each stratum, so that every stratum gives the candidate its
 // share and no more. prior asks for the prior arm whatever the weight, as a further
 // try does, as long as that arm has a weight at all.
-func (a *Arms) Begin(service, stratum string, aim time.Duration, prior bool) *Sample {
+func (a *Arms) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.split(service)
-	x := &Sample{a: a, s: s, aim: aim}
-	s.open[x] = struct{}{}
-	p := s.plan
-	if p == nil || p.Final() {
-		return x
+	split := a.splitFor(service)
+	sample := &Sample{arms: a, split: split, latencyTarget: latencyTarget}
+	split.inFlight[sample] = struct{}{}
+	plan := split.plan
+	if plan == nil || plan.Final() {
+		return sample
 	}
-	x.order, x.gen, x.bucket = s.order, p.Gen, bucket(stratum)
-	if a.wants(s, stratum, prior) {
-		x.arm, x.version = Candidate, p.Candidate
+	sample.order, sample.generation, sample.bucket = split.order, plan.Gen, bucketOf(stratum)
+	if a.chooseCandidate(split, stratum, preferPrior) {
+		sample.arm, sample.version = Candidate, plan.Candidate
 	}
-	pair := s.sums[x.bucket]
-	pair[x.arm].Begun++
-	s.sums[x.bucket] = pair
-	return x
+	pair := split.sums[sample.bucket]
+	pair[sample.arm].Begun++
+	split.sums[sample.bucket] = pair
+	return sample
 }
 
-func (a *Arms) wants(s *split, stratum string, prior bool) bool {
-	w := s.plan.Weight
+func (a *Arms) chooseCandidate(split *serviceSplit, stratum string, preferPrior bool) bool {
+	weight := split.plan.Weight
 	switch {
-	case w <= 0 || s.brake != "":
+	case weight <= 0 || split.stopReason != "":
 		return false
-	case w >= 1:
+	case weight >= 1:
 		return true
-	case prior || a.now()-a.heard > a.silence:
+	case preferPrior || a.clock()-a.controllerSeenAt > a.controllerTimeout:
 		return false
 	}
-	at, known := s.steps[stratum]
+	accumulated, known := split.accumulated[stratum]
 	if !known {
-		if len(s.steps) >= stratumMost {
+		if len(split.accumulated) >= maxStrata {
 			stratum = ""
-			at, known = s.steps[stratum]
+			accumulated, known = split.accumulated[stratum]
 		}
 		if !known {
-			at = a.phase(stratum) // so that the nodes' first requests do not all go the same way
+			accumulated = a.initialAccumulated(stratum) // so that the nodes' first requests do not all go the same way
 		}
 	}
-	at += w
-	yes := at >= 1
-	if yes {
-		at--
+	accumulated += weight
+	candidate := accumulated >= 1
+	if candidate {
+		accumulated--
 	}
-	s.steps[stratum] = at
-	return yes
+	split.accumulated[stratum] = accumulated
+	return candidate
 }
 
-// stratumMost bounds the strata that a node counts one by one.
-const stratumMost = 4096
+// maxStrata bounds the strata that a node counts one by one.
+const maxStrata = 4096
 
-func (a *Arms) phase(stratum string) float64 {
+func (a *Arms) initialAccumulated(stratum string) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(a.self + "\x00" + stratum))
+	_, _ = h.Write([]byte(a.nodeID + "\x00" + stratum))
 	v := h.Sum64() * 0x9e3779b97f4a7c15
 	return float64(v>>11) / (1 << 53)
 }
@@ -177,74 +177,74 @@
 
 // Sent notes that the request has been given an upstream.
 func (x *Sample) Sent(cold bool) {
-	x.a.mu.Lock()
-	x.sent, x.cold = max(1, x.a.now()), cold
-	x.a.mu.Unlock()
+	x.arms.mu.Lock()
+	x.sentAt, x.cold = max(1, x.arms.clock()), cold
+	x.arms.mu.Unlock()
 }
 
 // Score notes how the sending went, though a large answer may still be on its way. It
 // counts once.
-func (x *Sample) Score(how Outcome) {
-	x.a.mu.Lock()
-	defer x.a.mu.Unlock()
-	x.score(how)
+func (x *Sample) Score(outcome Outcome) {
+	x.arms.mu.Lock()
+	defer x.arms.mu.Unlock()
+	x.score(outcome)
 }
 
 // End notes that nothing of the sending is under way any more, and how it went, if that
 // has not been said.
-func (x *Sample) End(how Outcome) {
-	x.a.mu.Lock()
-	defer x.a.mu.Unlock()
-	delete(x.s.open, x)
-	x.score(how)
+func (x *Sample) End(outcome Outcome) {
+	x.arms.mu.Lock()
+	defer x.arms.mu.Unlock()
+	delete(x.split.inFlight, x)
+	x.score(outcome)
 }
 
-func (x *Sample) score(how Outcome) {
-	a, s := x.a, x.s
+func (x *Sample) score(outcome Outcome) {
+	a, split := x.arms, x.split
 	if x.scored {
 		return
 	}
 	x.scored = true
-	p := s.plan
-	if p == nil || p.Final() || x.order != s.order || x.order == 0 {
+	plan := split.plan
+	if plan == nil || plan.Final() || x.order != split.order || x.order == 0 {
 		return
 	}
-	pair := s.sums[x.bucket]
-	c := &pair[x.arm]
-	if x.gen != p.Gen {
-		c.Begun++ // begun at another weight; it counts where it ends
+	pair := split.sums[x.bucket]
+	cell := &pair[x.arm]
+	if x.generation != plan.Gen {
+		cell.Begun++ // begun at another weight; it counts where it ends
 	}
-	if how == Unscored || x.sent == 0 {
-		c.Begun--
+	if outcome == Unscored || x.sentAt == 0 {
+		cell.Begun--
 	} else {
-		c.note(how, a.now()-x.sent, x.aim, x.cold)
+		cell.record(outcome, a.clock()-x.sentAt, x.latencyTarget, x.cold)
 	}
-	s.sums[x.bucket] = pair
-	if x.arm == Candidate && how != Passed {
-		s.look(a.now())
+	split.sums[x.bucket] = pair
+	if x.arm == Candidate && outcome != Passed {
+		split.judgeCandidate(a.clock())
 	}
 }
 
-// seen is the sums with the requests that have been under way for long, as if they
+// sumsWithInFlight is the sums with the requests that have been under way for long, as if they
 // had ended now: a version that sits on requests is not to be excused by that.
-func (s *split) seen(now time.Duration) Sums {
-	out := Sums{}
-	out.Add(s.sums)
-	for x := range s.open {
-		if x.scored || x.order != s.order || x.order == 0 || x.sent == 0 || x.cold || now-x.sent < x.aim/2 {
+func (s *serviceSplit) sumsWithInFlight(now time.Duration) Sums {
+	sums := Sums{}
+	sums.Add(s.sums)
+	for sample := range s.inFlight {
+		if sample.scored || sample.order != s.order || sample.order == 0 || sample.sentAt == 0 || sample.cold || now-sample.sentAt < sample.latencyTarget/2 {
 			continue
 		}
-		pair := out[x.bucket]
-		pair[x.arm].time(now-x.sent, x.aim)
-		out[x.bucket] = pair
+		pair := sums[sample.bucket]
+		pair[sample.arm].recordLatency(now-sample.sentAt, sample.latencyTarget)
+		sums[sample.bucket] = pair
 	}
-	return out
+	return sums
 }
 
-// look puts the brake on if the candidate is bad as this node sees it.
-func (s *split) look(now time.Duration) {
-	if s.brake == "" {
-		s.brake = Local.Judge(s.seen(now), s.base)
+// judgeCandidate puts the brake on if the candidate is bad as this node sees it.
+func (s *serviceSplit) judgeCandidate(now time.Duration) {
+	if s.stopReason == "" {
+		s.stopReason = Local.Judge(s.sumsWithInFlight(now), s.baseline)
 	}
 }
 
@@ -262,7 +262,7 @@
 func (a *Arms) Active() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, s := range a.by {
+	for _, s := range a.splits {
 		if s.plan != nil && !s.plan.Final() {
 			return true
 		}
@@ -274,20 +274,20 @@
 func (a *Arms) Reports() (out []Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.now()
-	for _, name := range slices.Sorted(maps.Keys(a.by)) {
-		s := a.by[name]
-		if s.plan == nil || s.plan.Final() {
+	now := a.clock()
+	for _, name := range slices.Sorted(maps.Keys(a.splits)) {
+		split := a.splits[name]
+		if split.plan == nil || split.plan.Final() {
 			continue
 		}
-		s.look(now)
-		r := Report{Service: name, Gen: s.plan.Gen, Sums: s.seen(now), Brake: s.brake}
-		for x := range s.open {
-			if x.arm != Candidate || x.order != s.order {
-				r.Busy++
+		split.judgeCandidate(now)
+		report := Report{Service: name, Gen: split.plan.Gen, Sums: split.sumsWithInFlight(now), Brake: split.stopReason}
+		for sample := range split.inFlight {
+			if sample.arm != Candidate || sample.order != split.order {
+				report.Busy++
 			}
 		}
-		out = append(out, r)
+		out = append(out, report)
 	}
 	return out
 }
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -10,9 +10,9 @@
 // This file holds what operators ask for, orders and reversals, and how a call that comes
 // again is told from a new one.
 
-// callsKept is how many of the newest calls a plan names: as many as may be under way at
+// maxTakenCalls is how many of the newest calls a plan names: as many as may be under way at
 // once.
-const callsKept = 8
+const maxTakenCalls = 8
 
 // TakenCall is a call of an operator's that was carried out.
 type TakenCall struct {
@@ -35,9 +35,9 @@
 	Basis *uint64
 }
 
-// outdated says whether a call rests on an older rollout than a plan's, so that it is older than one that
+// checkBasis says whether a call rests on an older rollout than a plan's, so that it is older than one that
 // was carried out.
-func (p *Plan) outdated(call Call) *apierror.Error {
+func (p *Plan) checkBasis(call Call) *apierror.Error {
 	if call.Basis == nil || *call.Basis == p.Order {
 		return nil
 	}
@@ -54,8 +54,8 @@
 	Named bool `cbor:"2,keyasint,omitempty"`
 }
 
-// taken says whether a plan names a call.
-func (p *Plan) taken(id uint64) bool {
+// hasTaken says whether a plan names a call.
+func (p *Plan) hasTaken(id uint64) bool {
 	for _, t := range p.Taken {
 		if t.ID == id && id != 0 {
 			return true
@@ -64,20 +64,20 @@
 	return false
 }
 
-// recently says whether a plan names a recent call of which like holds.
-func (p *Plan) recently(call Call, like func(TakenCall) bool) bool {
+// hasRecent says whether a plan names a recent call of which like holds.
+func (p *Plan) hasRecent(call Call, matches func(TakenCall) bool) bool {
 	for _, t := range p.Taken {
-		if like(t) && call.Recent != nil && call.Recent(t.ID) {
+		if matches(t) && call.Recent != nil && call.Recent(t.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// with is the list of newest calls with one more.
-func (p *Plan) with(t TakenCall) []TakenCall {
+// appendTaken is the list of newest calls appendTaken one more.
+func (p *Plan) appendTaken(t TakenCall) []TakenCall {
 	all := append(append([]TakenCall(nil), p.Taken...), t)
-	return all[max(0, len(all)-callsKept):]
+	return all[max(0, len(all)-maxTakenCalls):]
 }
 
 // Begin works out what an order changes. The same order again changes nothing, also
@@ -85,72 +85,72 @@
 // name to be brought in again. Neither does a call that was taken before, nor an order
 // that its operator may still send again, whatever was ordered since. standing is the
 // version that serves where no plan says so.
-func Begin(have map[string]Record, a Ask, standing string, call Call) ([]Record, error) {
-	old, known := have[Key(a.Service)]
-	p := &Plan{Service: a.Service, Prior: standing, Candidate: a.Version, Order: 1,
-		Within: settings.Seconds(a.WithinS)}
-	was := &Plan{}
+func Begin(records map[string]Record, ask Ask, standingVersion string, call Call) ([]Record, error) {
+	oldRecord, known := records[Key(ask.Service)]
+	next := &Plan{Service: ask.Service, Prior: standingVersion, Candidate: ask.Version, Order: 1,
+		Within: settings.Seconds(ask.WithinS)}
+	current := &Plan{}
 	if known {
 		var ok bool
-		if was, ok = Read(old); !ok {
-			return nil, apierror.New(apierror.Internal, "the record of %s cannot be read", a.Service)
+		if current, ok = Read(oldRecord); !ok {
+			return nil, apierror.New(apierror.Internal, "the record of %s cannot be read", ask.Service)
 		}
-		again := was.recently(call, func(t TakenCall) bool {
-			return !t.Reversal && t.Version == a.Version && t.Within == p.Within
+		resent := current.hasRecent(call, func(t TakenCall) bool {
+			return !t.Reversal && t.Version == ask.Version && t.Within == next.Within
 		})
 		switch {
-		case was.Candidate == a.Version && (was.Final() || was.Within == p.Within), was.taken(call.ID), again:
+		case current.Candidate == ask.Version && (current.Final() || current.Within == next.Within), current.hasTaken(call.ID), resent:
 			return nil, nil
-		case !was.Final():
-			return nil, apierror.New(apierror.UnderWay, "%s is on its way to %s", a.Service, was.Candidate)
+		case !current.Final():
+			return nil, apierror.New(apierror.UnderWay, "%s is on its way to %s", ask.Service, current.Candidate)
 		}
-		if err := was.outdated(call); err != nil {
+		if err := current.checkBasis(call); err != nil {
 			return nil, err
 		}
-		p.Order = was.Order + 1
+		next.Order = current.Order + 1
 	}
 	if call.ID != 0 {
-		p.Taken = was.with(TakenCall{ID: call.ID, Version: a.Version, Within: p.Within})
+		next.Taken = current.appendTaken(TakenCall{ID: call.ID, Version: ask.Version, Within: next.Within})
 	}
-	if p.Prior == p.Candidate {
-		p.Stage, p.Weight = Complete, 1
+	if next.Prior == next.Candidate {
+		next.Stage, next.Weight = Complete, 1
 	}
-	return []Record{p.record(old.Gen + 1)}, nil
+	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
 
 // Abort works out the reversal that an operator orders. It reverses only the rollout of the
 // version that it is for. Where the operator named none, and the rollout before this one was
 // reversed so lately that the order may be that one sent again, it is left open.
-func Abort(have map[string]Record, service string, r Reversal, age time.Duration, call Call) ([]Record, error) {
-	old, known := have[Key(service)]
-	was, ok := Read(old)
+func Abort(records map[string]Record, service string, reversal Reversal, age time.Duration, call Call) ([]Record, error) {
+	oldRecord, known := records[Key(service)]
+	current, ok := Read(oldRecord)
 	if !known || !ok {
 		return nil, apierror.New(apierror.NoRollout, "%s", service)
 	}
-	reversed := func(t TakenCall) bool { return t.Reversal && t.Version != was.Candidate }
+	earlierReversal := func(t TakenCall) bool { return t.Reversal && t.Version != current.Candidate }
 	switch {
-	case was.taken(call.ID):
+	case current.hasTaken(call.ID):
 		return nil, nil
-	case r.Version != "" && r.Version != was.Candidate:
-		for _, t := range was.Taken {
-			if t.Reversal && t.Version == r.Version {
+	case reversal.Version != "" && reversal.Version != current.Candidate:
+		for _, t := range current.Taken {
+			if t.Reversal && t.Version == reversal.Version {
 				return nil, nil
 			}
 		}
-		return nil, apierror.New(apierror.UnderWay, "the newest rollout of %s is to %s, not to %s", service, was.Candidate, r.Version)
-	case was.Stage == Reverted:
+		return nil, apierror.New(apierror.UnderWay, "the newest rollout of %s is to %s, not to %s", service, current.Candidate, reversal.Version)
+	case current.Stage == Reverted:
 		return nil, nil
-	case was.Final():
+	case current.Final():
 		return nil, apierror.New(apierror.UnderWay, "the rollout of %s is complete", service)
-	case !r.Named && was.recently(call, reversed):
+	case !reversal.Named && current.hasRecent(call, earlierReversal):
 		return nil, apierror.New(apierror.MaybeRepeated, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
 	}
-	if err := was.outdated(call); err != nil {
+	if err := current.checkBasis(call); err != nil {
 		return nil, err
 	}
-	next := was.reverse("ordered by the operator", age)
+	next := current.reverse("ordered by the operator", age)
 	if call.ID != 0 {
-		next.Taken = was.with(TakenCall{ID: call.ID, Version: was.Candidate, Reversal: true})
+		next.Taken = current.appendTaken(TakenCall{ID: call.ID, Version: current.Candidate, Reversal: true})
 	}
-	return []Record{next.record(old.Gen + 1)}, nil
+	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -175,13 +175,13 @@
 		x.now += 2 * x.ackS
 	}
 	p, _ := Read(x.have[Key("s")])
-	if len(p.Taken) != callsKept || p.Taken[callsKept-1].ID != 40 {
+	if len(p.Taken) != maxTakenCalls || p.Taken[maxTakenCalls-1].ID != 40 {
 		t.Errorf("%d calls are named: %v", len(p.Taken), p.Taken)
 	}
 	if n := len(x.have[Key("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
-	if n := len(x.all[0].of("s").calls); n != callsKept {
+	if n := len(x.all[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
 		t.Errorf("the controller remembers %d calls", n)
 	}
 }
@@ -207,7 +207,7 @@
 		"a reversal of the newest":                {underWay, true, Call{ID: 9, Basis: basis(2)}, 0, true},
 		"a reversal that rests on the one before": {underWay, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
 	} {
-		have := map[string]Record{Key("s"): c.plan.record(4)}
+		have := map[string]Record{Key("s"): c.plan.encode(4)}
 		var err error
 		if c.abort {
 			_, err = Abort(have, "s", Reversal{}, 0, c.call)
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -34,8 +34,8 @@
 type step struct {
 	stage  Stage
 	weight float64
-	part   float64
-	answer uint64 // answers of the candidate to be seen
+	minDurationShare   float64
+	minAnswers uint64 // answers of the candidate to be seen
 }
 
 var steps = []step{
@@ -48,16 +48,16 @@
 }
 
 const (
-	room       = 0.75 // of a candidate's warm slots may be filled
-	roomOf     = 0.8  // a candidate with so much of the slots of what stands may be full whatever the load
-	hasEnded   = 0.5  // of the candidate's requests must have ended before it is promoted
-	heardPart  = 0.8  // of the nodes must have told
-	quietTimes = 4    // a step lasts no longer than so many times its part for want of answers
-	longest    = 60 * time.Second
+	maxWarmUtilization       = 0.75 // of a candidate's warm slots may be filled
+	minWarmShare     = 0.8  // a candidate with so much of the slots of what stands may be full whatever the load
+	minEndedShare   = 0.5  // of the candidate's requests must have ended before it is promoted
+	minReportingShare  = 0.8  // of the nodes must have told
+	maxWaitFactor = 4    // a step lasts no longer than so many times its part for want of answers
+	maxMinDuration    = 60 * time.Second
 )
 
-// Step is the number of the step that a plan has reached.
-func (p *Plan) step() int {
+// Step is the number of the stepIndex that a plan has reached.
+func (p *Plan) stepIndex() int {
 	for i, s := range steps {
 		if s.stage == p.Stage && s.weight == p.Weight {
 			return i
@@ -68,32 +68,32 @@
 
 // Next is the gate: it gives the next record of a plan, or nil as long as the present
 // one stays.
-func Next(p *Plan, v View) *Plan {
-	if p.Final() {
+func Next(plan *Plan, view View) *Plan {
+	if plan.Final() {
 		return nil
 	}
-	if why := verdict(v); why != "" {
-		return p.reverse(why, v.Age)
+	if reason := reversalReason(view); reason != "" {
+		return plan.reverse(reason, view.Age)
 	}
-	s := steps[p.step()]
+	current := steps[plan.stepIndex()]
 	// A step of a rollout that may take days is not kept for a part of days: the
 	// paper's hours are for people to look, and people look at the status.
-	least := min(time.Duration(s.part*float64(p.Within)), longest)
-	if v.Stage < least || v.Live == 0 || float64(v.Heard) < heardPart*float64(v.Live) {
+	minDuration := min(time.Duration(current.minDurationShare*float64(plan.Within)), maxMinDuration)
+	if view.Stage < minDuration || view.Live == 0 || float64(view.Heard) < minReportingShare*float64(view.Live) {
 		return nil
 	}
-	cand := v.Sums.All()[Candidate]
-	if s.weight > 0 && v.Stage < quietTimes*least {
-		if cand.Ended < s.answer || float64(cand.Ended) < hasEnded*float64(cand.Begun) {
+	candidate := view.Sums.All()[Candidate]
+	if current.weight > 0 && view.Stage < maxWaitFactor*minDuration {
+		if candidate.Ended < current.minAnswers || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
 			return nil
 		}
 	}
-	next := *p
-	next.Age = v.Age
-	if s.stage == Full {
+	next := *plan
+	next.Age = view.Age
+	if current.stage == Full {
 		// Nothing may be on its way to the prior version any more: it stops at once.
-		if v.Heard < v.Live || v.Busy > 0 {
-			if v.Braked > 0 && v.Stage > 2*least {
+		if view.Heard < view.Live || view.Busy > 0 {
+			if view.Braked > 0 && view.Stage > 2*minDuration {
 				return &next // the record again: a single brake that nothing bears out is let go
 			}
 			return nil
@@ -101,35 +101,35 @@
 		next.Stage = Complete
 		return &next
 	}
-	to := steps[p.step()+1]
-	if !fits(to, v) {
+	target := steps[plan.stepIndex()+1]
+	if !hasCapacity(target, view) {
 		return nil
 	}
-	next.Stage, next.Weight = to.stage, to.weight
+	next.Stage, next.Weight = target.stage, target.weight
 	return &next
 }
 
-// fits says whether the candidate can bear a weight.
-func fits(to step, v View) bool {
+// hasCapacity says whether the candidate can bear a weight.
+func hasCapacity(target step, view View) bool {
 	switch {
-	case v.Slots <= 0:
+	case view.Slots <= 0:
 		return false
-	case to.stage == Canary:
+	case target.stage == Canary:
 		return true // cold upstreams are paced; what they cannot take goes to the prior version
-	case to.weight*v.Load > room*v.Warm:
+	case target.weight*view.Load > maxWarmUtilization*view.Warm:
 		return false
 	}
-	return v.Load > 0 || v.Warm >= roomOf*to.weight*v.Standing
+	return view.Load > 0 || view.Warm >= minWarmShare*target.weight*view.Standing
 }
 
-// verdict says why a rollout is to be reversed; empty: it is not.
-func verdict(v View) string {
-	if why := Overall.Judge(v.Sums, v.Base); why != "" {
-		return why
+// reversalReason says why a rollout is to be reversed; empty: it is not.
+func reversalReason(view View) string {
+	if reason := Overall.Judge(view.Sums, view.Base); reason != "" {
+		return reason
 	}
 	// One node may be wrong about a candidate, two are not.
-	if v.Braked >= min(2, v.Live) && v.Braked > 0 {
-		return fmt.Sprintf("%d nodes have stopped it: %s", v.Braked, v.Brake)
+	if view.Braked >= min(2, view.Live) && view.Braked > 0 {
+		return fmt.Sprintf("%d nodes have stopped it: %s", view.Braked, view.Brake)
 	}
 	return ""
 }
@@ -143,27 +143,27 @@
 
 // Gather adds up reports on one version of a plan.
 func Gather(service string, gen uint64, reports map[string]Report) Gathered {
-	g := Gathered{Report: Report{Service: service, Gen: gen, Sums: Sums{}}, Nodes: map[string]int{}}
+	gathered := Gathered{Report: Report{Service: service, Gen: gen, Sums: Sums{}}, Nodes: map[string]int{}}
 	for node, r := range reports {
 		if r.Gen != gen {
 			continue
 		}
-		g.Sums.Add(r.Sums)
-		g.Nodes[node] = r.Busy
+		gathered.Sums.Add(r.Sums)
+		gathered.Nodes[node] = r.Busy
 		if r.Brake != "" {
-			g.Brake = r.Brake
-			g.Braked++
+			gathered.Brake = r.Brake
+			gathered.Braked++
 		}
 	}
-	return g
+	return gathered
 }
 
 // Add adds what another has gathered of other nodes.
-func (g *Gathered) Add(o Gathered) {
-	g.Sums.Add(o.Sums)
-	g.Braked += o.Braked
+func (g *Gathered) Add(other Gathered) {
+	g.Sums.Add(other.Sums)
+	g.Braked += other.Braked
 	if g.Brake == "" {
-		g.Brake = o.Brake
+		g.Brake = other.Brake
 	}
-	maps.Copy(g.Nodes, o.Nodes)
+	maps.Copy(g.Nodes, other.Nodes)
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -102,7 +102,7 @@
 	return p, true
 }
 
-func (p *Plan) record(gen uint64) Record {
+func (p *Plan) encode(gen uint64) Record {
 	b, err := cbor.Marshal(p)
 	if err != nil {
 		panic(err)
@@ -135,13 +135,13 @@
 
 // Advance works out the record of the next stage, if the record is still the one
 // that next was worked out from.
-func Advance(have map[string]Record, saw uint64, next *Plan) ([]Record, error) {
-	old := have[Key(next.Service)]
-	was, ok := Read(old)
-	if !ok || old.Gen != saw || was.Final() || next.Stage < was.Stage || next.Order != was.Order {
+func Advance(records map[string]Record, expectedGeneration uint64, next *Plan) ([]Record, error) {
+	oldRecord := records[Key(next.Service)]
+	current, ok := Read(oldRecord)
+	if !ok || oldRecord.Gen != expectedGeneration || current.Final() || next.Stage < current.Stage || next.Order != current.Order {
 		return nil, apierror.New(apierror.Conflict, "the rollout of %s has gone on", next.Service)
 	}
-	return []Record{next.record(old.Gen + 1)}, nil
+	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
 
 func (p *Plan) reverse(reason string, age time.Duration) *Plan {
@@ -165,17 +165,17 @@
 
 // Adopt works out the records of standing versions. One that has changed since the
 // caller looked stays as it is.
-func Adopt(have map[string]Record, versions map[string]Standing, saw map[string]uint64) (out []Record) {
+func Adopt(records map[string]Record, versions map[string]Standing, expectedGenerations map[string]uint64) (out []Record) {
 	for service, s := range versions {
 		name := StandingPrefix + service
-		if have[name].Gen != saw[service] {
+		if records[name].Gen != expectedGenerations[service] {
 			continue
 		}
 		b, err := cbor.Marshal(s)
 		if err != nil {
 			panic(err)
 		}
-		out = append(out, Record{Name: name, Gen: have[name].Gen + 1, Data: b})
+		out = append(out, Record{Name: name, Gen: records[name].Gen + 1, Data: b})
 	}
 	return out
 }
@@ -213,22 +213,22 @@
 }
 
 // Services reads what records say of versions.
-func Services(have map[string]Record) map[string]Service {
-	out := map[string]Service{}
-	for name, r := range have {
+func Services(records map[string]Record) map[string]Service {
+	services := map[string]Service{}
+	for name, r := range records {
 		if service, ok := strings.CutPrefix(name, Prefix); ok {
 			if p, ok := Read(r); ok {
-				v := out[service]
+				v := services[service]
 				v.Plan = p
-				out[service] = v
+				services[service] = v
 			}
 		} else if service, ok := strings.CutPrefix(name, StandingPrefix); ok {
 			if s, ok := ReadStanding(r); ok {
-				v := out[service]
+				v := services[service]
 				v.Standing = s
-				out[service] = v
+				services[service] = v
 			}
 		}
 	}
-	return out
+	return services
 }
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -20,7 +20,7 @@
 	Broke           // it broke off, or what it sent was no answer
 	TooLate         // no answer by the deadline
 	Unscored
-	failKinds = 3
+	failureKinds = 3
 )
 
 // Arm is one side of a rollout.
@@ -36,22 +36,22 @@
 // routes: a stratum falls into one by its name.
 const Buckets = 16
 
-// bins is the number of bins of latencies; each is wider than the one before by the
+// latencyBins is the number of latencyBins of latencies; each is wider than the one before by the
 // root of two, and the first ends at 10 ms.
-const bins = 26
+const latencyBins = 26
 
-func bin(took time.Duration) int {
-	if took <= 10*time.Millisecond {
+func latencyBin(elapsed time.Duration) int {
+	if elapsed <= 10*time.Millisecond {
 		return 0
 	}
-	return min(bins-1, 1+int(2*math.Log2(took.Seconds()/0.01)))
+	return min(latencyBins-1, 1+int(2*math.Log2(elapsed.Seconds()/0.01)))
 }
 
 // Cell sums up the answers of one arm in one stratum. Cells add up, in any order.
 type Cell struct {
 	Begun uint64            `cbor:"1,keyasint,omitempty"`
 	Ended uint64            `cbor:"2,keyasint,omitempty"` // with a score
-	Fails [failKinds]uint64 `cbor:"3,keyasint"`
+	Fails [failureKinds]uint64 `cbor:"3,keyasint"`
 	// Of answers of upstreams that are not cold: the score of their time, from 1 at
 	// once down to 0 at four times the aim, and the bins that they fall into.
 	N    uint64   `cbor:"4,keyasint,omitempty"`
@@ -68,73 +68,73 @@
 	return n
 }
 
-// aimSpan is the time, in aims, at which the score of an answer's time is 0.
-const aimSpan = 4
+// zeroScoreFactor is the time, in aims, at which the score of an answer's time is 0.
+const zeroScoreFactor = 4
 
-func (c *Cell) note(how Outcome, took, aim time.Duration, cold bool) {
-	if how == Unscored {
+func (c *Cell) record(outcome Outcome, elapsed, latencyTarget time.Duration, cold bool) {
+	if outcome == Unscored {
 		return
 	}
 	c.Ended++
-	if how != Passed {
-		c.Fails[how-Errored]++
+	if outcome != Passed {
+		c.Fails[outcome-Errored]++
 	}
-	if !cold && (how == Passed || how == TooLate) {
-		c.time(took, aim)
+	if !cold && (outcome == Passed || outcome == TooLate) {
+		c.recordLatency(elapsed, latencyTarget)
 	}
 }
 
-func (c *Cell) time(took, aim time.Duration) {
-	score := max(0, 1-took.Seconds()/max(0.001, aimSpan*aim.Seconds()))
+func (c *Cell) recordLatency(elapsed, latencyTarget time.Duration) {
+	score := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
 	c.N++
 	c.Sum += score
 	c.Sq += score * score
-	b := bin(took)
-	for len(c.Hist) <= b {
+	bin := latencyBin(elapsed)
+	for len(c.Hist) <= bin {
 		c.Hist = append(c.Hist, 0)
 	}
-	c.Hist[b]++
+	c.Hist[bin]++
 }
 
 // Tail is the time that at most a hundredth of the answers took longer than.
 func (c *Cell) Tail() time.Duration {
-	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tail())/2))
+	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tailBin())/2))
 }
 
 // Add adds another cell.
-func (c *Cell) Add(o Cell) {
-	c.Begun += o.Begun
-	c.Ended += o.Ended
+func (c *Cell) Add(other Cell) {
+	c.Begun += other.Begun
+	c.Ended += other.Ended
 	for i := range c.Fails {
-		c.Fails[i] += o.Fails[i]
+		c.Fails[i] += other.Fails[i]
 	}
-	c.N += o.N
-	c.Sum += o.Sum
-	c.Sq += o.Sq
-	for len(c.Hist) < len(o.Hist) {
+	c.N += other.N
+	c.Sum += other.Sum
+	c.Sq += other.Sq
+	for len(c.Hist) < len(other.Hist) {
 		c.Hist = append(c.Hist, 0)
 	}
-	for i, n := range o.Hist {
+	for i, n := range other.Hist {
 		c.Hist[i] += n
 	}
 }
 
-// beyond is the share of answers in bins after b.
-func (c *Cell) beyond(b int) (n uint64) {
-	for i := b + 1; i < len(c.Hist); i++ {
+// countBeyond is the share of answers in bins after b.
+func (c *Cell) countBeyond(bin int) (n uint64) {
+	for i := bin + 1; i < len(c.Hist); i++ {
 		n += c.Hist[i]
 	}
 	return n
 }
 
-// tail is the first bin beyond which no more than a hundredth of the answers lie.
-func (c *Cell) tail() int {
-	for b := range c.Hist {
-		if c.beyond(b)*100 <= c.N {
-			return b
+// tailBin is the first bin beyond which no more than a hundredth of the answers lie.
+func (c *Cell) tailBin() int {
+	for bin := range c.Hist {
+		if c.countBeyond(bin)*100 <= c.N {
+			return bin
 		}
 	}
-	return bins - 1
+	return latencyBins - 1
 }
 
 // Pair is the two arms of one stratum.
@@ -144,9 +144,9 @@
 type Sums map[uint8]Pair
 
 // Add adds other sums.
-func (s Sums) Add(o Sums) {
-	for b, p := range o {
-		have := s[b]
+func (s Sums) Add(other Sums) {
+	for bucket, p := range other {
+		have := s[bucket]
 		for arm := range have {
 			// The bins are copied: sums that were added up share nothing.
 			sum := Cell{}
@@ -154,7 +154,7 @@
 			sum.Add(p[arm])
 			have[arm] = sum
 		}
-		s[b] = have
+		s[bucket] = have
 	}
 }
 
@@ -167,8 +167,8 @@
 	return all
 }
 
-// bucket is where a stratum falls.
-func bucket(stratum string) uint8 {
+// bucketOf is where a stratum falls.
+func bucketOf(stratum string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(stratum))
 	v := h.Sum32()
@@ -185,11 +185,11 @@
 }
 
 const (
-	effect  = 0.05 // a drop below this is none (the paper's floor)
-	tailOff = 0.05 // share of a candidate's answers beyond the tail of the prior's that fails the gate
-	// lateBins is how many bins beyond the prior's p99 count as its tail: one bin is a
+	minEffect  = 0.05 // a drop below this is none (the paper's floor)
+	minTailExcess = 0.05 // share of a candidate's answers beyond the tail of the prior's that fails the gate
+	// tailMarginBins is how many bins beyond the prior's p99 count as its tail: one bin is a
 	// factor of 1.41, the first that is no less than the paper's 1.3.
-	lateBins = 1
+	tailMarginBins = 1
 )
 
 // The criteria. The paper looks once, at p < 0.05; here the sums are looked at
@@ -204,80 +204,80 @@
 // Judge compares the arms, all strata together and one by one, and says what is wrong
 // with the candidate; empty: nothing that is certain. Where the prior arm has too few
 // answers, as at full weight, base stands in for it: the sums of a stage before.
-func (c Criterion) Judge(s, base Sums) string {
-	all := s.All()
-	if why := c.judge(all, base.All()); why != "" {
-		return why
+func (c Criterion) Judge(sums, baseline Sums) string {
+	all := sums.All()
+	if reason := c.judgePair(all, baseline.All()); reason != "" {
+		return reason
 	}
-	for b, p := range s {
-		if why := c.judge(p, base[b]); why != "" {
-			return fmt.Sprintf("%s (stratum %d)", why, b)
+	for bucket, p := range sums {
+		if why := c.judgePair(p, baseline[bucket]); why != "" {
+			return fmt.Sprintf("%s (stratum %d)", why, bucket)
 		}
 	}
 	return ""
 }
 
-func (c Criterion) judge(p, base Pair) string {
-	prior, cand := p[Prior], p[Candidate]
-	stale := prior.Ended < cand.Ended/8
-	if stale {
+func (c Criterion) judgePair(pair, baseline Pair) string {
+	prior, candidate := pair[Prior], pair[Candidate]
+	usesBaseline := prior.Ended < candidate.Ended/8
+	if usesBaseline {
 		// What goes wrong everywhere now did perhaps not then, so more is asked for.
-		prior.Add(base[Prior])
+		prior.Add(baseline[Prior])
 	}
 	// A kind of failure that only the candidate has, or has more often: the test of
 	// proportions, for each kind and for all.
-	kinds := append([]uint64{cand.Failed()}, cand.Fails[:]...)
-	priors := append([]uint64{prior.Failed()}, prior.Fails[:]...)
-	for i, bad := range kinds {
-		if bad < c.Min {
+	candidateCounts := append([]uint64{candidate.Failed()}, candidate.Fails[:]...)
+	priorCounts := append([]uint64{prior.Failed()}, prior.Fails[:]...)
+	for i, failures := range candidateCounts {
+		if failures < c.Min {
 			continue
 		}
-		share := float64(bad) / float64(cand.Ended)
+		share := float64(failures) / float64(candidate.Ended)
 		switch {
-		case prior.Ended < c.Min*2 || stale && i != 1:
+		case prior.Ended < c.Min*2 || usesBaseline && i != 1:
 			if share >= c.Alone {
-				return fmt.Sprintf("%d of %d answers %s", bad, cand.Ended, kindNames[i])
+				return fmt.Sprintf("%d of %d answers %s", failures, candidate.Ended, failureNames[i])
 			}
 		default:
-			floor := effect
-			if stale {
-				floor = 3 * effect
+			minDifference := minEffect
+			if usesBaseline {
+				minDifference = 3 * minEffect
 			}
-			usual := float64(priors[i]) / float64(prior.Ended)
-			if share-usual >= floor && proportions(bad, cand.Ended, priors[i], prior.Ended) < c.Alpha {
-				return fmt.Sprintf("%.0f %% of %d answers %s, %.1f %% of the prior version's", share*100, cand.Ended, kindNames[i], usual*100)
+			priorShare := float64(priorCounts[i]) / float64(prior.Ended)
+			if share-priorShare >= minDifference && proportionsPValue(failures, candidate.Ended, priorCounts[i], prior.Ended) < c.Alpha {
+				return fmt.Sprintf("%.0f %% of %d answers %s, %.1f %% of the prior version's", share*100, candidate.Ended, failureNames[i], priorShare*100)
 			}
 		}
 	}
-	if cand.N < c.Min || prior.N < c.Min*4 {
+	if candidate.N < c.Min || prior.N < c.Min*4 {
 		return ""
 	}
 	// The mean of the scores of times.
-	if delta := prior.Sum/float64(prior.N) - cand.Sum/float64(cand.N); delta >= effect && !stale {
-		if welch(cand, prior) < c.Alpha {
-			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", delta, cand.N)
+	if scoreDrop := prior.Sum/float64(prior.N) - candidate.Sum/float64(candidate.N); scoreDrop >= minEffect && !usesBaseline {
+		if welchPValue(candidate, prior) < c.Alpha {
+			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", scoreDrop, candidate.N)
 		}
 	}
 	// The tail.
 	if prior.N >= 50 {
-		at := prior.tail() + lateBins
-		late, usual := cand.beyond(at), prior.beyond(at)
-		floor := tailOff
-		if stale {
-			floor = 3 * tailOff
+		lastBin := prior.tailBin() + tailMarginBins
+		candidateLate, usual := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
+		floor := minTailExcess
+		if usesBaseline {
+			floor = 3 * minTailExcess
 		}
-		if late >= c.Min && float64(late)/float64(cand.N)-float64(usual)/float64(prior.N) >= floor &&
-			proportions(late, cand.N, usual, prior.N) < c.Alpha {
-			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", late, cand.N)
+		if candidateLate >= c.Min && float64(candidateLate)/float64(candidate.N)-float64(usual)/float64(prior.N) >= floor &&
+			proportionsPValue(candidateLate, candidate.N, usual, prior.N) < c.Alpha {
+			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", candidateLate, candidate.N)
 		}
 	}
 	return ""
 }
 
-var kindNames = [failKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
+var failureNames = [failureKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
 
-// proportions is the p of the two-proportion z-test that a of n is no more than b of m.
-func proportions(a, n, b, m uint64) float64 {
+// proportionsPValue is the p of the two-proportion z-test that a of n is no more than b of m.
+func proportionsPValue(a, n, b, m uint64) float64 {
 	if n == 0 || m == 0 {
 		return 1
 	}
@@ -290,8 +290,8 @@
 	return distuv.UnitNormal.Survival((pa - pb) / se)
 }
 
-// welch is the p of Welch's t-test that the mean of a is no lower than that of b.
-func welch(a, b Cell) float64 {
+// welchPValue is the p of Welch's t-test that the mean of a is no lower than that of b.
+func welchPValue(a, b Cell) float64 {
 	if a.N < 2 || b.N < 2 {
 		return 1
 	}
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -12,30 +12,30 @@
 // The tests of significance against values worked out by hand.
 func TestStatisticsAgainstWorkedValues(t *testing.T) {
 	// 10 of 20 against 2 of 20: pooled 0.3, standard error 0.1449, z 2.7603.
-	if p := proportions(10, 20, 2, 20); math.Abs(p-0.002887) > 1e-5 {
+	if p := proportionsPValue(10, 20, 2, 20); math.Abs(p-0.002887) > 1e-5 {
 		t.Errorf("two proportions: p %v", p)
 	}
 	// {0, 1} against {2, 3}: t = -2 / sqrt(0.5) with 2 degrees of freedom, whose
 	// distribution is 1/2 + t / (2 sqrt(2 + t t)).
 	a, b := Cell{N: 2, Sum: 1, Sq: 1}, Cell{N: 2, Sum: 5, Sq: 13}
 	tt := -2 / math.Sqrt(0.5)
-	if p, want := welch(a, b), 0.5+tt/(2*math.Sqrt(2+tt*tt)); math.Abs(p-want) > 1e-9 {
+	if p, want := welchPValue(a, b), 0.5+tt/(2*math.Sqrt(2+tt*tt)); math.Abs(p-want) > 1e-9 {
 		t.Errorf("Welch: p %v, want %v", p, want)
 	}
-	if p := welch(b, a); p < 0.9 {
+	if p := welchPValue(b, a); p < 0.9 {
 		t.Errorf("Welch the other way: p %v", p)
 	}
-	if proportions(0, 0, 1, 2) != 1 || welch(Cell{N: 1}, b) != 1 {
+	if proportionsPValue(0, 0, 1, 2) != 1 || welchPValue(Cell{N: 1}, b) != 1 {
 		t.Error("too few for a test is no sign")
 	}
 }
 
 func cell(passed, failed int, took time.Duration) (c Cell) {
 	for range passed {
-		c.note(Passed, took, time.Second, false)
+		c.record(Passed, took, time.Second, false)
 	}
 	for range failed {
-		c.note(Errored, took, time.Second, false)
+		c.record(Errored, took, time.Second, false)
 	}
 	return c
 }
