--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Arms is a node's part in rollouts: it chooses an arm for each request, scores the
-// answers, and has a brake of its own.
+// Arms is a gateway's part in rollouts. It chooses the arm of each request, scores the
+// answers, and stops sending requests to a candidate that is bad as this gateway sees it.
 type Arms struct {
 	nodeID string
-	// controllerTimeout is for how long a candidate may be given more without word that there
-	// is a controller.
+	// controllerTimeout is how long a candidate keeps getting requests after the last
+	// notice that every rollout has a controller.
 	controllerTimeout time.Duration
 
-	mu    sync.Mutex
-	clock   func() time.Duration
+	mu               sync.Mutex
+	clock            func() time.Duration
 	controllerSeenAt time.Duration
-	splits    map[string]*serviceSplit
+	splits           map[string]*serviceSplit
 }
 
-// serviceSplit is the splitting of one service's requests.
+// serviceSplit divides the requests of one service between the arms.
 type serviceSplit struct {
-	plan  *Plan              // nil: none under way
-	order uint64             // the newest order seen
-	accumulated map[string]float64 // by stratum: how far it is to the candidate's next request
-	sums  Sums               // of the plan's present record
-	baseline  Sums               // of the record before
-	stopReason string             // why this node gives the candidate nothing; empty: it does
-	inFlight  map[*Sample]struct{}
+	plan        *Plan              // nil: the service has had no rollout
+	order       uint64             // the newest rollout seen, by Plan.Order
+	accumulated map[string]float64 // by stratum: weight since the candidate's last request; at 1 it gets the next
+	sums        Sums               // of the plan's current generation
+	baseline    Sums               // of an earlier generation, for comparison where the prior arm gets no requests
+	stopReason  string             // why this gateway sends the candidate nothing; empty: it does
+	inFlight    map[*Sample]struct{}
 }
 
-// NewArms makes the arms of a node; now tells its steady time.
+// NewArms creates the state of a gateway without rollouts. clock is a monotonic clock.
 func NewArms(nodeID string, controllerTimeout time.Duration, clock func() time.Duration) *Arms {
 	return &Arms{nodeID: nodeID, controllerTimeout: controllerTimeout, clock: clock, splits: map[string]*serviceSplit{}}
 }
@@ -48,7 +48,7 @@
 	return split
 }
 
-// Set takes the plans that stand.
+// Set applies the newest plans. A plan that is no newer than the known one is ignored.
 func (a *Arms) Set(services map[string]Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,8 +64,8 @@
 			split.order, split.baseline, split.sums, split.stopReason = service.Plan.Order, Sums{}, Sums{}, ""
 			split.accumulated = map[string]float64{}
 		}
-		// Each stage asks its own question of answers that it got itself. What it is
-		// compared with may be older where the prior version gets nothing any more.
+		// Each stage is judged by the candidate's answers of that stage alone. The sums
+		// of the prior arm may be older where it gets no requests any more.
 		if all := split.sums.All(); all[Prior].Ended > 0 {
 			split.baseline = split.sums
 		}
@@ -74,15 +74,15 @@
 	}
 }
 
-// Heard notes word that every rollout under way has a controller.
+// Heard records a notice that every active rollout has a controller.
 func (a *Arms) Heard() {
 	a.mu.Lock()
 	a.controllerSeenAt = a.clock()
 	a.mu.Unlock()
 }
 
-// Whole says that a candidate gets all requests of a service, so that there is no
-// other arm to turn to.
+// Whole reports whether all requests of a service go to one arm, so that a retry cannot
+// use the other: the candidate has full weight, or the service has had no rollout.
 func (a *Arms) Whole(service string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,25 +90,25 @@
 	return p == nil || p.Weight >= 1
 }
 
-// Sample is one sending of a request.
+// Sample is one attempt to send a request to an upstream.
 type Sample struct {
-	arms       *Arms
-	split       *serviceSplit
-	order   uint64
-	generation     uint64
-	arm     Arm
-	version string
-	bucket  uint8
-	latencyTarget     time.Duration
-	sentAt    time.Duration // 0: not yet
-	cold    bool
-	scored  bool
+	arms          *Arms
+	split         *serviceSplit
+	order         uint64
+	generation    uint64
+	arm           Arm
+	version       string
+	bucket        uint8
+	latencyTarget time.Duration
+	sentAt        time.Duration // 0: not sent yet
+	cold          bool
+	scored        bool
 }
 
-// Begin chooses an arm for a request and notes it as under way. The choice is
-// systematic within each stratum, so that every stratum gives the candidate its
-// share and no more. prior asks for the prior arm whatever the weight, as a further
-// try does, as long as that arm has a weight at all.
+// Begin chooses an arm for a request and counts it as in flight. Within each stratum every
+// n-th request goes to the candidate, not a random sample, so that each stratum gives it
+// its share and no more. With preferPrior, which retries set, the request goes to the
+// prior arm unless the candidate has full weight.
 func (a *Arms) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,7 +146,7 @@
 			accumulated, known = split.accumulated[stratum]
 		}
 		if !known {
-			accumulated = a.initialAccumulated(stratum) // so that the nodes' first requests do not all go the same way
+			accumulated = a.initialAccumulated(stratum) // so that the gateways' first requests do not all go to the same arm
 		}
 	}
 	accumulated += weight
@@ -158,7 +158,8 @@
 	return candidate
 }
 
-// maxStrata bounds the strata that a node counts one by one.
+// maxStrata bounds the strata of a service that are split separately; all others are split
+// together.
 const maxStrata = 4096
 
 func (a *Arms) initialAccumulated(stratum string) float64 {
@@ -168,30 +169,31 @@
 	return float64(v>>11) / (1 << 53)
 }
 
-// Version is what the request is to be sent to; empty: the version that stands.
+// Version is the version to which the request must be sent; empty: the one that serves
+// without a weight.
 func (x *Sample) Version() string { return x.version }
 
-// Candidate says whether the request goes to a candidate beside which a prior
-// version still serves.
+// Candidate reports whether the request goes to the candidate of an active rollout.
 func (x *Sample) Candidate() bool { return x.arm == Candidate }
 
-// Sent notes that the request has been given an upstream.
+// Sent records that the request has been assigned to an upstream, and whether that is cold
+// (still warming up).
 func (x *Sample) Sent(cold bool) {
 	x.arms.mu.Lock()
 	x.sentAt, x.cold = max(1, x.arms.clock()), cold
 	x.arms.mu.Unlock()
 }
 
-// Score notes how the sending went, though a large answer may still be on its way. It
-// counts once.
+// Score records the outcome of an attempt whose answer may still be in transfer. Only the
+// first outcome of an attempt counts.
 func (x *Sample) Score(outcome Outcome) {
 	x.arms.mu.Lock()
 	defer x.arms.mu.Unlock()
 	x.score(outcome)
 }
 
-// End notes that nothing of the sending is under way any more, and how it went, if that
-// has not been said.
+// End records that an attempt is no longer in flight, and its outcome unless Score has
+// recorded one.
 func (x *Sample) End(outcome Outcome) {
 	x.arms.mu.Lock()
 	defer x.arms.mu.Unlock()
@@ -212,7 +214,7 @@
 	pair := split.sums[x.bucket]
 	cell := &pair[x.arm]
 	if x.generation != plan.Gen {
-		cell.Begun++ // begun at another weight; it counts where it ends
+		cell.Begun++ // begun under another generation; it counts where it ends
 	}
 	if outcome == Unscored || x.sentAt == 0 {
 		cell.Begun--
@@ -225,8 +227,9 @@
 	}
 }
 
-// sumsWithInFlight is the sums with the requests that have been under way for long, as if they
-// had ended now: a version that sits on requests is not to be excused by that.
+// sumsWithInFlight is the sums with the latencies of requests that have been in flight for
+// half their latency target or longer, as if they ended now. A version that never answers
+// would otherwise not be judged by these requests.
 func (s *serviceSplit) sumsWithInFlight(now time.Duration) Sums {
 	sums := Sums{}
 	sums.Add(s.sums)
@@ -241,24 +244,24 @@
 	return sums
 }
 
-// judgeCandidate puts the brake on if the candidate is bad as this node sees it.
+// judgeCandidate stops the candidate on this gateway if its answers here are bad.
 func (s *serviceSplit) judgeCandidate(now time.Duration) {
 	if s.stopReason == "" {
 		s.stopReason = Local.Judge(s.sumsWithInFlight(now), s.baseline)
 	}
 }
 
-// Report is what a node has seen of one rollout under one version of its plan.
+// Report is what a gateway has measured of one rollout under one generation of its plan.
 type Report struct {
 	Service string `cbor:"1,keyasint"`
 	Gen     uint64 `cbor:"2,keyasint"`
 	Sums    Sums   `cbor:"3,keyasint,omitempty"`
-	// Busy is how many requests this node has at anything but the candidate.
+	// Busy is the number of requests in flight here to any version but the candidate.
 	Busy  int    `cbor:"4,keyasint,omitempty"`
-	Brake string `cbor:"5,keyasint,omitempty"`
+	Brake string `cbor:"5,keyasint,omitempty"` // why this gateway has stopped the candidate; empty: it has not
 }
 
-// Active says whether a rollout is under way.
+// Active reports whether any rollout is active.
 func (a *Arms) Active() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -270,7 +273,7 @@
 	return false
 }
 
-// Reports are those of all rollouts under way.
+// Reports returns the reports on all active rollouts, by name of service.
 func (a *Arms) Reports() (out []Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -292,5 +295,5 @@
 	return out
 }
 
-// Percent is a share as people read it.
+// Percent is a share as a percentage with one decimal.
 func Percent(share float64) float64 { return math.Round(share*1000) / 10 }
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -8,13 +8,13 @@
 
 // BenchmarkRequest is what a rollout adds to one request on a gateway: without one, and with.
 func BenchmarkRequest(b *testing.B) {
-	for _, under := range []bool{false, true} {
+	for _, active := range []bool{false, true} {
 		for _, routes := range []int{10, 100, 1000, 4000} {
-			b.Run(fmt.Sprintf("rollout=%v/routes=%d", under, routes), func(b *testing.B) {
+			b.Run(fmt.Sprintf("rollout=%v/routes=%d", active, routes), func(b *testing.B) {
 				now := time.Duration(0)
-				a := NewArms("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
-				if under {
-					a.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary, Weight: 0.05}}})
+				arms := NewArms("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
+				if active {
+					arms.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary, Weight: 0.05}}})
 				}
 				names := make([]string, routes)
 				for i := range names {
@@ -22,9 +22,9 @@
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					x := a.Begin("s", names[i%routes], time.Second, false)
-					x.Sent(false)
-					x.End(Passed)
+					sample := arms.Begin("s", names[i%routes], time.Second, false)
+					sample.Sent(false)
+					sample.End(Passed)
 				}
 			})
 		}
@@ -40,7 +40,7 @@
 			for i := range gateways {
 				s := Sums{}
 				for k := uint8(0); k < Buckets; k++ {
-					s[k] = Pair{cell(50, 1, 100*time.Millisecond), cell(10, 1, 200*time.Millisecond)}
+					s[k] = Pair{makeCell(50, 1, 100*time.Millisecond), makeCell(10, 1, 200*time.Millisecond)}
 				}
 				reports[fmt.Sprint("gateway", i)] = Report{Service: "s", Gen: 1, Sums: s}
 			}
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -7,14 +7,14 @@
 	"madderwing/internal/settings"
 )
 
-// This file holds what operators ask for, orders and reversals, and how a call that comes
-// again is told from a new one.
+// This file holds the operators' calls, orders and reversals, and tells a repeated call from
+// a new one.
 
-// maxTakenCalls is how many of the newest calls a plan names: as many as may be under way at
-// once.
+// maxTakenCalls is how many of the newest calls a plan records: as many as may be in
+// progress at once.
 const maxTakenCalls = 8
 
-// TakenCall is a call of an operator's that was carried out.
+// TakenCall is an operator's call that was executed.
 type TakenCall struct {
 	ID       uint64        `cbor:"1,keyasint"`
 	Version  string        `cbor:"2,keyasint"`
@@ -22,39 +22,40 @@
 	Reversal bool          `cbor:"4,keyasint,omitempty"`
 }
 
-// Call is a call of an operator's that is about to be carried out. The zero value is one
-// that never comes again.
+// Call is an operator's call that is about to be executed. The zero value is one that is
+// never repeated.
 type Call struct {
-	// ID is drawn by the control node that takes the call, and stays the same however
-	// often that passes it on.
+	// ID is a random number that the control node that receives the call gives it. It stays
+	// the same however often that node forwards the call.
 	ID uint64
-	// Recent says whether a call that was taken may still be sent again by its operator,
-	// who gets another ID then.
+	// Recent reports whether the operator of an executed call may still send it again; the
+	// repeat gets another ID.
 	Recent func(id uint64) bool
-	// Basis is the number of the service's newest rollout, 0: none, on which the call rests; nil: not told.
+	// Basis is the Order of the newest rollout of the service when the control node received
+	// the call, 0 for none; nil: unknown.
 	Basis *uint64
 }
 
-// checkBasis says whether a call rests on an older rollout than a plan's, so that it is older than one that
-// was carried out.
+// checkBasis returns an error if a call was received when another rollout was the newest, so
+// that a later call has been executed since.
 func (p *Plan) checkBasis(call Call) *apierror.Error {
 	if call.Basis == nil || *call.Basis == p.Order {
 		return nil
 	}
-	return apierror.New(apierror.Outdated, "the newest rollout is number %d, the order rests on %d", p.Order, *call.Basis)
+	return apierror.New(apierror.Outdated, "the newest rollout is number %d, but the call was received when it was number %d", p.Order, *call.Basis)
 }
 
 // Reversal is an order to reverse a rollout.
 type Reversal struct {
-	// Version is the candidate of the rollout that is meant. Empty, as control nodes of
-	// earlier releases leave it: of whichever is under way.
+	// Version is the candidate of the rollout to reverse. If it is empty, as from control
+	// nodes of earlier releases, whichever rollout is active is reversed.
 	Version string `cbor:"1,keyasint,omitempty"`
-	// Named says that the operator named it; else it is the one that was under way when
-	// a control node took the call.
+	// Named says that the operator named the version. Otherwise it is that of the rollout
+	// that was active when a control node received the call.
 	Named bool `cbor:"2,keyasint,omitempty"`
 }
 
-// hasTaken says whether a plan names a call.
+// hasTaken reports whether a plan records a call as executed.
 func (p *Plan) hasTaken(id uint64) bool {
 	for _, t := range p.Taken {
 		if t.ID == id && id != 0 {
@@ -64,7 +65,8 @@
 	return false
 }
 
-// hasRecent says whether a plan names a recent call of which like holds.
+// hasRecent reports whether a plan records a call that matches and that its operator may
+// still send again.
 func (p *Plan) hasRecent(call Call, matches func(TakenCall) bool) bool {
 	for _, t := range p.Taken {
 		if matches(t) && call.Recent != nil && call.Recent(t.ID) {
@@ -74,17 +76,17 @@
 	return false
 }
 
-// appendTaken is the list of newest calls appendTaken one more.
+// appendTaken returns the newest executed calls with t as the last.
 func (p *Plan) appendTaken(t TakenCall) []TakenCall {
 	all := append(append([]TakenCall(nil), p.Taken...), t)
 	return all[max(0, len(all)-maxTakenCalls):]
 }
 
-// Begin works out what an order changes. The same order again changes nothing, also
-// when it has been carried out or reversed: a version that was reversed needs a new
-// name to be brought in again. Neither does a call that was taken before, nor an order
-// that its operator may still send again, whatever was ordered since. standing is the
-// version that serves where no plan says so.
+// Begin returns the changes of an order. Repeating the order of the newest rollout changes
+// nothing, even after that rollout was completed or reversed: a reversed version needs a new
+// name to be rolled out again. A call that was executed before changes nothing either, nor
+// does an order that equals a recent one, whatever was ordered since. standingVersion is the
+// version that serves now; it is the prior version of the new rollout.
 func Begin(records map[string]Record, ask Ask, standingVersion string, call Call) ([]Record, error) {
 	oldRecord, known := records[Key(ask.Service)]
 	next := &Plan{Service: ask.Service, Prior: standingVersion, Candidate: ask.Version, Order: 1,
@@ -102,7 +104,7 @@
 		case current.Candidate == ask.Version && (current.Final() || current.Within == next.Within), current.hasTaken(call.ID), resent:
 			return nil, nil
 		case !current.Final():
-			return nil, apierror.New(apierror.UnderWay, "%s is on its way to %s", ask.Service, current.Candidate)
+			return nil, apierror.New(apierror.UnderWay, "a rollout of %s to %s is active", ask.Service, current.Candidate)
 		}
 		if err := current.checkBasis(call); err != nil {
 			return nil, err
@@ -118,9 +120,9 @@
 	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
 
-// Abort works out the reversal that an operator orders. It reverses only the rollout of the
-// version that it is for. Where the operator named none, and the rollout before this one was
-// reversed so lately that the order may be that one sent again, it is left open.
+// Abort returns the changes of a reversal that an operator orders. It reverses only a rollout
+// to the given version. If the operator named no version and another rollout was reversed so
+// recently that this may be a repeat of that call, the result is MaybeRepeated.
 func Abort(records map[string]Record, service string, reversal Reversal, age time.Duration, call Call) ([]Record, error) {
 	oldRecord, known := records[Key(service)]
 	current, ok := Read(oldRecord)
@@ -143,7 +145,7 @@
 	case current.Final():
 		return nil, apierror.New(apierror.UnderWay, "the rollout of %s is complete", service)
 	case !reversal.Named && current.hasRecent(call, earlierReversal):
-		return nil, apierror.New(apierror.MaybeRepeated, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
+		return nil, apierror.New(apierror.MaybeRepeated, "the previous rollout of %s was reversed only recently; name the version to reverse", service)
 	}
 	if err := current.checkBasis(call); err != nil {
 		return nil, err
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -10,17 +10,17 @@
 // controlNodes plays owners of one service's key, each with a clock of its own, which copy
 // each other's records.
 type controlNodes struct {
-	t    *testing.T
-	have map[string]Record
-	all  []*Controller
-	now  time.Duration
-	ackS time.Duration
+	t            *testing.T
+	records      map[string]Record
+	controllers  []*Controller
+	now          time.Duration
+	resendWindow time.Duration
 }
 
 func newControlNodes(t *testing.T, n int) *controlNodes {
-	x := &controlNodes{t: t, have: map[string]Record{}, ackS: 5 * time.Second}
+	x := &controlNodes{t: t, records: map[string]Record{}, resendWindow: 5 * time.Second}
 	for range n {
-		x.all = append(x.all, NewController())
+		x.controllers = append(x.controllers, NewController())
 	}
 	return x
 }
@@ -30,54 +30,54 @@
 
 func (x *controlNodes) call(owner int, id uint64) Call {
 	return Call{ID: id, Recent: func(id uint64) bool {
-		return x.all[owner].Recent(x.clock(owner), "s", id, x.ackS)
+		return x.controllers[owner].Recent(x.clock(owner), "s", id, x.resendWindow)
 	}}
 }
 
-func (x *controlNodes) put(changes []Record) {
+func (x *controlNodes) commit(changes []Record) {
 	for _, r := range changes {
-		x.have[r.Name] = r
-		for i, c := range x.all {
+		x.records[r.Name] = r
+		for i, c := range x.controllers {
 			c.Saw(x.clock(i), r)
 		}
 	}
 }
 
 func (x *controlNodes) begin(owner int, id uint64, version string) error {
-	changes, err := Begin(x.have, Ask{"s", version, 12}, "v1", x.call(owner, id))
-	x.put(changes)
+	changes, err := Begin(x.records, Ask{"s", version, 12}, "v1", x.call(owner, id))
+	x.commit(changes)
 	return err
 }
 
 func (x *controlNodes) abort(owner int, id uint64, r Reversal) error {
-	changes, err := Abort(x.have, "s", r, 0, x.call(owner, id))
-	x.put(changes)
+	changes, err := Abort(x.records, "s", r, 0, x.call(owner, id))
+	x.commit(changes)
 	return err
 }
 
 // complete ends the rollout under way.
 func (x *controlNodes) complete() {
-	p, _ := Read(x.have[Key("s")])
+	p, _ := Read(x.records[Key("s")])
 	next := *p
 	next.Stage, next.Weight = Complete, 1
-	changes, err := Advance(x.have, p.Gen, &next)
+	changes, err := Advance(x.records, p.Gen, &next)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.put(changes)
+	x.commit(changes)
 }
 
-// stands checks which rollout is the newest, and how far it has come.
-func (x *controlNodes) stands(version string, stage Stage, order uint64) {
+// checkNewest checks which rollout is the newest, and how far it has come.
+func (x *controlNodes) checkNewest(version string, stage Stage, order uint64) {
 	x.t.Helper()
-	if p, _ := Read(x.have[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
+	if p, _ := Read(x.records[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
 		x.t.Fatalf("%s is %v as order %d, want %s, %v, %d", p.Candidate, p.Stage, p.Order, version, stage, order)
 	}
 }
 
-func (x *controlNodes) is(err error, want apierror.Kind) {
+func (x *controlNodes) checkOutcome(err error, want apierror.Kind) {
 	x.t.Helper()
-	got := taken
+	got := acknowledged
 	if err != nil {
 		got = apierror.KindOf(err)
 	}
@@ -86,12 +86,12 @@
 	}
 }
 
-// taken is the outcome of a call that is acknowledged.
-const taken apierror.Kind = -1
+// acknowledged is the outcome of a call that is acknowledged.
+const acknowledged apierror.Kind = -1
 
 // A reversal that is passed on again, by whichever node and to whichever owner, finds what
 // it has done and leaves the next rollout alone.
-func TestAReversalMeetsOnlyItsOwnRollout(t *testing.T) {
+func TestReversalAffectsOnlyItsRollout(t *testing.T) {
 	for name, passedOn := range map[string]struct {
 		reversal Reversal
 		id       uint64
@@ -103,91 +103,91 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newControlNodes(t, 2)
-			x.is(x.begin(0, 1, "v2"), taken)
-			x.is(x.abort(0, 2, Reversal{Version: "v2"}), taken)
-			x.is(x.abort(1, passedOn.id, passedOn.reversal), taken)
-			x.is(x.begin(0, 3, "v3"), taken)
-			x.is(x.abort(1, passedOn.id, passedOn.reversal), taken)
-			x.stands("v3", Shadow, 2)
+			x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
+			x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+			x.checkOutcome(x.abort(1, passedOn.id, passedOn.reversal), acknowledged)
+			x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
+			x.checkOutcome(x.abort(1, passedOn.id, passedOn.reversal), acknowledged)
+			x.checkNewest("v3", Shadow, 2)
 			x.complete()
-			x.is(x.abort(0, passedOn.id, passedOn.reversal), taken)
-			x.stands("v3", Complete, 2)
+			x.checkOutcome(x.abort(0, passedOn.id, passedOn.reversal), acknowledged)
+			x.checkNewest("v3", Complete, 2)
 		})
 	}
 }
 
 // Where an operator sends a reversal again and names no version, it can't be told from one
 // of the next rollout: it is left open for as long as he may send it again.
-func TestAReversalThatMayBeOneSentAgainIsLeftOpen(t *testing.T) {
+func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	x := newControlNodes(t, 2)
-	x.is(x.begin(0, 1, "v2"), taken)
-	x.is(x.abort(0, 2, Reversal{Version: "v2"}), taken)
-	x.is(x.begin(0, 3, "v3"), taken)
+	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
+	x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+	x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
 	x.now += 2 * time.Second
-	x.is(x.abort(1, 4, Reversal{Version: "v3"}), apierror.MaybeRepeated)
-	x.stands("v3", Shadow, 2)
-	x.is(x.abort(1, 5, Reversal{Version: "v3", Named: true}), taken)
-	x.stands("v3", Reverted, 2)
-	x.is(x.begin(1, 6, "v4"), taken)
-	x.now += x.ackS + 1
-	x.is(x.abort(0, 7, Reversal{Version: "v4"}), taken)
-	x.stands("v4", Reverted, 3)
+	x.checkOutcome(x.abort(1, 4, Reversal{Version: "v3"}), apierror.MaybeRepeated)
+	x.checkNewest("v3", Shadow, 2)
+	x.checkOutcome(x.abort(1, 5, Reversal{Version: "v3", Named: true}), acknowledged)
+	x.checkNewest("v3", Reverted, 2)
+	x.checkOutcome(x.begin(1, 6, "v4"), acknowledged)
+	x.now += x.resendWindow + 1
+	x.checkOutcome(x.abort(0, 7, Reversal{Version: "v4"}), acknowledged)
+	x.checkNewest("v4", Reverted, 3)
 }
 
 // A reversal of a version that was never reversed by an order, and is not the newest.
-func TestAReversalOfAnotherVersionIsRefused(t *testing.T) {
+func TestReversalOfOlderVersionIsRefused(t *testing.T) {
 	x := newControlNodes(t, 1)
-	x.is(x.begin(0, 1, "v2"), taken)
+	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
 	x.complete()
-	x.is(x.begin(0, 2, "v3"), taken)
-	x.is(x.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.UnderWay)
-	x.stands("v3", Shadow, 2)
+	x.checkOutcome(x.begin(0, 2, "v3"), acknowledged)
+	x.checkOutcome(x.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.UnderWay)
+	x.checkNewest("v3", Shadow, 2)
 }
 
 // An order that is passed on again, or sent again by its operator, is acknowledged and
 // begins nothing, whatever has been ordered since.
-func TestAnOrderMeetsOnlyItsOwnRollout(t *testing.T) {
+func TestRepeatedOrderStartsNoRollout(t *testing.T) {
 	for name, id := range map[string]uint64{"passed on": 1, "sent again": 9} {
 		t.Run(name, func(t *testing.T) {
 			x := newControlNodes(t, 2)
-			x.is(x.begin(0, 1, "v2"), taken)
-			x.is(x.abort(0, 2, Reversal{Version: "v2"}), taken)
-			x.is(x.begin(0, 3, "v3"), taken)
+			x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
+			x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+			x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
 			x.now += 2 * time.Second
-			x.is(x.begin(1, id, "v2"), taken)
-			x.stands("v3", Shadow, 2)
+			x.checkOutcome(x.begin(1, id, "v2"), acknowledged)
+			x.checkNewest("v3", Shadow, 2)
 			x.complete()
-			x.is(x.begin(1, id, "v2"), taken)
-			x.stands("v3", Complete, 2)
-			x.now += x.ackS // nobody sends it again any more: back to v2
-			x.is(x.begin(1, 10, "v2"), taken)
-			x.stands("v2", Shadow, 3)
+			x.checkOutcome(x.begin(1, id, "v2"), acknowledged)
+			x.checkNewest("v3", Complete, 2)
+			x.now += x.resendWindow // nobody sends it again any more: back to v2
+			x.checkOutcome(x.begin(1, 10, "v2"), acknowledged)
+			x.checkNewest("v2", Shadow, 3)
 		})
 	}
 }
 
 // The record names the newest calls only, as many as may be under way.
-func TestTheMemoryOfCallsIsBounded(t *testing.T) {
+func TestTakenCallsAreBounded(t *testing.T) {
 	x := newControlNodes(t, 1)
 	for i, versions := 0, []string{"v2", "v3"}; i < 40; i++ {
-		x.is(x.begin(0, uint64(i+1), versions[i%2]), taken)
+		x.checkOutcome(x.begin(0, uint64(i+1), versions[i%2]), acknowledged)
 		x.complete()
-		x.now += 2 * x.ackS
+		x.now += 2 * x.resendWindow
 	}
-	p, _ := Read(x.have[Key("s")])
+	p, _ := Read(x.records[Key("s")])
 	if len(p.Taken) != maxTakenCalls || p.Taken[maxTakenCalls-1].ID != 40 {
 		t.Errorf("%d calls are named: %v", len(p.Taken), p.Taken)
 	}
-	if n := len(x.have[Key("s")].Data); n > 512 {
+	if n := len(x.records[Key("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
-	if n := len(x.all[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
+	if n := len(x.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
 		t.Errorf("the controller remembers %d calls", n)
 	}
 }
 
 // An order or a reversal that waited while other rollouts were ordered is refused, however late it comes.
-func TestACallOnAnOlderRolloutIsRefused(t *testing.T) {
+func TestOutdatedCallIsRefused(t *testing.T) {
 	basis := func(number uint64) *uint64 { return &number }
 	plan := Plan{Service: "s", Prior: "v1", Candidate: "v3", Order: 2, Stage: Reverted, Taken: []TakenCall{{ID: 7, Version: "v3"}}}
 	underWay := plan
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// Controller is what a control node knows of rollouts beside their records. Of those whose
-// key it owns it takes the steps; for the others it passes on what it has heard.
+// Controller is what a control node knows of rollouts apart from their records. It decides
+// on the transitions of the rollouts whose key the node owns, and collects the gateways'
+// reports on the others for their owners.
 type Controller struct {
-	rollouts  map[string]*rolloutState
+	rollouts      map[string]*rolloutState
 	allControlled bool
 }
 
 type rolloutState struct {
-	generation   uint64        // of the record that was last shown here
-	recordSeenAt    time.Duration // and when that was
-	ageWhenSeen  time.Duration // the order's age then
-	order uint64
-	callsSeenAt map[uint64]time.Duration // calls that the record names, and when each was first seen
-
-	gatewayReports   map[string]received[Report]   // gateways that tell this control node
-	peerReports  map[string]received[Gathered] // what other control nodes have gathered
-	gathered    Gathered                   // of the present record, as last put together
-	baseline    Sums                       // of a record before
-	lastView    View                       // as last looked at, by the controller
-	pendingFrom uint64                     // the generation from which a step is under way
+	generation   uint64        // of the newest record seen here
+	recordSeenAt time.Duration // when that record was first seen
+	ageWhenSeen  time.Duration // age of the order at that time
+	order        uint64
+	callsSeenAt  map[uint64]time.Duration // by ID of the calls in the record: when each was first seen here
+
+	gatewayReports map[string]received[Report]   // by gateway that reports to this control node
+	peerReports    map[string]received[Gathered] // by control node: what it has gathered
+	gathered       Gathered                      // of the current record, as last computed
+	baseline       Sums                          // of an earlier record in which the prior arm had answers
+	lastView       View                          // of the last evaluation by the controller
+	pendingFrom    uint64                        // the generation whose transition is being committed; 0: none
 }
 
 type received[T any] struct {
-	at   time.Duration
+	at    time.Duration
 	value T
 }
 
-// NewController makes a controller that knows nothing.
-func NewController() *Controller { return &Controller{rollouts: map[string]*rolloutState{}, allControlled: true} }
+// NewController creates a controller without any rollouts.
+func NewController() *Controller {
+	return &Controller{rollouts: map[string]*rolloutState{}, allControlled: true}
+}
 
 func (c *Controller) stateOf(service string) *rolloutState {
 	state := c.rollouts[service]
@@ -45,7 +48,7 @@
 	return state
 }
 
-// Saw notes a record as it was committed here.
+// Saw records a committed record as it reaches this node.
 func (c *Controller) Saw(now time.Duration, rec Record) {
 	plan, ok := Read(rec)
 	if !ok {
@@ -61,19 +64,19 @@
 	case plan.Order != state.order:
 		state.baseline = nil
 	default:
-		age = max(age, state.age(now)) // never younger than it was here
+		age = max(age, state.age(now)) // an order never gets younger
 		if state.gathered.Gen == state.generation && state.gathered.Sums.All()[Prior].Ended > 0 {
 			state.baseline = state.gathered.Sums
 		}
 	}
 	state.generation, state.recordSeenAt, state.ageWhenSeen = plan.Gen, now, age
 	if !plan.Final() || plan.Order != state.order {
-		state.gathered = Gathered{} // what decided an order is kept to be shown
+		state.gathered = Gathered{} // the sums that decided a rollout are kept for the administration API
 	}
 	state.order = plan.Order
 }
 
-// recordCalls notes when each call that a plan names was first seen here.
+// recordCalls records when each executed call of a plan was first seen here.
 func (x *rolloutState) recordCalls(now time.Duration, p *Plan) {
 	calls := map[uint64]time.Duration{}
 	for _, t := range p.Taken {
@@ -85,65 +88,67 @@
 	x.callsSeenAt = calls
 }
 
-// Recent says whether a call that a service's plan names was first seen here less than a
-// time ago. One that was not seen yet was carried out here a moment ago.
+// Recent reports whether a call that a service's plan records was first seen here within the
+// given time. A call that was not seen yet counts as recent: its record was only just written.
 func (c *Controller) Recent(now time.Duration, service string, id uint64, within time.Duration) bool {
 	at, ok := c.stateOf(service).callsSeenAt[id]
 	return !ok || now-at <= within
 }
 
-func (x *rolloutState) age(now time.Duration) time.Duration { return x.ageWhenSeen + now - x.recordSeenAt }
+func (x *rolloutState) age(now time.Duration) time.Duration {
+	return x.ageWhenSeen + now - x.recordSeenAt
+}
 
 // Age is the age of a service's newest order.
 func (c *Controller) Age(now time.Duration, service string) time.Duration {
 	return c.stateOf(service).age(now)
 }
 
-// Gathered is what was last put together of a service's rollout.
+// Gathered returns the reports on a service's rollout as last added up here.
 func (c *Controller) Gathered(service string) Gathered { return c.stateOf(service).gathered }
 
-// View is what the controller of a service's rollout last saw.
+// View returns the view of the last evaluation of a service's rollout.
 func (c *Controller) View(service string) View { return c.stateOf(service).lastView }
 
-// Led says that every rollout under way has a controller that is heard here.
+// Led reports whether every active rollout had a known controller at the last call of Look.
 func (c *Controller) Led() bool { return c.allControlled }
 
-// Heard takes what a gateway has seen.
+// Heard stores the reports of a gateway.
 func (c *Controller) Heard(now time.Duration, from string, reports []Report) {
 	for _, r := range reports {
 		c.stateOf(r.Service).gatewayReports[from] = received[Report]{now, r}
 	}
 }
 
-// Take takes what another control node has gathered.
+// Take stores what another control node has gathered.
 func (c *Controller) Take(now time.Duration, from string, all []Gathered) {
 	for _, g := range all {
 		c.stateOf(g.Service).peerReports[from] = received[Gathered]{now, g}
 	}
 }
 
-// Move is a step that a controller has decided on.
+// Move is a transition from one plan to the next that a controller has decided on.
 type Move struct {
 	From, To *Plan
 }
 
-// Surroundings are what a controller needs to know of its node.
+// Surroundings is what a controller needs to know from its node.
 type Surroundings struct {
 	Self  string
-	Owner func(key string) string // who owns a key; empty: nobody known
-	Fresh time.Duration           // for how long word of a node counts
-	// Fill adds to a view what is known of the service's nodes, given what each node
-	// that told has under way at another version, and of its upstreams.
+	Owner func(key string) string // the node that owns a key; empty: none known
+	Fresh time.Duration           // age up to which a report counts
+	// Fill adds to a view the figures on the gateways and on the service's upstreams. told
+	// has the requests in flight to other versions, by gateway that has reported.
 	Fill func(v *View, p *Plan, told map[string]int)
 }
 
-// Look looks at the rollouts under way. It returns the steps to be taken, and for each
-// other controller what it is to be told.
+// Look evaluates the active rollouts. It returns the transitions to commit, and by control
+// node the gathered reports to send to it as the controller of their rollouts.
 func (c *Controller) Look(now time.Duration, services map[string]Service, surroundings Surroundings) (moves []Move, tell map[string][]Gathered) {
 	c.allControlled, tell = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
-		v := services[name]
-		plan := v.Active()
+		service := services[name]
+		plan := service.Active()
 		if plan == nil {
 			continue
 		}
@@ -180,10 +185,10 @@
 	return moves, tell
 }
 
-// Moved notes that a step has been taken, or was lost.
+// Moved records that the commit of a transition has ended, with success or without.
 func (c *Controller) Moved(m Move) { c.stateOf(m.From.Service).pendingFrom = 0 }
 
-// pruneExpired forgets what was heard too long ago and gives the rest.
+// pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
 	out := map[string]T{}
 	for id, h := range entries {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,36 +6,38 @@
 	"time"
 )
 
-// View is what a controller knows when it looks at its rollout.
+// View is the state of a rollout when its controller evaluates it.
 type View struct {
 	Age   time.Duration // of the order
-	Stage time.Duration // since the present record was written
-	// Sums of the nodes that have the present record in force, and of the record
-	// before.
+	Stage time.Duration // time since the current record was first seen here
+	// Sums are of the gateways that have the current record in force; Base are of an
+	// earlier record.
 	Sums, Base Sums
-	// Live nodes carry traffic; Heard of them have told that the present record is in
-	// force there, Busy requests under way there go to another version, and Braked
-	// have put their own brake on.
+	// Live is the number of gateways that carry traffic, Heard the number of these that
+	// have reported the current record as in force, Busy the number of requests in flight
+	// there to other versions, and Braked the number of gateways that have stopped the
+	// candidate by themselves. Brake is the reason that one of the latter gave.
 	Live, Heard, Busy, Braked int
 	Brake                     string
-	// Slots of the candidate's upstreams that are warm, of all of them, and of the
-	// version that stands; Load is how many requests the service has under way.
+	// Warm is the number of slots of the candidate's warm upstreams, Slots that of all its
+	// upstreams, and Standing that of the version that serves without a weight. Load is the
+	// number of requests that the service has in flight.
 	Warm, Slots, Standing float64
 	Load                  float64
-	// ExposureShare is the part of the requests of the order's time that a bad version
+	// ExposureShare is the share of the requests during the order's time that a bad version
 	// may get.
 	ExposureShare float64
 }
 
-// A step is what the weight is, and the part of the order's time that it is kept at
-// least. The weights are the paper's. So that a candidate that turns bad at any step has
-// had less than its share of requests when it is stopped, weight x time has to stay
-// well below exposureShare until the weight is full.
+// A step is a weight with the conditions for leaving it. The weights are those of the
+// published design. The sum of weight times duration has to stay well below exposureShare
+// until the weight is full, so that a candidate that turns bad at any step has had less
+// than that share of the requests when it is stopped.
 type step struct {
-	stage  Stage
-	weight float64
-	minDurationShare   float64
-	minAnswers uint64 // answers of the candidate to be seen
+	stage            Stage
+	weight           float64
+	minDurationShare float64 // of the order's time that the step lasts at least
+	minAnswers       uint64  // scored answers of the candidate
 }
 
 var steps = []step{
@@ -48,15 +50,15 @@
 }
 
 const (
-	maxWarmUtilization       = 0.75 // of a candidate's warm slots may be filled
-	minWarmShare     = 0.8  // a candidate with so much of the slots of what stands may be full whatever the load
-	minEndedShare   = 0.5  // of the candidate's requests must have ended before it is promoted
-	minReportingShare  = 0.8  // of the nodes must have told
-	maxWaitFactor = 4    // a step lasts no longer than so many times its part for want of answers
-	maxMinDuration    = 60 * time.Second
+	maxWarmUtilization = 0.75 // of the candidate's warm slots, for the requests that it would get
+	minWarmShare       = 0.8  // of the other version's slots, times the weight, that must be warm where the load is 0
+	minEndedShare      = 0.5  // of the candidate's requests must have ended before the next step
+	minReportingShare  = 0.8  // of the gateways must have reported
+	maxWaitFactor      = 4    // a step waits for answers no longer than so many times its minimum duration
+	maxMinDuration     = 60 * time.Second
 )
 
-// Step is the number of the stepIndex that a plan has reached.
+// stepIndex is the index in steps of a plan's stage and weight.
 func (p *Plan) stepIndex() int {
 	for i, s := range steps {
 		if s.stage == p.Stage && s.weight == p.Weight {
@@ -66,8 +68,8 @@
 	return 0
 }
 
-// Next is the gate: it gives the next record of a plan, or nil as long as the present
-// one stays.
+// Next is the gate: it returns the next state of a plan, or nil while the current one
+// remains.
 func Next(plan *Plan, view View) *Plan {
 	if plan.Final() {
 		return nil
@@ -76,8 +78,8 @@
 		return plan.reverse(reason, view.Age)
 	}
 	current := steps[plan.stepIndex()]
-	// A step of a rollout that may take days is not kept for a part of days: the
-	// paper's hours are for people to look, and people look at the status.
+	// The minimum has an upper bound, since an order may allow days. The published design
+	// has hours, in which people look at the candidate; here they look at the status.
 	minDuration := min(time.Duration(current.minDurationShare*float64(plan.Within)), maxMinDuration)
 	if view.Stage < minDuration || view.Live == 0 || float64(view.Heard) < minReportingShare*float64(view.Live) {
 		return nil
@@ -91,10 +93,10 @@
 	next := *plan
 	next.Age = view.Age
 	if current.stage == Full {
-		// Nothing may be on its way to the prior version any more: it stops at once.
+		// The prior version stops at once on completion, so no request to it may be in flight.
 		if view.Heard < view.Live || view.Busy > 0 {
 			if view.Braked > 0 && view.Stage > 2*minDuration {
-				return &next // the record again: a single brake that nothing bears out is let go
+				return &next // a new generation of the same step clears a stop by one gateway that the sums do not confirm
 			}
 			return nil
 		}
@@ -109,39 +111,39 @@
 	return &next
 }
 
-// hasCapacity says whether the candidate can bear a weight.
+// hasCapacity reports whether the candidate's upstreams can serve the weight of a step.
 func hasCapacity(target step, view View) bool {
 	switch {
 	case view.Slots <= 0:
 		return false
 	case target.stage == Canary:
-		return true // cold upstreams are paced; what they cannot take goes to the prior version
+		return true // cold upstreams are rate-limited; requests beyond that go to the prior version
 	case target.weight*view.Load > maxWarmUtilization*view.Warm:
 		return false
 	}
 	return view.Load > 0 || view.Warm >= minWarmShare*target.weight*view.Standing
 }
 
-// reversalReason says why a rollout is to be reversed; empty: it is not.
+// reversalReason is the reason to reverse a rollout; empty: there is none.
 func reversalReason(view View) string {
 	if reason := Overall.Judge(view.Sums, view.Base); reason != "" {
 		return reason
 	}
-	// One node may be wrong about a candidate, two are not.
+	// A single gateway may misjudge a candidate; two are believed.
 	if view.Braked >= min(2, view.Live) && view.Braked > 0 {
-		return fmt.Sprintf("%d nodes have stopped it: %s", view.Braked, view.Brake)
+		return fmt.Sprintf("%d gateways have stopped the candidate: %s", view.Braked, view.Brake)
 	}
 	return ""
 }
 
-// Gathered puts together what has been heard of one rollout.
+// Gathered is the sum of the reports of several gateways on one rollout.
 type Gathered struct {
 	Report
-	Nodes  map[string]int `cbor:"6,keyasint,omitempty"` // node -> requests at another version
-	Braked int            `cbor:"7,keyasint,omitempty"` // nodes with their brake on
+	Nodes  map[string]int `cbor:"6,keyasint,omitempty"` // by gateway: requests in flight to other versions
+	Braked int            `cbor:"7,keyasint,omitempty"` // gateways that have stopped the candidate by themselves
 }
 
-// Gather adds up reports on one version of a plan.
+// Gather adds up the reports, by gateway, on one generation of a plan.
 func Gather(service string, gen uint64, reports map[string]Report) Gathered {
 	gathered := Gathered{Report: Report{Service: service, Gen: gen, Sums: Sums{}}, Nodes: map[string]int{}}
 	for node, r := range reports {
@@ -158,7 +160,7 @@
 	return gathered
 }
 
-// Add adds what another has gathered of other nodes.
+// Add adds the reports of other gateways that another control node has gathered.
 func (g *Gathered) Add(other Gathered) {
 	g.Sums.Add(other.Sums)
 	g.Braked += other.Braked
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,10 +1,11 @@
-// Package rollout moves a service's traffic from one version of its upstreams to
-// another through four stages: shadow, canary, percentage, full. The owner of the
-// key of a service is the controller of its rollout (Next); every gateway splits the
-// requests of the service between the two arms, scores both, and stops giving the
-// candidate anything by itself when that turns bad (Arms).
+// Package rollout moves a service's traffic from one version of its upstreams, the prior
+// version, to another, the candidate, through four stages: shadow, canary, percentage, full.
+// The control node that owns the key of a service is the controller of its rollout and
+// decides on each stage (Controller, Next). Every gateway splits the requests of the service
+// between the two arms, scores the answers of both, and by itself stops sending requests to
+// a candidate that turns bad (Arms).
 //
-// Nothing here does input or output; time is handed in.
+// The package does no I/O and reads no clock; callers pass the time in.
 package rollout
 
 import (
@@ -22,21 +23,21 @@
 	"madderwing/internal/settings"
 )
 
-// Record is the form in which plans are kept and copied.
+// Record is the form in which plans are stored and replicated.
 type Record = antientropy.Record
 
-// Prefix begins the keys of rollouts, one a service, and the name of the one record
-// under each.
+// Prefix begins the keys of rollouts, one for each service. Each key has one record, whose
+// name is the key.
 const Prefix = "rollout/"
 
-// StandingPrefix begins the names of the records, under the key of the catalogue,
-// that hold the version that a service had before anybody ordered another.
+// StandingPrefix begins the names of the records of type Standing. They are under the key
+// of the catalogue.
 const StandingPrefix = "standing/"
 
 // Key is the key of a service's rollout.
 func Key(service string) string { return Prefix + service }
 
-// Stage is how far a rollout has come. It only goes forward.
+// Stage is the stage of a rollout. It only advances. The numbers are stored in records.
 type Stage int
 
 // The stages.
@@ -53,30 +54,31 @@
 	return [...]string{"shadow", "canary", "percentage", "full", "complete", "reverted"}[s]
 }
 
-// Plan is one order to bring a version in, and how far that has come.
+// Plan is an order to move a service to a version, and the progress of that rollout.
 type Plan struct {
 	Service   string        `cbor:"1,keyasint"`
-	Prior     string        `cbor:"2,keyasint,omitempty"` // empty: whatever is not the candidate
+	Prior     string        `cbor:"2,keyasint,omitempty"` // empty: every version but the candidate
 	Candidate string        `cbor:"3,keyasint"`
-	Within    time.Duration `cbor:"4,keyasint"`
-	Order     uint64        `cbor:"5,keyasint"` // counts the orders for the service
+	Within    time.Duration `cbor:"4,keyasint"` // time allowed for the rollout
+	Order     uint64        `cbor:"5,keyasint"` // number of the order among those for the service
 	Stage     Stage         `cbor:"6,keyasint,omitempty"`
 	Weight    float64       `cbor:"7,keyasint,omitempty"` // share of requests for the candidate
-	// Age of the order when this was written. Whoever goes on adds the time since it
-	// saw this, so a takeover never makes an order younger than it was.
+	// Age of the order when the record was written. A new controller adds the time since it
+	// first saw the record, so a takeover never makes an order younger.
 	Age    time.Duration `cbor:"8,keyasint,omitempty"`
 	Reason string        `cbor:"9,keyasint,omitempty"` // of a reversal
-	// Taken names the newest calls for the service that were carried out, also those for
-	// earlier rollouts.
+	// Taken has the newest executed calls for the service, including those for earlier
+	// rollouts, so that their repeats are recognised.
 	Taken []TakenCall `cbor:"10,keyasint,omitempty"`
-	// Gen is the generation of the record; it is not part of its data.
+	// Gen is the generation of the record. It is not part of the record's data.
 	Gen uint64 `cbor:"-"`
 }
 
-// Final says that the order has been carried out or reversed.
+// Final reports whether the rollout was completed or reversed.
 func (p *Plan) Final() bool { return p.Stage >= Complete }
 
-// Standing is the version that serves without any weight.
+// Standing is the version that gets all requests that no weight assigns to a candidate: the
+// prior version, or the candidate once the rollout is complete.
 func (p *Plan) Standing() string {
 	if p.Stage == Complete {
 		return p.Candidate
@@ -84,7 +86,7 @@
 	return p.Prior
 }
 
-// State is the stage in the words of the operator's interface.
+// State is the state as the administration API shows it.
 func (p *Plan) State() string {
 	if p.Final() {
 		return p.Stage.String()
@@ -92,7 +94,7 @@
 	return "serving"
 }
 
-// Read reads a plan from its record.
+// Read decodes a plan from its record; false: the record was dropped or is malformed.
 func Read(r Record) (*Plan, bool) {
 	p := &Plan{}
 	if r.Dropped || cbor.Unmarshal(r.Data, p) != nil {
@@ -110,7 +112,7 @@
 	return Record{Name: Key(p.Service), Gen: gen, Data: b}
 }
 
-// Ask is an order as the operator gives it.
+// Ask is an operator's order as the administration API receives it.
 type Ask struct {
 	Service string  `json:"target" cbor:"1,keyasint"`
 	Version string  `json:"targetVersion" cbor:"2,keyasint"`
@@ -122,7 +124,7 @@
 
 var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompile("rollout.json", schemaText) })
 
-// ReadAsk reads and checks an order by itself.
+// ReadAsk parses an order and validates it against the schema.
 func ReadAsk(body []byte) (a Ask, err error) {
 	if err := settings.Validate(schema(), body); err != nil {
 		return a, apierror.New(apierror.BadOrder, "%v", err)
@@ -133,13 +135,13 @@
 	return a, nil
 }
 
-// Advance works out the record of the next stage, if the record is still the one
-// that next was worked out from.
+// Advance returns the record of the plan next. The result is a conflict if the stored record
+// is not of the generation from which next was computed.
 func Advance(records map[string]Record, expectedGeneration uint64, next *Plan) ([]Record, error) {
 	oldRecord := records[Key(next.Service)]
 	current, ok := Read(oldRecord)
 	if !ok || oldRecord.Gen != expectedGeneration || current.Final() || next.Stage < current.Stage || next.Order != current.Order {
-		return nil, apierror.New(apierror.Conflict, "the rollout of %s has gone on", next.Service)
+		return nil, apierror.New(apierror.Conflict, "the rollout of %s has changed in the meantime", next.Service)
 	}
 	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
@@ -150,21 +152,21 @@
 	return &next
 }
 
-// Standing is the version of a service that no order has brought in. After is the
-// generation of the plan that it overrules: 0 for the first version ever seen, more
-// where the upstreams of the version that stood have all gone without an order.
+// Standing is a version that serves without an order. After is the generation of the plan
+// that it supersedes: 0 for the first version of a service, more if all upstreams of the
+// version that served were replaced without an order.
 type Standing struct {
 	Version string `cbor:"1,keyasint"`
 	After   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ReadStanding reads the record of a standing version.
+// ReadStanding decodes a Standing from its record.
 func ReadStanding(r Record) (s Standing, ok bool) {
 	return s, !r.Dropped && cbor.Unmarshal(r.Data, &s) == nil
 }
 
-// Adopt works out the records of standing versions. One that has changed since the
-// caller looked stays as it is.
+// Adopt returns the records that store versions, by service. A service whose record no longer
+// has the expected generation is left out.
 func Adopt(records map[string]Record, versions map[string]Standing, expectedGenerations map[string]uint64) (out []Record) {
 	for service, s := range versions {
 		name := StandingPrefix + service
@@ -180,13 +182,13 @@
 	return out
 }
 
-// Service is what is known of the versions of a service.
+// Service holds the records on the versions of a service.
 type Service struct {
 	Plan     *Plan    // nil: no order yet
-	Standing Standing // Version is empty as long as none was seen
+	Standing Standing // Version is empty until one was seen
 }
 
-// Serves is the version that serves without a weight; empty: not known.
+// Serves is the version that serves without a weight; empty: unknown.
 func (s Service) Serves() string {
 	if !s.Ordered() {
 		return s.Standing.Version
@@ -194,12 +196,12 @@
 	return s.Plan.Standing()
 }
 
-// Ordered says that the version that serves is the outcome of an order.
+// Ordered reports whether the version that serves is the result of an order.
 func (s Service) Ordered() bool {
 	return s.Plan != nil && !(s.Plan.Final() && s.Standing.After >= s.Plan.Gen)
 }
 
-// Active is the plan that is under way, or nil.
+// Active returns the plan unless it is final; otherwise nil.
 func (s Service) Active() *Plan {
 	if s.Plan == nil || s.Plan.Final() {
 		return nil
@@ -207,12 +209,12 @@
 	return s.Plan
 }
 
-// Names says whether a record of this name says something of versions.
+// Names reports whether a record of this name holds a Plan or a Standing.
 func Names(record string) bool {
 	return strings.HasPrefix(record, Prefix) || strings.HasPrefix(record, StandingPrefix)
 }
 
-// Services reads what records say of versions.
+// Services decodes the records on versions, by service.
 func Services(records map[string]Record) map[string]Service {
 	services := map[string]Service{}
 	for name, r := range records {
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -9,18 +9,18 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Outcome is how one sending of a request went, as scores see it.
+// Outcome is the outcome of one attempt to send a request, as far as scoring needs it.
 type Outcome int
 
-// The outcomes. Unscored is what says nothing of the version: the request was not
-// sent, was turned away without running, or its client left.
+// The outcomes. Unscored says nothing about the version: the request was not sent, was
+// rejected without being executed, or its client closed the connection.
 const (
 	Passed  Outcome = iota
-	Errored         // the upstream answered with an error of its own
-	Broke           // it broke off, or what it sent was no answer
+	Errored         // the upstream itself answered with an error
+	Broke           // the connection broke, or the answer was malformed
 	TooLate         // no answer by the deadline
 	Unscored
-	failureKinds = 3
+	failureKinds = 3 // Errored, Broke, TooLate
 )
 
 // Arm is one side of a rollout.
@@ -32,8 +32,8 @@
 	Candidate
 )
 
-// Buckets bounds the strata that are told apart in scores, whatever the number of
-// routes: a stratum falls into one by its name.
+// Buckets is the number of buckets into which the scores of all strata are hashed by name,
+// so that the size of a report does not grow with the number of routes.
 const Buckets = 16
 
 // latencyBins is the number of latencyBins of latencies; each is wider than the one before by the
@@ -47,20 +47,22 @@
 	return min(latencyBins-1, 1+int(2*math.Log2(elapsed.Seconds()/0.01)))
 }
 
-// Cell sums up the answers of one arm in one stratum. Cells add up, in any order.
+// Cell has the counts of the answers of one arm in one bucket of strata. The sum of several
+// cells does not depend on their order.
 type Cell struct {
-	Begun uint64            `cbor:"1,keyasint,omitempty"`
-	Ended uint64            `cbor:"2,keyasint,omitempty"` // with a score
-	Fails [failureKinds]uint64 `cbor:"3,keyasint"`
-	// Of answers of upstreams that are not cold: the score of their time, from 1 at
-	// once down to 0 at four times the aim, and the bins that they fall into.
+	Begun uint64               `cbor:"1,keyasint,omitempty"`
+	Ended uint64               `cbor:"2,keyasint,omitempty"` // with an outcome other than Unscored
+	Fails [failureKinds]uint64 `cbor:"3,keyasint"`           // by outcome, from Errored on
+	// Of the answers of upstreams that are not cold: their number, the sums of their latency
+	// scores and of the squares of these, and their number in each bin of the latency
+	// histogram. The score falls from 1 at no latency to 0 at four times the latency target.
 	N    uint64   `cbor:"4,keyasint,omitempty"`
 	Sum  float64  `cbor:"5,keyasint,omitempty"`
 	Sq   float64  `cbor:"6,keyasint,omitempty"`
 	Hist []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Failed counts the answers that were none.
+// Failed is the number of failures of all kinds.
 func (c *Cell) Failed() (n uint64) {
 	for _, f := range c.Fails {
 		n += f
@@ -68,7 +70,7 @@
 	return n
 }
 
-// zeroScoreFactor is the time, in aims, at which the score of an answer's time is 0.
+// zeroScoreFactor times the latency target is the latency from which on the score is 0.
 const zeroScoreFactor = 4
 
 func (c *Cell) record(outcome Outcome, elapsed, latencyTarget time.Duration, cold bool) {
@@ -96,7 +98,7 @@
 	c.Hist[bin]++
 }
 
-// Tail is the time that at most a hundredth of the answers took longer than.
+// Tail is an upper bound of the 99th percentile of the latencies: the end of its bin.
 func (c *Cell) Tail() time.Duration {
 	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tailBin())/2))
 }
@@ -119,7 +121,7 @@
 	}
 }
 
-// countBeyond is the share of answers in bins after b.
+// countBeyond is the number of answers in the bins after bin.
 func (c *Cell) countBeyond(bin int) (n uint64) {
 	for i := bin + 1; i < len(c.Hist); i++ {
 		n += c.Hist[i]
@@ -137,10 +139,10 @@
 	return latencyBins - 1
 }
 
-// Pair is the two arms of one stratum.
+// Pair is the cells of the two arms, by Arm.
 type Pair [2]Cell
 
-// Sums are the cells of a rollout, by bucket.
+// Sums is the cells of a rollout, by bucket of strata.
 type Sums map[uint8]Pair
 
 // Add adds other sums.
@@ -148,7 +150,7 @@
 	for bucket, p := range other {
 		have := s[bucket]
 		for arm := range have {
-			// The bins are copied: sums that were added up share nothing.
+			// A new cell is made, so that the sums share no histogram with their addends.
 			sum := Cell{}
 			sum.Add(have[arm])
 			sum.Add(p[arm])
@@ -167,7 +169,7 @@
 	return all
 }
 
-// bucketOf is where a stratum falls.
+// bucketOf is the bucket of a stratum.
 func bucketOf(stratum string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(stratum))
@@ -175,35 +177,38 @@
 	return uint8((v ^ v>>16) % Buckets)
 }
 
-// Criterion is when a candidate is bad. It is fixed before any traffic flips.
+// Criterion is the condition for a candidate to count as bad. It is fixed before any traffic
+// moves.
 type Criterion struct {
-	Alpha float64 // for one look at one stratum
-	Min   uint64  // bad answers, or answers where times are compared, from which on it counts
-	// Alone is the share of failures at which a candidate is bad where there is
-	// nothing to compare it with.
+	Alpha float64 // significance level of one test of one bucket of strata
+	Min   uint64  // failures, or answers where latencies are compared, below which nothing is tested
+	// Alone is the share of failures at which a candidate is bad where the prior arm has
+	// too few answers for a comparison.
 	Alone float64
 }
 
 const (
-	minEffect  = 0.05 // a drop below this is none (the paper's floor)
-	minTailExcess = 0.05 // share of a candidate's answers beyond the tail of the prior's that fails the gate
-	// tailMarginBins is how many bins beyond the prior's p99 count as its tail: one bin is a
-	// factor of 1.41, the first that is no less than the paper's 1.3.
+	minEffect     = 0.05 // differences below this are ignored (the minimum of the published design)
+	minTailExcess = 0.05 // excess share of the candidate's answers in the prior's tail at which the candidate is bad
+	// tailMarginBins is how many bins beyond the bin of the prior's p99 the tail begins. One bin is
+	// a factor of 1.41, the smallest that is not below the 1.3 of the published design.
 	tailMarginBins = 1
 )
 
-// The criteria. The paper looks once, at p < 0.05; here the sums are looked at
-// several times a second in up to sixteen strata, so each look has its part of that.
+// The criteria. The published design tests once, at p < 0.05. Here the sums are tested
+// several times a second in up to sixteen buckets of strata, so each test has a fraction of
+// that significance level.
 var (
-	// Overall is the controller's.
+	// Overall is for the sums of all gateways at the controller.
 	Overall = Criterion{Alpha: 0.05 / 500, Min: 8, Alone: 0.25}
-	// Local is a node's own, for its brake.
+	// Local is for a gateway that stops the candidate by itself.
 	Local = Criterion{Alpha: 0.05 / 5000, Min: 5, Alone: 0.4}
 )
 
-// Judge compares the arms, all strata together and one by one, and says what is wrong
-// with the candidate; empty: nothing that is certain. Where the prior arm has too few
-// answers, as at full weight, base stands in for it: the sums of a stage before.
+// Judge compares the arms, in all strata together and in each bucket, and returns what is
+// wrong with the candidate; empty: nothing significant. Where the prior arm has far fewer
+// answers than the candidate, as at full weight, its answers in baseline, the sums of an
+// earlier stage, are added.
 func (c Criterion) Judge(sums, baseline Sums) string {
 	all := sums.All()
 	if reason := c.judgePair(all, baseline.All()); reason != "" {
@@ -211,7 +216,7 @@
 	}
 	for bucket, p := range sums {
 		if why := c.judgePair(p, baseline[bucket]); why != "" {
-			return fmt.Sprintf("%s (stratum %d)", why, bucket)
+			return fmt.Sprintf("%s (bucket %d of the strata)", why, bucket)
 		}
 	}
 	return ""
@@ -221,11 +226,12 @@
 	prior, candidate := pair[Prior], pair[Candidate]
 	usesBaseline := prior.Ended < candidate.Ended/8
 	if usesBaseline {
-		// What goes wrong everywhere now did perhaps not then, so more is asked for.
+		// An error that both versions have now may not have occurred at the time of the
+		// baseline, so larger differences are required.
 		prior.Add(baseline[Prior])
 	}
-	// A kind of failure that only the candidate has, or has more often: the test of
-	// proportions, for each kind and for all.
+	// Failures that the candidate has more often than the prior arm: the test of
+	// proportions, for all kinds together and for each.
 	candidateCounts := append([]uint64{candidate.Failed()}, candidate.Fails[:]...)
 	priorCounts := append([]uint64{prior.Failed()}, prior.Fails[:]...)
 	for i, failures := range candidateCounts {
@@ -252,13 +258,13 @@
 	if candidate.N < c.Min || prior.N < c.Min*4 {
 		return ""
 	}
-	// The mean of the scores of times.
+	// The mean of the latency scores.
 	if scoreDrop := prior.Sum/float64(prior.N) - candidate.Sum/float64(candidate.N); scoreDrop >= minEffect && !usesBaseline {
 		if welchPValue(candidate, prior) < c.Alpha {
-			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", scoreDrop, candidate.N)
+			return fmt.Sprintf("answers take longer: mean latency score lower by %.2f over %d answers", scoreDrop, candidate.N)
 		}
 	}
-	// The tail.
+	// The tail of the latencies.
 	if prior.N >= 50 {
 		lastBin := prior.tailBin() + tailMarginBins
 		candidateLate, usual := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
@@ -276,7 +282,8 @@
 
 var failureNames = [failureKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
 
-// proportionsPValue is the p of the two-proportion z-test that a of n is no more than b of m.
+// proportionsPValue is the p-value of the one-sided two-proportion z-test. The null hypothesis is
+// that the proportion a/n is not above b/m.
 func proportionsPValue(a, n, b, m uint64) float64 {
 	if n == 0 || m == 0 {
 		return 1
@@ -290,7 +297,8 @@
 	return distuv.UnitNormal.Survival((pa - pb) / se)
 }
 
-// welchPValue is the p of Welch's t-test that the mean of a is no lower than that of b.
+// welchPValue is the p-value of the one-sided Welch's t-test. The null hypothesis is that the
+// mean score of a is not below that of b.
 func welchPValue(a, b Cell) float64 {
 	if a.N < 2 || b.N < 2 {
 		return 1
