--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// put puts a value into a cell. One that was put before gets its first revision again,
-// whatever it was conditioned on and whatever was put since.
+// put writes a value to a cell. A value that the cell already has, or had according to the
+// history, counts as a repeat: the answer has its first revision, whatever revision the call
+// expects and whatever was put since.
 func (p *Partition) put(now time.Duration, call Call) (Answer, []Record) {
 	groupName := GroupOf(call.Name)
-	cell := p.cells[call.Name] // revision 0 if there is none
+	cell := p.cells[call.Name] // revision 0 if the cell does not exist
 	if revision, repeated := p.earlierRevision(call, cell); repeated {
 		return Answer{Status: OK, Revision: revision}, nil
 	}
@@ -36,7 +37,7 @@
 	return Answer{Status: OK, Revision: next}, []Record{cellChange, eventChange}
 }
 
-// earlierRevision gives the revision of a put that was carried out before.
+// earlierRevision returns the revision of a put that was executed before.
 func (p *Partition) earlierRevision(call Call, cell cellRecord) (uint64, bool) {
 	if cell.Revision > 0 && cell.Value == call.Value {
 		return cell.Revision, true
@@ -63,7 +64,7 @@
 	})
 }
 
-// SweepDue says whether Sweep has anything to erase.
+// SweepDue reports whether Sweep has anything to erase.
 func (p *Partition) SweepDue(now time.Duration) bool {
 	for _, l := range p.locks {
 		if now >= l.leaseEnd {
@@ -78,8 +79,8 @@
 	return false
 }
 
-// Sweep gives the changes that erase locks whose lease has ended and history that is old
-// enough; none if there is nothing to erase.
+// Sweep removes the locks whose lease has ended and the events that are older than the
+// history limit. It returns the changes, none if there is nothing to remove.
 func (p *Partition) Sweep(now time.Duration) []Record {
 	var changes []Record
 	for name, l := range p.locks {
@@ -112,12 +113,12 @@
 	return append(changes, encode(groupPrefix+name, groupRecord{Oldest: g.oldest}))
 }
 
-// Counts are the sizes of a partition.
+// Counts has the number of items of a partition and their size in bytes.
 type Counts struct {
 	Locks, Counters, Cells, Groups, Events, Bytes int
 }
 
-// Counts tells how much the partition holds.
+// Counts returns the number of items in the partition and their size.
 func (p *Partition) Counts() Counts {
 	c := Counts{Locks: len(p.locks), Counters: len(p.counters), Cells: len(p.cells), Groups: len(p.groups), Bytes: p.totalBytes}
 	for _, g := range p.groups {
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -7,35 +7,35 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Event is a put as watches show it.
+// Event is a put as watches report it.
 type Event struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Feed is the history of the groups of one partition, as far as a replica knows it to be
-// committed. Every replica keeps one.
+// Feed is the history of the groups of one partition, as far as this replica knows it as
+// committed. Every replica has one for each partition.
 type Feed struct {
 	groups map[string]*feedGroup
 }
 
 type feedGroup struct {
-	revision uint64
-	oldest   uint64
-	events   map[uint64]eventRecord
+	revision uint64                 // newest
+	oldest   uint64                 // below it the history is erased
+	events   map[uint64]eventRecord // by revision
 }
 
-// ErrCompacted says that a part of the history that was asked for was erased.
+// ErrCompacted is returned if a part of the requested history was erased.
 var ErrCompacted = errors.New("the history after that revision is no longer kept")
 
-// maxEvents and maxEventBytes bound the events in one answer.
+// maxEvents and maxEventBytes limit the events in one answer.
 const (
 	maxEvents     = 1024
 	maxEventBytes = 256 << 10
 )
 
-// NewFeed makes the feed of a partition from its committed records.
+// NewFeed creates the feed of a partition from its committed records.
 func NewFeed(records map[string]Record) *Feed {
 	f := &Feed{groups: map[string]*feedGroup{}}
 	for _, r := range records {
@@ -44,8 +44,8 @@
 	return f
 }
 
-// Apply takes in the records of a partition that have been committed since, and names the
-// groups with new puts.
+// Apply applies newly committed records of the partition and returns the groups with new
+// puts.
 func (f *Feed) Apply(records []Record) (groups []string) {
 	changed := map[string]bool{}
 	for _, r := range records {
@@ -59,7 +59,7 @@
 	return groups
 }
 
-// applyRecord takes in one record and gives the group that it is a put of, if it is one.
+// applyRecord applies one record. If it is that of a cell, the result is the cell's group.
 func (f *Feed) applyRecord(r Record) string {
 	switch {
 	case r.Erased:
@@ -95,8 +95,8 @@
 	return g
 }
 
-// compact drops the events below a revision, whose records were erased with the step that
-// says so.
+// compact drops the events below a revision. Their records were erased in the same commit that
+// changed the group's record.
 func (g *feedGroup) compact(oldest uint64) {
 	for ; g.oldest < oldest && len(g.events) > 0; g.oldest++ {
 		delete(g.events, g.oldest)
@@ -112,8 +112,8 @@
 	return 0
 }
 
-// Since gives the puts of a group above a revision, in order, and the revision up to
-// which they are complete, which is never below the one asked for.
+// Since returns the puts of a group after a revision, in order, and the revision up to which
+// they are complete, which is never below after.
 func (f *Feed) Since(group string, after uint64) ([]Event, uint64, error) {
 	history := f.groups[group]
 	if history == nil || after >= history.revision {
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// acquire gives a lock that is free, or whose lease has ended, under a new fencing token.
-// Its holder gets the token that it has, and more time.
+// acquire grants a lock that is free, or whose lease has ended, with a new fencing token. If
+// the caller holds the lock already, it keeps its token and the lease is extended.
 func (p *Partition) acquire(now time.Duration, call Call) (Answer, []Record) {
 	current := p.locks[call.Name]
 	if current != nil && current.Owner == call.Owner {
@@ -25,8 +25,8 @@
 	return Answer{Status: OK, Fence: record.Fence}, []Record{change, p.encodeHead()}
 }
 
-// renew gives more time to a holder that shows its token. A lease that has ended goes on if
-// nobody has taken the lock since.
+// renew extends the lease of a holder that presents its token. A lease that has ended can
+// still be extended while nobody else has acquired the lock and it has not been swept.
 func (p *Partition) renew(now time.Duration, call Call) (Answer, []Record) {
 	current := p.locks[call.Name]
 	if current == nil || current.Owner != call.Owner || current.Fence != call.Fence {
@@ -35,8 +35,9 @@
 	return p.extend(now, current, call)
 }
 
-// extend lets a lease run for at least the time that is asked for from now on. Only a
-// longer hold than the recorded one is written: a later owner counts every lease as whole.
+// extend lets a lease run for at least the requested time from now on. Only a longer hold
+// than the recorded one is written, because a later owner of the partition starts every lease
+// anew at its full length.
 func (p *Partition) extend(now time.Duration, current *lock, call Call) (Answer, []Record) {
 	current.leaseEnd = max(current.leaseEnd, now+call.Hold)
 	answer := Answer{Status: OK, Fence: current.Fence}
@@ -47,7 +48,7 @@
 	return answer, []Record{encode(lockPrefix+call.Name, current.lockRecord)}
 }
 
-// release gives a lock back. A call that does not come from its holder changes nothing.
+// release frees a lock. A call that is not from its holder changes nothing.
 func (p *Partition) release(call Call) (Answer, []Record) {
 	current := p.locks[call.Name]
 	if current == nil || current.Owner != call.Owner || current.Fence != call.Fence {
@@ -57,7 +58,7 @@
 	return Answer{Status: OK}, []Record{erasure(lockPrefix + call.Name)}
 }
 
-// draw gives the next number of a counter.
+// draw increments a counter and returns its new value.
 func (p *Partition) draw(call Call) (Answer, []Record) {
 	next := p.counters[call.Name] + 1
 	change := encode(counterPrefix+call.Name, counterRecord{Value: next})
@@ -74,10 +75,10 @@
 	Owner string
 	Fence uint64
 	Hold  time.Duration
-	Left  time.Duration // of the lease; not positive: it has ended
+	Left  time.Duration // until the lease ends; zero or negative: it has ended
 }
 
-// Locks lists the locks that are held.
+// Locks lists the locks that are held, or were not acquired again since their lease ended.
 func (p *Partition) Locks(now time.Duration) (out []Lock) {
 	for name, l := range p.locks {
 		out = append(out, Lock{Name: name, Owner: l.Owner, Fence: l.Fence, Hold: l.Hold, Left: l.leaseEnd - now})
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -13,43 +13,43 @@
 // history is what all callers of a run did and were told.
 type history struct {
 	*simulation
-	leases   map[string][]*heldLease // by lock
-	numbers []drawnNumber
-	puts    []*putCall
-	reads   []readCall
+	leases     map[string][]*heldLease // by lock
+	numbers    []drawnNumber
+	puts       []*putCall
+	reads      []readCall
 	mismatches []mismatch
 	watched    []watchAnswer
-	answers int
+	answers    int
 }
 
 // heldLease is the time in which a caller counts itself holder of a lock, by its own count.
 type heldLease struct {
 	owner      string
 	fence      uint64
-	sentAt       time.Duration // the call that took it
+	sentAt     time.Duration // the call that took it
 	begin, end time.Duration
 }
 
 type drawnNumber struct {
-	name       string
-	value      uint64
+	name               string
+	value              uint64
 	sentAt, answeredAt time.Duration
 }
 
 // putCall is a put with all its repeats.
 type putCall struct {
-	name, value string
-	expected    *uint64
-	sentAt, answeredAt  time.Duration // first sent; answered
-	revision    uint64        // 0: it got none
-	maybeDone     bool          // some try of it may have taken effect
-	refused     bool
+	name, value        string
+	expected           *uint64
+	sentAt, answeredAt time.Duration // first sent; answered
+	revision           uint64        // 0: it got none
+	maybeDone          bool          // some try of it may have taken effect
+	refused            bool
 }
 
 type readCall struct {
-	name  string
-	sentAt  time.Duration
-	value string
+	name   string
+	sentAt time.Duration
+	value  string
 	// revision is 0 if there was no cell.
 	revision uint64
 }
@@ -75,12 +75,12 @@
 
 // caller makes one call after the other, each until it is clear or given up.
 type caller struct {
-	h      *history
-	owner  string
-	random *rand.Rand
-	until  time.Duration
-	calls   int
-	lastRevisions  map[string]uint64 // revisions that it saw
+	h             *history
+	owner         string
+	random        *rand.Rand
+	until         time.Duration
+	calls         int
+	lastRevisions map[string]uint64 // revisions that it saw
 }
 
 // send sends a call to any node; told is called with ok false after testPatience.
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -8,34 +8,35 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits bound a partition.
+// Limits are the limits of a partition.
 type Limits struct {
-	// History is for how long a put is kept for watches and for repeats of the put.
+	// History is how long a put is kept for watches and to recognise its repeats.
 	History time.Duration
-	// Bytes bounds all records of the partition, HistoryBytes the history among them.
+	// Bytes limits the size of all records of the partition, HistoryBytes that of the
+	// events among them.
 	Bytes, HistoryBytes int
-	// HasRoom says whether the disk has room for so many bytes more, where it is set.
+	// HasRoom reports whether the disk has room for that many more bytes; nil: it always has.
 	HasRoom func(bytes int) bool
 }
 
-// Partition is the state of a partition at its owner: the records in decoded form, and
-// what is known only there, on the owner's steady clock: when leases end and how old
-// the history is. It lives for one term of ownership.
+// Partition is the state of a partition at its owner during one term of ownership: the
+// decoded records, and the times on the owner's monotonic clock, which no record holds: when
+// leases end and when each put was made.
 type Partition struct {
-	limits   Limits
-	headWritten  bool
-	fence    uint64
-	locks    map[string]*lock
-	counters map[string]uint64
-	cells    map[string]cellRecord
-	groups   map[string]*group
-
-	recordSizes      map[string]int // by name of record
-	totalBytes        int
+	limits      Limits
+	headWritten bool
+	fence       uint64 // highest fencing token issued
+	locks       map[string]*lock
+	counters    map[string]uint64
+	cells       map[string]cellRecord
+	groups      map[string]*group
+
+	recordSizes  map[string]int // by record name
+	totalBytes   int
 	historyBytes int
 }
 
-// lock is a lock that is held, or whose lease has ended and that nobody took since.
+// lock is a lock that is held, or whose lease has ended and that nobody has acquired since.
 type lock struct {
 	lockRecord
 	leaseEnd time.Duration
@@ -43,24 +44,24 @@
 
 // group is a group of cells with the history of its puts.
 type group struct {
-	revision uint64
-	oldest   uint64 // of the events that are kept
+	revision uint64 // newest
+	oldest   uint64 // below it the history is erased
 	events   []event
-	puts     map[putIdentity]uint64 // revision by put, for those in the history
+	puts     map[putIdentity]uint64 // to revision, for the puts in the history
 }
 
 type event struct {
 	eventRecord
 	revision uint64
-	putAt       time.Duration
+	putAt    time.Duration
 }
 
 // putIdentity identifies a putIdentity: a cell gets every value once.
 type putIdentity struct{ name, value string }
 
-// Load makes the state of a partition from its records, for an owner whose term began at
-// the time since. Every lease counts as whole from then and all history as new, since no
-// earlier owner's clock is known.
+// Load decodes a partition from its records, for an owner whose term began at termStart.
+// Every lease starts anew then, at its full length, and all events count as new, because the
+// clocks of earlier owners are unknown.
 func Load(records map[string]Record, termStart time.Duration, limits Limits) (*Partition, error) {
 	p := &Partition{limits: limits, locks: map[string]*lock{}, counters: map[string]uint64{},
 		cells: map[string]cellRecord{}, groups: map[string]*group{}, recordSizes: map[string]int{}}
@@ -85,7 +86,7 @@
 			return err
 		}
 		if head.Partitions != Partitions {
-			return fmt.Errorf("made for %d partitions, not %d", head.Partitions, Partitions)
+			return fmt.Errorf("created with %d partitions, but this release has %d", head.Partitions, Partitions)
 		}
 		p.headWritten, p.fence = true, head.Fence
 	case lockPrefix:
@@ -138,8 +139,8 @@
 	return g
 }
 
-// Execute carries out a call. The answer counts, and may be given, only once the returned
-// changes are committed and the owner's term is confirmed after the execution.
+// Execute executes a call. The answer is valid only once the returned changes are committed
+// and the owner's term has been confirmed after the execution.
 func (p *Partition) Execute(now time.Duration, call Call) (Answer, []Record) {
 	var answer Answer
 	var changes []Record
@@ -169,7 +170,8 @@
 	return answer, p.accountChanges(changes)
 }
 
-// accountChanges accounts for changes and adds the partition's own record to the first ones.
+// accountChanges adds the head record to the partition's first changes and accounts for the size
+// of all changes.
 func (p *Partition) accountChanges(changes []Record) []Record {
 	if len(changes) > 0 && !p.headWritten {
 		p.headWritten = true
@@ -185,7 +187,7 @@
 	return encode(headName, headRecord{Partitions: Partitions, Fence: p.fence})
 }
 
-// account accounts for a record that is added, replaced or erased.
+// account updates the sizes for a record that is added, replaced or erased.
 func (p *Partition) account(r Record) {
 	difference := -p.recordSizes[r.Name]
 	delete(p.recordSizes, r.Name)
@@ -199,7 +201,8 @@
 	}
 }
 
-// exceedsLimits says whether a new record would exceed the bound of the partition or the disk.
+// exceedsLimits reports whether a new record would exceed the size limit of the partition or
+// the room on the disk.
 func (p *Partition) exceedsLimits(r Record) bool {
 	growth := recordSize(r) - p.recordSizes[r.Name]
 	if p.totalBytes+growth > p.limits.Bytes {
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -1,6 +1,6 @@
 package coordination
 
-// This file holds the form in which a partition stands in the records of its key.
+// This file holds the encoding of a partition in the records of its key.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 // Record is one entry under a key of the control state.
 type Record = antientropy.Record
 
-// Names of records. Names of locks, counters and cells contain no slash.
+// Names and prefixes of records. Names of locks, counters and cells contain no slash.
 const (
 	headName      = "head"
 	lockPrefix    = "lock/"
@@ -26,16 +26,16 @@
 	eventPrefix   = "event/"
 )
 
-// headRecord is what a partition remembers of itself.
+// headRecord is the state of the partition as a whole.
 type headRecord struct {
 	Partitions int `cbor:"1,keyasint"`
-	// Fence is the highest fencing token that was given in this partition. Since it rises
-	// for all locks together, the record of a lock that is free can be erased.
+	// Fence is the highest fencing token issued in this partition. All locks of the
+	// partition share the sequence, so the record of a free lock can be erased.
 	Fence uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// lockRecord is a lock that is held. Hold is at least as long as any lease that was
-// confirmed to the holder.
+// lockRecord is a lock that is held. Hold is no shorter than any lease that was confirmed to
+// the holder.
 type lockRecord struct {
 	Owner string        `cbor:"1,keyasint"`
 	Fence uint64        `cbor:"2,keyasint"`
@@ -51,12 +51,12 @@
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// groupRecord says which part of a group's history was erased: everything below Oldest.
+// groupRecord says which part of a group's history was erased: all revisions below Oldest.
 type groupRecord struct {
 	Oldest uint64 `cbor:"1,keyasint"`
 }
 
-// eventRecord is a put in the history of a group.
+// eventRecord is a put in the history of a group. The record's name has its revision.
 type eventRecord struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
@@ -65,32 +65,32 @@
 func encode(name string, value any) Record {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // only the plain structures of this file are encoded
+		panic(err) // impossible: only the types of this file are encoded
 	}
 	return Record{Name: name, Gen: 1, Data: data}
 }
 
 func erasure(name string) Record { return Record{Name: name, Erased: true} }
 
-// eventName is the name of the record of a put. Revisions are written with a fixed width,
-// so that records sort by revision.
+// eventName is the name of the record of a put. The revision has a fixed width, so that the
+// records sort by revision.
 func eventName(group string, revision uint64) string {
 	return fmt.Sprintf("%s%s/%016x", eventPrefix, group, revision)
 }
 
-// parseEventName is the reverse of eventName.
+// parseEventName is the inverse of eventName.
 func parseEventName(name string) (group string, revision uint64, err error) {
 	text := strings.TrimPrefix(name, eventPrefix)
 	group, digits, ok := strings.Cut(text, "/")
 	if !ok {
-		return "", 0, fmt.Errorf("record %q: no revision", name)
+		return "", 0, fmt.Errorf("record %q: no revision in the name", name)
 	}
 	revision, err = strconv.ParseUint(digits, 16, 64)
 	return group, revision, err
 }
 
-// recordSize is about how many bytes a record takes, in memory as on disk.
+// recordSize is the approximate size of a record in memory and on disk, in bytes.
 func recordSize(r Record) int { return len(r.Name) + len(r.Data) + recordOverhead }
 
-// recordOverhead is what a record takes beside its name and its data.
+// recordOverhead is the size of a record in addition to its name and data, in bytes.
 const recordOverhead = 64
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -8,7 +8,7 @@
 	"madderwing/internal/replication"
 )
 
-// Replica is what coordination needs of a replica of the control state.
+// Replica is the part of a replica of the control state that coordination uses.
 type Replica interface {
 	Propose(now time.Duration, key string, fn func(map[string]Record) ([]Record, error), done func(error))
 	Tenure(now time.Duration, key string) (replication.Tenure, bool)
@@ -17,20 +17,20 @@
 	Current(key string) (time.Duration, bool)
 }
 
-// ServerConfig is what a server is told.
+// ServerConfig is the configuration of a Server.
 type ServerConfig struct {
-	Self      string // the address of the replica
-	Life      uint64 // differs between any two processes
-	Clock     func() time.Duration
+	Self      string               // the address of the replica
+	Life      uint64               // identifies the process; changes with every start
+	Clock     func() time.Duration // monotonic
 	Limits    Limits
-	Sweep     time.Duration // between two sweeps of a partition
-	Freshness time.Duration // age up to which a copy is good enough for watches
+	Sweep     time.Duration // interval between sweeps of a partition
+	Freshness time.Duration // age up to which the copy of a partition may serve watches
 	Log       *slog.Logger
 }
 
-// Server is one node's part in coordination: the partitions that its replica owns, the
-// committed feeds of all, and the watches that wait here. It belongs to the loop that
-// drives the replica; only Execution.Abandon may be called from elsewhere.
+// Server is a node's part in coordination: the partitions that its replica owns, the feeds of
+// all partitions, and the open watches of the node's clients. Its methods may be called only
+// from the loop that drives the replica; Execution.Abandon may be called from any goroutine.
 type Server struct {
 	config  ServerConfig
 	replica Replica
@@ -39,61 +39,61 @@
 	watches map[string]map[*Watch]bool // by group
 }
 
-// ownedPartition is a partition during one term of ownership of the replica.
+// ownedPartition is a partition during one term in which the replica owns it.
 type ownedPartition struct {
 	epoch   replication.Epoch
-	state   *Partition // nil: it cannot be used
+	state   *Partition // nil: its records cannot be loaded
 	sweepAt time.Duration
 }
 
-// NewServer makes the server of a replica.
+// NewServer creates the server of a replica.
 func NewServer(config ServerConfig, replica Replica) *Server {
 	return &Server{config: config, replica: replica, owned: map[string]*ownedPartition{},
 		feeds: map[string]*Feed{}, watches: map[string]map[*Watch]bool{}}
 }
 
-// Effect says what may have become of a call.
+// Effect says whether a call has taken effect.
 type Effect uint8
 
 // The effects. Their numbers are part of the messages between nodes.
 const (
 	Answered  Effect = iota + 1
 	NotDone          // it has not taken effect and never will
-	MaybeDone        // it may have taken effect, or may yet
+	MaybeDone        // it may have taken effect, or may still do so
 )
 
-// Result is what came of a call; Answer counts only if it was answered.
+// Result is the result of a call. Answer is valid only if Effect is Answered.
 type Result struct {
 	Effect Effect
 	Answer Answer
 }
 
-// Execution is a call that a replica carries out as the owner of its partition.
+// Execution is a call that a replica executes as the owner of its partition.
 type Execution struct {
-	call     Call
-	deadline ClockReading
-	done     func(Result)
-	stage    atomic.Int32
-	answer   Answer
-	hasChanges  bool
-	partitionUsable   bool // the partition can be used
+	call            Call
+	deadline        ClockReading
+	done            func(Result)
+	stage           atomic.Int32
+	answer          Answer
+	hasChanges      bool
+	partitionUsable bool // the partition could be loaded
 }
 
 // The stages of an execution.
 const (
 	queued int32 = iota
 	started
-	cancelled // it will never begin
+	cancelled // it will never start
 )
 
-// NewExecution prepares a call that does not begin after a deadline on the clock of the
-// owner; done is told once what came of it, on the loop of the replica.
+// NewExecution prepares a call that is not started after a deadline on the owner's clock.
+// done is called once with the result, on the loop of the replica.
 func NewExecution(call Call, deadline ClockReading, done func(Result)) *Execution {
 	return &Execution{call: call, deadline: deadline, done: done}
 }
 
-// Abandon gives a call up that has no result in time, and says what that means. Any
-// goroutine may call it.
+// Abandon cancels a call that has no result in time, unless it has started, and returns its
+// effect. It may be called from any goroutine.
 func (e *Execution) Abandon() Effect {
 	if e.stage.CompareAndSwap(queued, cancelled) {
 		return NotDone
@@ -101,9 +101,9 @@
 	return MaybeDone
 }
 
-// Execute carries a call out if the replica owns the partition. The result is given only
-// once the changes are committed and a majority has confirmed that the replica was still
-// the owner after the execution.
+// Execute executes a call if the replica owns the partition. The result is delivered only
+// once the changes are committed and a majority has confirmed that the replica was still the
+// owner after the execution.
 func (s *Server) Execute(now time.Duration, e *Execution) {
 	if !s.beforeDeadline(e.deadline) {
 		e.done(Result{Effect: NotDone})
@@ -129,12 +129,12 @@
 	return ClockReading{Life: s.config.Life, Time: s.config.Clock()}
 }
 
-// beforeDeadline says whether a call with this deadline may begin.
+// beforeDeadline reports whether a call with this deadline may start.
 func (s *Server) beforeDeadline(deadline ClockReading) bool {
 	return deadline.Life == s.config.Life && s.config.Clock() <= deadline.Time
 }
 
-// result is what has become of a call whose proposal has ended.
+// result is the result of a call whose proposal has ended.
 func (e *Execution) result(err error) Result {
 	hasStarted := e.stage.Load() == started
 	switch {
@@ -157,17 +157,17 @@
 	}
 	state, err := Load(records, tenure.Since, s.config.Limits)
 	if err != nil {
-		s.config.Log.Error("partition cannot be used", "partition", key, "error", err)
+		s.config.Log.Error("cannot load coordination partition", "partition", key, "error", err)
 	} else {
 		counts := state.Counts()
-		s.config.Log.Info("partition taken over", "partition", key,
+		s.config.Log.Info("coordination partition taken over", "partition", key,
 			"locks", counts.Locks, "counters", counts.Counters, "cells", counts.Cells)
 	}
 	s.owned[key] = &ownedPartition{epoch: tenure.Epoch, state: state, sweepAt: now + s.config.Sweep}
 	return state
 }
 
-// Tick lets time pass for the partitions that the replica owns.
+// Tick drops the partitions that the replica no longer owns and sweeps the others when due.
 func (s *Server) Tick(now time.Duration) {
 	for key, owned := range s.owned {
 		tenure, _ := s.replica.Tenure(now, key)
@@ -180,7 +180,7 @@
 	}
 }
 
-// sweep erases what a partition needs no longer.
+// sweep erases ended leases and old events of a partition.
 func (s *Server) sweep(now time.Duration, key string, state *Partition) {
 	if !state.SweepDue(now) {
 		return
@@ -193,13 +193,13 @@
 	}, func(error) {})
 }
 
-// Owns says whether the replica owns a partition.
+// Owns reports whether the replica owns a partition.
 func (s *Server) Owns(now time.Duration, key string) bool {
 	return s.replica.Owner(now, key) == s.config.Self
 }
 
-// Partition is the state of a partition that the replica owns; nil if it doesn't, or has not
-// carried out a call in it yet.
+// Partition returns the state of a partition; nil if the replica does not own it, has not
+// executed a call in it yet, or cannot load it.
 func (s *Server) Partition(now time.Duration, key string) *Partition {
 	if owned := s.owned[key]; owned != nil && s.Owns(now, key) {
 		return owned.state
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -11,12 +11,12 @@
 
 // fakeReplica is a replica that owns everything. Its proposals run when they are let.
 type fakeReplica struct {
-	records map[string]Record
-	epoch   replication.Epoch
+	records       map[string]Record
+	epoch         replication.Epoch
 	ownedSince    time.Duration
-	proposalErr    error
-	queued  []func()
-	holdProposals   bool // proposals wait
+	proposalErr   error
+	queued        []func()
+	holdProposals bool // proposals wait
 }
 
 func (r *fakeReplica) Propose(_ time.Duration, _ string, fn func(map[string]Record) ([]Record, error), done func(error)) {
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -13,26 +13,26 @@
 
 // Times of the tests, as the settings' bounds have them.
 const (
-	testHeartbeat  = 500 * time.Millisecond
-	testVacancyTimeout     = 1200 * time.Millisecond
+	testHeartbeat       = 500 * time.Millisecond
+	testVacancyTimeout  = 1200 * time.Millisecond
 	testCallerTimeout   = time.Second            // of a caller
-	testAnswerLimit      = 800 * time.Millisecond // for an answer
-	testStartLimit = 720 * time.Millisecond // for the beginning of a call
-	testFreezeDetection      = 250 * time.Millisecond // after which a process knows that it was frozen
+	testAnswerLimit     = 800 * time.Millisecond // for an answer
+	testStartLimit      = 720 * time.Millisecond // for the beginning of a call
+	testFreezeDetection = 250 * time.Millisecond // after which a process knows that it was frozen
 )
 
 // simulation is a simulated set of control nodes with real replicas: a network that delays and
 // cuts, disks that take time, and processes that crash and freeze.
 type simulation struct {
-	t      testing.TB
-	random *rand.Rand
-	now    time.Duration
-	queue  replicationtest.Queue
-	nodes  []*node
-	blocked   map[[2]string]int
-	lastLife  uint64
+	t               testing.TB
+	random          *rand.Rand
+	now             time.Duration
+	queue           replicationtest.Queue
+	nodes           []*node
+	blocked         map[[2]string]int
+	lastLife        uint64
 	partitionLimits Limits
-	slowUntil  time.Duration // messages are late until then
+	slowUntil       time.Duration // messages are late until then
 
 	// latency and sync are what every message and every write take; 0: drawn.
 	latency, sync time.Duration
@@ -40,16 +40,16 @@
 
 // node is a control node. Each process counts time from its own start.
 type node struct {
-	address string
-	up      bool
-	life    uint64
-	startedAt    time.Duration
-	frozenUntil  time.Duration // until then
-	replica *replication.Replica
-	server  *Server
-	clocks  *PeerClocks
-	disk    replicationtest.Disk
-	pending []replication.Write // not durable yet
+	address     string
+	up          bool
+	life        uint64
+	startedAt   time.Duration
+	frozenUntil time.Duration // until then
+	replica     *replication.Replica
+	server      *Server
+	clocks      *PeerClocks
+	disk        replicationtest.Disk
+	pending     []replication.Write // not durable yet
 	diskIdleAt  time.Duration
 	bootstrap   bool
 }
--- a/internal/coordination/watches.go
+++ b/internal/coordination/watches.go
@@ -1,35 +1,36 @@
 package coordination
 
-// This file holds watches: each node answers them from its own committed copy.
+// This file holds watches. Each node answers them from its own committed copy.
 
 import (
 	"errors"
 	"time"
 )
 
-// Watch is a call that waits for puts in a group.
+// Watch is a long poll for puts in a group after the revision After.
 type Watch struct {
 	Group string
 	After uint64
-	// Least is a revision that had certainly been given before the call came: the copy here
-	// must have it before the call is answered.
+	// Least is a revision that the group had certainly reached before the call came: the
+	// local copy must have reached it before events are returned.
 	Least uint64
-	// Done is told the result once, on the loop of the replica.
+	// Done is called once with the result, on the loop of the replica.
 	Done func(WatchResult)
 }
 
-// WatchResult ends a watch: Events are all puts above its After and up to Revision.
+// WatchResult is the result of a watch: Events are all puts after its After, up to and
+// including Revision.
 type WatchResult struct {
 	Events   []Event
 	Revision uint64
 	Err      error
 }
 
-// ErrStale says that the copy of this node may be far behind.
+// ErrStale is returned if the copy of this node may be out of date.
 var ErrStale = errors.New("this node is out of contact with a majority")
 
-// Committed takes over what was committed in a partition; records is nil if any may have
-// changed.
+// Committed applies newly committed records of a partition. If records is nil, any record may
+// have changed, and the whole partition is read again.
 func (s *Server) Committed(key string, records []Record) {
 	feed := s.feeds[key]
 	if feed != nil && records != nil {
@@ -50,14 +51,14 @@
 	}
 }
 
-// notifyWatches answers the watches of a group that have something to be told.
+// notifyWatches answers the watches of a group for which there are events.
 func (s *Server) notifyWatches(group string) {
 	for w := range s.watches[group] {
 		s.answerWatch(w)
 	}
 }
 
-// Watch answers a watch at once if there is something to be told, and keeps it otherwise.
+// Watch answers a watch at once if there are events for it, and keeps it open otherwise.
 func (s *Server) Watch(w *Watch) {
 	if s.answerWatch(w) {
 		return
@@ -68,7 +69,7 @@
 	s.watches[w.Group][w] = true
 }
 
-// answerWatch ends a watch if there is an answer to it.
+// answerWatch ends a watch if there are events for it or their history was erased.
 func (s *Server) answerWatch(w *Watch) bool {
 	feed := s.feeds[groupKey(w.Group)]
 	if feed == nil || feed.Revision(w.Group) < w.Least {
@@ -83,18 +84,18 @@
 	return true
 }
 
-// EndWatch ends a watch, if it has not ended, whose time is over.
+// EndWatch ends a watch at its timeout, unless it has ended before.
 func (s *Server) EndWatch(watch *Watch) {
 	switch {
 	case !s.removeWatch(watch):
 	case watch.After < watch.Least:
-		watch.Done(WatchResult{Err: ErrStale}) // the copy here lacks what is to be told
+		watch.Done(WatchResult{Err: ErrStale}) // the local copy lacks events that exist
 	default:
 		watch.Done(WatchResult{Revision: watch.After})
 	}
 }
 
-// removeWatch takes a watch off the list; false: it is not on it.
+// removeWatch removes a watch from the list; false: it is not on the list.
 func (s *Server) removeWatch(w *Watch) bool {
 	list := s.watches[w.Group]
 	if !list[w] {
@@ -107,14 +108,15 @@
 	return true
 }
 
-// Fresh says whether the copy of a group here is recent.
+// Fresh reports whether the local copy of a group is recent.
 func (s *Server) Fresh(now time.Duration, group string) bool {
 	at, ok := s.replica.Current(groupKey(group))
 	return ok && now-at <= s.config.Freshness
 }
 
-// EndStaleWatches ends the watches whose groups have no recent copy here. It is for a node
-// that has lost contact with a majority: an owner that is being replaced is waited for.
+// EndStaleWatches ends the watches on groups without a recent local copy. It is meant for a
+// node that has lost contact with a majority. While an owner is merely being replaced,
+// watches are kept open.
 func (s *Server) EndStaleWatches(now time.Duration) {
 	for group, list := range s.watches {
 		if s.Fresh(now, group) {
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -36,8 +36,8 @@
 // so that the size of a report does not grow with the number of routes.
 const Buckets = 16
 
-// latencyBins is the number of latencyBins of latencies; each is wider than the one before by the
-// root of two, and the first ends at 10 ms.
+// latencyBins is the number of bins of the latency histogram. The first ends at 10 ms, the
+// end of each is that of the one before times the square root of two, and the last is open.
 const latencyBins = 26
 
 func latencyBin(elapsed time.Duration) int {
@@ -87,10 +87,10 @@
 }
 
 func (c *Cell) recordLatency(elapsed, latencyTarget time.Duration) {
-	score := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
+	latencyScore := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
 	c.N++
-	c.Sum += score
-	c.Sq += score * score
+	c.Sum += latencyScore
+	c.Sq += latencyScore * latencyScore
 	bin := latencyBin(elapsed)
 	for len(c.Hist) <= bin {
 		c.Hist = append(c.Hist, 0)
