--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// BenchmarkGrants tells how many locks one owner grants in a second of simulated time, and
-// how long a grant takes, by the time of a sync and the number of callers. Messages take
-// 0.9 ms one way. A write waits for the one before it, which is stricter than a disk that
-// writes together what waits.
+// BenchmarkGrants measures how many locks one owner grants per second of simulated time, and
+// how long a grant takes, by the duration of a disk sync and the number of callers. Messages
+// take 0.9 ms one way. Each write waits for the previous one, which is slower than a disk that
+// batches waiting writes.
 func BenchmarkGrants(b *testing.B) {
 	for _, sync := range []time.Duration{time.Millisecond, 2 * time.Millisecond} {
 		for _, callers := range []int{1, 10, 100} {
@@ -26,7 +26,8 @@
 
 const benchmarkSpan = 3 * time.Second
 
-// measureGrants runs callers that take and give back a lock each, all of one partition.
+// measureGrants runs callers that each acquire and release a lock of their own in a loop. All
+// locks are in one partition.
 func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, took time.Duration) {
 	w := newSimulation(b, 1, 5)
 	w.latency, w.sync = 900*time.Microsecond, sync
@@ -56,7 +57,7 @@
 	return grants, took
 }
 
-// lockNamesIn finds names of locks in a partition.
+// lockNamesIn returns names of locks that are in a partition.
 func lockNamesIn(key string, count int) (names []string) {
 	for i := 0; len(names) < count; i++ {
 		if name := fmt.Sprintf("l%d", i); partitionKey(lockPrefix+name) == key {
@@ -66,7 +67,7 @@
 	return names
 }
 
-// BenchmarkTakeover loads a partition with 1,000 leases, as a new owner does.
+// BenchmarkTakeover measures loading a partition with 1,000 leases, as a new owner does.
 func BenchmarkTakeover(b *testing.B) {
 	s, err := Load(map[string]Record{}, 0, testLimits)
 	if err != nil {
@@ -86,7 +87,8 @@
 	}
 }
 
-// BenchmarkPut puts into a group that watches wait for at one node, and tells them.
+// BenchmarkPut measures a put into a group with open watches at one node, including the
+// answers of the watches.
 func BenchmarkPut(b *testing.B) {
 	for _, watching := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprintf("watches=%d", watching), func(b *testing.B) {
@@ -107,7 +109,7 @@
 				s.Committed(groupKey("g."), changes)
 			}
 			if told != watching*int(revision) {
-				b.Fatalf("%d watches were told of %d puts", told, revision)
+				b.Fatalf("%d watches were answered after %d puts", told, revision)
 			}
 		})
 	}
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -10,7 +10,7 @@
 	"madderwing/internal/replication"
 )
 
-// history is what all callers of a run did and were told.
+// history records the calls and answers of all callers of a run.
 type history struct {
 	*simulation
 	leases     map[string][]*heldLease // by lock
@@ -22,11 +22,11 @@
 	answers    int
 }
 
-// heldLease is the time in which a caller counts itself holder of a lock, by its own count.
+// heldLease is the time in which a caller regards itself as the holder of a lock.
 type heldLease struct {
 	owner      string
 	fence      uint64
-	sentAt     time.Duration // the call that took it
+	sentAt     time.Duration // when the acquiring call was sent
 	begin, end time.Duration
 }
 
@@ -40,9 +40,9 @@
 type putCall struct {
 	name, value        string
 	expected           *uint64
-	sentAt, answeredAt time.Duration // first sent; answered
-	revision           uint64        // 0: it got none
-	maybeDone          bool          // some try of it may have taken effect
+	sentAt, answeredAt time.Duration // of the first try; of the first successful answer
+	revision           uint64        // 0: none was returned
+	maybeDone          bool          // a try without an answer may have taken effect
 	refused            bool
 }
 
@@ -50,7 +50,7 @@
 	name   string
 	sentAt time.Duration
 	value  string
-	// revision is 0 if there was no cell.
+	// revision is 0 if the cell did not exist.
 	revision uint64
 }
 
@@ -73,17 +73,19 @@
 	testGroups   = []string{"g1.", "g2."}
 )
 
-// caller makes one call after the other, each until it is clear or given up.
+// caller makes one call after the other. It retries a put until its outcome is known or its
+// tries are used up.
 type caller struct {
 	h             *history
 	owner         string
 	random        *rand.Rand
 	until         time.Duration
 	calls         int
-	lastRevisions map[string]uint64 // revisions that it saw
+	lastRevisions map[string]uint64 // by cell: the last revision that it saw
 }
 
-// send sends a call to any node; told is called with ok false after testPatience.
+// send sends a call to a random node. done is called with ok false if there is no answer
+// within testCallerTimeout.
 func (c *caller) send(call Call, done func(r Result, ok bool)) {
 	finished := false
 	end := func(r Result, ok bool) {
@@ -118,10 +120,10 @@
 	})
 }
 
-// pickName picks a name.
+// pickName returns a random name.
 func (c *caller) pickName(names []string) string { return names[c.random.Intn(len(names))] }
 
-// lock takes a lock, renews it at times, and gives it back, dies with it or sleeps too long.
+// lock acquires a lock and then uses it.
 func (c *caller) lock() {
 	name, sent := c.pickName(testLocks), c.h.now
 	lease := time.Duration(500+c.random.Intn(2500)) * time.Millisecond
@@ -137,17 +139,17 @@
 	})
 }
 
-// useLock goes on with a lock that the caller holds.
+// useLock renews, releases or abandons a lock that the caller holds.
 func (c *caller) useLock(name string, lease *heldLease, leaseTime time.Duration) {
 	c.h.schedule(time.Duration(c.random.Intn(int(leaseTime))), func() {
 		switch c.random.Intn(4) {
-		case 0: // it dies with the lock, or sleeps
+		case 0: // the caller is lost or sleeps past the end of the lease
 			c.scheduleCall()
 		case 1, 2:
 			sent := c.h.now
 			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, Fence: lease.fence, Hold: leaseTime}, func(r Result, ok bool) {
 				switch {
-				case c.h.now >= lease.end: // too late, it counts for nothing
+				case c.h.now >= lease.end: // too late: the renewal does not count
 				case ok && r.Effect == Answered && r.Answer.Status == OK:
 					lease.end = sent + leaseTime
 					c.useLock(name, lease, leaseTime)
@@ -157,7 +159,7 @@
 			})
 		default:
 			for _, own := range c.h.leases[name] {
-				if own.owner == c.owner { // also those that it died with
+				if own.owner == c.owner { // including those that it abandoned
 					own.end = min(own.end, c.h.now)
 				}
 			}
@@ -187,7 +189,7 @@
 	c.sendPut(p, 6)
 }
 
-// sendPut sends a put until there is a clear answer, and at times once more after that.
+// sendPut sends a put until its outcome is known, and sometimes once more after that.
 func (c *caller) sendPut(p *putCall, tries int) {
 	c.send(Call{Operation: Put, Name: p.name, Value: p.value, Expected: p.expected}, func(r Result, ok bool) {
 		answered := ok && r.Effect == Answered
@@ -208,7 +210,7 @@
 			}
 		case answered && r.Answer.Status == Mismatch:
 			if p.revision != 0 {
-				c.h.t.Fatalf("at %v: put of %s to %s got revision %d, then it was refused", c.h.now, p.value, p.name, p.revision)
+				c.h.t.Fatalf("at %v: put of %s to %s got revision %d, then a mismatch", c.h.now, p.value, p.name, p.revision)
 			}
 			p.refused = true
 			c.lastRevisions[p.name] = r.Answer.Revision
@@ -236,7 +238,7 @@
 	})
 }
 
-// watchGroup follows a group from node to node.
+// watchGroup keeps a watch on a group, each time at a random node.
 func (h *history) watchGroup(group string, after uint64, until time.Duration) {
 	if h.now > until {
 		return
@@ -260,10 +262,10 @@
 	}}
 	h.runStep(n, life, func() { n.server.Watch(w) })
 	h.schedule(time.Second, func() { h.runStep(n, life, func() { n.server.EndWatch(w) }) })
-	h.schedule(2*time.Second, func() { watchAgain(after) }) // the node is gone, or frozen
+	h.schedule(2*time.Second, func() { watchAgain(after) }) // the node has crashed or is frozen
 }
 
-// runScenario runs callers and troubles, then lets the world calm down.
+// runScenario runs callers and failures, and then some time without either.
 func runScenario(t *testing.T, seed int64) *history {
 	h := &history{simulation: newSimulation(t, seed, 5), leases: map[string][]*heldLease{}}
 	const length = 45 * time.Second
@@ -281,7 +283,7 @@
 	return h
 }
 
-// injectFailures strikes one or two nodes at a time, and at times all.
+// injectFailures injects random failures: mostly of one node, sometimes of all.
 func (h *history) injectFailures(until time.Duration) {
 	for at := 4 * time.Second; at < until-4*time.Second; at += time.Duration(1500+h.random.Intn(4000)) * time.Millisecond {
 		kind, who, span := h.random.Intn(6), h.random.Intn(len(h.nodes)), time.Duration(300+h.random.Intn(4500))*time.Millisecond
@@ -318,7 +320,7 @@
 	}
 }
 
-// committedEvents is all that was put into a group, by revision, as the owner knows it at the end.
+// committedEvents returns all puts into a group, by revision, from the newest committed copy.
 func (h *history) committedEvents(group string) map[uint64]Event {
 	var records map[string]Record
 	var newest replication.Position
@@ -355,8 +357,8 @@
 	}
 }
 
-// checkLocks checks ONE: no two owners hold a lock at once by their own count, and tokens
-// rise from holder to holder.
+// checkLocks checks mutual exclusion: no two owners regard themselves as holders of a lock at
+// the same time, and fencing tokens increase from holder to holder.
 func (h *history) checkLocks() {
 	for name, holds := range h.leases {
 		for _, a := range holds {
@@ -368,17 +370,17 @@
 					h.t.Fatalf("%s: %s and %s both have token %d", name, a.owner, b.owner, a.fence)
 				}
 				if a.begin < b.end && b.begin < a.end {
-					h.t.Fatalf("%s: %+v and %+v at once", name, *a, *b)
+					h.t.Fatalf("%s: held at the same time: %+v and %+v", name, *a, *b)
 				}
 				if a.begin < b.sentAt && a.fence > b.fence {
-					h.t.Fatalf("%s: %+v has a lower token than %+v, which was given before", name, *b, *a)
+					h.t.Fatalf("%s: %+v has a lower token than %+v, which was granted before", name, *b, *a)
 				}
 			}
 		}
 	}
 }
 
-// checkCounters checks that numbers are unique and rise.
+// checkCounters checks that numbers are unique and increase.
 func (h *history) checkCounters() {
 	for i, a := range h.numbers {
 		for _, b := range h.numbers[i+1:] {
@@ -386,13 +388,13 @@
 				continue
 			}
 			if a.value == b.value || a.answeredAt < b.sentAt && a.value > b.value || b.answeredAt < a.sentAt && b.value > a.value {
-				h.t.Fatalf("%+v and %+v", a, b)
+				h.t.Fatalf("numbers not unique or not increasing: %+v and %+v", a, b)
 			}
 		}
 	}
 }
 
-// checkCells checks puts, reads and refusals against the history of each group.
+// checkCells checks puts, reads and mismatches against the history of each group.
 func (h *history) checkCells() {
 	logs := map[string]map[uint64]Event{}
 	values := map[string]uint64{}
@@ -400,7 +402,7 @@
 		logs[group] = h.committedEvents(group)
 		for revision, e := range logs[group] {
 			if values[e.Value] != 0 {
-				h.t.Fatalf("%s stands at revisions %d and %d", e.Value, values[e.Value], revision)
+				h.t.Fatalf("%s was put at revisions %d and %d", e.Value, values[e.Value], revision)
 			}
 			values[e.Value] = revision
 		}
@@ -411,16 +413,16 @@
 	}
 	for _, m := range h.mismatches {
 		if m.revision > 0 && of(m.name, m.revision).Name != m.name {
-			h.t.Fatalf("a refusal named revision %d of %s, which has %+v", m.revision, m.name, of(m.name, m.revision))
+			h.t.Fatalf("a mismatch returned revision %d of %s, the history has %+v", m.revision, m.name, of(m.name, m.revision))
 		}
 	}
 	for _, r := range h.reads {
 		if e := of(r.name, r.revision); r.revision > 0 && (e.Name != r.name || e.Value != r.value) {
-			h.t.Fatalf("read %+v, but the history has %+v", r, e)
+			h.t.Fatalf("read %+v, the history has %+v", r, e)
 		}
 		for _, p := range h.puts {
 			if p.name == r.name && p.revision > r.revision && p.answeredAt < r.sentAt {
-				h.t.Fatalf("read %+v after %+v", r, *p)
+				h.t.Fatalf("stale read %+v after %+v", r, *p)
 			}
 		}
 	}
@@ -429,27 +431,27 @@
 func (h *history) checkPut(p *putCall, of func(string, uint64) Event, values map[string]uint64, log map[uint64]Event) {
 	switch {
 	case p.revision == 0 && !p.maybeDone && values[p.value] != 0:
-		h.t.Fatalf("%+v was turned away but stands", *p)
+		h.t.Fatalf("%+v has not taken effect by its answers, but is in the history", *p)
 	case p.revision == 0:
 		return
 	case of(p.name, p.revision).Value != p.value:
-		h.t.Fatalf("%+v is lost: %+v", *p, of(p.name, p.revision))
+		h.t.Fatalf("%+v was acknowledged, the history has %+v", *p, of(p.name, p.revision))
 	}
 	if p.expected != nil {
 		for revision := *p.expected + 1; revision < p.revision; revision++ {
 			if log[revision].Name == p.name {
-				h.t.Fatalf("%+v succeeded over revision %d", *p, revision)
+				h.t.Fatalf("%+v succeeded although the cell had revision %d", *p, revision)
 			}
 		}
 	}
 	for _, o := range h.puts {
 		if GroupOf(o.name) == GroupOf(p.name) && o.revision > 0 && o.answeredAt < p.sentAt && o.revision > p.revision {
-			h.t.Fatalf("%+v has a lower revision than %+v", *p, *o)
+			h.t.Fatalf("%+v has a lower revision than the earlier %+v", *p, *o)
 		}
 	}
 }
 
-// checkWatches checks that watches showed all puts of their span in order.
+// checkWatches checks that each watch returned all puts of its range of revisions, in order.
 func (h *history) checkWatches() {
 	shown := 0
 	for _, s := range h.watched {
@@ -459,7 +461,7 @@
 			shown++
 			revisions = append(revisions, e.Revision)
 			if log[e.Revision] != e {
-				h.t.Fatalf("a watch showed %+v, the history has %+v", e, log[e.Revision])
+				h.t.Fatalf("a watch returned %+v, the history has %+v", e, log[e.Revision])
 			}
 		}
 		want := []uint64{}
@@ -467,10 +469,10 @@
 			want = append(want, revision)
 		}
 		if !slices.Equal(revisions, want) {
-			h.t.Fatalf("a watch of %s from %d to %d showed %v", s.group, s.after, s.revision, revisions)
+			h.t.Fatalf("a watch of %s after %d up to %d returned revisions %v", s.group, s.after, s.revision, revisions)
 		}
 	}
 	if shown == 0 {
-		h.t.Fatal("no watch showed anything")
+		h.t.Fatal("no watch returned any event")
 	}
 }
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -56,7 +56,7 @@
 	putAt    time.Duration
 }
 
-// putIdentity identifies a putIdentity: a cell gets every value once.
+// putIdentity identifies a put. A second put of a value to the same cell is a repeat.
 type putIdentity struct{ name, value string }
 
 // Load decodes a partition from its records, for an owner whose term began at termStart.
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// testLimits are large enough for all tables but those on bounds.
+// testLimits are large enough for all tests but those of the limits.
 var testLimits = Limits{History: 30 * time.Second, Bytes: 1 << 20, HistoryBytes: 1 << 19}
 
-// testPartition is a partition with the records that its changes make.
+// testPartition is a partition with the records that result from its changes.
 type testPartition struct {
 	*Partition
 	records map[string]Record
@@ -43,8 +43,8 @@
 
 func revision(n uint64) *uint64 { return &n }
 
-// step is one line of a table: a call at a time, and its answer. A takeover loads the
-// records anew, as a new owner does.
+// step is a call at a time in seconds, with the expected answer, or a takeover, in which a new
+// owner loads the records.
 type step struct {
 	at       float64
 	call     Call
@@ -89,23 +89,23 @@
 			{at: 4, call: acquire("b", 3), want: fenced(2)},
 			{at: 4.1, call: renew("a", 1, 3), want: held},
 		},
-		"the holder gets its token again, and more time": {
+		"a holder that acquires again keeps its token and extends its lease": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 2, call: acquire("a", 3), want: fenced(1)},
 			{at: 4.9, call: acquire("b", 3), want: held},
 			{at: 5, call: acquire("b", 3), want: fenced(2)},
 		},
-		"a shorter hold takes no time away": {
+		"a shorter hold does not shorten the lease": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 2, call: renew("a", 1, 0.5), want: fenced(1)},
 			{at: 3.9, call: acquire("b", 3), want: held},
 		},
-		"a lease that nobody took goes on late": {
+		"an ended lease can be renewed if nobody acquired the lock since": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 9, call: renew("a", 1, 3), want: fenced(1)},
 			{at: 11, call: acquire("b", 3), want: held},
 		},
-		"only the holder gives a lock back": {
+		"only the holder can release a lock": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 1, call: release("b", 1), want: ok},
 			{at: 1, call: release("a", 7), want: ok},
@@ -114,32 +114,32 @@
 			{at: 1, call: release("a", 1), want: ok},
 			{at: 1, call: acquire("b", 3), want: fenced(2)},
 		},
-		"a new owner takes every lease for whole": {
+		"a new owner starts every lease at its full length": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 3, takeover: true},
 			{at: 5.9, call: acquire("b", 3), want: held},
 			{at: 5.9, call: renew("a", 1, 3), want: fenced(1)},
 			{at: 8.9, call: acquire("b", 3), want: fenced(2)},
 		},
-		"a longer renewal is whole for a new owner too": {
+		"a new owner knows the length of a longer renewal": {
 			{at: 1, call: acquire("a", 1), want: fenced(1)},
 			{at: 1, call: renew("a", 1, 5), want: fenced(1)},
 			{at: 2, takeover: true},
 			{at: 6.9, call: acquire("b", 3), want: held},
 		},
-		"tokens rise over releases and takeovers": {
+		"tokens increase across releases and takeovers": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
 			{at: 1, call: release("a", 1), want: ok},
 			{at: 2, takeover: true},
 			{at: 3, call: acquire("a", 3), want: fenced(2)},
 		},
-		"counters rise over takeovers": {
+		"counters increase across takeovers": {
 			{at: 1, call: draw, want: Answer{Status: OK, Number: 1}},
 			{at: 1, call: draw, want: Answer{Status: OK, Number: 2}},
 			{at: 2, takeover: true},
 			{at: 2, call: draw, want: Answer{Status: OK, Number: 3}},
 		},
-		"cells of a group share revisions": {
+		"cells of a group share a sequence of revisions": {
 			{at: 1, call: get("g.a"), want: Answer{Status: Missing}},
 			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
 			{at: 1, call: putCell("g.b", "y", revision(0)), want: revised(2)},
@@ -159,13 +159,13 @@
 			{at: 20, call: putCell("g.a", "x", revision(0)), want: revised(1)},
 			{at: 20, call: get("g.a"), want: found("y", 2)},
 		},
-		"the value that stands is a repeat however old it is": {
+		"a put of the current value is a repeat however old that is": {
 			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
 			{at: 99, call: putCell("g.a", "x", revision(0)), want: revised(1)},
 			{at: 999, takeover: true},
 			{at: 9999, call: putCell("g.a", "x", nil), want: revised(1)},
 		},
-		"the same value of another cell is no repeat": {
+		"a put of the same value to another cell is not a repeat": {
 			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
 			{at: 1, call: putCell("g.b", "x", nil), want: revised(2)},
 		},
@@ -178,7 +178,7 @@
 					continue
 				}
 				if s.SweepDue(seconds(step.at)) && step.call.Operation == Put {
-					s.apply(s.Sweep(seconds(step.at))) // as the owner does at intervals
+					s.apply(s.Sweep(seconds(step.at))) // as the owner does periodically
 				}
 				if got := s.execute(seconds(step.at), step.call); got != step.want {
 					t.Fatalf("step %d, %+v: %+v, want %+v", i, step.call, got, step.want)
@@ -188,7 +188,7 @@
 	}
 }
 
-// What has lapsed leaves nothing but the partition's own record.
+// Sweep erases the records of ended leases and old events, and the feed drops the latter.
 func TestSweepErasesExpiredLocksAndHistory(t *testing.T) {
 	s := load(t, map[string]Record{}, 0, testLimits)
 	s.execute(seconds(1), acquire("a", 3))
@@ -196,28 +196,28 @@
 	s.execute(seconds(20), putCell("g.a", "y", nil))
 	feed := NewFeed(s.records)
 	if s.SweepDue(seconds(3.9)) {
-		t.Fatal("nothing has ended yet")
+		t.Fatal("a sweep is due before anything has ended")
 	}
 	swept := s.Sweep(seconds(40))
 	s.apply(swept)
 	feed.Apply(swept)
 	for name := range s.records {
 		if strings.HasPrefix(name, lockPrefix) || name == eventName("g.", 1) {
-			t.Errorf("%s still stands", name)
+			t.Errorf("record %s was not erased", name)
 		}
 	}
 	if _, _, err := feed.Since("g.", 0); err != ErrCompacted {
-		t.Errorf("watch from 0: %v", err)
+		t.Errorf("events after revision 0: %v, want ErrCompacted", err)
 	}
 	events, upTo, err := feed.Since("g.", 1)
 	if err != nil || upTo != 2 || len(events) != 1 || events[0] != (Event{"g.a", "y", 2}) {
-		t.Errorf("watch from 1: %v %d %v", events, upTo, err)
+		t.Errorf("events after revision 1: %v %d %v", events, upTo, err)
 	}
 	if got := s.execute(seconds(41), putCell("g.a", "z", nil)); got != revised(3) {
 		t.Errorf("the next put: %+v", got)
 	}
 	if s.totalBytes != sizeOfRecords(s.records) {
-		t.Errorf("accounted for %d bytes, there are %d", s.totalBytes, sizeOfRecords(s.records))
+		t.Errorf("size %d is recorded, the records have %d bytes", s.totalBytes, sizeOfRecords(s.records))
 	}
 }
 
@@ -236,28 +236,28 @@
 		last = s.execute(0, putCell("g.a", strconv.Itoa(i), nil)).Status
 	}
 	if last != Full {
-		t.Fatal("the history has no bound")
+		t.Fatal("the history has no limit")
 	}
 	if got := s.execute(0, putCell("g.a", "0", nil)); got != revised(1) {
-		t.Errorf("a repeat is answered %+v", got)
+		t.Errorf("a repeated put with a full history: %+v", got)
 	}
 	s.apply(s.Sweep(seconds(2)))
 	if got := s.execute(seconds(2), putCell("g.a", "again", nil)); got.Status != OK {
-		t.Errorf("once the history is old: %+v", got)
+		t.Errorf("after a sweep of the history: %+v", got)
 	}
 	for i := 0; i < 100; i++ {
 		last = s.execute(0, Call{Operation: Acquire, Name: "l" + strconv.Itoa(i), Owner: "a", Hold: time.Second}).Status
 	}
 	if last != Full {
-		t.Error("locks have no bound")
+		t.Error("locks have no limit")
 	}
 	if got := s.execute(0, acquire("b", 1)); got != full {
-		t.Errorf("beyond the bound: %+v", got)
+		t.Errorf("an acquire beyond the limit: %+v", got)
 	}
 }
 
-// Where the disk has no room, what adds a record is refused, and what changes or frees
-// one is not.
+// While the disk has no room, calls that add a record are refused; a holder can still extend
+// its lease.
 func TestFullDiskRefusesNewRecords(t *testing.T) {
 	room := 1 << 20
 	limits := testLimits
@@ -268,7 +268,7 @@
 	}
 	room = 0
 	if got := s.execute(0, acquire("a", 1)); got.Status != OK {
-		t.Errorf("the holder comes again: %+v", got)
+		t.Errorf("the holder acquires again without room: %+v", got)
 	}
 	other := acquire("b", 1)
 	other.Name = "other"
@@ -282,7 +282,7 @@
 func TestPartitionCountMismatchIsRefused(t *testing.T) {
 	head := encode(headName, headRecord{Partitions: Partitions + 1})
 	if _, err := Load(map[string]Record{headName: head}, 0, testLimits); err == nil {
-		t.Error("it is loaded")
+		t.Error("a partition with another number of partitions was loaded")
 	}
 }
 
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -146,9 +146,9 @@
 	return Result{Effect: NotDone}
 }
 
-// ownedState gives the state of a ownedState that the replica owns; nil if it cannot be used.
-// It is called with the records of a proposal that is about to run, so the replica owns
-// the ownedState, and all changes of this term have gone through the state.
+// ownedState returns the state of a partition that the replica owns; nil if it cannot be
+// loaded. It is called with the records of a proposal that is about to run, so the replica
+// owns the partition, and the state includes all changes of this term.
 func (s *Server) ownedState(key string, records map[string]Record) *Partition {
 	now := s.config.Clock()
 	tenure, _ := s.replica.Tenure(now, key)
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -9,14 +9,15 @@
 	"madderwing/internal/replication"
 )
 
-// fakeReplica is a replica that owns everything. Its proposals run when they are let.
+// fakeReplica is a replica that owns every key. With holdProposals, proposals are queued and
+// the test runs them.
 type fakeReplica struct {
 	records       map[string]Record
 	epoch         replication.Epoch
 	ownedSince    time.Duration
 	proposalErr   error
 	queued        []func()
-	holdProposals bool // proposals wait
+	holdProposals bool
 }
 
 func (r *fakeReplica) Propose(_ time.Duration, _ string, fn func(map[string]Record) ([]Record, error), done func(error)) {
@@ -58,7 +59,7 @@
 	return s
 }
 
-// execute carries a call out that has time until a deadline.
+// execute executes a call with a deadline.
 func (s *testServer) execute(c Call, deadline ClockReading) (result Result, e *Execution) {
 	e = NewExecution(c, deadline, func(r Result) { result = r })
 	s.Execute(s.now, e)
@@ -75,12 +76,12 @@
 		deadline ClockReading
 		want     Effect
 	}{
-		"confirmed":                       {write, nil, inTime, Answered},
-		"a change that may be committed":  {write, lost, inTime, MaybeDone},
-		"nothing changed":                 {noWrite, lost, inTime, NotDone},
-		"too late":                        {write, nil, ClockReading{Life: 7, Time: -1}, NotDone},
-		"a deadline on another life":      {write, nil, ClockReading{Life: 6, Time: time.Second}, NotDone},
-		"a deadline on a clock not known": {write, nil, ClockReading{}, NotDone},
+		"committed":                                  {write, nil, inTime, Answered},
+		"a change that may be committed":             {write, lost, inTime, MaybeDone},
+		"a call without changes":                     {noWrite, lost, inTime, NotDone},
+		"after the deadline":                         {write, nil, ClockReading{Life: 7, Time: -1}, NotDone},
+		"a deadline on the clock of another process": {write, nil, ClockReading{Life: 6, Time: time.Second}, NotDone},
+		"a deadline on an unknown clock":             {write, nil, ClockReading{}, NotDone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestServer()
@@ -95,7 +96,7 @@
 	}
 }
 
-// A call that waits until its deadline, or is abandoned, never begins.
+// A call that is queued until after its deadline, or is abandoned in the queue, never starts.
 func TestQueuedCallDoesNotStartAfterDeadline(t *testing.T) {
 	for name, abandon := range map[string]bool{"too late": false, "abandoned": true} {
 		t.Run(name, func(t *testing.T) {
@@ -118,18 +119,18 @@
 	s := newTestServer()
 	_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
 	if got := e.Abandon(); got != MaybeDone {
-		t.Errorf("one that has begun: %v", got)
+		t.Errorf("abandoned after the start: %v", got)
 	}
 }
 
-// A new term begins from the records, whatever the former one knew.
+// A new term loads the state from the records and keeps nothing of the former term.
 func TestNewTermReloadsRecords(t *testing.T) {
 	s := newTestServer()
 	inTime := ClockReading{Life: 7, Time: time.Hour}
 	s.execute(acquire("a", 3), inTime)
 	s.now = 2 * time.Second
 	s.replica.epoch, s.replica.ownedSince = replication.Epoch{N: 3}, s.now
-	delete(s.replica.records, lockPrefix+"l") // another owner erased it in between
+	delete(s.replica.records, lockPrefix+"l") // another owner has erased it in the meantime
 	if got, _ := s.execute(acquire("b", 3), inTime); got.Answer.Status != OK {
 		t.Errorf("%+v", got)
 	}
@@ -150,28 +151,28 @@
 		return w
 	}
 	if watch(0, 1); len(results) != 1 || results[0].Revision != 1 || len(results[0].Events) != 1 {
-		t.Errorf("a put that is there: %+v", results)
+		t.Errorf("a put that is in the copy: %+v", results)
 	}
 	w := watch(0, 2)
 	if len(results) > 0 {
-		t.Errorf("a copy that lacks revision 2 told %+v", results)
+		t.Errorf("a copy that lacks revision 2 returned %+v", results)
 	}
 	s.EndWatch(w)
 	if len(results) != 1 || !errors.Is(results[0].Err, ErrStale) {
-		t.Errorf("its time is over: %+v", results)
+		t.Errorf("timeout of a watch whose copy lacks revision 2: %+v", results)
 	}
 	w = watch(1, 1)
 	_, changes := p.Execute(0, putCell("g.b", "y", nil))
 	s.Committed(key, changes)
 	s.EndWatch(w)
 	if len(results) != 1 || results[0].Revision != 2 || results[0].Events[0] != (Event{"g.b", "y", 2}) {
-		t.Errorf("a put that comes: %+v", results)
+		t.Errorf("a put during the watch: %+v", results)
 	}
 	w = watch(2, 0)
 	s.EndWatch(w)
 	s.EndWatch(w)
 	if len(results) != 1 || results[0].Revision != 2 || results[0].Events != nil {
-		t.Errorf("nothing came: %+v", results)
+		t.Errorf("timeout without a put: %+v", results)
 	}
 	watch(2, 0)
 	if s.EndStaleWatches(time.Minute); len(results) != 1 || !errors.Is(results[0].Err, ErrStale) || len(s.watches) > 0 {
@@ -179,8 +180,8 @@
 	}
 }
 
-// A release that was long on its way must not give back a lock that its holder has taken
-// anew, under the same token, since.
+// A delayed release must not free a lock that its holder has since acquired again under the
+// same token.
 func TestLateReleaseIsNotExecuted(t *testing.T) {
 	s := newTestServer()
 	clocks := NewPeerClocks()
@@ -189,7 +190,7 @@
 		return c
 	}
 	if got, _ := s.execute(acquire("a", 3), within(time.Second)); got.Effect != NotDone {
-		t.Fatalf("before the clock is known: %+v", got)
+		t.Fatalf("a call before the owner's clock is known: %+v", got)
 	}
 	clocks.Heard("self", s.Clock(), s.now)
 	s.execute(acquire("a", 3), within(time.Second))
@@ -197,22 +198,22 @@
 	s.now += 1100 * time.Millisecond
 	s.execute(acquire("a", 3), within(time.Second))
 	if got, _ := s.execute(release("a", 1), sent); got.Effect != NotDone {
-		t.Errorf("the late release: %+v", got)
+		t.Errorf("the delayed release: %+v", got)
 	}
 	if got, _ := s.execute(acquire("b", 3), within(time.Second)); got.Answer != held {
-		t.Errorf("another caller: %+v", got)
+		t.Errorf("an acquire by another caller: %+v", got)
 	}
 }
 
 func TestPeerClockEstimateIsNeverAhead(t *testing.T) {
 	c := NewPeerClocks()
 	c.Heard("p", ClockReading{Life: 1, Time: 100}, 40)
-	c.Heard("p", ClockReading{Life: 1, Time: 200}, 180) // slower on its way
+	c.Heard("p", ClockReading{Life: 1, Time: 200}, 180) // a longer transfer
 	if got, _ := c.At("p", 200); got != (ClockReading{Life: 1, Time: 260}) {
 		t.Errorf("%+v", got)
 	}
 	c.Heard("p", ClockReading{Life: 2, Time: 5}, 200)
 	if got, _ := c.At("p", 210); got != (ClockReading{Life: 2, Time: 15}) {
-		t.Errorf("a new life: %+v", got)
+		t.Errorf("after a restart of the peer: %+v", got)
 	}
 }
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -11,18 +11,18 @@
 	"madderwing/internal/replication/replicationtest"
 )
 
-// Times of the tests, as the settings' bounds have them.
+// Times of the simulation, in proportions that the settings' bounds allow.
 const (
 	testHeartbeat       = 500 * time.Millisecond
 	testVacancyTimeout  = 1200 * time.Millisecond
-	testCallerTimeout   = time.Second            // of a caller
-	testAnswerLimit     = 800 * time.Millisecond // for an answer
-	testStartLimit      = 720 * time.Millisecond // for the beginning of a call
-	testFreezeDetection = 250 * time.Millisecond // after which a process knows that it was frozen
+	testCallerTimeout   = time.Second            // after which a caller gives a call up
+	testAnswerLimit     = 800 * time.Millisecond // for the answer of a node to a caller
+	testStartLimit      = 720 * time.Millisecond // for the start of a call at the owner
+	testFreezeDetection = 250 * time.Millisecond // gap after which a process detects that it was frozen
 )
 
-// simulation is a simulated set of control nodes with real replicas: a network that delays and
-// cuts, disks that take time, and processes that crash and freeze.
+// simulation is a simulated set of control nodes with real replicas: a network with delays and
+// partitions, slow disks, and processes that crash and freeze.
 type simulation struct {
 	t               testing.TB
 	random          *rand.Rand
@@ -32,19 +32,19 @@
 	blocked         map[[2]string]int
 	lastLife        uint64
 	partitionLimits Limits
-	slowUntil       time.Duration // messages are late until then
+	slowUntil       time.Duration // many messages are delayed until then
 
-	// latency and sync are what every message and every write take; 0: drawn.
+	// latency and sync are the duration of each message and each write; 0: random.
 	latency, sync time.Duration
 }
 
-// node is a control node. Each process counts time from its own start.
+// node is a control node. The clock of each process counts from its start.
 type node struct {
 	address     string
 	up          bool
 	life        uint64
 	startedAt   time.Duration
-	frozenUntil time.Duration // until then
+	frozenUntil time.Duration
 	replica     *replication.Replica
 	server      *Server
 	clocks      *PeerClocks
@@ -129,7 +129,8 @@
 	w.schedule(100*time.Millisecond, func() { w.tick(n, life) })
 }
 
-// runStep runs a step of a process and carries out its effects; a frozen one does it when it wakes.
+// runStep runs a step of a process and executes its effects. A frozen process does so when it
+// runs again.
 func (w *simulation) runStep(n *node, life uint64, step func()) {
 	if !n.up || n.life != life {
 		return
@@ -147,14 +148,14 @@
 		w.startWrite(n, write)
 	}
 	if effects.Rewrite {
-		w.t.Fatal("no disk refuses writes here")
+		w.t.Fatal("unexpected rewrite: no simulated disk refuses writes")
 	}
 	for _, key := range effects.Committed {
 		n.server.Committed(key, effects.Changed[key])
 	}
 }
 
-// send delivers a message, unless the nodes are cut off from each other.
+// send delivers a message after a delay, unless the connection is blocked by then.
 func (w *simulation) send(from *node, address string, deliver func(to *node)) {
 	to, life := w.node(address), w.node(address).life
 	w.schedule(w.delay(), func() {
@@ -164,7 +165,7 @@
 	})
 }
 
-// delay is the time that a message takes.
+// delay is the transfer time of a message.
 func (w *simulation) delay() time.Duration {
 	if w.latency > 0 {
 		return w.latency
@@ -194,7 +195,7 @@
 	})
 }
 
-// crash ends a process. A part of the writes under way is on the disk all the same.
+// crash ends a process. Some of its pending writes reach the disk nevertheless.
 func (w *simulation) crash(n *node) {
 	if !n.up {
 		return
@@ -205,7 +206,8 @@
 	}
 }
 
-// adjustBlocked cuts a node off from the others, or only what it sends or what it is sent.
+// adjustBlocked adds delta to the number of failures that block a node's outgoing or incoming
+// messages, or both.
 func (w *simulation) adjustBlocked(n *node, outgoing, incoming bool, delta int) {
 	for _, o := range w.nodes {
 		if o != n && outgoing {
@@ -217,10 +219,10 @@
 	}
 }
 
-// call is one call of a caller at a node, as the driver of a node handles it: the owner of
-// the partition is looked up, and the call forwarded once it is known. told is called at
-// most once; a caller that hears nothing gives up after testPatience. Callers are near: a
-// call is late only at a process that is frozen, which refuses what came meanwhile.
+// call simulates a call at a node, as the node's driver handles it: it looks up the owner of
+// the partition and forwards the call once that is known. done is called at most once; a
+// caller without an answer gives up after testCallerTimeout. Callers have short delays, so
+// a call is late only at a frozen process, which refuses the calls that arrived meanwhile.
 func (w *simulation) call(n *node, c Call, done func(Result)) {
 	life := n.life
 	callerDelay := func() time.Duration { return time.Duration(500+w.random.Intn(4000)) * time.Microsecond }
@@ -301,7 +303,7 @@
 	})
 }
 
-// execute carries a call out at its owner. It is run in a step of that.
+// execute executes a call at its owner. It must run in a step of the owner.
 func (w *simulation) execute(n *node, c Call, deadline ClockReading, done func(Result)) {
 	finished, life := false, n.life
 	e := NewExecution(c, deadline, func(r Result) {
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest is what a rollout adds to one request on a gateway: without one, and with.
+// BenchmarkRequest measures the cost of Arms for one request on a gateway, without and with an
+// active rollout.
 func BenchmarkRequest(b *testing.B) {
 	for _, active := range []bool{false, true} {
 		for _, routes := range []int{10, 100, 1000, 4000} {
@@ -31,8 +32,8 @@
 	}
 }
 
-// BenchmarkGather is what a control node does with the reports of the gateways that tell it, and
-// a controller with what all control nodes have gathered.
+// BenchmarkGather measures adding up the reports of many gateways, which each control node
+// does for those that report to it, and judging the sum, which the controller does.
 func BenchmarkGather(b *testing.B) {
 	for _, gateways := range []int{10, 100, 400, 1600} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -7,8 +7,8 @@
 	"madderwing/internal/apierror"
 )
 
-// controlNodes plays owners of one service's key, each with a clock of its own, which copy
-// each other's records.
+// controlNodes is a set of control nodes that may own a service's key. They share the records,
+// and each has a clock of its own.
 type controlNodes struct {
 	t            *testing.T
 	records      map[string]Record
@@ -25,7 +25,7 @@
 	return x
 }
 
-// clock is the time as a control node has it.
+// clock is the time on the clock of a control node.
 func (x *controlNodes) clock(i int) time.Duration { return x.now + time.Duration(i)*time.Hour }
 
 func (x *controlNodes) call(owner int, id uint64) Call {
@@ -55,7 +55,7 @@
 	return err
 }
 
-// complete ends the rollout under way.
+// complete completes the active rollout.
 func (x *controlNodes) complete() {
 	p, _ := Read(x.records[Key("s")])
 	next := *p
@@ -67,7 +67,7 @@
 	x.commit(changes)
 }
 
-// checkNewest checks which rollout is the newest, and how far it has come.
+// checkNewest checks the candidate, the stage and the order number of the newest rollout.
 func (x *controlNodes) checkNewest(version string, stage Stage, order uint64) {
 	x.t.Helper()
 	if p, _ := Read(x.records[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
@@ -89,17 +89,17 @@
 // acknowledged is the outcome of a call that is acknowledged.
 const acknowledged apierror.Kind = -1
 
-// A reversal that is passed on again, by whichever node and to whichever owner, finds what
-// it has done and leaves the next rollout alone.
+// A reversal that is forwarded or sent again, by any node and to any owner, is recognised as
+// executed and does not reverse the next rollout.
 func TestReversalAffectsOnlyItsRollout(t *testing.T) {
 	for name, passedOn := range map[string]struct {
 		reversal Reversal
 		id       uint64
 	}{
-		"by the node that took it":                   {Reversal{Version: "v2"}, 2},
-		"of an earlier release":                      {Reversal{}, 2},
-		"by the operator, who named it":              {Reversal{Version: "v2", Named: true}, 9},
-		"by the operator, and taken before the next": {Reversal{Version: "v2"}, 9},
+		"forwarded again by the node that received it":                     {Reversal{Version: "v2"}, 2},
+		"from a node of an earlier release":                                {Reversal{}, 2},
+		"sent again by the operator, who named the version":                {Reversal{Version: "v2", Named: true}, 9},
+		"sent again by the operator, and received before the next rollout": {Reversal{Version: "v2"}, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newControlNodes(t, 2)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Where an operator sends a reversal again and names no version, it can't be told from one
-// of the next rollout: it is left open for as long as he may send it again.
+// A repeated reversal without a version cannot be told from a reversal of the next rollout. It
+// is answered with MaybeRepeated for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	x := newControlNodes(t, 2)
 	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
@@ -134,7 +134,8 @@
 	x.checkNewest("v4", Reverted, 3)
 }
 
-// A reversal of a version that was never reversed by an order, and is not the newest.
+// A reversal of a version that is not the newest, and that no operator has reversed before, is
+// refused.
 func TestReversalOfOlderVersionIsRefused(t *testing.T) {
 	x := newControlNodes(t, 1)
 	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
@@ -144,10 +145,10 @@
 	x.checkNewest("v3", Shadow, 2)
 }
 
-// An order that is passed on again, or sent again by its operator, is acknowledged and
-// begins nothing, whatever has been ordered since.
+// An order that is forwarded again, or sent again by its operator, is acknowledged and starts
+// no rollout, whatever has been ordered since.
 func TestRepeatedOrderStartsNoRollout(t *testing.T) {
-	for name, id := range map[string]uint64{"passed on": 1, "sent again": 9} {
+	for name, id := range map[string]uint64{"forwarded again": 1, "sent again": 9} {
 		t.Run(name, func(t *testing.T) {
 			x := newControlNodes(t, 2)
 			x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
@@ -159,14 +160,14 @@
 			x.complete()
 			x.checkOutcome(x.begin(1, id, "v2"), acknowledged)
 			x.checkNewest("v3", Complete, 2)
-			x.now += x.resendWindow // nobody sends it again any more: back to v2
+			x.now += x.resendWindow // too late for a repeat: this is a new order for v2
 			x.checkOutcome(x.begin(1, 10, "v2"), acknowledged)
 			x.checkNewest("v2", Shadow, 3)
 		})
 	}
 }
 
-// The record names the newest calls only, as many as may be under way.
+// The record and the controller keep only the newest calls, as many as may be in progress.
 func TestTakenCallsAreBounded(t *testing.T) {
 	x := newControlNodes(t, 1)
 	for i, versions := 0, []string{"v2", "v3"}; i < 40; i++ {
@@ -176,7 +177,7 @@
 	}
 	p, _ := Read(x.records[Key("s")])
 	if len(p.Taken) != maxTakenCalls || p.Taken[maxTakenCalls-1].ID != 40 {
-		t.Errorf("%d calls are named: %v", len(p.Taken), p.Taken)
+		t.Errorf("the plan records %d calls: %v", len(p.Taken), p.Taken)
 	}
 	if n := len(x.records[Key("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
@@ -186,7 +187,8 @@
 	}
 }
 
-// An order or a reversal that waited while other rollouts were ordered is refused, however late it comes.
+// An order or a reversal that was received before another rollout was ordered is refused,
+// however late it comes.
 func TestOutdatedCallIsRefused(t *testing.T) {
 	basis := func(number uint64) *uint64 { return &number }
 	plan := Plan{Service: "s", Prior: "v1", Candidate: "v3", Order: 2, Stage: Reverted, Taken: []TakenCall{{ID: 7, Version: "v3"}}}
@@ -199,13 +201,13 @@
 		want   apierror.Kind
 		passes bool
 	}{
-		"an order on the newest":                  {plan, false, Call{ID: 9, Basis: basis(2)}, 0, true},
-		"of an earlier release":                   {plan, false, Call{ID: 9}, 0, true},
-		"an order on the one before":              {plan, false, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
-		"an order on none":                        {plan, false, Call{ID: 9, Basis: basis(0)}, apierror.Outdated, false},
-		"an order that was carried out":           {plan, false, Call{ID: 7, Basis: basis(1)}, 0, true},
-		"a reversal of the newest":                {underWay, true, Call{ID: 9, Basis: basis(2)}, 0, true},
-		"a reversal that rests on the one before": {underWay, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
+		"order based on the newest":                      {plan, false, Call{ID: 9, Basis: basis(2)}, 0, true},
+		"order without a basis, from an earlier release": {plan, false, Call{ID: 9}, 0, true},
+		"order based on the previous one":                {plan, false, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
+		"order based on no rollout":                      {plan, false, Call{ID: 9, Basis: basis(0)}, apierror.Outdated, false},
+		"order that was executed":                        {plan, false, Call{ID: 7, Basis: basis(1)}, 0, true},
+		"reversal based on the newest":                   {underWay, true, Call{ID: 9, Basis: basis(2)}, 0, true},
+		"reversal based on the previous one":             {underWay, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
 	} {
 		have := map[string]Record{Key("s"): c.plan.encode(4)}
 		var err error
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -9,24 +9,24 @@
 	"madderwing/internal/apierror"
 )
 
-// The tests of significance against values worked out by hand.
+// The significance tests agree with values that were computed by hand.
 func TestStatisticsAgainstKnownValues(t *testing.T) {
 	// 10 of 20 against 2 of 20: pooled 0.3, standard error 0.1449, z 2.7603.
 	if p := proportionsPValue(10, 20, 2, 20); math.Abs(p-0.002887) > 1e-5 {
-		t.Errorf("two proportions: p %v", p)
+		t.Errorf("two-proportion z-test: p = %v", p)
 	}
 	// {0, 1} against {2, 3}: t = -2 / sqrt(0.5) with 2 degrees of freedom, whose
 	// distribution is 1/2 + t / (2 sqrt(2 + t t)).
 	a, b := Cell{N: 2, Sum: 1, Sq: 1}, Cell{N: 2, Sum: 5, Sq: 13}
 	statistic := -2 / math.Sqrt(0.5)
 	if p, want := welchPValue(a, b), 0.5+statistic/(2*math.Sqrt(2+statistic*statistic)); math.Abs(p-want) > 1e-9 {
-		t.Errorf("Welch: p %v, want %v", p, want)
+		t.Errorf("Welch's t-test: p = %v, want %v", p, want)
 	}
 	if p := welchPValue(b, a); p < 0.9 {
-		t.Errorf("Welch the other way: p %v", p)
+		t.Errorf("Welch's t-test with the samples exchanged: p = %v", p)
 	}
 	if proportionsPValue(0, 0, 1, 2) != 1 || welchPValue(Cell{N: 1}, b) != 1 {
-		t.Error("too few for a test is no sign")
+		t.Error("samples that are too small for a test must give p = 1")
 	}
 }
 
@@ -46,21 +46,21 @@
 		name        string
 		prior, cand Cell
 		base        Cell
-		why         string // in the verdict; empty: none
+		why         string // expected in the result; empty: not judged bad
 	}{
 		{"the same", makeCell(1000, 10, 100*ms), makeCell(50, 1, 100*ms), Cell{}, ""},
 		{"errors", makeCell(1000, 10, 100*ms), makeCell(10, 10, 100*ms), Cell{}, "failed"},
-		{"too few to tell", makeCell(1000, 10, 100*ms), makeCell(2, 3, 100*ms), Cell{}, ""},
+		{"too few answers", makeCell(1000, 10, 100*ms), makeCell(2, 3, 100*ms), Cell{}, ""},
 		{"both bad", makeCell(500, 500, 100*ms), makeCell(25, 25, 100*ms), Cell{}, ""},
 		{"significant but small", makeCell(100000, 0, 100*ms), makeCell(2000, 60, 100*ms), Cell{}, ""},
 		{"slow", makeCell(1000, 0, 100*ms), makeCell(40, 0, 800*ms), Cell{}, "take"},
 		{"a little slower", makeCell(1000, 0, 100*ms), makeCell(400, 0, 130*ms), Cell{}, ""},
 		{"a tail", makeCell(1000, 0, 100*ms), func() Cell { c := makeCell(160, 0, 100*ms); c.Add(makeCell(20, 0, 250*ms)); return c }(), Cell{}, "p99"},
-		{"alone, good", Cell{}, makeCell(100, 1, 100*ms), Cell{}, ""},
-		{"alone, bad", Cell{}, makeCell(50, 50, 100*ms), Cell{}, "failed"},
-		{"full, bad, against the stage before", Cell{}, makeCell(60, 30, 100*ms), makeCell(500, 2, 100*ms), "failed"},
-		{"full, a fault of a few per cent", Cell{}, makeCell(100, 12, 100*ms), makeCell(500, 2, 100*ms), ""},
-		{"full, slow", Cell{}, makeCell(100, 0, 900*ms), makeCell(500, 2, 100*ms), "p99"},
+		{"no prior answers, good", Cell{}, makeCell(100, 1, 100*ms), Cell{}, ""},
+		{"no prior answers, bad", Cell{}, makeCell(50, 50, 100*ms), Cell{}, "failed"},
+		{"full weight, bad compared with the baseline", Cell{}, makeCell(60, 30, 100*ms), makeCell(500, 2, 100*ms), "failed"},
+		{"full weight, a few per cent of errors", Cell{}, makeCell(100, 12, 100*ms), makeCell(500, 2, 100*ms), ""},
+		{"full weight, slow", Cell{}, makeCell(100, 0, 900*ms), makeCell(500, 2, 100*ms), "p99"},
 	} {
 		s, base := Sums{3: {c.prior, c.cand}}, Sums{3: {c.base, Cell{}}}
 		why := Overall.Judge(s, base)
@@ -68,14 +68,14 @@
 			t.Errorf("%s: %q, want %q", c.name, why, c.why)
 		}
 	}
-	// One stratum of many.
+	// Only one of many strata is bad.
 	s := Sums{}
 	for b := uint8(0); b < 15; b++ {
 		s[b] = Pair{makeCell(1000, 5, 100*ms), makeCell(40, 0, 100*ms)}
 	}
 	s[15] = Pair{makeCell(1000, 5, 100*ms), makeCell(8, 10, 100*ms)}
 	if why := Overall.Judge(s, Sums{}); !strings.Contains(why, "failed") {
-		t.Errorf("a stratum that fails: %q", why)
+		t.Errorf("with one bad stratum: %q", why)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 	}
 	if a.All()[Prior].Ended != 4 {
-		t.Error("adding changed what was added")
+		t.Error("Add changed its argument")
 	}
 }
 
@@ -146,12 +146,12 @@
 		put(changes)
 	}
 	if p, _ := Read(records[Key("s")]); p.Prior != "v3" || p.Order != 3 {
-		t.Errorf("the last order moves from %q as order %d", p.Prior, p.Order)
+		t.Errorf("the last rollout moves from %q and is number %d", p.Prior, p.Order)
 	}
-	// An order for the version that stands is carried out already.
+	// An order for the version that serves is complete at once.
 	changes, _ := Begin(map[string]Record{}, Ask{"s", "v1", 3}, "v1", Call{})
 	if p, _ := Read(changes[0]); p.Stage != Complete {
-		t.Errorf("moving to what stands is %v", p.Stage)
+		t.Errorf("the rollout to the version that serves is %v", p.Stage)
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 	records[advanced[0].Name] = advanced[0]
 	if _, err := Advance(records, p.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
-		t.Errorf("a step taken twice: %v", err)
+		t.Errorf("a transition committed twice: %v", err)
 	}
 	reversed, err := Abort(records, "s", Reversal{}, time.Second, Call{})
 	if err != nil {
@@ -175,10 +175,10 @@
 	}
 	records[reversed[0].Name] = reversed[0]
 	if _, err := Advance(records, p.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
-		t.Errorf("a step raced a reversal: %v", err)
+		t.Errorf("a transition computed before a reversal: %v", err)
 	}
 	if _, err := Advance(records, reversed[0].Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
-		t.Errorf("a step after a reversal: %v", err)
+		t.Errorf("a transition after a reversal: %v", err)
 	}
 	if again, err := Abort(records, "s", Reversal{}, 2*time.Second, Call{}); err != nil || again != nil {
 		t.Errorf("a second reversal: %v", err)
@@ -211,15 +211,15 @@
 		records[r.Name] = r
 	}
 	if got := Services(records)["s"].Serves(); got != "v1" {
-		t.Errorf("stands %q", got)
+		t.Errorf("serving %q, want v1", got)
 	}
 	if again := Adopt(records, map[string]Standing{"s": {Version: "v9"}}, map[string]uint64{}); again != nil {
-		t.Error("a standing version was replaced by one who had not seen it")
+		t.Error("a standing version was replaced by a caller that did not know its generation")
 	}
 	started, _ := Begin(records, Ask{"s", "v2", 12}, "v1", Call{})
 	records[started[0].Name] = started[0]
 	if s := Services(records)["s"]; s.Serves() != "v1" || s.Active() == nil {
-		t.Errorf("under way: stands %q", s.Serves())
+		t.Errorf("active rollout: serving %q", s.Serves())
 	}
 	p, _ := Read(started[0])
 	next := *p
@@ -227,12 +227,12 @@
 	completed, _ := Advance(records, p.Gen, &next)
 	records[completed[0].Name] = completed[0]
 	if s := Services(records)["s"]; s.Serves() != "v2" || s.Active() != nil {
-		t.Errorf("complete: stands %q", s.Serves())
+		t.Errorf("complete: serving %q", s.Serves())
 	}
 	for _, r := range Adopt(records, map[string]Standing{"s": {Version: "v5", After: completed[0].Gen}}, map[string]uint64{"s": 1}) {
 		records[r.Name] = r
 	}
 	if got := Services(records)["s"].Serves(); got != "v5" {
-		t.Errorf("replaced without an order: stands %q", got)
+		t.Errorf("replaced without an order: serving %q, want v5", got)
 	}
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// simulation plays a rollout on the real state machines: nodes that split and score, and
-// controllers of which one at a time owns the key.
+// simulation runs a rollout with the real state machines: the Arms of many gateways, and the
+// controllers of three control nodes, of which one at a time owns the key.
 type simulation struct {
 	t                  *testing.T
 	rng                *rand.Rand
 	now                time.Duration
 	gateways           []*simGateway
 	controllers        []*Controller
-	shownRecords       [][]Record // what each controller's control node shows
-	owner              int        // -1: none
-	frozen             int        // a controller that does not run; -1: none
+	shownRecords       [][]Record // by controller: the records that its control node has seen
+	owner              int        // index of the controller that owns the key; -1: none
+	frozen             int        // index of the controller whose process is frozen; -1: none
 	records            map[string]Record
-	capacity           View // slots, and what the version's upstreams are
+	capacity           View // slots and load of the upstreams
 	candidateKind      string
-	errorShare         float64
-	commonErrorShare   float64 // share of errors of both versions
+	errorShare         float64 // of the candidate's requests
+	commonErrorShare   float64 // of the requests of both versions
 	events             map[time.Duration][]func()
-	requestsByVersion  map[string]int // requests by version
+	requestsByVersion  map[string]int
 	badAnswersAt       []time.Duration
-	candidateRequests  []candidateRequest // requests to the candidate
+	candidateRequests  []candidateRequest
 	plans              []Plan
 	freezeInTransition bool
-	heldTransition     *Move
+	heldTransition     *Move // decided on by the frozen owner, not committed yet
 }
 
 type candidateRequest struct {
@@ -45,14 +45,14 @@
 	disconnected bool
 	generation   uint64
 	requestsDue  float64
-	// priorInFlight is how many requests it has under way at the priorInFlight version.
+	// priorInFlight is the number of its requests in flight to the prior version.
 	priorInFlight int
 }
 
 const (
 	tickInterval      = 20 * time.Millisecond
 	testGateways      = 24
-	gatewayRate       = 60.0 // requests a second
+	gatewayRate       = 60.0 // requests per second of each gateway
 	testOrderTime     = 16 * time.Second
 	rollbackTime      = 5 * time.Second
 	vacancyTimeout    = 2 * time.Second
@@ -91,7 +91,7 @@
 		w.plans = append(w.plans, *p)
 		for _, n := range w.gateways {
 			if p.Stage == Complete && !n.disconnected && n.priorInFlight > 0 {
-				w.t.Errorf("complete at %v, while %s has %d requests at the prior version", w.now, n.id, n.priorInFlight)
+				w.t.Errorf("complete at %v while %s has %d requests in flight to the prior version", w.now, n.id, n.priorInFlight)
 			}
 		}
 		for i := range w.controllers {
@@ -133,7 +133,7 @@
 	return p
 }
 
-// serveRequest plays one request of a node.
+// serveRequest simulates one request at a gateway.
 func (w *simulation) serveRequest(index int) {
 	gateway := w.gateways[index]
 	class := testStrata[w.rng.IntN(len(testStrata))]
@@ -163,7 +163,7 @@
 		case "errors":
 		case "late":
 			fails = fails && w.now > 3*time.Second
-		case "one class":
+		case "one stratum":
 			fails = fails && class == testStrata[1]
 		case "under load":
 			fails = fails && p.Weight >= 0.5
@@ -179,7 +179,7 @@
 			w.schedule(w.now+took, func() { w.badAnswersAt = append(w.badAnswersAt, w.now) })
 		}
 	} else if p := w.plan(); p != nil && p.Stage == Complete && !gateway.disconnected && w.now > w.completeAt()+200*time.Millisecond {
-		version = "v2" // the version that stands now
+		version = "v2" // the version that serves now
 	}
 	w.requestsByVersion[version]++
 	sample.Sent(w.now < 4*time.Second && version != "v1")
@@ -241,7 +241,7 @@
 	}
 	for _, m := range moves {
 		if w.freezeInTransition {
-			w.heldTransition, w.freezeInTransition = &m, false // the owner freezes with the step in its hands
+			w.heldTransition, w.freezeInTransition = &m, false // the owner freezes between deciding on a transition and committing it
 			w.loseOwner(i, false)
 			continue
 		}
@@ -253,7 +253,8 @@
 	}
 }
 
-// loseOwner takes the key from its owner; another has it after the vacancy.
+// loseOwner freezes the key's owner. Another node owns the key after the vacancy timeout. The
+// old owner runs again later; if wiped, it starts without its state.
 func (w *simulation) loseOwner(i int, wiped bool) {
 	w.owner, w.frozen = -1, i
 	w.schedule(w.now+vacancyTimeout+400*time.Millisecond, func() { w.owner = (i + 1) % 3 })
@@ -262,7 +263,7 @@
 		if m := w.heldTransition; m != nil {
 			w.heldTransition = nil
 			if changes, err := Advance(w.records, m.From.Gen, m.To); err == nil {
-				w.commit(changes) // nothing had changed meanwhile: as good as a step taken now
+				w.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
 		if wiped {
@@ -276,7 +277,7 @@
 
 func (w *simulation) run(until time.Duration) {
 	for ; w.now < until; w.now += tickInterval {
-		for i := 0; i < len(w.events[w.now]); i++ { // some add more
+		for i := 0; i < len(w.events[w.now]); i++ { // an event may add others to the same tick
 			w.events[w.now][i]()
 		}
 		delete(w.events, w.now)
@@ -312,25 +313,28 @@
 	}
 }
 
-// checkRules holds what was seen against the rules.
+// checkRules checks the plans and requests of a run: stages only advance; a good version is
+// complete in time; a bad one is reversed, gets no more than its share of the requests if
+// limitExposure is set, and none from a connected gateway later than rollbackTime after its
+// 50th bad answer.
 func (w *simulation) checkRules(good bool, limitExposure bool) {
 	t := w.t
 	t.Helper()
 	last := Plan{}
 	for _, p := range w.plans {
 		if p.Order == last.Order && (p.Stage < last.Stage || p.Age < last.Age || last.Final() || p.Weight < last.Weight && p.Stage != Reverted) {
-			t.Errorf("%s: from %v %.2f at %v to %v %.2f at %v", w.candidateKind, last.Stage, last.Weight, last.Age, p.Stage, p.Weight, p.Age)
+			t.Errorf("%s: invalid transition from %v %.2f at %v to %v %.2f at %v", w.candidateKind, last.Stage, last.Weight, last.Age, p.Stage, p.Weight, p.Age)
 		}
 		last = p
 	}
 	if good {
 		if last.Stage != Complete || last.Age > testOrderTime {
-			t.Errorf("a good version is %v (%s) after %v", last.Stage, last.Reason, last.Age)
+			t.Errorf("a good version is %v (%s) at %v, want complete in time", last.Stage, last.Reason, last.Age)
 		}
 		return
 	}
 	if last.Stage != Reverted {
-		t.Errorf("%s: a bad version is %v %.2f", w.candidateKind, last.Stage, last.Weight)
+		t.Errorf("%s: a bad version is %v %.2f, want reverted", w.candidateKind, last.Stage, last.Weight)
 	}
 	candidateTotal, total := 0, 0
 	for v, n := range w.requestsByVersion {
@@ -340,13 +344,13 @@
 		}
 	}
 	if allowed := testExposureShare*float64(total) + testExposureSlack; limitExposure && float64(candidateTotal) > allowed {
-		t.Errorf("%s: the bad version got %d of %d, %.0f allowed", w.candidateKind, candidateTotal, total, allowed)
+		t.Errorf("%s: the bad version got %d of %d requests, %.0f allowed", w.candidateKind, candidateTotal, total, allowed)
 	}
 	if len(w.badAnswersAt) >= 50 {
 		sort.Slice(w.badAnswersAt, func(i, j int) bool { return w.badAnswersAt[i] < w.badAnswersAt[j] })
 		for _, s := range w.candidateRequests {
 			if !w.gateways[s.gateway].disconnected && s.at > w.badAnswersAt[49]+rollbackTime {
-				t.Errorf("%s: node %d still sends at %v, the 50th bad answer was at %v", w.candidateKind, s.gateway, s.at, w.badAnswersAt[49])
+				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", w.candidateKind, s.gateway, s.at, w.badAnswersAt[49])
 				break
 			}
 		}
@@ -356,9 +360,9 @@
 var badKinds = []struct {
 	kind  string
 	share float64
-}{{"errors", 0.5}, {"errors", 0.36}, {"late", 0.5}, {"one class", 0.5}, {"slow", 1}, {"under load", 0.5}}
+}{{"errors", 0.5}, {"errors", 0.36}, {"late", 0.5}, {"one stratum", 0.5}, {"slow", 1}, {"under load", 0.5}}
 
-// forEachKind plays each kind of version with each number from 1 to n.
+// forEachKind calls run for each kind of candidate with each number from 1 to n.
 func forEachKind(t *testing.T, n uint64, run func(t *testing.T, n uint64, kind string, share float64)) {
 	kinds := append(badKinds[:len(badKinds):len(badKinds)], badKinds[0])
 	kinds[len(badKinds)].kind = "good"
@@ -381,7 +385,7 @@
 	})
 }
 
-// What goes wrong everywhere must neither condemn a candidate nor excuse it.
+// Errors that both versions have must neither reverse a good candidate nor hide a bad one.
 func TestErrorsOfBothArms(t *testing.T) {
 	forEachKind(t, 6, func(t *testing.T, seed uint64, kind string, share float64) {
 		w := newSimulation(t, seed, kind, share)
@@ -393,15 +397,16 @@
 	})
 }
 
-// The controller is lost at every moment of a rollout, in each way.
+// The controller is lost at different times of a rollout: killed, restarted without state, or
+// frozen before it commits a transition.
 func TestControllerLost(t *testing.T) {
 	forEachKind(t, 11, func(t *testing.T, n uint64, kind string, share float64) {
 		at := time.Duration(n) * 1100 * time.Millisecond
-		for _, how := range []string{"killed", "wiped", "frozen in a step"} {
+		for _, how := range []string{"killed", "wiped", "frozen in a transition"} {
 			w := newSimulation(t, n, kind, share)
 			w.order("v2")
 			w.schedule(at, func() {
-				if how == "frozen in a step" {
+				if how == "frozen in a transition" {
 					w.freezeInTransition = true
 				} else {
 					w.loseOwner(0, how == "wiped")
@@ -411,15 +416,15 @@
 			if kind != "good" {
 				w.checkRules(false, true)
 			} else if p := w.plan(); p.Stage != Complete {
-				// A takeover may cost the term, but not the rollout.
+				// A takeover may delay the rollout beyond its time, but not prevent it.
 				t.Errorf("%s at %v: a good version is %v %.2f (%s)", how, at, p.Stage, p.Weight, p.Reason)
 			}
 		}
 	})
 }
 
-// A node that hears no controller gives the candidate nothing after a time, and when it
-// comes back with old weights it takes the new ones before it sends on.
+// A gateway that receives no notice of a controller stops sending requests to the candidate
+// after a timeout, and the rollout completes without that gateway.
 func TestDisconnectedGateway(t *testing.T) {
 	w := newSimulation(t, 3, "good", 0)
 	n := w.gateways[5]
@@ -435,16 +440,16 @@
 		return last
 	}
 	if got, most := sentAt(), 4*time.Second+rollbackTime/2+200*time.Millisecond; got > most {
-		t.Errorf("a node cut off at 4 s still gives the candidate requests at %v", got)
+		t.Errorf("a gateway disconnected at 4 s still sends requests to the candidate at %v", got)
 	}
 	w.run(14 * time.Second)
 	if p := w.plan(); p.Stage != Complete {
-		t.Fatalf("the rollout waits for a node that is gone: %v %.2f", p.Stage, p.Weight)
+		t.Fatalf("the rollout waits for a disconnected gateway: %v %.2f", p.Stage, p.Weight)
 	}
 }
 
-// A node stops a bad candidate by itself, with no word from the controller but that there
-// is one, and keeps it stopped until the plan changes.
+// A gateway stops a bad candidate by itself, without any other message from the controller
+// than that it exists, and keeps it stopped until the plan changes.
 func TestGatewayStopsBadCandidate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -481,7 +486,7 @@
 			}
 		}
 		if stopped := arms.Reports()[0].Brake != ""; stopped != c.stops || stopped && candidateRequests > 60 {
-			t.Errorf("%s: stopped %v, after %d requests", c.name, stopped, candidateRequests)
+			t.Errorf("%s: stopped = %v, after %d requests to the candidate", c.name, stopped, candidateRequests)
 		}
 		next := plan
 		next.Gen, next.Stage, next.Weight = 6, Reverted, 0
@@ -492,7 +497,7 @@
 	}
 }
 
-// A large answer is scored when it begins, and its upstream is in use until it ends.
+// A large answer is scored when it begins, and its request is in flight until it ends.
 func TestScoredRequestIsInFlightUntilItEnds(t *testing.T) {
 	arms := NewArms("n", time.Hour, func() time.Duration { return time.Second })
 	arms.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary}}})
@@ -500,16 +505,16 @@
 	sample.Sent(false)
 	sample.Score(Passed)
 	if report := arms.Reports()[0]; report.Busy != 1 || report.Sums.All()[Prior].Ended != 1 {
-		t.Errorf("begun: %+v", report)
+		t.Errorf("after Score: %+v", report)
 	}
 	sample.End(Broke)
 	r := arms.Reports()[0]
 	if all := r.Sums.All(); r.Busy != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
-		t.Errorf("ended: %+v", r)
+		t.Errorf("after End: %+v", r)
 	}
 }
 
-// Every stratum gives the candidate its share on every node, none all of it.
+// On every gateway, every stratum gives the candidate its share of the requests.
 func TestStrataAreSplitEvenly(t *testing.T) {
 	now := time.Duration(0)
 	plan := &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Canary, Weight: 0.03, Gen: 2}
@@ -529,13 +534,13 @@
 					x.End(Unscored)
 				}
 				if want := 200 * weight; math.Abs(float64(got)-want) > 1.01 {
-					t.Errorf("weight %.2f: a stratum gave %d of 200", weight, got)
+					t.Errorf("weight %.2f: the candidate got %d of the 200 requests of a stratum", weight, got)
 				}
 				total += got
 			}
 		}
 		if want := 80000 * weight; math.Abs(float64(total)-want) > want/20+20 {
-			t.Errorf("weight %.2f: %d of 80000 in all", weight, total)
+			t.Errorf("weight %.2f: the candidate got %d of all 80000 requests", weight, total)
 		}
 	}
 }
