--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -11,7 +11,7 @@
 	"madderwing/internal/replication/replicationtest"
 )
 
-// Times of the simulation, in proportions that the settings' bounds allow.
+// Times of the simulation, as they follow from the bounds in the settings.
 const (
 	testHeartbeat       = 500 * time.Millisecond
 	testVacancyTimeout  = 1200 * time.Millisecond
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -86,8 +86,8 @@
 func (a *Arms) Whole(service string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p := a.splitFor(service).plan
-	return p == nil || p.Weight >= 1
+	plan := a.splitFor(service).plan
+	return plan == nil || plan.Weight >= 1
 }
 
 // Sample is one attempt to send a request to an upstream.
@@ -162,6 +162,7 @@
 // together.
 const maxStrata = 4096
 
+// initialAccumulated is a hash of the node and the stratum, as a number from 0 to below 1.
 func (a *Arms) initialAccumulated(stratum string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a.nodeID + "\x00" + stratum))
@@ -171,58 +172,58 @@
 
 // Version is the version to which the request must be sent; empty: the one that serves
 // without a weight.
-func (x *Sample) Version() string { return x.version }
+func (s *Sample) Version() string { return s.version }
 
 // Candidate reports whether the request goes to the candidate of an active rollout.
-func (x *Sample) Candidate() bool { return x.arm == Candidate }
+func (s *Sample) Candidate() bool { return s.arm == Candidate }
 
 // Sent records that the request has been assigned to an upstream, and whether that is cold
 // (still warming up).
-func (x *Sample) Sent(cold bool) {
-	x.arms.mu.Lock()
-	x.sentAt, x.cold = max(1, x.arms.clock()), cold
-	x.arms.mu.Unlock()
+func (s *Sample) Sent(cold bool) {
+	s.arms.mu.Lock()
+	s.sentAt, s.cold = max(1, s.arms.clock()), cold
+	s.arms.mu.Unlock()
 }
 
 // Score records the outcome of an attempt whose answer may still be in transfer. Only the
 // first outcome of an attempt counts.
-func (x *Sample) Score(outcome Outcome) {
-	x.arms.mu.Lock()
-	defer x.arms.mu.Unlock()
-	x.score(outcome)
+func (s *Sample) Score(outcome Outcome) {
+	s.arms.mu.Lock()
+	defer s.arms.mu.Unlock()
+	s.score(outcome)
 }
 
 // End records that an attempt is no longer in flight, and its outcome unless Score has
 // recorded one.
-func (x *Sample) End(outcome Outcome) {
-	x.arms.mu.Lock()
-	defer x.arms.mu.Unlock()
-	delete(x.split.inFlight, x)
-	x.score(outcome)
+func (s *Sample) End(outcome Outcome) {
+	s.arms.mu.Lock()
+	defer s.arms.mu.Unlock()
+	delete(s.split.inFlight, s)
+	s.score(outcome)
 }
 
-func (x *Sample) score(outcome Outcome) {
-	a, split := x.arms, x.split
-	if x.scored {
+func (s *Sample) score(outcome Outcome) {
+	a, split := s.arms, s.split
+	if s.scored {
 		return
 	}
-	x.scored = true
+	s.scored = true
 	plan := split.plan
-	if plan == nil || plan.Final() || x.order != split.order || x.order == 0 {
+	if plan == nil || plan.Final() || s.order != split.order || s.order == 0 {
 		return
 	}
-	pair := split.sums[x.bucket]
-	cell := &pair[x.arm]
-	if x.generation != plan.Gen {
-		cell.Begun++ // begun under another generation; it counts where it ends
+	pair := split.sums[s.bucket]
+	cell := &pair[s.arm]
+	if s.generation != plan.Gen {
+		cell.Begun++ // begun under an older generation; a request counts for the one in which it ends
 	}
-	if outcome == Unscored || x.sentAt == 0 {
+	if outcome == Unscored || s.sentAt == 0 {
 		cell.Begun--
 	} else {
-		cell.record(outcome, a.clock()-x.sentAt, x.latencyTarget, x.cold)
+		cell.record(outcome, a.clock()-s.sentAt, s.latencyTarget, s.cold)
 	}
-	split.sums[x.bucket] = pair
-	if x.arm == Candidate && outcome != Passed {
+	split.sums[s.bucket] = pair
+	if s.arm == Candidate && outcome != Passed {
 		split.judgeCandidate(a.clock())
 	}
 }
@@ -265,8 +266,8 @@
 func (a *Arms) Active() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, s := range a.splits {
-		if s.plan != nil && !s.plan.Final() {
+	for _, split := range a.splits {
+		if split.plan != nil && !split.plan.Final() {
 			return true
 		}
 	}
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -121,8 +121,9 @@
 }
 
 // Abort returns the changes of a reversal that an operator orders. It reverses only a rollout
-// to the given version. If the operator named no version and another rollout was reversed so
-// recently that this may be a repeat of that call, the result is MaybeRepeated.
+// to the given version; a repeated reversal changes nothing. If the operator named no version
+// and another rollout was reversed so recently that this may be a repeat of that call, the
+// result is the error MaybeRepeated.
 func Abort(records map[string]Record, service string, reversal Reversal, age time.Duration, call Call) ([]Record, error) {
 	oldRecord, known := records[Key(service)]
 	current, ok := Read(oldRecord)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -14,6 +14,7 @@
 	allControlled bool
 }
 
+// rolloutState is what a control node knows of the rollout of one service.
 type rolloutState struct {
 	generation   uint64        // of the newest record seen here
 	recordSeenAt time.Duration // when that record was first seen
@@ -29,6 +30,7 @@
 	pendingFrom    uint64                        // the generation whose transition is being committed; 0: none
 }
 
+// received is a message with the time at which it arrived.
 type received[T any] struct {
 	at    time.Duration
 	value T
@@ -77,15 +79,15 @@
 }
 
 // recordCalls records when each executed call of a plan was first seen here.
-func (x *rolloutState) recordCalls(now time.Duration, p *Plan) {
+func (s *rolloutState) recordCalls(now time.Duration, p *Plan) {
 	calls := map[uint64]time.Duration{}
 	for _, t := range p.Taken {
 		calls[t.ID] = now
-		if at, ok := x.callsSeenAt[t.ID]; ok {
+		if at, ok := s.callsSeenAt[t.ID]; ok {
 			calls[t.ID] = at
 		}
 	}
-	x.callsSeenAt = calls
+	s.callsSeenAt = calls
 }
 
 // Recent reports whether a call that a service's plan records was first seen here within the
@@ -95,8 +97,8 @@
 	return !ok || now-at <= within
 }
 
-func (x *rolloutState) age(now time.Duration) time.Duration {
-	return x.ageWhenSeen + now - x.recordSeenAt
+func (s *rolloutState) age(now time.Duration) time.Duration {
+	return s.ageWhenSeen + now - s.recordSeenAt
 }
 
 // Age is the age of a service's newest order.
@@ -115,15 +117,15 @@
 
 // Heard stores the reports of a gateway.
 func (c *Controller) Heard(now time.Duration, from string, reports []Report) {
-	for _, r := range reports {
-		c.stateOf(r.Service).gatewayReports[from] = received[Report]{now, r}
+	for _, report := range reports {
+		c.stateOf(report.Service).gatewayReports[from] = received[Report]{now, report}
 	}
 }
 
 // Take stores what another control node has gathered.
 func (c *Controller) Take(now time.Duration, from string, all []Gathered) {
-	for _, g := range all {
-		c.stateOf(g.Service).peerReports[from] = received[Gathered]{now, g}
+	for _, gathered := range all {
+		c.stateOf(gathered.Service).peerReports[from] = received[Gathered]{now, gathered}
 	}
 }
 
@@ -191,11 +193,11 @@
 // pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
 	out := map[string]T{}
-	for id, h := range entries {
-		if now-h.at > within {
+	for id, entry := range entries {
+		if now-entry.at > within {
 			delete(entries, id)
 		} else {
-			out[id] = h.value
+			out[id] = entry.value
 		}
 	}
 	return out
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -30,9 +30,9 @@
 }
 
 // A step is a weight with the conditions for leaving it. The weights are those of the
-// published design. The sum of weight times duration has to stay well below exposureShare
-// until the weight is full, so that a candidate that turns bad at any step has had less
-// than that share of the requests when it is stopped.
+// published design. The sum of weight times duration has to stay well below the setting
+// exposureShare until the weight is full, so that a candidate that turns bad at any step has
+// had less than that share of the requests when it is stopped.
 type step struct {
 	stage            Stage
 	weight           float64
@@ -50,12 +50,12 @@
 }
 
 const (
-	maxWarmUtilization = 0.75 // of the candidate's warm slots, for the requests that it would get
-	minWarmShare       = 0.8  // of the other version's slots, times the weight, that must be warm where the load is 0
-	minEndedShare      = 0.5  // of the candidate's requests must have ended before the next step
-	minReportingShare  = 0.8  // of the gateways must have reported
-	maxWaitFactor      = 4    // a step waits for answers no longer than so many times its minimum duration
-	maxMinDuration     = 60 * time.Second
+	maxWarmUtilization = 0.75             // of the candidate's warm slots, for the requests that it would get
+	minWarmShare       = 0.8              // of the other version's slots, times the weight, that must be warm where the load is 0
+	minEndedShare      = 0.5              // of the candidate's requests must have ended before the next step
+	minReportingShare  = 0.8              // of the gateways must have reported
+	maxWaitFactor      = 4                // a step waits for answers no longer than so many times its minimum duration
+	maxMinDuration     = 60 * time.Second // upper bound of the minimum duration of a step
 )
 
 // stepIndex is the index in steps of a plan's stage and weight.
@@ -129,7 +129,7 @@
 	if reason := Overall.Judge(view.Sums, view.Base); reason != "" {
 		return reason
 	}
-	// A single gateway may misjudge a candidate; two are believed.
+	// A single gateway may misjudge a candidate. Two are believed, or one if it is the only one.
 	if view.Braked >= min(2, view.Live) && view.Braked > 0 {
 		return fmt.Sprintf("%d gateways have stopped the candidate: %s", view.Braked, view.Brake)
 	}
