--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -28,33 +28,33 @@
 
 // measureGrants runs callers that each acquire and release a lock of their own in a loop. All
 // locks are in one partition.
-func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, took time.Duration) {
-	w := newSimulation(b, 1, 5)
-	w.latency, w.sync = 900*time.Microsecond, sync
+func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, totalTime time.Duration) {
+	s := newSimulation(b, 1, 5)
+	s.latency, s.sync = 900*time.Microsecond, sync
 	names := lockNamesIn(partitionKey(lockPrefix+"l0"), callers)
-	w.run(3 * time.Second)
-	w.call(w.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
-	w.run(6 * time.Second)
-	until := w.now + benchmarkSpan
+	s.run(3 * time.Second)
+	s.call(s.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
+	s.run(6 * time.Second)
+	until := s.now + benchmarkSpan
 	for i, name := range names {
-		n := w.nodes[i%len(w.nodes)]
+		n := s.nodes[i%len(s.nodes)]
 		var next func()
 		next = func() {
-			if w.now > until {
+			if s.now > until {
 				return
 			}
-			sent := w.now
-			w.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Hold: time.Hour}, func(r Result) {
-				if r.Effect == Answered && r.Answer.Status == OK && w.now <= until {
-					grants, took = grants+1, took+w.now-sent
+			sent := s.now
+			s.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Hold: time.Hour}, func(r Result) {
+				if r.Effect == Answered && r.Answer.Status == OK && s.now <= until {
+					grants, totalTime = grants+1, totalTime+s.now-sent
 				}
-				w.call(n, Call{Operation: Release, Name: name, Owner: "a", Fence: r.Answer.Fence}, func(Result) { next() })
+				s.call(n, Call{Operation: Release, Name: name, Owner: "a", Fence: r.Answer.Fence}, func(Result) { next() })
 			})
 		}
 		next()
 	}
-	w.run(until)
-	return grants, took
+	s.run(until)
+	return grants, totalTime
 }
 
 // lockNamesIn returns names of locks that are in a partition.
@@ -69,13 +69,13 @@
 
 // BenchmarkTakeover measures loading a partition with 1,000 leases, as a new owner does.
 func BenchmarkTakeover(b *testing.B) {
-	s, err := Load(map[string]Record{}, 0, testLimits)
+	partition, err := Load(map[string]Record{}, 0, testLimits)
 	if err != nil {
 		b.Fatal(err)
 	}
 	records := map[string]Record{}
 	for i := range 1000 {
-		_, changes := s.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Hold: time.Minute})
+		_, changes := partition.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Hold: time.Minute})
 		for _, r := range changes {
 			records[r.Name] = r
 		}
@@ -99,17 +99,17 @@
 				b.Fatal(err)
 			}
 			s.Committed(groupKey("g."), nil)
-			told, revision := 0, uint64(0)
+			answered, revision := 0, uint64(0)
 			for b.Loop() {
 				for range watching {
-					s.Watch(&Watch{Group: "g.", After: revision, Done: func(WatchResult) { told++ }})
+					s.Watch(&Watch{Group: "g.", After: revision, Done: func(WatchResult) { answered++ }})
 				}
 				revision++
 				_, changes := p.Execute(0, putCell("g.a", fmt.Sprint(revision), nil))
 				s.Committed(groupKey("g."), changes)
 			}
-			if told != watching*int(revision) {
-				b.Fatalf("%d watches were answered after %d puts", told, revision)
+			if answered != watching*int(revision) {
+				b.Fatalf("%d watches were answered after %d puts", answered, revision)
 			}
 		})
 	}
--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -33,16 +33,16 @@
 
 // Heard records a reading from a peer's answer that arrived at the local time now. The peer
 // read its clock before that, so the reading with the shortest transfer is the most accurate.
-func (p *PeerClocks) Heard(peer string, reading ClockReading, now time.Duration) {
-	known, ok := p.peers[peer]
+func (c *PeerClocks) Heard(peer string, reading ClockReading, now time.Duration) {
+	known, ok := c.peers[peer]
 	if offset := reading.Time - now; !ok || known.life != reading.Life || known.minOffset < offset {
-		p.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
+		c.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
 	}
 }
 
 // At estimates the reading of a peer's clock at the local time now; false: no reading of it
 // is known.
-func (p *PeerClocks) At(peer string, now time.Duration) (ClockReading, bool) {
-	known, ok := p.peers[peer]
+func (c *PeerClocks) At(peer string, now time.Duration) (ClockReading, bool) {
+	known, ok := c.peers[peer]
 	return ClockReading{Life: known.life, Time: now + known.minOffset}, ok
 }
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-func (s *testPartition) execute(at time.Duration, c Call) Answer {
-	answer, changes := s.Execute(at, c)
+func (s *testPartition) execute(at time.Duration, call Call) Answer {
+	answer, changes := s.Execute(at, call)
 	s.apply(changes)
 	return answer
 }
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/random_failures_test.go
@@ -76,7 +76,7 @@
 // caller makes one call after the other. It retries a put until its outcome is known or its
 // tries are used up.
 type caller struct {
-	h             *history
+	history       *history
 	owner         string
 	random        *rand.Rand
 	until         time.Duration
@@ -94,18 +94,18 @@
 			done(r, ok)
 		}
 	}
-	n := c.h.nodes[c.random.Intn(len(c.h.nodes))]
+	n := c.history.nodes[c.random.Intn(len(c.history.nodes))]
 	if n.up {
-		c.h.call(n, call, func(r Result) { end(r, true) })
+		c.history.call(n, call, func(r Result) { end(r, true) })
 	}
-	c.h.schedule(testCallerTimeout, func() { end(Result{Effect: MaybeDone}, false) })
+	c.history.schedule(testCallerTimeout, func() { end(Result{Effect: MaybeDone}, false) })
 }
 
 func (c *caller) scheduleCall() {
-	if c.h.now > c.until {
+	if c.history.now > c.until {
 		return
 	}
-	c.h.schedule(time.Duration(10+c.random.Intn(150))*time.Millisecond, func() {
+	c.history.schedule(time.Duration(10+c.random.Intn(150))*time.Millisecond, func() {
 		c.calls++
 		switch c.random.Intn(5) {
 		case 0, 1:
@@ -125,31 +125,31 @@
 
 // lock acquires a lock and then uses it.
 func (c *caller) lock() {
-	name, sent := c.pickName(testLocks), c.h.now
+	name, sent := c.pickName(testLocks), c.history.now
 	lease := time.Duration(500+c.random.Intn(2500)) * time.Millisecond
 	c.send(Call{Operation: Acquire, Name: name, Owner: c.owner, Hold: lease}, func(r Result, ok bool) {
 		if !ok || r.Effect != Answered || r.Answer.Status != OK {
 			c.scheduleCall()
 			return
 		}
-		c.h.answers++
-		h := &heldLease{owner: c.owner, fence: r.Answer.Fence, sentAt: sent, begin: c.h.now, end: sent + lease}
-		c.h.leases[name] = append(c.h.leases[name], h)
-		c.useLock(name, h, lease)
+		c.history.answers++
+		held := &heldLease{owner: c.owner, fence: r.Answer.Fence, sentAt: sent, begin: c.history.now, end: sent + lease}
+		c.history.leases[name] = append(c.history.leases[name], held)
+		c.useLock(name, held, lease)
 	})
 }
 
 // useLock renews, releases or abandons a lock that the caller holds.
 func (c *caller) useLock(name string, lease *heldLease, leaseTime time.Duration) {
-	c.h.schedule(time.Duration(c.random.Intn(int(leaseTime))), func() {
+	c.history.schedule(time.Duration(c.random.Intn(int(leaseTime))), func() {
 		switch c.random.Intn(4) {
 		case 0: // the caller is lost or sleeps past the end of the lease
 			c.scheduleCall()
 		case 1, 2:
-			sent := c.h.now
+			sent := c.history.now
 			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, Fence: lease.fence, Hold: leaseTime}, func(r Result, ok bool) {
 				switch {
-				case c.h.now >= lease.end: // too late: the renewal does not count
+				case c.history.now >= lease.end: // too late: the renewal does not count
 				case ok && r.Effect == Answered && r.Answer.Status == OK:
 					lease.end = sent + leaseTime
 					c.useLock(name, lease, leaseTime)
@@ -158,9 +158,9 @@
 				c.scheduleCall()
 			})
 		default:
-			for _, own := range c.h.leases[name] {
+			for _, own := range c.history.leases[name] {
 				if own.owner == c.owner { // including those that it abandoned
-					own.end = min(own.end, c.h.now)
+					own.end = min(own.end, c.history.now)
 				}
 			}
 			c.send(Call{Operation: Release, Name: name, Owner: c.owner, Fence: lease.fence}, func(Result, bool) { c.scheduleCall() })
@@ -169,56 +169,56 @@
 }
 
 func (c *caller) draw() {
-	name, sent := c.pickName(testCounters), c.h.now
+	name, sent := c.pickName(testCounters), c.history.now
 	c.send(Call{Operation: Draw, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered && r.Answer.Status == OK {
-			c.h.answers++
-			c.h.numbers = append(c.h.numbers, drawnNumber{name, r.Answer.Number, sent, c.h.now})
+			c.history.answers++
+			c.history.numbers = append(c.history.numbers, drawnNumber{name, r.Answer.Number, sent, c.history.now})
 		}
 		c.scheduleCall()
 	})
 }
 
 func (c *caller) put() {
-	p := &putCall{name: c.pickName(testCells), value: fmt.Sprintf("%s-%d", c.owner, c.calls), sentAt: c.h.now}
+	put := &putCall{name: c.pickName(testCells), value: fmt.Sprintf("%s-%d", c.owner, c.calls), sentAt: c.history.now}
 	if c.random.Intn(2) == 0 {
-		expected := c.lastRevisions[p.name]
-		p.expected = &expected
+		expected := c.lastRevisions[put.name]
+		put.expected = &expected
 	}
-	c.h.puts = append(c.h.puts, p)
-	c.sendPut(p, 6)
+	c.history.puts = append(c.history.puts, put)
+	c.sendPut(put, 6)
 }
 
 // sendPut sends a put until its outcome is known, and sometimes once more after that.
-func (c *caller) sendPut(p *putCall, tries int) {
-	c.send(Call{Operation: Put, Name: p.name, Value: p.value, Expected: p.expected}, func(r Result, ok bool) {
+func (c *caller) sendPut(put *putCall, tries int) {
+	c.send(Call{Operation: Put, Name: put.name, Value: put.value, Expected: put.expected}, func(r Result, ok bool) {
 		answered := ok && r.Effect == Answered
 		switch {
 		case answered && r.Answer.Status == OK:
-			c.h.answers++
-			if p.revision != 0 && p.revision != r.Answer.Revision {
-				c.h.t.Fatalf("at %v: put of %s to %s got revision %d, then %d", c.h.now, p.value, p.name, p.revision, r.Answer.Revision)
+			c.history.answers++
+			if put.revision != 0 && put.revision != r.Answer.Revision {
+				c.history.t.Fatalf("at %v: put of %s to %s got revision %d, then %d", c.history.now, put.value, put.name, put.revision, r.Answer.Revision)
 			}
-			first := p.revision == 0
+			first := put.revision == 0
 			if first {
-				p.revision, p.answeredAt = r.Answer.Revision, c.h.now
+				put.revision, put.answeredAt = r.Answer.Revision, c.history.now
 			}
-			c.lastRevisions[p.name] = p.revision
+			c.lastRevisions[put.name] = put.revision
 			if first && c.random.Intn(3) == 0 {
-				c.sendPut(p, 1)
+				c.sendPut(put, 1)
 				return
 			}
 		case answered && r.Answer.Status == Mismatch:
-			if p.revision != 0 {
-				c.h.t.Fatalf("at %v: put of %s to %s got revision %d, then a mismatch", c.h.now, p.value, p.name, p.revision)
+			if put.revision != 0 {
+				c.history.t.Fatalf("at %v: put of %s to %s got revision %d, then a mismatch", c.history.now, put.value, put.name, put.revision)
 			}
-			p.refused = true
-			c.lastRevisions[p.name] = r.Answer.Revision
-			c.h.mismatches = append(c.h.mismatches, mismatch{p.name, r.Answer.Revision})
+			put.refused = true
+			c.lastRevisions[put.name] = r.Answer.Revision
+			c.history.mismatches = append(c.history.mismatches, mismatch{put.name, r.Answer.Revision})
 		default:
-			p.maybeDone = p.maybeDone || !ok || r.Effect != NotDone
+			put.maybeDone = put.maybeDone || !ok || r.Effect != NotDone
 			if tries > 1 {
-				c.sendPut(p, tries-1)
+				c.sendPut(put, tries-1)
 				return
 			}
 		}
@@ -227,11 +227,11 @@
 }
 
 func (c *caller) read() {
-	name, sent := c.pickName(testCells), c.h.now
+	name, sent := c.pickName(testCells), c.history.now
 	c.send(Call{Operation: Get, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered {
-			c.h.answers++
-			c.h.reads = append(c.h.reads, readCall{name, sent, r.Answer.Value, r.Answer.Revision})
+			c.history.answers++
+			c.history.reads = append(c.history.reads, readCall{name, sent, r.Answer.Value, r.Answer.Revision})
 			c.lastRevisions[name] = r.Answer.Revision
 		}
 		c.scheduleCall()
@@ -271,7 +271,7 @@
 	const length = 45 * time.Second
 	h.run(3 * time.Second)
 	for i := range 6 {
-		c := &caller{h: h, owner: fmt.Sprintf("a%d", i), random: rand.New(rand.NewSource(seed*100 + int64(i))),
+		c := &caller{history: h, owner: fmt.Sprintf("a%d", i), random: rand.New(rand.NewSource(seed*100 + int64(i))),
 			until: length, lastRevisions: map[string]uint64{}}
 		c.scheduleCall()
 	}
@@ -285,33 +285,33 @@
 
 // injectFailures injects random failures: mostly of one node, sometimes of all.
 func (h *history) injectFailures(until time.Duration) {
-	for at := 4 * time.Second; at < until-4*time.Second; at += time.Duration(1500+h.random.Intn(4000)) * time.Millisecond {
-		kind, who, span := h.random.Intn(6), h.random.Intn(len(h.nodes)), time.Duration(300+h.random.Intn(4500))*time.Millisecond
-		h.schedule(at-h.now, func() { h.injectFailure(kind, h.nodes[who], span) })
+	for failureAt := 4 * time.Second; failureAt < until-4*time.Second; failureAt += time.Duration(1500+h.random.Intn(4000)) * time.Millisecond {
+		kind, target, duration := h.random.Intn(6), h.random.Intn(len(h.nodes)), time.Duration(300+h.random.Intn(4500))*time.Millisecond
+		h.schedule(failureAt-h.now, func() { h.injectFailure(kind, h.nodes[target], duration) })
 	}
 }
 
-func (h *history) injectFailure(kind int, n *node, span time.Duration) {
+func (h *history) injectFailure(kind int, target *node, duration time.Duration) {
 	switch kind {
 	case 0:
-		h.crash(n)
-		h.schedule(span, func() {
-			if !n.up {
-				h.start(n)
+		h.crash(target)
+		h.schedule(duration, func() {
+			if !target.up {
+				h.start(target)
 			}
 		})
 	case 1, 2:
-		n.frozenUntil = max(n.frozenUntil, h.now+span)
+		target.frozenUntil = max(target.frozenUntil, h.now+duration)
 	case 3:
-		sends, hears := h.random.Intn(3) > 0, h.random.Intn(3) > 0
-		h.adjustBlocked(n, sends, hears, 1)
-		h.schedule(span, func() { h.adjustBlocked(n, sends, hears, -1) })
+		outgoing, incoming := h.random.Intn(3) > 0, h.random.Intn(3) > 0
+		h.adjustBlocked(target, outgoing, incoming, 1)
+		h.schedule(duration, func() { h.adjustBlocked(target, outgoing, incoming, -1) })
 	case 4:
-		h.slowUntil = h.now + span/2
+		h.slowUntil = h.now + duration/2
 	default:
 		for _, o := range h.nodes {
 			h.crash(o)
-			h.schedule(span/4, func() {
+			h.schedule(duration/4, func() {
 				if !o.up {
 					h.start(o)
 				}
@@ -396,28 +396,28 @@
 
 // checkCells checks puts, reads and mismatches against the history of each group.
 func (h *history) checkCells() {
-	logs := map[string]map[uint64]Event{}
+	histories := map[string]map[uint64]Event{}
 	values := map[string]uint64{}
 	for _, group := range testGroups {
-		logs[group] = h.committedEvents(group)
-		for revision, e := range logs[group] {
+		histories[group] = h.committedEvents(group)
+		for revision, e := range histories[group] {
 			if values[e.Value] != 0 {
 				h.t.Fatalf("%s was put at revisions %d and %d", e.Value, values[e.Value], revision)
 			}
 			values[e.Value] = revision
 		}
 	}
-	of := func(name string, revision uint64) Event { return logs[GroupOf(name)][revision] }
+	eventAt := func(name string, revision uint64) Event { return histories[GroupOf(name)][revision] }
 	for _, p := range h.puts {
-		h.checkPut(p, of, values, logs[GroupOf(p.name)])
+		h.checkPut(p, eventAt, values, histories[GroupOf(p.name)])
 	}
 	for _, m := range h.mismatches {
-		if m.revision > 0 && of(m.name, m.revision).Name != m.name {
-			h.t.Fatalf("a mismatch returned revision %d of %s, the history has %+v", m.revision, m.name, of(m.name, m.revision))
+		if m.revision > 0 && eventAt(m.name, m.revision).Name != m.name {
+			h.t.Fatalf("a mismatch returned revision %d of %s, the history has %+v", m.revision, m.name, eventAt(m.name, m.revision))
 		}
 	}
 	for _, r := range h.reads {
-		if e := of(r.name, r.revision); r.revision > 0 && (e.Name != r.name || e.Value != r.value) {
+		if e := eventAt(r.name, r.revision); r.revision > 0 && (e.Name != r.name || e.Value != r.value) {
 			h.t.Fatalf("read %+v, the history has %+v", r, e)
 		}
 		for _, p := range h.puts {
@@ -428,40 +428,40 @@
 	}
 }
 
-func (h *history) checkPut(p *putCall, of func(string, uint64) Event, values map[string]uint64, log map[uint64]Event) {
+func (h *history) checkPut(put *putCall, eventAt func(string, uint64) Event, values map[string]uint64, events map[uint64]Event) {
 	switch {
-	case p.revision == 0 && !p.maybeDone && values[p.value] != 0:
-		h.t.Fatalf("%+v has not taken effect by its answers, but is in the history", *p)
-	case p.revision == 0:
+	case put.revision == 0 && !put.maybeDone && values[put.value] != 0:
+		h.t.Fatalf("%+v has not taken effect by its answers, but is in the history", *put)
+	case put.revision == 0:
 		return
-	case of(p.name, p.revision).Value != p.value:
-		h.t.Fatalf("%+v was acknowledged, the history has %+v", *p, of(p.name, p.revision))
+	case eventAt(put.name, put.revision).Value != put.value:
+		h.t.Fatalf("%+v was acknowledged, the history has %+v", *put, eventAt(put.name, put.revision))
 	}
-	if p.expected != nil {
-		for revision := *p.expected + 1; revision < p.revision; revision++ {
-			if log[revision].Name == p.name {
-				h.t.Fatalf("%+v succeeded although the cell had revision %d", *p, revision)
+	if put.expected != nil {
+		for revision := *put.expected + 1; revision < put.revision; revision++ {
+			if events[revision].Name == put.name {
+				h.t.Fatalf("%+v succeeded although the cell had revision %d", *put, revision)
 			}
 		}
 	}
-	for _, o := range h.puts {
-		if GroupOf(o.name) == GroupOf(p.name) && o.revision > 0 && o.answeredAt < p.sentAt && o.revision > p.revision {
-			h.t.Fatalf("%+v has a lower revision than the earlier %+v", *p, *o)
+	for _, other := range h.puts {
+		if GroupOf(other.name) == GroupOf(put.name) && other.revision > 0 && other.answeredAt < put.sentAt && other.revision > put.revision {
+			h.t.Fatalf("%+v has a lower revision than the earlier %+v", *put, *other)
 		}
 	}
 }
 
 // checkWatches checks that each watch returned all puts of its range of revisions, in order.
 func (h *history) checkWatches() {
-	shown := 0
+	eventCount := 0
 	for _, s := range h.watched {
-		log := h.committedEvents(s.group)
+		events := h.committedEvents(s.group)
 		revisions := []uint64{}
 		for _, e := range s.events {
-			shown++
+			eventCount++
 			revisions = append(revisions, e.Revision)
-			if log[e.Revision] != e {
-				h.t.Fatalf("a watch returned %+v, the history has %+v", e, log[e.Revision])
+			if events[e.Revision] != e {
+				h.t.Fatalf("a watch returned %+v, the history has %+v", e, events[e.Revision])
 			}
 		}
 		want := []uint64{}
@@ -472,7 +472,7 @@
 			h.t.Fatalf("a watch of %s after %d up to %d returned revisions %v", s.group, s.after, s.revision, revisions)
 		}
 	}
-	if shown == 0 {
+	if eventCount == 0 {
 		h.t.Fatal("no watch returned any event")
 	}
 }
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -60,8 +60,8 @@
 }
 
 // execute executes a call with a deadline.
-func (s *testServer) execute(c Call, deadline ClockReading) (result Result, e *Execution) {
-	e = NewExecution(c, deadline, func(r Result) { result = r })
+func (s *testServer) execute(call Call, deadline ClockReading) (result Result, e *Execution) {
+	e = NewExecution(call, deadline, func(r Result) { result = r })
 	s.Execute(s.now, e)
 	return result, e
 }
@@ -90,7 +90,7 @@
 				t.Errorf("%v, want %v", got.Effect, c.want)
 			}
 			if c.want == NotDone && len(s.replica.records) > 0 {
-				t.Errorf("it left %v", s.replica.records)
+				t.Errorf("a call that was not executed left %v", s.replica.records)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 			}
 			s.replica.queued[0]()
 			if len(s.replica.records) > 0 {
-				t.Errorf("it left %v", s.replica.records)
+				t.Errorf("a call that was not executed left %v", s.replica.records)
 			}
 		})
 	}
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -31,18 +31,18 @@
 	// Recent reports whether the operator of an executed call may still send it again; the
 	// repeat gets another ID.
 	Recent func(id uint64) bool
-	// Basis is the Order of the newest rollout of the service when the control node received
-	// the call, 0 for none; nil: unknown.
+	// Basis is the Order of the newest rollout of the service that the control node knew when
+	// it received the call, 0 for none; nil: not given.
 	Basis *uint64
 }
 
-// checkBasis returns an error if a call was received when another rollout was the newest, so
-// that a later call has been executed since.
+// checkBasis returns an error if a call is based on an older rollout than the plan, so that
+// another call has been executed since the call was received.
 func (p *Plan) checkBasis(call Call) *apierror.Error {
 	if call.Basis == nil || *call.Basis == p.Order {
 		return nil
 	}
-	return apierror.New(apierror.Outdated, "the newest rollout is number %d, but the call was received when it was number %d", p.Order, *call.Basis)
+	return apierror.New(apierror.Outdated, "the newest rollout is number %d, the call is based on number %d", p.Order, *call.Basis)
 }
 
 // Reversal is an order to reverse a rollout.
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -17,72 +17,74 @@
 	resendWindow time.Duration
 }
 
-func newControlNodes(t *testing.T, n int) *controlNodes {
-	x := &controlNodes{t: t, records: map[string]Record{}, resendWindow: 5 * time.Second}
-	for range n {
-		x.controllers = append(x.controllers, NewController())
+func newControlNodes(t *testing.T, count int) *controlNodes {
+	nodes := &controlNodes{t: t, records: map[string]Record{}, resendWindow: 5 * time.Second}
+	for range count {
+		nodes.controllers = append(nodes.controllers, NewController())
 	}
-	return x
+	return nodes
 }
 
 // clock is the time on the clock of a control node.
-func (x *controlNodes) clock(i int) time.Duration { return x.now + time.Duration(i)*time.Hour }
+func (nodes *controlNodes) clock(node int) time.Duration {
+	return nodes.now + time.Duration(node)*time.Hour
+}
 
-func (x *controlNodes) call(owner int, id uint64) Call {
+func (nodes *controlNodes) call(node int, id uint64) Call {
 	return Call{ID: id, Recent: func(id uint64) bool {
-		return x.controllers[owner].Recent(x.clock(owner), "s", id, x.resendWindow)
+		return nodes.controllers[node].Recent(nodes.clock(node), "s", id, nodes.resendWindow)
 	}}
 }
 
-func (x *controlNodes) commit(changes []Record) {
+func (nodes *controlNodes) commit(changes []Record) {
 	for _, r := range changes {
-		x.records[r.Name] = r
-		for i, c := range x.controllers {
-			c.Saw(x.clock(i), r)
+		nodes.records[r.Name] = r
+		for i, c := range nodes.controllers {
+			c.Saw(nodes.clock(i), r)
 		}
 	}
 }
 
-func (x *controlNodes) begin(owner int, id uint64, version string) error {
-	changes, err := Begin(x.records, Ask{"s", version, 12}, "v1", x.call(owner, id))
-	x.commit(changes)
+func (nodes *controlNodes) begin(node int, id uint64, version string) error {
+	changes, err := Begin(nodes.records, Ask{"s", version, 12}, "v1", nodes.call(node, id))
+	nodes.commit(changes)
 	return err
 }
 
-func (x *controlNodes) abort(owner int, id uint64, r Reversal) error {
-	changes, err := Abort(x.records, "s", r, 0, x.call(owner, id))
-	x.commit(changes)
+func (nodes *controlNodes) abort(node int, id uint64, reversal Reversal) error {
+	changes, err := Abort(nodes.records, "s", reversal, 0, nodes.call(node, id))
+	nodes.commit(changes)
 	return err
 }
 
 // complete completes the active rollout.
-func (x *controlNodes) complete() {
-	p, _ := Read(x.records[Key("s")])
+func (nodes *controlNodes) complete() {
+	p, _ := Read(nodes.records[Key("s")])
 	next := *p
 	next.Stage, next.Weight = Complete, 1
-	changes, err := Advance(x.records, p.Gen, &next)
+	changes, err := Advance(nodes.records, p.Gen, &next)
 	if err != nil {
-		x.t.Fatal(err)
+		nodes.t.Fatal(err)
 	}
-	x.commit(changes)
+	nodes.commit(changes)
 }
 
 // checkNewest checks the candidate, the stage and the order number of the newest rollout.
-func (x *controlNodes) checkNewest(version string, stage Stage, order uint64) {
-	x.t.Helper()
-	if p, _ := Read(x.records[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
-		x.t.Fatalf("%s is %v as order %d, want %s, %v, %d", p.Candidate, p.Stage, p.Order, version, stage, order)
+func (nodes *controlNodes) checkNewest(version string, stage Stage, order uint64) {
+	nodes.t.Helper()
+	if p, _ := Read(nodes.records[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
+		nodes.t.Fatalf("%s is %v as order %d, want %s, %v, %d", p.Candidate, p.Stage, p.Order, version, stage, order)
 	}
 }
 
-func (x *controlNodes) checkOutcome(err error, want apierror.Kind) {
-	x.t.Helper()
+func (nodes *controlNodes) checkOutcome(err error, want apierror.Kind) {
+	nodes.t.Helper()
 	got := acknowledged
 	if err != nil {
 		got = apierror.KindOf(err)
 	}
 	if got != want {
-		x.t.Fatalf("%v, want %v", err, want)
+		nodes.t.Fatalf("%v, want %v", err, want)
 	}
 }
 
@@ -92,7 +94,7 @@
 // A reversal that is forwarded or sent again, by any node and to any owner, is recognised as
 // executed and does not reverse the next rollout.
 func TestReversalAffectsOnlyItsRollout(t *testing.T) {
-	for name, passedOn := range map[string]struct {
+	for name, repeat := range map[string]struct {
 		reversal Reversal
 		id       uint64
 	}{
@@ -102,16 +104,16 @@
 		"sent again by the operator, and received before the next rollout": {Reversal{Version: "v2"}, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newControlNodes(t, 2)
-			x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
-			x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
-			x.checkOutcome(x.abort(1, passedOn.id, passedOn.reversal), acknowledged)
-			x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
-			x.checkOutcome(x.abort(1, passedOn.id, passedOn.reversal), acknowledged)
-			x.checkNewest("v3", Shadow, 2)
-			x.complete()
-			x.checkOutcome(x.abort(0, passedOn.id, passedOn.reversal), acknowledged)
-			x.checkNewest("v3", Complete, 2)
+			nodes := newControlNodes(t, 2)
+			nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
+			nodes.checkOutcome(nodes.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+			nodes.checkOutcome(nodes.abort(1, repeat.id, repeat.reversal), acknowledged)
+			nodes.checkOutcome(nodes.begin(0, 3, "v3"), acknowledged)
+			nodes.checkOutcome(nodes.abort(1, repeat.id, repeat.reversal), acknowledged)
+			nodes.checkNewest("v3", Shadow, 2)
+			nodes.complete()
+			nodes.checkOutcome(nodes.abort(0, repeat.id, repeat.reversal), acknowledged)
+			nodes.checkNewest("v3", Complete, 2)
 		})
 	}
 }
@@ -119,30 +121,30 @@
 // A repeated reversal without a version cannot be told from a reversal of the next rollout. It
 // is answered with MaybeRepeated for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
-	x := newControlNodes(t, 2)
-	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
-	x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
-	x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
-	x.now += 2 * time.Second
-	x.checkOutcome(x.abort(1, 4, Reversal{Version: "v3"}), apierror.MaybeRepeated)
-	x.checkNewest("v3", Shadow, 2)
-	x.checkOutcome(x.abort(1, 5, Reversal{Version: "v3", Named: true}), acknowledged)
-	x.checkNewest("v3", Reverted, 2)
-	x.checkOutcome(x.begin(1, 6, "v4"), acknowledged)
-	x.now += x.resendWindow + 1
-	x.checkOutcome(x.abort(0, 7, Reversal{Version: "v4"}), acknowledged)
-	x.checkNewest("v4", Reverted, 3)
+	nodes := newControlNodes(t, 2)
+	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
+	nodes.checkOutcome(nodes.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+	nodes.checkOutcome(nodes.begin(0, 3, "v3"), acknowledged)
+	nodes.now += 2 * time.Second
+	nodes.checkOutcome(nodes.abort(1, 4, Reversal{Version: "v3"}), apierror.MaybeRepeated)
+	nodes.checkNewest("v3", Shadow, 2)
+	nodes.checkOutcome(nodes.abort(1, 5, Reversal{Version: "v3", Named: true}), acknowledged)
+	nodes.checkNewest("v3", Reverted, 2)
+	nodes.checkOutcome(nodes.begin(1, 6, "v4"), acknowledged)
+	nodes.now += nodes.resendWindow + 1
+	nodes.checkOutcome(nodes.abort(0, 7, Reversal{Version: "v4"}), acknowledged)
+	nodes.checkNewest("v4", Reverted, 3)
 }
 
 // A reversal of a version that is not the newest, and that no operator has reversed before, is
 // refused.
 func TestReversalOfOlderVersionIsRefused(t *testing.T) {
-	x := newControlNodes(t, 1)
-	x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
-	x.complete()
-	x.checkOutcome(x.begin(0, 2, "v3"), acknowledged)
-	x.checkOutcome(x.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.UnderWay)
-	x.checkNewest("v3", Shadow, 2)
+	nodes := newControlNodes(t, 1)
+	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
+	nodes.complete()
+	nodes.checkOutcome(nodes.begin(0, 2, "v3"), acknowledged)
+	nodes.checkOutcome(nodes.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.UnderWay)
+	nodes.checkNewest("v3", Shadow, 2)
 }
 
 // An order that is forwarded again, or sent again by its operator, is acknowledged and starts
@@ -150,39 +152,39 @@
 func TestRepeatedOrderStartsNoRollout(t *testing.T) {
 	for name, id := range map[string]uint64{"forwarded again": 1, "sent again": 9} {
 		t.Run(name, func(t *testing.T) {
-			x := newControlNodes(t, 2)
-			x.checkOutcome(x.begin(0, 1, "v2"), acknowledged)
-			x.checkOutcome(x.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
-			x.checkOutcome(x.begin(0, 3, "v3"), acknowledged)
-			x.now += 2 * time.Second
-			x.checkOutcome(x.begin(1, id, "v2"), acknowledged)
-			x.checkNewest("v3", Shadow, 2)
-			x.complete()
-			x.checkOutcome(x.begin(1, id, "v2"), acknowledged)
-			x.checkNewest("v3", Complete, 2)
-			x.now += x.resendWindow // too late for a repeat: this is a new order for v2
-			x.checkOutcome(x.begin(1, 10, "v2"), acknowledged)
-			x.checkNewest("v2", Shadow, 3)
+			nodes := newControlNodes(t, 2)
+			nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
+			nodes.checkOutcome(nodes.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
+			nodes.checkOutcome(nodes.begin(0, 3, "v3"), acknowledged)
+			nodes.now += 2 * time.Second
+			nodes.checkOutcome(nodes.begin(1, id, "v2"), acknowledged)
+			nodes.checkNewest("v3", Shadow, 2)
+			nodes.complete()
+			nodes.checkOutcome(nodes.begin(1, id, "v2"), acknowledged)
+			nodes.checkNewest("v3", Complete, 2)
+			nodes.now += nodes.resendWindow // too late for a repeat: this is a new order for v2
+			nodes.checkOutcome(nodes.begin(1, 10, "v2"), acknowledged)
+			nodes.checkNewest("v2", Shadow, 3)
 		})
 	}
 }
 
 // The record and the controller keep only the newest calls, as many as may be in progress.
 func TestTakenCallsAreBounded(t *testing.T) {
-	x := newControlNodes(t, 1)
+	nodes := newControlNodes(t, 1)
 	for i, versions := 0, []string{"v2", "v3"}; i < 40; i++ {
-		x.checkOutcome(x.begin(0, uint64(i+1), versions[i%2]), acknowledged)
-		x.complete()
-		x.now += 2 * x.resendWindow
+		nodes.checkOutcome(nodes.begin(0, uint64(i+1), versions[i%2]), acknowledged)
+		nodes.complete()
+		nodes.now += 2 * nodes.resendWindow
 	}
-	p, _ := Read(x.records[Key("s")])
+	p, _ := Read(nodes.records[Key("s")])
 	if len(p.Taken) != maxTakenCalls || p.Taken[maxTakenCalls-1].ID != 40 {
 		t.Errorf("the plan records %d calls: %v", len(p.Taken), p.Taken)
 	}
-	if n := len(x.records[Key("s")].Data); n > 512 {
+	if n := len(nodes.records[Key("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
-	if n := len(x.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
+	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
 		t.Errorf("the controller remembers %d calls", n)
 	}
 }
@@ -192,8 +194,8 @@
 func TestOutdatedCallIsRefused(t *testing.T) {
 	basis := func(number uint64) *uint64 { return &number }
 	plan := Plan{Service: "s", Prior: "v1", Candidate: "v3", Order: 2, Stage: Reverted, Taken: []TakenCall{{ID: 7, Version: "v3"}}}
-	underWay := plan
-	underWay.Stage = Canary
+	activePlan := plan
+	activePlan.Stage = Canary
 	for name, c := range map[string]struct {
 		plan   Plan
 		abort  bool
@@ -206,15 +208,15 @@
 		"order based on the previous one":                {plan, false, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
 		"order based on no rollout":                      {plan, false, Call{ID: 9, Basis: basis(0)}, apierror.Outdated, false},
 		"order that was executed":                        {plan, false, Call{ID: 7, Basis: basis(1)}, 0, true},
-		"reversal based on the newest":                   {underWay, true, Call{ID: 9, Basis: basis(2)}, 0, true},
-		"reversal based on the previous one":             {underWay, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
+		"reversal based on the newest":                   {activePlan, true, Call{ID: 9, Basis: basis(2)}, 0, true},
+		"reversal based on the previous one":             {activePlan, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
 	} {
-		have := map[string]Record{Key("s"): c.plan.encode(4)}
+		records := map[string]Record{Key("s"): c.plan.encode(4)}
 		var err error
 		if c.abort {
-			_, err = Abort(have, "s", Reversal{}, 0, c.call)
+			_, err = Abort(records, "s", Reversal{}, 0, c.call)
 		} else {
-			_, err = Begin(have, Ask{"s", "v2", 12}, "v1", c.call)
+			_, err = Begin(records, Ask{"s", "v2", 12}, "v1", c.call)
 		}
 		if passes := err == nil; passes != c.passes || !passes && apierror.KindOf(err) != c.want {
 			t.Errorf("%s: %v", name, err)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -105,11 +105,11 @@
 }
 
 func (p *Plan) encode(gen uint64) Record {
-	b, err := cbor.Marshal(p)
+	data, err := cbor.Marshal(p)
 	if err != nil {
 		panic(err)
 	}
-	return Record{Name: Key(p.Service), Gen: gen, Data: b}
+	return Record{Name: Key(p.Service), Gen: gen, Data: data}
 }
 
 // Ask is an operator's order as the administration API receives it.
@@ -168,16 +168,16 @@
 // Adopt returns the records that store versions, by service. A service whose record no longer
 // has the expected generation is left out.
 func Adopt(records map[string]Record, versions map[string]Standing, expectedGenerations map[string]uint64) (out []Record) {
-	for service, s := range versions {
+	for service, standing := range versions {
 		name := StandingPrefix + service
 		if records[name].Gen != expectedGenerations[service] {
 			continue
 		}
-		b, err := cbor.Marshal(s)
+		data, err := cbor.Marshal(standing)
 		if err != nil {
 			panic(err)
 		}
-		out = append(out, Record{Name: name, Gen: records[name].Gen + 1, Data: b})
+		out = append(out, Record{Name: name, Gen: records[name].Gen + 1, Data: data})
 	}
 	return out
 }
@@ -217,17 +217,17 @@
 // Services decodes the records on versions, by service.
 func Services(records map[string]Record) map[string]Service {
 	services := map[string]Service{}
-	for name, r := range records {
+	for name, record := range records {
 		if service, ok := strings.CutPrefix(name, Prefix); ok {
-			if p, ok := Read(r); ok {
+			if plan, ok := Read(record); ok {
 				v := services[service]
-				v.Plan = p
+				v.Plan = plan
 				services[service] = v
 			}
 		} else if service, ok := strings.CutPrefix(name, StandingPrefix); ok {
-			if s, ok := ReadStanding(r); ok {
+			if standing, ok := ReadStanding(record); ok {
 				v := services[service]
-				v.Standing = s
+				v.Standing = standing
 				services[service] = v
 			}
 		}
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -214,9 +214,9 @@
 	if reason := c.judgePair(all, baseline.All()); reason != "" {
 		return reason
 	}
-	for bucket, p := range sums {
-		if why := c.judgePair(p, baseline[bucket]); why != "" {
-			return fmt.Sprintf("%s (bucket %d of the strata)", why, bucket)
+	for bucket, pair := range sums {
+		if reason := c.judgePair(pair, baseline[bucket]); reason != "" {
+			return fmt.Sprintf("%s (bucket %d of the strata)", reason, bucket)
 		}
 	}
 	return ""
@@ -227,7 +227,8 @@
 	usesBaseline := prior.Ended < candidate.Ended/8
 	if usesBaseline {
 		// An error that both versions have now may not have occurred at the time of the
-		// baseline, so larger differences are required.
+		// baseline, so larger differences are required, and of the kinds of failures only
+		// Errored is compared with the baseline. The others need the share Alone.
 		prior.Add(baseline[Prior])
 	}
 	// Failures that the candidate has more often than the prior arm: the test of
@@ -267,13 +268,13 @@
 	// The tail of the latencies.
 	if prior.N >= 50 {
 		lastBin := prior.tailBin() + tailMarginBins
-		candidateLate, usual := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
-		floor := minTailExcess
+		candidateLate, priorLate := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
+		minExcess := minTailExcess
 		if usesBaseline {
-			floor = 3 * minTailExcess
+			minExcess = 3 * minTailExcess
 		}
-		if candidateLate >= c.Min && float64(candidateLate)/float64(candidate.N)-float64(usual)/float64(prior.N) >= floor &&
-			proportionsPValue(candidateLate, candidate.N, usual, prior.N) < c.Alpha {
+		if candidateLate >= c.Min && float64(candidateLate)/float64(candidate.N)-float64(priorLate)/float64(prior.N) >= minExcess &&
+			proportionsPValue(candidateLate, candidate.N, priorLate, prior.N) < c.Alpha {
 			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", candidateLate, candidate.N)
 		}
 	}
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -87,10 +87,10 @@
 	ab.Add(b)
 	ba.Add(b)
 	ba.Add(a)
-	x, y := ab.All(), ba.All()
-	for arm := range x {
-		if x[arm].Ended != y[arm].Ended || x[arm].Failed() != y[arm].Failed() || math.Abs(x[arm].Sum-y[arm].Sum) > 1e-9 || x[arm].N != y[arm].N {
-			t.Errorf("arm %d: %+v and %+v", arm, x[arm], y[arm])
+	sumAB, sumBA := ab.All(), ba.All()
+	for arm := range sumAB {
+		if sumAB[arm].Ended != sumBA[arm].Ended || sumAB[arm].Failed() != sumBA[arm].Failed() || math.Abs(sumAB[arm].Sum-sumBA[arm].Sum) > 1e-9 || sumAB[arm].N != sumBA[arm].N {
+			t.Errorf("arm %d: %+v and %+v", arm, sumAB[arm], sumBA[arm])
 		}
 	}
 	if a.All()[Prior].Ended != 4 {
@@ -158,15 +158,15 @@
 func TestOutdatedTransitionIsRefused(t *testing.T) {
 	changes, _ := Begin(map[string]Record{}, Ask{"s", "v2", 12}, "v1", Call{})
 	records := map[string]Record{changes[0].Name: changes[0]}
-	p, _ := Read(changes[0])
-	canary := *p
+	started, _ := Read(changes[0])
+	canary := *started
 	canary.Stage, canary.Weight = Canary, 0.03
-	advanced, err := Advance(records, p.Gen, &canary)
+	advanced, err := Advance(records, started.Gen, &canary)
 	if err != nil {
 		t.Fatal(err)
 	}
 	records[advanced[0].Name] = advanced[0]
-	if _, err := Advance(records, p.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Advance(records, started.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a transition committed twice: %v", err)
 	}
 	reversed, err := Abort(records, "s", Reversal{}, time.Second, Call{})
@@ -174,13 +174,13 @@
 		t.Fatal(err)
 	}
 	records[reversed[0].Name] = reversed[0]
-	if _, err := Advance(records, p.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Advance(records, started.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a transition computed before a reversal: %v", err)
 	}
 	if _, err := Advance(records, reversed[0].Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a transition after a reversal: %v", err)
 	}
-	if again, err := Abort(records, "s", Reversal{}, 2*time.Second, Call{}); err != nil || again != nil {
+	if repeated, err := Abort(records, "s", Reversal{}, 2*time.Second, Call{}); err != nil || repeated != nil {
 		t.Errorf("a second reversal: %v", err)
 	}
 }
@@ -213,7 +213,7 @@
 	if got := Services(records)["s"].Serves(); got != "v1" {
 		t.Errorf("serving %q, want v1", got)
 	}
-	if again := Adopt(records, map[string]Standing{"s": {Version: "v9"}}, map[string]uint64{}); again != nil {
+	if changes := Adopt(records, map[string]Standing{"s": {Version: "v9"}}, map[string]uint64{}); changes != nil {
 		t.Error("a standing version was replaced by a caller that did not know its generation")
 	}
 	started, _ := Begin(records, Ask{"s", "v2", 12}, "v1", Call{})
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -63,130 +63,130 @@
 var testStrata = []string{"lookup idempotent", "confirm mutating", "summary idempotent"}
 
 func newSimulation(t *testing.T, seed uint64, kind string, share float64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, frozen: -1,
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, frozen: -1,
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
-		n := &simGateway{id: fmt.Sprintf("n%02d", i)}
-		n.arms = NewArms(n.id, rollbackTime/2, func() time.Duration { return w.now })
-		w.gateways = append(w.gateways, n)
+		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
+		gateway.arms = NewArms(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
+		s.gateways = append(s.gateways, gateway)
 	}
 	for i := 0; i < 3; i++ {
-		w.controllers = append(w.controllers, NewController())
-		w.shownRecords = append(w.shownRecords, nil)
+		s.controllers = append(s.controllers, NewController())
+		s.shownRecords = append(s.shownRecords, nil)
 	}
-	w.capacity = View{Slots: 300, Warm: 0, Standing: 300, Load: 120}
-	w.schedule(4*time.Second, func() { w.capacity.Warm = 300 })
-	return w
+	s.capacity = View{Slots: 300, Warm: 0, Standing: 300, Load: 120}
+	s.schedule(4*time.Second, func() { s.capacity.Warm = 300 })
+	return s
 }
 
-func (w *simulation) schedule(when time.Duration, fn func()) {
-	tick := max(w.now, (when+tickInterval-1)/tickInterval*tickInterval)
-	w.events[tick] = append(w.events[tick], fn)
+func (s *simulation) schedule(when time.Duration, fn func()) {
+	tick := max(s.now, (when+tickInterval-1)/tickInterval*tickInterval)
+	s.events[tick] = append(s.events[tick], fn)
 }
 
-func (w *simulation) commit(changes []Record) {
+func (s *simulation) commit(changes []Record) {
 	for _, r := range changes {
-		w.records[r.Name] = r
-		p, _ := Read(r)
-		w.plans = append(w.plans, *p)
-		for _, n := range w.gateways {
-			if p.Stage == Complete && !n.disconnected && n.priorInFlight > 0 {
-				w.t.Errorf("complete at %v while %s has %d requests in flight to the prior version", w.now, n.id, n.priorInFlight)
+		s.records[r.Name] = r
+		plan, _ := Read(r)
+		s.plans = append(s.plans, *plan)
+		for _, gateway := range s.gateways {
+			if plan.Stage == Complete && !gateway.disconnected && gateway.priorInFlight > 0 {
+				s.t.Errorf("complete at %v while %s has %d requests in flight to the prior version", s.now, gateway.id, gateway.priorInFlight)
 			}
 		}
-		for i := range w.controllers {
-			w.schedule(w.now+tickInterval, func() { w.showRecord(i, r) })
+		for i := range s.controllers {
+			s.schedule(s.now+tickInterval, func() { s.showRecord(i, r) })
 		}
-		for _, n := range w.gateways {
-			w.schedule(w.now+tickInterval+time.Duration(w.rng.IntN(100))*time.Millisecond, func() { w.deliver(n, r) })
+		for _, gateway := range s.gateways {
+			s.schedule(s.now+tickInterval+time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.deliver(gateway, r) })
 		}
 	}
 }
 
-func (w *simulation) showRecord(i int, r Record) {
-	if i == w.frozen {
-		w.schedule(w.now+tickInterval, func() { w.showRecord(i, r) })
+func (s *simulation) showRecord(controller int, record Record) {
+	if controller == s.frozen {
+		s.schedule(s.now+tickInterval, func() { s.showRecord(controller, record) })
 		return
 	}
-	w.shownRecords[i] = append(w.shownRecords[i], r)
-	w.controllers[i].Saw(w.now, r)
+	s.shownRecords[controller] = append(s.shownRecords[controller], record)
+	s.controllers[controller].Saw(s.now, record)
 }
 
-func (w *simulation) deliver(n *simGateway, r Record) {
-	if n.disconnected || r.Gen <= n.generation {
+func (s *simulation) deliver(gateway *simGateway, record Record) {
+	if gateway.disconnected || record.Gen <= gateway.generation {
 		return
 	}
-	n.generation = r.Gen
-	n.arms.Set(Services(map[string]Record{r.Name: r}))
+	gateway.generation = record.Gen
+	gateway.arms.Set(Services(map[string]Record{record.Name: record}))
 }
 
-func (w *simulation) order(version string) {
-	changes, err := Begin(w.records, Ask{"s", version, testOrderTime.Seconds()}, "v1", Call{})
+func (s *simulation) order(version string) {
+	changes, err := Begin(s.records, Ask{"s", version, testOrderTime.Seconds()}, "v1", Call{})
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.commit(changes)
+	s.commit(changes)
 }
 
-func (w *simulation) plan() *Plan {
-	p, _ := Read(w.records[Key("s")])
+func (s *simulation) plan() *Plan {
+	p, _ := Read(s.records[Key("s")])
 	return p
 }
 
 // serveRequest simulates one request at a gateway.
-func (w *simulation) serveRequest(index int) {
-	gateway := w.gateways[index]
-	class := testStrata[w.rng.IntN(len(testStrata))]
-	sample := gateway.arms.Begin("s", class, 800*time.Millisecond, false)
-	took := time.Duration(80+w.rng.IntN(240)) * time.Millisecond
-	if w.rng.IntN(100) == 0 {
-		took *= 3
+func (s *simulation) serveRequest(index int) {
+	gateway := s.gateways[index]
+	stratum := testStrata[s.rng.IntN(len(testStrata))]
+	sample := gateway.arms.Begin("s", stratum, 800*time.Millisecond, false)
+	elapsed := time.Duration(80+s.rng.IntN(240)) * time.Millisecond
+	if s.rng.IntN(100) == 0 {
+		elapsed *= 3
 	}
-	if w.rng.IntN(400) == 0 {
-		took = 2400 * time.Millisecond
+	if s.rng.IntN(400) == 0 {
+		elapsed = 2400 * time.Millisecond
 	}
 	outcome := Passed
-	if w.rng.Float64() < 0.004+w.commonErrorShare {
+	if s.rng.Float64() < 0.004+s.commonErrorShare {
 		outcome = Errored
 	}
-	toPrior := sample.Version() == "" && (w.plan() == nil || !w.plan().Final())
+	toPrior := sample.Version() == "" && (s.plan() == nil || !s.plan().Final())
 	if toPrior {
 		gateway.priorInFlight++
 	}
 	version := "v1"
 	if sample.Version() != "" {
 		version = sample.Version()
-		w.candidateRequests = append(w.candidateRequests, candidateRequest{w.now, index})
-		p := w.plan()
-		fails := w.rng.Float64() < w.errorShare
-		switch w.candidateKind {
+		s.candidateRequests = append(s.candidateRequests, candidateRequest{s.now, index})
+		p := s.plan()
+		fails := s.rng.Float64() < s.errorShare
+		switch s.candidateKind {
 		case "errors":
 		case "late":
-			fails = fails && w.now > 3*time.Second
+			fails = fails && s.now > 3*time.Second
 		case "one stratum":
-			fails = fails && class == testStrata[1]
+			fails = fails && stratum == testStrata[1]
 		case "under load":
 			fails = fails && p.Weight >= 0.5
 		case "slow":
-			took, fails = 8*took, false
+			elapsed, fails = 8*elapsed, false
 		default:
 			fails = false
 		}
 		if fails {
 			outcome = Errored
 		}
-		if outcome == Errored || w.candidateKind == "slow" {
-			w.schedule(w.now+took, func() { w.badAnswersAt = append(w.badAnswersAt, w.now) })
+		if outcome == Errored || s.candidateKind == "slow" {
+			s.schedule(s.now+elapsed, func() { s.badAnswersAt = append(s.badAnswersAt, s.now) })
 		}
-	} else if p := w.plan(); p != nil && p.Stage == Complete && !gateway.disconnected && w.now > w.completeAt()+200*time.Millisecond {
+	} else if p := s.plan(); p != nil && p.Stage == Complete && !gateway.disconnected && s.now > s.completeAt()+200*time.Millisecond {
 		version = "v2" // the version that serves now
 	}
-	w.requestsByVersion[version]++
-	sample.Sent(w.now < 4*time.Second && version != "v1")
-	if took > 2500*time.Millisecond {
-		took, outcome = 2500*time.Millisecond, TooLate
+	s.requestsByVersion[version]++
+	sample.Sent(s.now < 4*time.Second && version != "v1")
+	if elapsed > 2500*time.Millisecond {
+		elapsed, outcome = 2500*time.Millisecond, TooLate
 	}
-	w.schedule(w.now+took, func() {
+	s.schedule(s.now+elapsed, func() {
 		sample.End(outcome)
 		if toPrior {
 			gateway.priorInFlight--
@@ -194,8 +194,8 @@
 	})
 }
 
-func (w *simulation) completeAt() time.Duration {
-	for _, p := range w.plans {
+func (s *simulation) completeAt() time.Duration {
+	for _, p := range s.plans {
 		if p.Stage == Complete {
 			return p.Age
 		}
@@ -203,110 +203,110 @@
 	return math.MaxInt64
 }
 
-func (w *simulation) runController(i int) {
+func (s *simulation) runController(index int) {
 	owner := func(string) string {
-		if w.owner < 0 {
+		if s.owner < 0 {
 			return ""
 		}
-		return fmt.Sprint(w.owner)
+		return fmt.Sprint(s.owner)
 	}
-	have := map[string]Record{}
-	for _, r := range w.shownRecords[i] {
-		if r.Gen > have[r.Name].Gen {
-			have[r.Name] = r
+	records := map[string]Record{}
+	for _, r := range s.shownRecords[index] {
+		if r.Gen > records[r.Name].Gen {
+			records[r.Name] = r
 		}
 	}
-	moves, tell := w.controllers[i].Look(w.now, Services(have), Surroundings{Self: fmt.Sprint(i), Owner: owner, Fresh: 1600 * time.Millisecond,
+	moves, gatheredFor := s.controllers[index].Look(s.now, Services(records), Surroundings{Self: fmt.Sprint(index), Owner: owner, Fresh: 1600 * time.Millisecond,
 		Fill: func(v *View, _ *Plan, told map[string]int) {
-			v.Slots, v.Warm, v.Standing, v.Load = w.capacity.Slots, w.capacity.Warm, w.capacity.Standing, w.capacity.Load
-			for _, n := range w.gateways {
-				if n.disconnected {
+			v.Slots, v.Warm, v.Standing, v.Load = s.capacity.Slots, s.capacity.Warm, s.capacity.Standing, s.capacity.Load
+			for _, gateway := range s.gateways {
+				if gateway.disconnected {
 					continue
 				}
 				v.Live++
-				if busy, ok := told[n.id]; ok {
+				if busy, ok := told[gateway.id]; ok {
 					v.Heard++
 					v.Busy += busy
 				}
 			}
 		}})
-	for to, all := range tell {
+	for to, all := range gatheredFor {
 		var j int
 		fmt.Sscan(to, &j)
-		w.schedule(w.now+2*time.Millisecond, func() {
-			if j != w.frozen {
-				w.controllers[j].Take(w.now, fmt.Sprint(i), all)
+		s.schedule(s.now+2*time.Millisecond, func() {
+			if j != s.frozen {
+				s.controllers[j].Take(s.now, fmt.Sprint(index), all)
 			}
 		})
 	}
-	for _, m := range moves {
-		if w.freezeInTransition {
-			w.heldTransition, w.freezeInTransition = &m, false // the owner freezes between deciding on a transition and committing it
-			w.loseOwner(i, false)
+	for _, move := range moves {
+		if s.freezeInTransition {
+			s.heldTransition, s.freezeInTransition = &move, false // the owner freezes between deciding on a transition and committing it
+			s.loseOwner(index, false)
 			continue
 		}
-		changes, err := Advance(w.records, m.From.Gen, m.To)
+		changes, err := Advance(s.records, move.From.Gen, move.To)
 		if err == nil {
-			w.commit(changes)
+			s.commit(changes)
 		}
-		w.controllers[i].Moved(m)
+		s.controllers[index].Moved(move)
 	}
 }
 
 // loseOwner freezes the key's owner. Another node owns the key after the vacancy timeout. The
 // old owner runs again later; if wiped, it starts without its state.
-func (w *simulation) loseOwner(i int, wiped bool) {
-	w.owner, w.frozen = -1, i
-	w.schedule(w.now+vacancyTimeout+400*time.Millisecond, func() { w.owner = (i + 1) % 3 })
-	w.schedule(w.now+3*vacancyTimeout, func() {
-		w.frozen = -1
-		if m := w.heldTransition; m != nil {
-			w.heldTransition = nil
-			if changes, err := Advance(w.records, m.From.Gen, m.To); err == nil {
-				w.commit(changes) // valid: the record has not changed in the meantime
+func (s *simulation) loseOwner(index int, wiped bool) {
+	s.owner, s.frozen = -1, index
+	s.schedule(s.now+vacancyTimeout+400*time.Millisecond, func() { s.owner = (index + 1) % 3 })
+	s.schedule(s.now+3*vacancyTimeout, func() {
+		s.frozen = -1
+		if move := s.heldTransition; move != nil {
+			s.heldTransition = nil
+			if changes, err := Advance(s.records, move.From.Gen, move.To); err == nil {
+				s.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
 		if wiped {
-			w.controllers[i], w.shownRecords[i] = NewController(), nil
-			if r, ok := w.records[Key("s")]; ok {
-				w.showRecord(i, r)
+			s.controllers[index], s.shownRecords[index] = NewController(), nil
+			if r, ok := s.records[Key("s")]; ok {
+				s.showRecord(index, r)
 			}
 		}
 	})
 }
 
-func (w *simulation) run(until time.Duration) {
-	for ; w.now < until; w.now += tickInterval {
-		for i := 0; i < len(w.events[w.now]); i++ { // an event may add others to the same tick
-			w.events[w.now][i]()
+func (s *simulation) run(until time.Duration) {
+	for ; s.now < until; s.now += tickInterval {
+		for i := 0; i < len(s.events[s.now]); i++ { // an event may add others to the same tick
+			s.events[s.now][i]()
 		}
-		delete(w.events, w.now)
-		for i, n := range w.gateways {
-			for n.requestsDue += gatewayRate * tickInterval.Seconds(); n.requestsDue >= 1; n.requestsDue-- {
-				w.serveRequest(i)
+		delete(s.events, s.now)
+		for i, gateway := range s.gateways {
+			for gateway.requestsDue += gatewayRate * tickInterval.Seconds(); gateway.requestsDue >= 1; gateway.requestsDue-- {
+				s.serveRequest(i)
 			}
 		}
-		if w.now%(160*time.Millisecond) == 0 {
-			for i := range w.controllers {
-				if i != w.frozen {
-					w.runController(i)
+		if s.now%(160*time.Millisecond) == 0 {
+			for i := range s.controllers {
+				if i != s.frozen {
+					s.runController(i)
 				}
 			}
 		}
-		if w.now%(200*time.Millisecond) == 0 {
-			for i, n := range w.gateways {
-				if n.disconnected {
+		if s.now%(200*time.Millisecond) == 0 {
+			for i, gateway := range s.gateways {
+				if gateway.disconnected {
 					continue
 				}
 				to := i % 3
-				if to == w.frozen {
+				if to == s.frozen {
 					to = (to + 1) % 3
 				}
-				if reports := n.arms.Reports(); len(reports) > 0 {
-					w.controllers[to].Heard(w.now, n.id, reports)
+				if reports := gateway.arms.Reports(); len(reports) > 0 {
+					s.controllers[to].Heard(s.now, gateway.id, reports)
 				}
-				if w.owner >= 0 {
-					n.arms.Heard()
+				if s.owner >= 0 {
+					gateway.arms.Heard()
 				}
 			}
 		}
@@ -317,13 +317,13 @@
 // complete in time; a bad one is reversed, gets no more than its share of the requests if
 // limitExposure is set, and none from a connected gateway later than rollbackTime after its
 // 50th bad answer.
-func (w *simulation) checkRules(good bool, limitExposure bool) {
-	t := w.t
+func (s *simulation) checkRules(good bool, limitExposure bool) {
+	t := s.t
 	t.Helper()
 	last := Plan{}
-	for _, p := range w.plans {
+	for _, p := range s.plans {
 		if p.Order == last.Order && (p.Stage < last.Stage || p.Age < last.Age || last.Final() || p.Weight < last.Weight && p.Stage != Reverted) {
-			t.Errorf("%s: invalid transition from %v %.2f at %v to %v %.2f at %v", w.candidateKind, last.Stage, last.Weight, last.Age, p.Stage, p.Weight, p.Age)
+			t.Errorf("%s: invalid transition from %v %.2f at %v to %v %.2f at %v", s.candidateKind, last.Stage, last.Weight, last.Age, p.Stage, p.Weight, p.Age)
 		}
 		last = p
 	}
@@ -334,23 +334,23 @@
 		return
 	}
 	if last.Stage != Reverted {
-		t.Errorf("%s: a bad version is %v %.2f, want reverted", w.candidateKind, last.Stage, last.Weight)
+		t.Errorf("%s: a bad version is %v %.2f, want reverted", s.candidateKind, last.Stage, last.Weight)
 	}
 	candidateTotal, total := 0, 0
-	for v, n := range w.requestsByVersion {
-		total += n
+	for v, count := range s.requestsByVersion {
+		total += count
 		if v != "v1" {
-			candidateTotal += n
+			candidateTotal += count
 		}
 	}
 	if allowed := testExposureShare*float64(total) + testExposureSlack; limitExposure && float64(candidateTotal) > allowed {
-		t.Errorf("%s: the bad version got %d of %d requests, %.0f allowed", w.candidateKind, candidateTotal, total, allowed)
+		t.Errorf("%s: the bad version got %d of %d requests, %.0f allowed", s.candidateKind, candidateTotal, total, allowed)
 	}
-	if len(w.badAnswersAt) >= 50 {
-		sort.Slice(w.badAnswersAt, func(i, j int) bool { return w.badAnswersAt[i] < w.badAnswersAt[j] })
-		for _, s := range w.candidateRequests {
-			if !w.gateways[s.gateway].disconnected && s.at > w.badAnswersAt[49]+rollbackTime {
-				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", w.candidateKind, s.gateway, s.at, w.badAnswersAt[49])
+	if len(s.badAnswersAt) >= 50 {
+		sort.Slice(s.badAnswersAt, func(i, j int) bool { return s.badAnswersAt[i] < s.badAnswersAt[j] })
+		for _, request := range s.candidateRequests {
+			if !s.gateways[request.gateway].disconnected && request.at > s.badAnswersAt[49]+rollbackTime {
+				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", s.candidateKind, request.gateway, request.at, s.badAnswersAt[49])
 				break
 			}
 		}
@@ -378,22 +378,22 @@
 
 func TestGoodVersionCompletesAndBadVersionIsReversed(t *testing.T) {
 	forEachKind(t, 6, func(t *testing.T, seed uint64, kind string, share float64) {
-		w := newSimulation(t, seed, kind, share)
-		w.order("v2")
-		w.run(testOrderTime)
-		w.checkRules(kind == "good", true)
+		s := newSimulation(t, seed, kind, share)
+		s.order("v2")
+		s.run(testOrderTime)
+		s.checkRules(kind == "good", true)
 	})
 }
 
 // Errors that both versions have must neither reverse a good candidate nor hide a bad one.
 func TestErrorsOfBothArms(t *testing.T) {
 	forEachKind(t, 6, func(t *testing.T, seed uint64, kind string, share float64) {
-		w := newSimulation(t, seed, kind, share)
-		w.schedule(3*time.Second, func() { w.commonErrorShare = 0.08 })
-		w.schedule(9*time.Second, func() { w.commonErrorShare = 0 })
-		w.order("v2")
-		w.run(testOrderTime)
-		w.checkRules(kind == "good", true)
+		s := newSimulation(t, seed, kind, share)
+		s.schedule(3*time.Second, func() { s.commonErrorShare = 0.08 })
+		s.schedule(9*time.Second, func() { s.commonErrorShare = 0 })
+		s.order("v2")
+		s.run(testOrderTime)
+		s.checkRules(kind == "good", true)
 	})
 }
 
@@ -403,19 +403,19 @@
 	forEachKind(t, 11, func(t *testing.T, n uint64, kind string, share float64) {
 		at := time.Duration(n) * 1100 * time.Millisecond
 		for _, how := range []string{"killed", "wiped", "frozen in a transition"} {
-			w := newSimulation(t, n, kind, share)
-			w.order("v2")
-			w.schedule(at, func() {
+			s := newSimulation(t, n, kind, share)
+			s.order("v2")
+			s.schedule(at, func() {
 				if how == "frozen in a transition" {
-					w.freezeInTransition = true
+					s.freezeInTransition = true
 				} else {
-					w.loseOwner(0, how == "wiped")
+					s.loseOwner(0, how == "wiped")
 				}
 			})
-			w.run(testOrderTime + 12*time.Second)
+			s.run(testOrderTime + 12*time.Second)
 			if kind != "good" {
-				w.checkRules(false, true)
-			} else if p := w.plan(); p.Stage != Complete {
+				s.checkRules(false, true)
+			} else if p := s.plan(); p.Stage != Complete {
 				// A takeover may delay the rollout beyond its time, but not prevent it.
 				t.Errorf("%s at %v: a good version is %v %.2f (%s)", how, at, p.Stage, p.Weight, p.Reason)
 			}
@@ -426,15 +426,15 @@
 // A gateway that receives no notice of a controller stops sending requests to the candidate
 // after a timeout, and the rollout completes without that gateway.
 func TestDisconnectedGateway(t *testing.T) {
-	w := newSimulation(t, 3, "good", 0)
-	n := w.gateways[5]
-	w.order("v2")
-	w.schedule(4*time.Second, func() { n.disconnected = true })
-	w.run(12 * time.Second)
+	s := newSimulation(t, 3, "good", 0)
+	gateway := s.gateways[5]
+	s.order("v2")
+	s.schedule(4*time.Second, func() { gateway.disconnected = true })
+	s.run(12 * time.Second)
 	sentAt := func() (last time.Duration) {
-		for _, s := range w.candidateRequests {
-			if s.gateway == 5 {
-				last = s.at
+		for _, request := range s.candidateRequests {
+			if request.gateway == 5 {
+				last = request.at
 			}
 		}
 		return last
@@ -442,8 +442,8 @@
 	if got, most := sentAt(), 4*time.Second+rollbackTime/2+200*time.Millisecond; got > most {
 		t.Errorf("a gateway disconnected at 4 s still sends requests to the candidate at %v", got)
 	}
-	w.run(14 * time.Second)
-	if p := w.plan(); p.Stage != Complete {
+	s.run(14 * time.Second)
+	if p := s.plan(); p.Stage != Complete {
 		t.Fatalf("the rollout waits for a disconnected gateway: %v %.2f", p.Stage, p.Weight)
 	}
 }
@@ -491,7 +491,7 @@
 		next := plan
 		next.Gen, next.Stage, next.Weight = 6, Reverted, 0
 		arms.Set(map[string]Service{"s": {Plan: &next}})
-		if x := arms.Begin("s", "r idempotent", time.Second, false); x.Version() != "" {
+		if sample := arms.Begin("s", "r idempotent", time.Second, false); sample.Version() != "" {
 			t.Errorf("%s: a reversed candidate gets a request", c.name)
 		}
 	}
@@ -508,9 +508,9 @@
 		t.Errorf("after Score: %+v", report)
 	}
 	sample.End(Broke)
-	r := arms.Reports()[0]
-	if all := r.Sums.All(); r.Busy != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
-		t.Errorf("after End: %+v", r)
+	report := arms.Reports()[0]
+	if all := report.Sums.All(); report.Busy != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
+		t.Errorf("after End: %+v", report)
 	}
 }
 
@@ -522,16 +522,16 @@
 		plan.Weight = weight
 		total := 0
 		for n := 0; n < 40; n++ {
-			a := NewArms(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
-			a.Set(map[string]Service{"s": {Plan: plan}})
+			arms := NewArms(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
+			arms.Set(map[string]Service{"s": {Plan: plan}})
 			for s := 0; s < 10; s++ {
 				got := 0
 				for range 200 {
-					x := a.Begin("s", fmt.Sprint("route", s), time.Second, false)
-					if x.Version() == "v2" {
+					sample := arms.Begin("s", fmt.Sprint("route", s), time.Second, false)
+					if sample.Version() == "v2" {
 						got++
 					}
-					x.End(Unscored)
+					sample.End(Unscored)
 				}
 				if want := 200 * weight; math.Abs(float64(got)-want) > 1.01 {
 					t.Errorf("weight %.2f: the candidate got %d of the 200 requests of a stratum", weight, got)
