--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -31,7 +31,7 @@
 const (
 	Acquire  Operation = iota + 1 // takes a lock, or extends the lease of its holder
 	Renew                         // extends the lease of the holder with the fencing token
-	Release                       // gives a lock back
+	Release                       // frees a lock
 	Draw                          // increments a counter
 	Put                           // writes a value to a cell
 	Get                           // reads a cell
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -16,9 +16,9 @@
 	records map[string]Record
 }
 
-func load(t *testing.T, records map[string]Record, since time.Duration, limits Limits) *testPartition {
+func load(t *testing.T, records map[string]Record, termStart time.Duration, limits Limits) *testPartition {
 	t.Helper()
-	p, err := Load(records, since, limits)
+	p, err := Load(records, termStart, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -105,9 +105,9 @@
 	scored        bool
 }
 
-// Begin chooses an arm for a request and counts it as in flight. Within each stratum every
-// n-th request goes to the candidate, not a random sample, so that each stratum gives it
-// its share and no more. With preferPrior, which retries set, the request goes to the
+// Begin chooses an arm for a request and counts it as in flight. Within each stratum the
+// requests for the candidate are evenly spaced, not a random sample, so that each stratum
+// sends its share and no more. With preferPrior, which retries set, the request goes to the
 // prior arm unless the candidate has full weight.
 func (a *Arms) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
 	a.mu.Lock()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -135,8 +135,8 @@
 	return a, nil
 }
 
-// Advance returns the record of the plan next. The result is a conflict if the stored record
-// is not of the generation from which next was computed.
+// Advance returns the record of the plan next. It returns the error Conflict if the stored
+// plan is final or not of the generation from which next was computed.
 func Advance(records map[string]Record, expectedGeneration uint64, next *Plan) ([]Record, error) {
 	oldRecord := records[Key(next.Service)]
 	current, ok := Read(oldRecord)
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -43,10 +43,10 @@
 func TestCriterion(t *testing.T) {
 	ms := time.Millisecond
 	for _, c := range []struct {
-		name        string
-		prior, cand Cell
-		base        Cell
-		why         string // expected in the result; empty: not judged bad
+		name             string
+		prior, candidate Cell
+		baseline         Cell
+		want             string // expected in the result; empty: not judged bad
 	}{
 		{"the same", makeCell(1000, 10, 100*ms), makeCell(50, 1, 100*ms), Cell{}, ""},
 		{"errors", makeCell(1000, 10, 100*ms), makeCell(10, 10, 100*ms), Cell{}, "failed"},
@@ -62,10 +62,10 @@
 		{"full weight, a few per cent of errors", Cell{}, makeCell(100, 12, 100*ms), makeCell(500, 2, 100*ms), ""},
 		{"full weight, slow", Cell{}, makeCell(100, 0, 900*ms), makeCell(500, 2, 100*ms), "p99"},
 	} {
-		s, base := Sums{3: {c.prior, c.cand}}, Sums{3: {c.base, Cell{}}}
-		why := Overall.Judge(s, base)
-		if (why == "") != (c.why == "") || !strings.Contains(why, c.why) {
-			t.Errorf("%s: %q, want %q", c.name, why, c.why)
+		sums, baseline := Sums{3: {c.prior, c.candidate}}, Sums{3: {c.baseline, Cell{}}}
+		why := Overall.Judge(sums, baseline)
+		if (why == "") != (c.want == "") || !strings.Contains(why, c.want) {
+			t.Errorf("%s: %q, want %q", c.name, why, c.want)
 		}
 	}
 	// Only one of many strata is bad.
