--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// BenchmarkGrants tells how many locks one owner grants in a second of simulated time, and
-// how long a grant takes, by the time of a sync and the number of callers. Messages take
-// 0.9 ms one way. A write waits for the one before it, which is stricter than a disk that
-// writes together what waits.
+// BenchmarkGrants measures how many locks one owner grants per second of simulated time, and
+// how long a grant takes, by the duration of a disk sync and the number of callers. Messages
+// take 0.9 ms one way. Each write waits for the previous one, which is slower than a disk that
+// batches waiting writes.
 func BenchmarkGrants(b *testing.B) {
 	for _, sync := range []time.Duration{time.Millisecond, 2 * time.Millisecond} {
 		for _, callers := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("sync=%v/callers=%d", sync, callers), func(b *testing.B) {
 				for b.Loop() {
-					grants, took := grantsOf(b, sync, callers)
+					grants, took := measureGrants(b, sync, callers)
 					b.ReportMetric(float64(grants)/benchmarkSpan.Seconds(), "grants/simulated-s")
 					b.ReportMetric(took.Seconds()*1000/float64(max(grants, 1)), "simulated-ms/grant")
 				}
@@ -26,38 +26,39 @@
 
 const benchmarkSpan = 3 * time.Second
 
-// grantsOf runs callers that take and give back a lock each, all of one partition.
-func grantsOf(b *testing.B, sync time.Duration, callers int) (grants int, took time.Duration) {
-	w := newWorld(b, 1, 5)
-	w.latency, w.sync = 900*time.Microsecond, sync
-	names := namesOf(partitionKey(lockPrefix+"l0"), callers)
-	w.run(3 * time.Second)
-	w.call(w.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
-	w.run(6 * time.Second)
-	until := w.now + benchmarkSpan
+// measureGrants runs callers that each acquire and release a lock of their own in a loop. All
+// locks are in one partition.
+func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, totalTime time.Duration) {
+	s := newSimulation(b, 1, 5)
+	s.latency, s.sync = 900*time.Microsecond, sync
+	names := lockNamesIn(partitionKey(lockPrefix+"l0"), callers)
+	s.run(3 * time.Second)
+	s.call(s.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
+	s.run(6 * time.Second)
+	until := s.now + benchmarkSpan
 	for i, name := range names {
-		n := w.nodes[i%len(w.nodes)]
+		n := s.nodes[i%len(s.nodes)]
 		var next func()
 		next = func() {
-			if w.now > until {
+			if s.now > until {
 				return
 			}
-			sent := w.now
-			w.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Hold: time.Hour}, func(r Result) {
-				if r.Effect == Answered && r.Answer.Status == OK && w.now <= until {
-					grants, took = grants+1, took+w.now-sent
+			sent := s.now
+			s.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Hold: time.Hour}, func(r Result) {
+				if r.Effect == Answered && r.Answer.Status == OK && s.now <= until {
+					grants, totalTime = grants+1, totalTime+s.now-sent
 				}
-				w.call(n, Call{Operation: Release, Name: name, Owner: "a", Fence: r.Answer.Fence}, func(Result) { next() })
+				s.call(n, Call{Operation: Release, Name: name, Owner: "a", Fence: r.Answer.Fence}, func(Result) { next() })
 			})
 		}
 		next()
 	}
-	w.run(until)
-	return grants, took
+	s.run(until)
+	return grants, totalTime
 }
 
-// namesOf finds names of locks in a partition.
-func namesOf(key string, count int) (names []string) {
+// lockNamesIn returns names of locks that are in a partition.
+func lockNamesIn(key string, count int) (names []string) {
 	for i := 0; len(names) < count; i++ {
 		if name := fmt.Sprintf("l%d", i); partitionKey(lockPrefix+name) == key {
 			names = append(names, name)
@@ -66,15 +67,15 @@
 	return names
 }
 
-// BenchmarkTakeover loads a partition with 1,000 leases, as a new owner does.
+// BenchmarkTakeover measures loading a partition with 1,000 leases, as a new owner does.
 func BenchmarkTakeover(b *testing.B) {
-	s, err := Load(map[string]Record{}, 0, testLimits)
+	partition, err := Load(map[string]Record{}, 0, testLimits)
 	if err != nil {
 		b.Fatal(err)
 	}
 	records := map[string]Record{}
 	for i := range 1000 {
-		_, changes := s.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Hold: time.Minute})
+		_, changes := partition.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Hold: time.Minute})
 		for _, r := range changes {
 			records[r.Name] = r
 		}
@@ -86,28 +87,29 @@
 	}
 }
 
-// BenchmarkPut puts into a group that watches wait for at one node, and tells them.
+// BenchmarkPut measures a put into a group with open watches at one node, including the
+// answers of the watches.
 func BenchmarkPut(b *testing.B) {
 	for _, watching := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprintf("watches=%d", watching), func(b *testing.B) {
-			s := newStandIn()
+			s := newTestServer()
 			s.replica.records = map[string]Record{}
 			p, err := Load(s.replica.records, 0, Limits{History: time.Hour, Bytes: 1 << 40, HistoryBytes: 1 << 40})
 			if err != nil {
 				b.Fatal(err)
 			}
 			s.Committed(groupKey("g."), nil)
-			told, revision := 0, uint64(0)
+			answered, revision := 0, uint64(0)
 			for b.Loop() {
 				for range watching {
-					s.Watch(&Watch{Group: "g.", After: revision, Done: func(WatchResult) { told++ }})
+					s.Watch(&Watch{Group: "g.", After: revision, Done: func(WatchResult) { answered++ }})
 				}
 				revision++
 				_, changes := p.Execute(0, putCell("g.a", fmt.Sprint(revision), nil))
 				s.Committed(groupKey("g."), changes)
 			}
-			if told != watching*int(revision) {
-				b.Fatalf("%d watches were told of %d puts", told, revision)
+			if answered != watching*int(revision) {
+				b.Fatalf("%d watches were answered after %d puts", answered, revision)
 			}
 		})
 	}
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -8,75 +8,76 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits bound a partition.
+// Limits are the limits of a partition.
 type Limits struct {
-	// History is for how long a put is kept for watches and for repeats of the put.
+	// History is how long a put is kept for watches and to recognise its repeats.
 	History time.Duration
-	// Bytes bounds all records of the partition, HistoryBytes the history among them.
+	// Bytes limits the size of all records of the partition, HistoryBytes that of the
+	// events among them.
 	Bytes, HistoryBytes int
-	// HasRoom says whether the disk has room for so many bytes more, where it is set.
+	// HasRoom reports whether the disk has room for that many more bytes; nil: it always has.
 	HasRoom func(bytes int) bool
 }
 
-// Partition is the state of a partition at its owner: the records in decoded form, and
-// what is known only there, on the owner's steady clock: when leases end and how old
-// the history is. It lives for one term of ownership.
+// Partition is the state of a partition at its owner during one term of ownership: the
+// decoded records, and the times on the owner's monotonic clock, which no record holds: when
+// leases end and when each put was made.
 type Partition struct {
-	limits   Limits
-	hasHead  bool
-	fence    uint64
-	locks    map[string]*lock
-	counters map[string]uint64
-	cells    map[string]cellRecord
-	groups   map[string]*group
-
-	weights      map[string]int // by name of record
-	bytes        int
+	limits      Limits
+	headWritten bool
+	fence       uint64 // highest fencing token issued
+	locks       map[string]*lock
+	counters    map[string]uint64
+	cells       map[string]cellRecord
+	groups      map[string]*group
+
+	recordSizes  map[string]int // by record name
+	totalBytes   int
 	historyBytes int
 }
 
-// lock is a lock that is held, or whose lease has ended and that nobody took since.
+// lock is a lock that is held, or whose lease has ended and that nobody has acquired since.
 type lock struct {
 	lockRecord
-	end time.Duration
+	leaseEnd time.Duration
 }
 
 // group is a group of cells with the history of its puts.
 type group struct {
-	revision uint64
-	oldest   uint64 // of the events that are kept
+	revision uint64 // newest
+	oldest   uint64 // below it the history is erased
 	events   []event
-	puts     map[put]uint64 // revision by put, for those in the history
+	puts     map[putIdentity]uint64 // to revision, for the puts in the history
 }
 
 type event struct {
 	eventRecord
 	revision uint64
-	at       time.Duration
+	putAt    time.Duration
 }
 
-// put identifies a put: a cell gets every value once.
-type put struct{ name, value string }
+// putIdentity identifies a put. A second put of a value to the same cell is a repeat.
+type putIdentity struct{ name, value string }
 
-// Load makes the state of a partition from its records, for an owner whose term began at
-// the time since. Every lease counts as whole from then and all history as new, since no
-// earlier owner's clock is known.
-func Load(records map[string]Record, since time.Duration, limits Limits) (*Partition, error) {
+// Load decodes a partition from its records, for an owner whose term began at termStart.
+// Every lease starts anew then, at its full length, and all events count as new, because the
+// clocks of earlier owners are unknown.
+func Load(records map[string]Record, termStart time.Duration, limits Limits) (*Partition, error) {
 	p := &Partition{limits: limits, locks: map[string]*lock{}, counters: map[string]uint64{},
-		cells: map[string]cellRecord{}, groups: map[string]*group{}, weights: map[string]int{}}
+		cells: map[string]cellRecord{}, groups: map[string]*group{}, recordSizes: map[string]int{}}
 	for name, r := range records {
-		if err := p.load(r, since); err != nil {
+		if err := p.load(r, termStart); err != nil {
 			return nil, fmt.Errorf("record %q: %w", name, err)
 		}
-		p.weigh(r)
+		p.account(r)
 	}
 	for _, g := range p.groups {
-		g.sort()
+		g.sortEvents()
 	}
 	return p, nil
 }
 
-func (p *Partition) load(r Record, since time.Duration) error {
+func (p *Partition) load(r Record, termStart time.Duration) error {
 	kind, name, _ := strings.Cut(r.Name, "/")
 	switch kind + "/" {
 	case headName + "/":
@@ -85,15 +86,15 @@
 			return err
 		}
 		if head.Partitions != Partitions {
-			return fmt.Errorf("made for %d partitions, not %d", head.Partitions, Partitions)
+			return fmt.Errorf("created with %d partitions, but this release has %d", head.Partitions, Partitions)
 		}
-		p.hasHead, p.fence = true, head.Fence
+		p.headWritten, p.fence = true, head.Fence
 	case lockPrefix:
 		var record lockRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
 			return err
 		}
-		p.locks[name] = &lock{record, since + record.Hold}
+		p.locks[name] = &lock{record, termStart + record.Hold}
 	case counterPrefix:
 		var record counterRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
@@ -124,7 +125,7 @@
 			return err
 		}
 		g := p.group(name)
-		g.add(event{record, revision, since})
+		g.addEvent(event{record, revision, termStart})
 	}
 	return nil
 }
@@ -132,77 +133,79 @@
 func (p *Partition) group(name string) *group {
 	g := p.groups[name]
 	if g == nil {
-		g = &group{oldest: 1, puts: map[put]uint64{}}
+		g = &group{oldest: 1, puts: map[putIdentity]uint64{}}
 		p.groups[name] = g
 	}
 	return g
 }
 
-// Execute carries out a call. The answer counts, and may be given, only once the returned
-// changes are committed and the owner's term is confirmed after the execution.
-func (p *Partition) Execute(now time.Duration, c Call) (Answer, []Record) {
+// Execute executes a call. The answer is valid only once the returned changes are committed
+// and the owner's term has been confirmed after the execution.
+func (p *Partition) Execute(now time.Duration, call Call) (Answer, []Record) {
 	var answer Answer
 	var changes []Record
-	switch c.Operation {
+	switch call.Operation {
 	case Acquire:
-		answer, changes = p.acquire(now, c)
+		answer, changes = p.acquire(now, call)
 	case Renew:
-		answer, changes = p.renew(now, c)
+		answer, changes = p.renew(now, call)
 	case Release:
-		answer, changes = p.release(c)
+		answer, changes = p.release(call)
 	case Draw:
-		answer, changes = p.draw(c)
+		answer, changes = p.draw(call)
 	case Put:
-		answer, changes = p.put(now, c)
+		answer, changes = p.put(now, call)
 	case Get:
-		cell, ok := p.cells[c.Name]
+		cell, ok := p.cells[call.Name]
 		if !ok {
 			return Answer{Status: Missing}, nil
 		}
 		return Answer{Status: OK, Value: cell.Value, Revision: cell.Revision}, nil
 	case Revision:
 		answer = Answer{Status: OK}
-		if g := p.groups[c.Name]; g != nil {
+		if g := p.groups[call.Name]; g != nil {
 			answer.Revision = g.revision
 		}
 	}
-	return answer, p.changed(changes)
+	return answer, p.accountChanges(changes)
 }
 
-// changed accounts for changes and adds the partition's own record to the first ones.
-func (p *Partition) changed(changes []Record) []Record {
-	if len(changes) > 0 && !p.hasHead {
-		p.hasHead = true
-		changes = append(changes, p.head())
+// accountChanges adds the head record to the partition's first changes and accounts for the size
+// of all changes.
+func (p *Partition) accountChanges(changes []Record) []Record {
+	if len(changes) > 0 && !p.headWritten {
+		p.headWritten = true
+		changes = append(changes, p.encodeHead())
 	}
 	for _, r := range changes {
-		p.weigh(r)
+		p.account(r)
 	}
 	return changes
 }
 
-func (p *Partition) head() Record {
+func (p *Partition) encodeHead() Record {
 	return encode(headName, headRecord{Partitions: Partitions, Fence: p.fence})
 }
 
-// weigh accounts for a record that is added, replaced or erased.
-func (p *Partition) weigh(r Record) {
-	difference := -p.weights[r.Name]
-	delete(p.weights, r.Name)
+// account updates the sizes for a record that is added, replaced or erased.
+func (p *Partition) account(r Record) {
+	difference := -p.recordSizes[r.Name]
+	delete(p.recordSizes, r.Name)
 	if !r.Erased {
-		p.weights[r.Name] = weight(r)
-		difference += weight(r)
+		p.recordSizes[r.Name] = recordSize(r)
+		difference += recordSize(r)
 	}
-	p.bytes += difference
+	p.totalBytes += difference
 	if strings.HasPrefix(r.Name, eventPrefix) {
 		p.historyBytes += difference
 	}
 }
 
-// full says whether a new record would exceed the bound of the partition or the disk.
-func (p *Partition) full(r Record) bool {
-	growth := weight(r) - p.weights[r.Name]
-	if p.bytes+growth > p.limits.Bytes {
+// exceedsLimits reports whether a new record would exceed the size limit of the partition or
+// the room on the disk.
+func (p *Partition) exceedsLimits(r Record) bool {
+	growth := recordSize(r) - p.recordSizes[r.Name]
+	if p.totalBytes+growth > p.limits.Bytes {
 		return true
 	}
 	return p.limits.HasRoom != nil && !p.limits.HasRoom(growth)
--- /dev/null
+++ b/internal/coordination/simulation_test.go
@@ -0,0 +1,324 @@
+package coordination
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand"
+	"testing"
+	"time"
+
+	"madderwing/internal/replication"
+	"madderwing/internal/replication/replicationtest"
+)
+
+// Times of the simulation, as they follow from the bounds in the settings.
+const (
+	testHeartbeat       = 500 * time.Millisecond
+	testVacancyTimeout  = 1200 * time.Millisecond
+	testCallerTimeout   = time.Second            // after which a caller gives a call up
+	testAnswerLimit     = 800 * time.Millisecond // for the answer of a node to a caller
+	testStartLimit      = 720 * time.Millisecond // for the start of a call at the owner
+	testFreezeDetection = 250 * time.Millisecond // gap after which a process detects that it was frozen
+)
+
+// simulation is a simulated set of control nodes with real replicas: a network with delays and
+// partitions, slow disks, and processes that crash and freeze.
+type simulation struct {
+	t               testing.TB
+	random          *rand.Rand
+	now             time.Duration
+	queue           replicationtest.Queue
+	nodes           []*node
+	blocked         map[[2]string]int
+	lastLife        uint64
+	partitionLimits Limits
+	slowUntil       time.Duration // many messages are delayed until then
+
+	// latency and sync are the duration of each message and each write; 0: random.
+	latency, sync time.Duration
+}
+
+// node is a control node. The clock of each process counts from its start.
+type node struct {
+	address     string
+	up          bool
+	life        uint64
+	startedAt   time.Duration
+	frozenUntil time.Duration
+	replica     *replication.Replica
+	server      *Server
+	clocks      *PeerClocks
+	disk        replicationtest.Disk
+	pending     []replication.Write // not durable yet
+	diskIdleAt  time.Duration
+	bootstrap   bool
+}
+
+func newSimulation(t testing.TB, seed int64, size int) *simulation {
+	s := &simulation{t: t, random: rand.New(rand.NewSource(seed)), blocked: map[[2]string]int{},
+		partitionLimits: Limits{History: time.Hour, Bytes: 1 << 20, HistoryBytes: 1 << 19}}
+	for i := range size {
+		s.nodes = append(s.nodes, &node{address: fmt.Sprintf("10.0.0.%d:7661", i+1), disk: replicationtest.Disk{}, bootstrap: true})
+	}
+	for _, n := range s.nodes {
+		s.start(n)
+	}
+	return s
+}
+
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.queue.Add(s.now+delay, run)
+}
+
+func (s *simulation) run(until time.Duration) {
+	s.queue.Run(&s.now, until)
+}
+
+func (s *simulation) clock(n *node) time.Duration { return s.now - n.startedAt }
+
+func (s *simulation) start(n *node) {
+	s.lastLife++
+	n.up, n.life, n.startedAt, n.diskIdleAt, n.pending = true, s.lastLife, s.now, 0, nil
+	var seeds []string
+	for _, o := range s.nodes[:3] {
+		seeds = append(seeds, o.address)
+	}
+	config := replication.Config{Self: n.address, Life: n.life, Identity: s.random.Uint64() | 1, Seeds: seeds, Faults: 1,
+		Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, SurePrefix: KeyPrefix,
+		Beat: testHeartbeat, Vacant: testVacancyTimeout, Patience: 900 * time.Millisecond, HandBack: 4 * time.Second,
+		Alive: func(address string) bool { o := s.node(address); return o.up && o.frozenUntil <= s.now },
+		Peers: func() (out []string) {
+			for _, o := range s.nodes {
+				out = append(out, o.address)
+			}
+			return out
+		}}
+	n.bootstrap = false
+	replica, err := replication.NewReplica(config, n.disk)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	n.replica, n.clocks = replica, NewPeerClocks()
+	n.server = NewServer(ServerConfig{Self: n.address, Life: n.life, Clock: func() time.Duration { return s.clock(n) },
+		Limits: s.partitionLimits, Sweep: 2 * time.Second, Freshness: 3 * testHeartbeat, Log: slog.New(slog.DiscardHandler)}, replica)
+	for _, key := range replica.Keys() {
+		n.server.Committed(key, nil)
+	}
+	s.tick(n, n.life)
+}
+
+func (s *simulation) node(address string) *node {
+	for _, n := range s.nodes {
+		if n.address == address {
+			return n
+		}
+	}
+	return nil
+}
+
+func (s *simulation) tick(n *node, life uint64) {
+	if n.life != life || !n.up {
+		return
+	}
+	if n.frozenUntil <= s.now {
+		s.runStep(n, life, func() {
+			n.replica.Tick(s.clock(n))
+			n.server.Tick(s.clock(n))
+		})
+	}
+	s.schedule(100*time.Millisecond, func() { s.tick(n, life) })
+}
+
+// runStep runs a step of a process and executes its effects. A frozen process does so when it
+// runs again.
+func (s *simulation) runStep(n *node, life uint64, step func()) {
+	if !n.up || n.life != life {
+		return
+	}
+	if n.frozenUntil > s.now {
+		s.schedule(n.frozenUntil-s.now+time.Duration(s.random.Intn(50))*time.Microsecond, func() { s.runStep(n, life, step) })
+		return
+	}
+	step()
+	effects := n.replica.Take()
+	for _, e := range effects.Send {
+		s.send(n, e.To, func(to *node) { to.replica.Handle(s.clock(to), n.address, e.Msg) })
+	}
+	for _, write := range effects.Writes {
+		s.startWrite(n, write)
+	}
+	if effects.Rewrite {
+		s.t.Fatal("unexpected rewrite: no simulated disk refuses writes")
+	}
+	for _, key := range effects.Committed {
+		n.server.Committed(key, effects.Changed[key])
+	}
+}
+
+// send delivers a message after a delay, unless the connection is blocked by then.
+func (s *simulation) send(from *node, address string, deliver func(to *node)) {
+	to, life := s.node(address), s.node(address).life
+	s.schedule(s.delay(), func() {
+		if s.blocked[[2]string{from.address, address}] == 0 {
+			s.runStep(to, life, func() { deliver(to) })
+		}
+	})
+}
+
+// delay is the transfer time of a message.
+func (s *simulation) delay() time.Duration {
+	if s.latency > 0 {
+		return s.latency
+	}
+	delay := time.Duration(200+s.random.Intn(1500)) * time.Microsecond
+	if s.random.Intn(40) == 0 || s.now < s.slowUntil && s.random.Intn(4) == 0 {
+		delay += time.Duration(s.random.Intn(2500)) * time.Millisecond
+	}
+	return delay
+}
+
+func (s *simulation) startWrite(n *node, write replication.Write) {
+	duration := s.sync
+	if duration == 0 {
+		duration = time.Duration(1+s.random.Intn(3)) * time.Millisecond
+	}
+	n.diskIdleAt = max(n.diskIdleAt, s.now) + duration
+	n.pending = append(n.pending, write)
+	life := n.life
+	s.schedule(n.diskIdleAt-s.now, func() {
+		if !n.up || n.life != life {
+			return
+		}
+		n.pending = n.pending[1:]
+		n.disk.Apply(write.Entries)
+		s.runStep(n, life, func() { n.replica.Durable(s.clock(n), write.ID) })
+	})
+}
+
+// crash ends a process. Some of its pending writes reach the disk nevertheless.
+func (s *simulation) crash(n *node) {
+	if !n.up {
+		return
+	}
+	n.up, n.frozenUntil = false, min(n.frozenUntil, s.now)
+	for _, write := range n.pending[:s.random.Intn(len(n.pending)+1)] {
+		n.disk.Apply(write.Entries)
+	}
+}
+
+// adjustBlocked adds delta to the number of failures that block a node's outgoing or incoming
+// messages, or both.
+func (s *simulation) adjustBlocked(n *node, outgoing, incoming bool, delta int) {
+	for _, o := range s.nodes {
+		if o != n && outgoing {
+			s.blocked[[2]string{n.address, o.address}] += delta
+		}
+		if o != n && incoming {
+			s.blocked[[2]string{o.address, n.address}] += delta
+		}
+	}
+}
+
+// call simulates a call at a node, as the node's driver handles it: it looks up the owner of
+// the partition and forwards the call once that is known. done is called at most once; a
+// caller without an answer gives up after testCallerTimeout. Callers have short delays, so
+// a call is late only at a frozen process, which refuses the calls that arrived meanwhile.
+func (s *simulation) call(n *node, call Call, done func(Result)) {
+	life := n.life
+	callerDelay := func() time.Duration { return time.Duration(500+s.random.Intn(4000)) * time.Microsecond }
+	answer := func(r Result) { s.schedule(callerDelay(), func() { done(r) }) }
+	s.schedule(callerDelay(), func() {
+		arrivedAt := s.now
+		s.runStep(n, life, func() {
+			if s.now-arrivedAt > testFreezeDetection {
+				answer(Result{Effect: NotDone})
+				return
+			}
+			s.attempt(n, call, s.clock(n), answer)
+		})
+	})
+}
+
+func (s *simulation) attempt(n *node, call Call, startedAt time.Duration, answer func(Result)) {
+	key, life := call.Key(), n.life
+	owner := n.replica.Owner(s.clock(n), key)
+	if owner == "" {
+		owner = n.replica.Founder(s.clock(n), key)
+	}
+	retry := func() {
+		s.schedule(20*time.Millisecond, func() {
+			s.runStep(n, life, func() {
+				if s.clock(n) > startedAt+testAnswerLimit {
+					answer(Result{Effect: NotDone})
+				} else {
+					s.attempt(n, call, startedAt, answer)
+				}
+			})
+		})
+	}
+	switch owner {
+	case "":
+		retry()
+	case n.address:
+		s.execute(n, call, ClockReading{Life: n.life, Time: startedAt + testStartLimit}, func(r Result) {
+			if r.Effect == NotDone {
+				retry()
+			} else {
+				answer(r)
+			}
+		})
+	default:
+		s.forward(n, owner, call, startedAt, answer, retry)
+	}
+}
+
+func (s *simulation) forward(n *node, owner string, call Call, startedAt time.Duration, answer func(Result), retry func()) {
+	deadline, _ := n.clocks.At(owner, startedAt+testStartLimit)
+	finished := false
+	life := n.life
+	s.schedule(startedAt+testAnswerLimit-s.clock(n), func() {
+		s.runStep(n, life, func() {
+			if !finished {
+				finished = true
+				answer(Result{Effect: MaybeDone})
+			}
+		})
+	})
+	s.send(n, owner, func(to *node) {
+		s.execute(to, call, deadline, func(r Result) {
+			clock := to.server.Clock()
+			s.send(to, n.address, func(*node) {
+				if finished || n.life != life {
+					return
+				}
+				finished = true
+				n.clocks.Heard(owner, clock, s.clock(n))
+				if r.Effect == NotDone {
+					retry()
+				} else {
+					answer(r)
+				}
+			})
+		})
+	})
+}
+
+// execute executes a call at its owner. It must run in a step of the owner.
+func (s *simulation) execute(n *node, call Call, deadline ClockReading, done func(Result)) {
+	finished, life := false, n.life
+	execution := NewExecution(call, deadline, func(r Result) {
+		if !finished {
+			finished = true
+			done(r)
+		}
+	})
+	n.server.Execute(s.clock(n), execution)
+	s.schedule(testAnswerLimit, func() {
+		s.runStep(n, life, func() {
+			if !finished {
+				finished = true
+				done(Result{Effect: execution.Abandon()})
+			}
+		})
+	})
+}
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -9,18 +9,18 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Outcome is how one sending of a request went, as scores see it.
+// Outcome is the outcome of one attempt to send a request, as far as scoring needs it.
 type Outcome int
 
-// The outcomes. Unscored is what says nothing of the version: the request was not
-// sent, was turned away without running, or its client left.
+// The outcomes. Unscored says nothing about the version: the request was not sent, was
+// rejected without being executed, or its client closed the connection.
 const (
 	Passed  Outcome = iota
-	Errored         // the upstream answered with an error of its own
-	Broke           // it broke off, or what it sent was no answer
+	Errored         // the upstream itself answered with an error
+	Broke           // the connection broke, or the answer was malformed
 	TooLate         // no answer by the deadline
 	Unscored
-	failKinds = 3
+	failureKinds = 3 // Errored, Broke, TooLate
 )
 
 // Arm is one side of a rollout.
@@ -32,35 +32,37 @@
 	Candidate
 )
 
-// Buckets bounds the strata that are told apart in scores, whatever the number of
-// routes: a stratum falls into one by its name.
+// Buckets is the number of buckets into which the scores of all strata are hashed by name,
+// so that the size of a report does not grow with the number of routes.
 const Buckets = 16
 
-// bins is the number of bins of latencies; each is wider than the one before by the
-// root of two, and the first ends at 10 ms.
-const bins = 26
+// latencyBins is the number of bins of the latency histogram. The first ends at 10 ms, the
+// end of each is that of the one before times the square root of two, and the last is open.
+const latencyBins = 26
 
-func bin(took time.Duration) int {
-	if took <= 10*time.Millisecond {
+func latencyBin(elapsed time.Duration) int {
+	if elapsed <= 10*time.Millisecond {
 		return 0
 	}
-	return min(bins-1, 1+int(2*math.Log2(took.Seconds()/0.01)))
+	return min(latencyBins-1, 1+int(2*math.Log2(elapsed.Seconds()/0.01)))
 }
 
-// Cell sums up the answers of one arm in one stratum. Cells add up, in any order.
+// Cell has the counts of the answers of one arm in one bucket of strata. The sum of several
+// cells does not depend on their order.
 type Cell struct {
-	Begun uint64            `cbor:"1,keyasint,omitempty"`
-	Ended uint64            `cbor:"2,keyasint,omitempty"` // with a score
-	Fails [failKinds]uint64 `cbor:"3,keyasint"`
-	// Of answers of upstreams that are not cold: the score of their time, from 1 at
-	// once down to 0 at four times the aim, and the bins that they fall into.
+	Begun uint64               `cbor:"1,keyasint,omitempty"`
+	Ended uint64               `cbor:"2,keyasint,omitempty"` // with an outcome other than Unscored
+	Fails [failureKinds]uint64 `cbor:"3,keyasint"`           // by outcome, from Errored on
+	// Of the answers of upstreams that are not cold: their number, the sums of their latency
+	// scores and of the squares of these, and their number in each bin of the latency
+	// histogram. The score falls from 1 at no latency to 0 at four times the latency target.
 	N    uint64   `cbor:"4,keyasint,omitempty"`
 	Sum  float64  `cbor:"5,keyasint,omitempty"`
 	Sq   float64  `cbor:"6,keyasint,omitempty"`
 	Hist []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Failed counts the answers that were none.
+// Failed is the number of failures of all kinds.
 func (c *Cell) Failed() (n uint64) {
 	for _, f := range c.Fails {
 		n += f
@@ -68,93 +70,93 @@
 	return n
 }
 
-// aimSpan is the time, in aims, at which the score of an answer's time is 0.
-const aimSpan = 4
+// zeroScoreFactor times the latency target is the latency from which on the score is 0.
+const zeroScoreFactor = 4
 
-func (c *Cell) note(how Outcome, took, aim time.Duration, cold bool) {
-	if how == Unscored {
+func (c *Cell) record(outcome Outcome, elapsed, latencyTarget time.Duration, cold bool) {
+	if outcome == Unscored {
 		return
 	}
 	c.Ended++
-	if how != Passed {
-		c.Fails[how-Errored]++
+	if outcome != Passed {
+		c.Fails[outcome-Errored]++
 	}
-	if !cold && (how == Passed || how == TooLate) {
-		c.time(took, aim)
+	if !cold && (outcome == Passed || outcome == TooLate) {
+		c.recordLatency(elapsed, latencyTarget)
 	}
 }
 
-func (c *Cell) time(took, aim time.Duration) {
-	score := max(0, 1-took.Seconds()/max(0.001, aimSpan*aim.Seconds()))
+func (c *Cell) recordLatency(elapsed, latencyTarget time.Duration) {
+	latencyScore := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
 	c.N++
-	c.Sum += score
-	c.Sq += score * score
-	b := bin(took)
-	for len(c.Hist) <= b {
+	c.Sum += latencyScore
+	c.Sq += latencyScore * latencyScore
+	bin := latencyBin(elapsed)
+	for len(c.Hist) <= bin {
 		c.Hist = append(c.Hist, 0)
 	}
-	c.Hist[b]++
+	c.Hist[bin]++
 }
 
-// Tail is the time that at most a hundredth of the answers took longer than.
+// Tail is an upper bound of the 99th percentile of the latencies: the end of its bin.
 func (c *Cell) Tail() time.Duration {
-	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tail())/2))
+	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tailBin())/2))
 }
 
 // Add adds another cell.
-func (c *Cell) Add(o Cell) {
-	c.Begun += o.Begun
-	c.Ended += o.Ended
+func (c *Cell) Add(other Cell) {
+	c.Begun += other.Begun
+	c.Ended += other.Ended
 	for i := range c.Fails {
-		c.Fails[i] += o.Fails[i]
+		c.Fails[i] += other.Fails[i]
 	}
-	c.N += o.N
-	c.Sum += o.Sum
-	c.Sq += o.Sq
-	for len(c.Hist) < len(o.Hist) {
+	c.N += other.N
+	c.Sum += other.Sum
+	c.Sq += other.Sq
+	for len(c.Hist) < len(other.Hist) {
 		c.Hist = append(c.Hist, 0)
 	}
-	for i, n := range o.Hist {
+	for i, n := range other.Hist {
 		c.Hist[i] += n
 	}
 }
 
-// beyond is the share of answers in bins after b.
-func (c *Cell) beyond(b int) (n uint64) {
-	for i := b + 1; i < len(c.Hist); i++ {
+// countBeyond is the number of answers in the bins after bin.
+func (c *Cell) countBeyond(bin int) (n uint64) {
+	for i := bin + 1; i < len(c.Hist); i++ {
 		n += c.Hist[i]
 	}
 	return n
 }
 
-// tail is the first bin beyond which no more than a hundredth of the answers lie.
-func (c *Cell) tail() int {
-	for b := range c.Hist {
-		if c.beyond(b)*100 <= c.N {
-			return b
+// tailBin is the first bin beyond which no more than a hundredth of the answers lie.
+func (c *Cell) tailBin() int {
+	for bin := range c.Hist {
+		if c.countBeyond(bin)*100 <= c.N {
+			return bin
 		}
 	}
-	return bins - 1
+	return latencyBins - 1
 }
 
-// Pair is the two arms of one stratum.
+// Pair is the cells of the two arms, by Arm.
 type Pair [2]Cell
 
-// Sums are the cells of a rollout, by bucket.
+// Sums is the cells of a rollout, by bucket of strata.
 type Sums map[uint8]Pair
 
 // Add adds other sums.
-func (s Sums) Add(o Sums) {
-	for b, p := range o {
-		have := s[b]
+func (s Sums) Add(other Sums) {
+	for bucket, p := range other {
+		have := s[bucket]
 		for arm := range have {
-			// The bins are copied: sums that were added up share nothing.
+			// A new cell is made, so that the sums share no histogram with their addends.
 			sum := Cell{}
 			sum.Add(have[arm])
 			sum.Add(p[arm])
 			have[arm] = sum
 		}
-		s[b] = have
+		s[bucket] = have
 	}
 }
 
@@ -167,117 +169,123 @@
 	return all
 }
 
-// bucket is where a stratum falls.
-func bucket(stratum string) uint8 {
+// bucketOf is the bucket of a stratum.
+func bucketOf(stratum string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(stratum))
 	v := h.Sum32()
 	return uint8((v ^ v>>16) % Buckets)
 }
 
-// Criterion is when a candidate is bad. It is fixed before any traffic flips.
+// Criterion is the condition for a candidate to count as bad. It is fixed before any traffic
+// moves.
 type Criterion struct {
-	Alpha float64 // for one look at one stratum
-	Min   uint64  // bad answers, or answers where times are compared, from which on it counts
-	// Alone is the share of failures at which a candidate is bad where there is
-	// nothing to compare it with.
+	Alpha float64 // significance level of one test of one bucket of strata
+	Min   uint64  // failures, or answers where latencies are compared, below which nothing is tested
+	// Alone is the share of failures at which a candidate is bad where the prior arm has
+	// too few answers for a comparison.
 	Alone float64
 }
 
 const (
-	effect  = 0.05 // a drop below this is none (the paper's floor)
-	tailOff = 0.05 // share of a candidate's answers beyond the tail of the prior's that fails the gate
-	// lateBins is how many bins beyond the prior's p99 count as its tail: one bin is a
-	// factor of 1.41, the first that is no less than the paper's 1.3.
-	lateBins = 1
+	minEffect     = 0.05 // differences below this are ignored (the minimum of the published design)
+	minTailExcess = 0.05 // excess share of the candidate's answers in the prior's tail at which the candidate is bad
+	// tailMarginBins is how many bins beyond the bin of the prior's p99 the tail begins. One bin is
+	// a factor of 1.41, the smallest that is not below the 1.3 of the published design.
+	tailMarginBins = 1
 )
 
-// The criteria. The paper looks once, at p < 0.05; here the sums are looked at
-// several times a second in up to sixteen strata, so each look has its part of that.
+// The criteria. The published design tests once, at p < 0.05. Here the sums are tested
+// several times a second in up to sixteen buckets of strata, so each test has a fraction of
+// that significance level.
 var (
-	// Overall is the controller's.
+	// Overall is for the sums of all gateways at the controller.
 	Overall = Criterion{Alpha: 0.05 / 500, Min: 8, Alone: 0.25}
-	// Local is a node's own, for its brake.
+	// Local is for a gateway that stops the candidate by itself.
 	Local = Criterion{Alpha: 0.05 / 5000, Min: 5, Alone: 0.4}
 )
 
-// Judge compares the arms, all strata together and one by one, and says what is wrong
-// with the candidate; empty: nothing that is certain. Where the prior arm has too few
-// answers, as at full weight, base stands in for it: the sums of a stage before.
-func (c Criterion) Judge(s, base Sums) string {
-	all := s.All()
-	if why := c.judge(all, base.All()); why != "" {
-		return why
+// Judge compares the arms, in all strata together and in each bucket, and returns what is
+// wrong with the candidate; empty: nothing significant. Where the prior arm has far fewer
+// answers than the candidate, as at full weight, its answers in baseline, the sums of an
+// earlier stage, are added.
+func (c Criterion) Judge(sums, baseline Sums) string {
+	all := sums.All()
+	if reason := c.judgePair(all, baseline.All()); reason != "" {
+		return reason
 	}
-	for b, p := range s {
-		if why := c.judge(p, base[b]); why != "" {
-			return fmt.Sprintf("%s (stratum %d)", why, b)
+	for bucket, pair := range sums {
+		if reason := c.judgePair(pair, baseline[bucket]); reason != "" {
+			return fmt.Sprintf("%s (bucket %d of the strata)", reason, bucket)
 		}
 	}
 	return ""
 }
 
-func (c Criterion) judge(p, base Pair) string {
-	prior, cand := p[Prior], p[Candidate]
-	stale := prior.Ended < cand.Ended/8
-	if stale {
-		// What goes wrong everywhere now did perhaps not then, so more is asked for.
-		prior.Add(base[Prior])
+func (c Criterion) judgePair(pair, baseline Pair) string {
+	prior, candidate := pair[Prior], pair[Candidate]
+	usesBaseline := prior.Ended < candidate.Ended/8
+	if usesBaseline {
+		// An error that both versions have now may not have occurred at the time of the
+		// baseline, so larger differences are required, and of the kinds of failures only
+		// Errored is compared with the baseline. The others need the share Alone.
+		prior.Add(baseline[Prior])
 	}
-	// A kind of failure that only the candidate has, or has more often: the test of
-	// proportions, for each kind and for all.
-	kinds := append([]uint64{cand.Failed()}, cand.Fails[:]...)
-	priors := append([]uint64{prior.Failed()}, prior.Fails[:]...)
-	for i, bad := range kinds {
-		if bad < c.Min {
+	// Failures that the candidate has more often than the prior arm: the test of
+	// proportions, for all kinds together and for each.
+	candidateCounts := append([]uint64{candidate.Failed()}, candidate.Fails[:]...)
+	priorCounts := append([]uint64{prior.Failed()}, prior.Fails[:]...)
+	for i, failures := range candidateCounts {
+		if failures < c.Min {
 			continue
 		}
-		share := float64(bad) / float64(cand.Ended)
+		share := float64(failures) / float64(candidate.Ended)
 		switch {
-		case prior.Ended < c.Min*2 || stale && i != 1:
+		case prior.Ended < c.Min*2 || usesBaseline && i != 1:
 			if share >= c.Alone {
-				return fmt.Sprintf("%d of %d answers %s", bad, cand.Ended, kindNames[i])
+				return fmt.Sprintf("%d of %d answers %s", failures, candidate.Ended, failureNames[i])
 			}
 		default:
-			floor := effect
-			if stale {
-				floor = 3 * effect
+			minDifference := minEffect
+			if usesBaseline {
+				minDifference = 3 * minEffect
 			}
-			usual := float64(priors[i]) / float64(prior.Ended)
-			if share-usual >= floor && proportions(bad, cand.Ended, priors[i], prior.Ended) < c.Alpha {
-				return fmt.Sprintf("%.0f %% of %d answers %s, %.1f %% of the prior version's", share*100, cand.Ended, kindNames[i], usual*100)
+			priorShare := float64(priorCounts[i]) / float64(prior.Ended)
+			if share-priorShare >= minDifference && proportionsPValue(failures, candidate.Ended, priorCounts[i], prior.Ended) < c.Alpha {
+				return fmt.Sprintf("%.0f %% of %d answers %s, %.1f %% of the prior version's", share*100, candidate.Ended, failureNames[i], priorShare*100)
 			}
 		}
 	}
-	if cand.N < c.Min || prior.N < c.Min*4 {
+	if candidate.N < c.Min || prior.N < c.Min*4 {
 		return ""
 	}
-	// The mean of the scores of times.
-	if delta := prior.Sum/float64(prior.N) - cand.Sum/float64(cand.N); delta >= effect && !stale {
-		if welch(cand, prior) < c.Alpha {
-			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", delta, cand.N)
+	// The mean of the latency scores.
+	if scoreDrop := prior.Sum/float64(prior.N) - candidate.Sum/float64(candidate.N); scoreDrop >= minEffect && !usesBaseline {
+		if welchPValue(candidate, prior) < c.Alpha {
+			return fmt.Sprintf("answers take longer: mean latency score lower by %.2f over %d answers", scoreDrop, candidate.N)
 		}
 	}
-	// The tail.
+	// The tail of the latencies.
 	if prior.N >= 50 {
-		at := prior.tail() + lateBins
-		late, usual := cand.beyond(at), prior.beyond(at)
-		floor := tailOff
-		if stale {
-			floor = 3 * tailOff
+		lastBin := prior.tailBin() + tailMarginBins
+		candidateLate, priorLate := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
+		minExcess := minTailExcess
+		if usesBaseline {
+			minExcess = 3 * minTailExcess
 		}
-		if late >= c.Min && float64(late)/float64(cand.N)-float64(usual)/float64(prior.N) >= floor &&
-			proportions(late, cand.N, usual, prior.N) < c.Alpha {
-			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", late, cand.N)
+		if candidateLate >= c.Min && float64(candidateLate)/float64(candidate.N)-float64(priorLate)/float64(prior.N) >= minExcess &&
+			proportionsPValue(candidateLate, candidate.N, priorLate, prior.N) < c.Alpha {
+			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", candidateLate, candidate.N)
 		}
 	}
 	return ""
 }
 
-var kindNames = [failKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
+var failureNames = [failureKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
 
-// proportions is the p of the two-proportion z-test that a of n is no more than b of m.
-func proportions(a, n, b, m uint64) float64 {
+// proportionsPValue is the p-value of the one-sided two-proportion z-test. The null hypothesis is
+// that the proportion a/n is not above b/m.
+func proportionsPValue(a, n, b, m uint64) float64 {
 	if n == 0 || m == 0 {
 		return 1
 	}
@@ -290,8 +298,9 @@
 	return distuv.UnitNormal.Survival((pa - pb) / se)
 }
 
-// welch is the p of Welch's t-test that the mean of a is no lower than that of b.
-func welch(a, b Cell) float64 {
+// welchPValue is the p-value of the one-sided Welch's t-test. The null hypothesis is that the
+// mean score of a is not below that of b.
+func welchPValue(a, b Cell) float64 {
 	if a.N < 2 || b.N < 2 {
 		return 1
 	}
