--- a/client/call.go
+++ b/client/call.go
@@ -19,45 +19,45 @@
 )
 
 const (
-	// answerTimeout is how long a node may be silent before another one is asked.
-	answerTimeout = time.Second
-	maxRedirects  = 2
-	maxAnswer     = 64 << 20
+	// responseTimeout is how long a node may be silent before another one is asked.
+	responseTimeout  = time.Second
+	maxRedirects     = 2
+	maxResponseBytes = 64 << 20
 
-	firstPause = 20 * time.Millisecond
-	maxPause   = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 
-	// noLimit lets a call be repeated for as long as its context lasts.
-	noLimit = time.Duration(math.MaxInt64)
+	// unlimitedRetries lets a call be repeated for as long as its context lasts.
+	unlimitedRetries = time.Duration(math.MaxInt64)
 )
 
-// call is one call of the interface, with the rules for sending it again.
-type call struct {
+// apiRequest is one apiRequest of the interface, with the rules for sending it again.
+type apiRequest struct {
 	method string
 	path   string
 	query  url.Values
 	body   any
 	// timeout is how long each attempt waits for its answer.
 	timeout time.Duration
-	// repeatWindow is for how long the call may be sent again once it may have been done.
-	repeatWindow time.Duration
-	// abandoned, if it is there, is told of an answer that came after the context had ended.
+	// retryWindow is for how long the call may be sent again once it may have been done.
+	retryWindow time.Duration
+	// onLateResult, if it is there, is told of an answer that came after the context had ended.
 	// Without it an attempt that is under way is broken off.
-	abandoned func(*answer)
+	onLateResult func(*callResult)
 	// accept reads the body of a 2xx. With an error the answer counts as none.
 	accept func(body []byte) error
 }
 
-func (r *call) String() string { return r.method + " " + r.path }
+func (r *apiRequest) String() string { return r.method + " " + r.path }
 
-// answer is an answer that decides a call: a 2xx, or a refusal for good.
-type answer struct {
+// callResult is an callResult that decides a call: a 2xx, or a refusal for good.
+type callResult struct {
 	status int
 	body   []byte
 	sentAt time.Time // when the attempt that was answered was begun
 }
 
-func (a *answer) succeeded() bool { return a.status >= 200 && a.status < 300 }
+func (a *callResult) succeeded() bool { return a.status >= 200 && a.status < 300 }
 
 // attemptError is an attempt that decides nothing.
 type attemptError struct {
@@ -71,56 +71,56 @@
 
 // do sends a call, to one node after the other, until one decides it, the context ends or
 // it may not be repeated for longer.
-func (c *Client) do(ctx context.Context, request call) (*answer, error) {
-	body, err := encode(request.body)
+func (c *Client) do(ctx context.Context, request apiRequest) (*callResult, error) {
+	payload, err := encode(request.body)
 	if err != nil {
 		return nil, err
 	}
-	given := &CallError{Call: request.String()}
+	callErr := &CallError{Call: request.String()}
 	var unclearSince time.Time
 	retries := backoff{endpoints: len(c.endpoints)}
 	for {
-		if given.Ended = ctx.Err(); given.Ended != nil {
-			return nil, given
+		if callErr.Ended = ctx.Err(); callErr.Ended != nil {
+			return nil, callErr
 		}
 		sentAt := time.Now()
 		index := c.preferred.Load()
-		reply, failure := c.attemptUntilDone(ctx, c.endpoints[index], &request, body)
-		if failure == nil {
-			return reply, nil
+		result, attemptErr := c.attemptDetached(ctx, c.endpoints[index], &request, payload)
+		if attemptErr == nil {
+			return result, nil
 		}
-		c.moveOn(index)
-		given.Last = failure
-		if failure.unclear && request.method != http.MethodGet && !given.Unclear {
-			given.Unclear = true
+		c.preferNext(index)
+		callErr.Last = attemptErr
+		if attemptErr.unclear && request.method != http.MethodGet && !callErr.Unclear {
+			callErr.Unclear = true
 			unclearSince = sentAt
 		}
-		pause := retries.next(failure.retryAfter)
-		if given.Unclear && time.Since(unclearSince)+pause > request.repeatWindow {
-			given.Ended = ctx.Err()
-			return nil, given
+		pause := retries.next(attemptErr.retryAfter)
+		if callErr.Unclear && time.Since(unclearSince)+pause > request.retryWindow {
+			callErr.Ended = ctx.Err()
+			return nil, callErr
 		}
-		if given.Ended = sleep(ctx, pause); given.Ended != nil {
-			return nil, given
+		if callErr.Ended = sleep(ctx, pause); callErr.Ended != nil {
+			return nil, callErr
 		}
 	}
 }
 
-// moveOn makes the endpoint after the one at index the first to be asked, unless another
+// preferNext makes the endpoint after the one at index the first to be asked, unless another
 // call has changed it meanwhile.
-func (c *Client) moveOn(index int64) {
+func (c *Client) preferNext(index int64) {
 	c.preferred.CompareAndSwap(index, (index+1)%int64(len(c.endpoints)))
 }
 
-// attemptUntilDone is an attempt that goes on without its caller if the call says who is to
+// attemptDetached is an attempt that goes on without its caller if the call says who is to
 // be told of its answer.
-func (c *Client) attemptUntilDone(ctx context.Context, endpoint *url.URL, request *call, body []byte) (*answer, *attemptError) {
-	if request.abandoned == nil {
+func (c *Client) attemptDetached(ctx context.Context, endpoint *url.URL, request *apiRequest, body []byte) (*callResult, *attemptError) {
+	if request.onLateResult == nil {
 		return c.attempt(ctx, endpoint, request, body)
 	}
 	type outcome struct {
-		reply   *answer
-		failure *attemptError
+		result     *callResult
+		attemptErr *attemptError
 	}
 	outcomes := make(chan outcome, 1)
 	go func() {
@@ -128,32 +128,32 @@
 		outcomes <- outcome{reply, failure}
 	}()
 	select {
-	case o := <-outcomes:
-		return o.reply, o.failure
+	case finished := <-outcomes:
+		return finished.result, finished.attemptErr
 	case <-ctx.Done():
 	}
 	go func() {
-		if o := <-outcomes; o.failure == nil {
-			request.abandoned(o.reply)
+		if o := <-outcomes; o.attemptErr == nil {
+			request.onLateResult(o.result)
 		}
 	}()
 	return nil, &attemptError{unclear: true, err: ctx.Err()}
 }
 
 // attempt sends a call to one node and follows its redirections.
-func (c *Client) attempt(ctx context.Context, endpoint *url.URL, request *call, body []byte) (*answer, *attemptError) {
+func (c *Client) attempt(ctx context.Context, endpoint *url.URL, request *apiRequest, body []byte) (*callResult, *attemptError) {
 	sentAt := time.Now()
 	target := *endpoint
 	target.RawPath = request.path
 	target.Path, _ = url.PathUnescape(request.path)
 	target.RawQuery = request.query.Encode()
 	for redirects := 0; ; redirects++ {
-		response, text, failure := c.exchange(ctx, target.String(), request, body)
-		if failure != nil {
-			return nil, failure
+		response, responseBody, attemptErr := c.exchange(ctx, target.String(), request, body)
+		if attemptErr != nil {
+			return nil, attemptErr
 		}
 		if response.StatusCode != http.StatusTemporaryRedirect {
-			return judge(response, text, request, sentAt)
+			return classify(response, responseBody, request, sentAt)
 		}
 		location, err := response.Location()
 		if err != nil || redirects == maxRedirects {
@@ -164,7 +164,7 @@
 }
 
 // exchange sends a request and reads the whole answer.
-func (c *Client) exchange(ctx context.Context, target string, request *call, body []byte) (*http.Response, []byte, *attemptError) {
+func (c *Client) exchange(ctx context.Context, target string, request *apiRequest, body []byte) (*http.Response, []byte, *attemptError) {
 	attemptContext, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	var connected atomic.Bool
@@ -176,10 +176,10 @@
 		return nil, nil, &attemptError{err: err}
 	}
 	outgoing.Header.Set("Content-Type", "application/json")
-	response, text, err := c.roundTrip(outgoing)
+	response, responseBody, err := c.roundTrip(outgoing)
 	switch {
 	case err == nil:
-		return response, text, nil
+		return response, responseBody, nil
 	case attemptContext.Err() != nil && ctx.Err() == nil:
 		err = fmt.Errorf("%s: no answer within %v", outgoing.URL.Host, request.timeout)
 	}
@@ -192,30 +192,30 @@
 		return nil, nil, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
-	if err == nil && len(text) > maxAnswer {
-		err = fmt.Errorf("an answer of more than %d bytes", maxAnswer)
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err == nil && len(responseBody) > maxResponseBytes {
+		err = fmt.Errorf("an answer of more than %d bytes", maxResponseBytes)
 	}
-	return response, text, err
+	return response, responseBody, err
 }
 
-// judge tells answers that decide a call from those after which another node is asked.
-func judge(response *http.Response, text []byte, request *call, sentAt time.Time) (*answer, *attemptError) {
+// classify tells answers that decide a call from those after which another node is asked.
+func classify(response *http.Response, responseBody []byte, request *apiRequest, sentAt time.Time) (*callResult, *attemptError) {
 	status := response.StatusCode
-	said := fmt.Errorf("%s answered %d: %s", response.Request.URL.Host, status, strings.TrimSpace(string(text)))
+	statusErr := fmt.Errorf("%s answered %d: %s", response.Request.URL.Host, status, strings.TrimSpace(string(responseBody)))
 	switch {
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
-		return nil, &attemptError{retryAfter: retryAfter(response), err: said}
+		return nil, &attemptError{retryAfter: retryAfter(response), err: statusErr}
 	case status == http.StatusRequestTimeout, status >= 500, status < 200, status >= 300 && status < 400:
-		return nil, &attemptError{unclear: true, err: said}
+		return nil, &attemptError{unclear: true, err: statusErr}
 	}
-	reply := &answer{status: status, body: text, sentAt: sentAt}
-	if reply.succeeded() && request.accept != nil {
-		if err := request.accept(text); err != nil {
+	result := &callResult{status: status, body: responseBody, sentAt: sentAt}
+	if result.succeeded() && request.accept != nil {
+		if err := request.accept(responseBody); err != nil {
 			return nil, &attemptError{unclear: true, err: fmt.Errorf("%s: answer not understood: %w", response.Request.URL.Host, err)}
 		}
 	}
-	return reply, nil
+	return result, nil
 }
 
 func retryAfter(response *http.Response) time.Duration {
@@ -223,7 +223,7 @@
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 }
 
 func encode(body any) ([]byte, error) {
@@ -254,9 +254,9 @@
 // next is the pause after an attempt that failed: it doubles each time, with a random part
 // of up to a half. What a node said in Retry-After counts only once all have been asked.
 func (b *backoff) next(retryAfter time.Duration) time.Duration {
-	pause := maxPause
-	if doublings := b.attempts; firstPause<<min(doublings, 16) < maxPause {
-		pause = firstPause << doublings
+	pause := maxBackoff
+	if doublings := b.attempts; initialBackoff<<min(doublings, 16) < maxBackoff {
+		pause = initialBackoff << doublings
 	}
 	b.attempts++
 	pause = jitter(pause)
--- a/client/call_test.go
+++ b/client/call_test.go
@@ -15,8 +15,8 @@
 
 // A pause keeps at least a half of its length.
 func TestJitter(t *testing.T) {
-	usual := randomBelow
-	defer func() { randomBelow = usual }()
+	original := randomBelow
+	defer func() { randomBelow = original }()
 	for _, c := range []struct{ pause, drawn, want time.Duration }{{100, 0, 100}, {100, 50, 50}, {1, 0, 1}} {
 		randomBelow = func(limit time.Duration) time.Duration {
 			if c.drawn >= limit {
@@ -31,7 +31,7 @@
 }
 
 // Each call goes on to another node where the answer allows it, and only there.
-func TestCallsGoOnToOtherNodes(t *testing.T) {
+func TestCallFailover(t *testing.T) {
 	draw := func(c *Client, ctx context.Context) error { _, err := c.Counter("n").Next(ctx); return err }
 	put := func(c *Client, ctx context.Context) error { _, err := c.Put(ctx, "g.k", "v"); return err }
 	putIf := func(c *Client, ctx context.Context) error { _, err := c.PutIf(ctx, "g.k", "v", 7); return err }
@@ -40,10 +40,10 @@
 		_, err := c.RequestGrant(ctx, "l", "me", 3*time.Second)
 		return err
 	}
-	all := func(f fault) []fault {
+	always := func(f fault) []fault {
 		return []fault{f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f}
 	}
-	silent := fault{answerDelay: time.Hour}
+	noResponse := fault{answerDelay: time.Hour}
 	for name, c := range map[string]struct {
 		call   func(*Client, context.Context) error
 		faults []fault
@@ -54,21 +54,21 @@
 		"answered":                  {draw, nil, "n0", "<nil>", 0},
 		"503, 429":                  {draw, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
 		"refused":                   {draw, []fault{{refuseConnection: true}}, "n0 n1", "<nil>", 15 * time.Millisecond},
-		"silence":                   {draw, []fault{silent}, "n0 n1", "<nil>", 1015 * time.Millisecond},
+		"silence":                   {draw, []fault{noResponse}, "n0 n1", "<nil>", 1015 * time.Millisecond},
 		"a draw is repeated":        {draw, []fault{{answerStatus: 502}, {answerStatus: 504}, {reset: true}}, "n0 n1 n2 n0", "<nil>", 100 * time.Millisecond},
 		"an acquire is repeated":    {acquire, []fault{{answerStatus: 500}, {reset: true}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
-		"a put is repeated":         {put, []fault{{reset: true}, silent}, "n0 n1 n2", "<nil>", 1045 * time.Millisecond},
+		"a put is repeated":         {put, []fault{{reset: true}, noResponse}, "n0 n1 n2", "<nil>", 1045 * time.Millisecond},
 		"a body that can't be read": {draw, []fault{{body: `{"value":`}}, "n0 n1", "<nil>", 15 * time.Millisecond},
 		"redirected twice":          {draw, []fault{{location: "http://n7:1/v1/numbers/n"}, {location: "http://n8:1/v1/numbers/n"}}, "n0 n7 n8", "<nil>", 0},
 		"redirected too often": {draw, []fault{{location: "http://n7:1/a"}, {location: "http://n8:1/a"}, {location: "http://n9:1/a"}},
 			"n0 n7 n8 n1", "<nil>", 15 * time.Millisecond},
-		"a put isn't repeated for long": {put, all(fault{answerStatus: 502}), "*", "unclear", 4600 * time.Millisecond},
-		"a put whose connection breaks": {put, all(fault{reset: true}), "*", "unclear", 4600 * time.Millisecond},
-		"a put that was never sent goes on": {put, append(all(fault{refuseConnection: true})[:10], fault{status: 503}), "*", "<nil>",
+		"a put isn't repeated for long": {put, always(fault{answerStatus: 502}), "*", "unclear", 4600 * time.Millisecond},
+		"a put whose connection breaks": {put, always(fault{reset: true}), "*", "unclear", 4600 * time.Millisecond},
+		"a put that was never sent goes on": {put, append(always(fault{refuseConnection: true})[:10], fault{status: 503}), "*", "<nil>",
 			4695 * time.Millisecond},
-		"no node at all":      {draw, all(fault{status: 503}), "*", "unavailable", 8 * time.Second},
-		"no clear answer":     {draw, all(fault{answerStatus: 504}), "*", "unclear", 8 * time.Second},
-		"a read is never so":  {get, all(fault{answerStatus: 504}), "*", "unavailable", 8 * time.Second},
+		"no node at all":      {draw, always(fault{status: 503}), "*", "unavailable", 8 * time.Second},
+		"no clear answer":     {draw, always(fault{answerStatus: 504}), "*", "unclear", 8 * time.Second},
+		"a read is never so":  {get, always(fault{answerStatus: 504}), "*", "unavailable", 8 * time.Second},
 		"not found":           {get, nil, "n0", "not found", 0},
 		"another revision":    {putIf, nil, "n0", "conflict", 0},
 		"refused for good":    {draw, []fault{{status: 400}}, "n0", "400", 0},
@@ -76,11 +76,11 @@
 		"a conflict is final": {acquire, []fault{{status: 409}}, "n0", "held", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(t *testing.T, s *standIn) {
-				s.failing(c.faults...)
-				err := c.call(newTestClient(t, s), within(t, 8*time.Second))
-				took := time.Since(s.begun)
-				if got := describe(err); got != c.ends {
+			runSimulated(t, func(t *testing.T, s *fakeServer) {
+				s.failNext(c.faults...)
+				err := c.call(newTestClient(t, s), withTimeout(t, 8*time.Second))
+				took := time.Since(s.startedAt)
+				if got := errorKind(err); got != c.ends {
 					t.Errorf("%s (%v), want %s", got, err, c.ends)
 				}
 				if got := s.hosts(); c.hosts != "*" && got != c.hosts {
@@ -98,10 +98,10 @@
 }
 
 // A put is sent again with the same value and condition, and gets its first revision.
-func TestAPutIsRepeatedAsItWas(t *testing.T) {
-	simulate(t, func(t *testing.T, s *standIn) {
+func TestPutRetrySendsSameBody(t *testing.T) {
+	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
-		s.failing(fault{answerStatus: 502}, fault{answerDelay: time.Hour})
+		s.failNext(fault{answerStatus: 502}, fault{answerDelay: time.Hour})
 		revision, err := c.PutIf(t.Context(), "g.k", "v1", 0)
 		if err != nil || revision != 1 || len(s.attempts) != 3 {
 			t.Fatal(revision, err, s.attempts)
@@ -123,9 +123,9 @@
 	})
 }
 
-func TestRetryAfterCountsOnceAllWereAsked(t *testing.T) {
+func TestRetryAfterAppliesAfterAllEndpoints(t *testing.T) {
 	retries := backoff{endpoints: 2}
-	if first := retries.next(time.Second); first > firstPause {
+	if first := retries.next(time.Second); first > initialBackoff {
 		t.Errorf("paused %v before the other node was asked", first)
 	}
 	if second := retries.next(time.Second); second != time.Second {
@@ -134,8 +134,8 @@
 }
 
 func TestEndpoints(t *testing.T) {
-	for text, good := range map[string]bool{"h:1": true, "http://h:1": true, "https://h:1/": true, "": false, "h:1/path": false, "http://": false} {
-		if _, err := New([]string{text}, Options{}); (err == nil) != good {
+	for text, valid := range map[string]bool{"h:1": true, "http://h:1": true, "https://h:1/": true, "": false, "h:1/path": false, "http://": false} {
+		if _, err := New([]string{text}, Options{}); (err == nil) != valid {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -22,7 +22,7 @@
 	idleConnectionTimeout  = 30 * time.Second
 	idleConnectionsPerNode = 16
 	ownerRandomBytes       = 6
-	ownerNameMost          = 24
+	maxOwnerNameBytes      = 24
 )
 
 // Options are what a Client may be told beside its endpoints. The zero value is good.
@@ -47,7 +47,7 @@
 	acquireInterval time.Duration
 	watchWait       time.Duration
 	ownerPrefix     string
-	owners          atomic.Uint64
+	ownerCount      atomic.Uint64
 }
 
 // New makes a client of the nodes whose control addresses are given, as host:port or as URLs.
@@ -101,12 +101,12 @@
 }
 
 func newTransport() http.RoundTripper {
-	dialer := &net.Dialer{Timeout: answerTimeout}
+	dialer := &net.Dialer{Timeout: responseTimeout}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: idleConnectionsPerNode,
 		IdleConnTimeout:     idleConnectionTimeout,
-		TLSHandshakeTimeout: answerTimeout,
+		TLSHandshakeTimeout: responseTimeout,
 	}
 }
 
@@ -116,7 +116,7 @@
 		name, _ = os.Hostname()
 	}
 	name = strings.Map(ownerCharacter, name)
-	name = name[:min(len(name), ownerNameMost)]
+	name = name[:min(len(name), maxOwnerNameBytes)]
 	random := make([]byte, ownerRandomBytes)
 	_, _ = rand.Read(random) // never fails
 	return fmt.Sprintf("%s-%d-%s", name, os.Getpid(), hex.EncodeToString(random))
@@ -133,5 +133,5 @@
 
 // newOwner makes up an owner name that was never used before.
 func (c *Client) newOwner() string {
-	return fmt.Sprintf("%s.%d", c.ownerPrefix, c.owners.Add(1))
+	return fmt.Sprintf("%s.%d", c.ownerPrefix, c.ownerCount.Add(1))
 }
--- a/client/counter.go
+++ b/client/counter.go
@@ -17,7 +17,7 @@
 
 type drawRequest struct{}
 
-type drawAnswer struct {
+type drawResponse struct {
 	Value uint64 `json:"value"`
 }
 
@@ -25,20 +25,20 @@
 // given twice. Numbers may skip: a draw whose answer was lost is repeated, and its first
 // number is then nobody's.
 func (n *Counter) Next(ctx context.Context) (uint64, error) {
-	var given drawAnswer
-	reply, err := n.client.do(ctx, call{
-		method:       http.MethodPost,
-		path:         "/v1/numbers/" + url.PathEscape(n.name),
-		body:         drawRequest{},
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
-		accept:       decodeInto(&given),
+	var drawn drawResponse
+	result, err := n.client.do(ctx, apiRequest{
+		method:      http.MethodPost,
+		path:        "/v1/numbers/" + url.PathEscape(n.name),
+		body:        drawRequest{},
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetries,
+		accept:      decodeInto(&drawn),
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case !reply.succeeded():
-		return 0, refusal(reply)
+	case !result.succeeded():
+		return 0, newStatusError(result)
 	}
-	return given.Value, nil
+	return drawn.Value, nil
 }
--- a/client/election.go
+++ b/client/election.go
@@ -82,8 +82,8 @@
 	Resigned  bool   `json:"resigned,omitempty"`
 }
 
-// before says that an announcement is older than another one.
-func (l Leader) before(other Leader) bool {
+// olderThan says that an announcement is older than another one.
+func (l Leader) olderThan(other Leader) bool {
 	return l.Token < other.Token || l.Token == other.Token && !l.Resigned && other.Resigned
 }
 
@@ -118,8 +118,8 @@
 	if err != nil {
 		return err
 	}
-	goOn, err := e.tell(ctx, seen, yield)
-	if err != nil || !goOn {
+	wantsMore, err := e.yieldIfNewer(ctx, seen, yield)
+	if err != nil || !wantsMore {
 		return err
 	}
 	for _, err := range e.client.Watch(ctx, e.group(), revision) {
@@ -127,22 +127,22 @@
 			return err
 		}
 		// The key is read anew: an event of an empty group has no content.
-		if goOn, err := e.tell(ctx, seen, yield); err != nil || !goOn {
+		if goOn, err := e.yieldIfNewer(ctx, seen, yield); err != nil || !goOn {
 			return err
 		}
 	}
 	return nil
 }
 
-// tell yields the leader if it is a newer one than was seen.
-func (e *Election) tell(ctx context.Context, seen *Leader, yield func(Leader, error) bool) (goOn bool, err error) {
+// yieldIfNewer yields the leader if it is a newer one than was seen.
+func (e *Election) yieldIfNewer(ctx context.Context, seen *Leader, yield func(Leader, error) bool) (wantsMore bool, err error) {
 	leader, _, err := e.read(ctx)
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return true, nil
 	case err != nil:
 		return false, err
-	case !seen.before(leader):
+	case !seen.olderThan(leader):
 		return true, nil
 	}
 	*seen = leader
@@ -169,11 +169,11 @@
 		return err
 	}
 	for {
-		standing, revision, err := e.read(ctx)
+		current, revision, err := e.read(ctx)
 		if err != nil && !errors.Is(err, ErrNotFound) {
 			return err
 		}
-		if err == nil && !standing.before(leader) {
+		if err == nil && !current.olderThan(leader) {
 			return nil
 		}
 		_, err = e.client.PutIf(ctx, e.leaderKey(), string(value), revision)
--- a/client/election_test.go
+++ b/client/election_test.go
@@ -12,7 +12,7 @@
 // A leader that resigns is followed at once, one that dies after the hold time, and an
 // observer sees them all.
 func TestElection(t *testing.T) {
-	simulate(t, func(t *testing.T, s *standIn) {
+	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
 		ctx, cancel := context.WithCancel(t.Context())
 		election := c.Election("e", testHold)
--- a/client/errors.go
+++ b/client/errors.go
@@ -52,9 +52,9 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Message) }
 
-// refusal makes a StatusError of an answer.
-func refusal(reply *answer) error {
-	return &StatusError{Status: reply.status, Message: strings.TrimSpace(string(reply.body))}
+// newStatusError makes a StatusError of an answer.
+func newStatusError(result *callResult) error {
+	return &StatusError{Status: result.status, Message: strings.TrimSpace(string(result.body))}
 }
 
 // CallError says why a call was given up. It is ErrUnclear or ErrUnavailable.
--- a/client/standin_test.go
+++ b/client/fakeserver_test.go
@@ -29,46 +29,46 @@
 	body             string        // answer with this body
 }
 
-// attemptSeen is one attempt that arrived, or could not.
-type attemptSeen struct {
+// recordedAttempt is one attempt that arrived, or could not.
+type recordedAttempt struct {
 	host, method, path string
 	body               string
-	at                 time.Duration
+	sinceStart         time.Duration
 }
 
-type standInLock struct {
+type fakeLock struct {
 	owner string
 	fence uint64
 	hold  time.Duration
 	until time.Time
 }
 
-// standIn is the interface in memory, in front of one state. It is an http.RoundTripper, so
+// fakeServer is the interface in memory, in front of one state. It is an http.RoundTripper, so
 // that no socket stands in the way of synctest's clock.
-type standIn struct {
-	mu       sync.Mutex
-	begun    time.Time
-	locks    map[string]standInLock
-	fence    uint64
-	numbers  map[string]uint64
-	cells    map[string]entryAnswer
-	groups   map[string][]Event
-	puts     map[string]uint64 // revisions by key and value
-	oldest   uint64            // a watch may ask for events after this and later
-	changed  chan struct{}     // closed with the next put
-	attempts []attemptSeen
+type fakeServer struct {
+	mu            sync.Mutex
+	startedAt     time.Time
+	locks         map[string]fakeLock
+	fence         uint64
+	numbers       map[string]uint64
+	cells         map[string]entryResponse
+	groups        map[string][]Event
+	puts          map[string]uint64 // revisions by key and value
+	compactedUpTo uint64            // a watch may ask for events after this and later
+	changed       chan struct{}     // closed with the next put
+	attempts      []recordedAttempt
 	// fault says what goes wrong with the attempt of a number.
 	fault func(number int, r *http.Request) fault
 }
 
-func newStandIn() *standIn {
-	return &standIn{begun: time.Now(), locks: map[string]standInLock{}, numbers: map[string]uint64{},
-		cells: map[string]entryAnswer{}, groups: map[string][]Event{}, puts: map[string]uint64{},
+func newFakeServer() *fakeServer {
+	return &fakeServer{startedAt: time.Now(), locks: map[string]fakeLock{}, numbers: map[string]uint64{},
+		cells: map[string]entryResponse{}, groups: map[string][]Event{}, puts: map[string]uint64{},
 		changed: make(chan struct{}), fault: func(int, *http.Request) fault { return fault{} }}
 }
 
-// failing makes the first attempts fail, one after the other.
-func (s *standIn) failing(faults ...fault) {
+// failNext makes the first attempts fail, one after the other.
+func (s *fakeServer) failNext(faults ...fault) {
 	s.mu.Lock()
 	first := len(s.attempts)
 	s.mu.Unlock()
@@ -80,7 +80,7 @@
 	})
 }
 
-func (s *standIn) setFault(choose func(number int, r *http.Request) fault) {
+func (s *fakeServer) setFault(choose func(number int, r *http.Request) fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = choose
@@ -88,14 +88,14 @@
 
 var errReset = errors.New("connection reset")
 
-func (s *standIn) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *fakeServer) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body)
 	}
 	s.mu.Lock()
 	f := s.fault(len(s.attempts), r)
-	s.attempts = append(s.attempts, attemptSeen{r.URL.Host, r.Method, r.URL.Path, string(body), time.Since(s.begun)})
+	s.attempts = append(s.attempts, recordedAttempt{r.URL.Host, r.Method, r.URL.Path, string(body), time.Since(s.startedAt)})
 	s.mu.Unlock()
 	if f.refuseConnection {
 		return nil, errors.New("connection refused")
@@ -115,7 +115,7 @@
 }
 
 // serve goes on after the caller has left, as a late packet does.
-func (s *standIn) serve(r *http.Request, body []byte, f fault) *http.Response {
+func (s *fakeServer) serve(r *http.Request, body []byte, f fault) *http.Response {
 	switch {
 	case f.location != "":
 		response := respond(r, http.StatusTemporaryRedirect, "")
@@ -125,7 +125,7 @@
 		return respond(r, f.status, f.body)
 	}
 	time.Sleep(f.delay)
-	status, result := s.carryOut(r, body)
+	status, result := s.execute(r, body)
 	time.Sleep(f.answerDelay)
 	text, _ := json.Marshal(result)
 	switch {
@@ -144,25 +144,25 @@
 		Body: io.NopCloser(bytes.NewReader([]byte(body)))}
 }
 
-func (s *standIn) carryOut(r *http.Request, body []byte) (int, any) {
-	page, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v1/"), "/")
-	if page == "watch" {
+func (s *fakeServer) execute(r *http.Request, body []byte) (int, any) {
+	resource, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v1/"), "/")
+	if resource == "watch" {
 		return s.watch(r, name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch page {
+	switch resource {
 	case "locks":
-		var asked struct {
+		var request struct {
 			Owner string
 			Fence uint64
 			HoldS float64
 		}
-		_ = json.Unmarshal(body, &asked)
-		return s.lock(r.Method, name, asked.Owner, asked.Fence, time.Duration(asked.HoldS*float64(time.Second)))
+		_ = json.Unmarshal(body, &request)
+		return s.lock(r.Method, name, request.Owner, request.Fence, time.Duration(request.HoldS*float64(time.Second)))
 	case "numbers":
 		s.numbers[name]++
-		return http.StatusOK, drawAnswer{s.numbers[name]}
+		return http.StatusOK, drawResponse{s.numbers[name]}
 	case "cells":
 		if r.Method == http.MethodGet {
 			if cell, ok := s.cells[name]; ok {
@@ -177,7 +177,7 @@
 	return http.StatusBadRequest, nil
 }
 
-func (s *standIn) lock(method, name, owner string, fence uint64, hold time.Duration) (int, any) {
+func (s *fakeServer) lock(method, name, owner string, fence uint64, hold time.Duration) (int, any) {
 	held, ok := s.locks[name]
 	ok = ok && time.Now().Before(held.until)
 	switch {
@@ -190,18 +190,18 @@
 		return http.StatusConflict, nil
 	case !ok:
 		s.fence++
-		held = standInLock{owner: owner, fence: s.fence}
+		held = fakeLock{owner: owner, fence: s.fence}
 	}
 	held.hold = hold
 	if until := time.Now().Add(hold); until.After(held.until) {
 		held.until = until
 	}
 	s.locks[name] = held
-	return http.StatusOK, acquireAnswer{held.fence}
+	return http.StatusOK, acquireResponse{held.fence}
 }
 
-// takeover gives every lease its whole time again, as a new owner does.
-func (s *standIn) takeover() {
+// restartLeases gives every lease its whole time again, as a new owner does.
+func (s *fakeServer) restartLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, held := range s.locks {
@@ -212,47 +212,47 @@
 	}
 }
 
-func (s *standIn) put(name string, asked putRequest) (int, any) {
-	put := name + "=" + asked.Value
+func (s *fakeServer) put(name string, request putRequest) (int, any) {
+	put := name + "=" + request.Value
 	if revision, repeated := s.puts[put]; repeated {
-		return http.StatusOK, revisionAnswer{revision}
+		return http.StatusOK, revisionResponse{revision}
 	}
-	if stands := s.cells[name].Revision; asked.Enabled != nil && *asked.Enabled != stands {
-		return http.StatusPreconditionFailed, revisionAnswer{stands}
+	if current := s.cells[name].Revision; request.Enabled != nil && *request.Enabled != current {
+		return http.StatusPreconditionFailed, revisionResponse{current}
 	}
-	in := group(name)
-	revision := uint64(len(s.groups[in]) + 1)
+	groupName := group(name)
+	revision := uint64(len(s.groups[groupName]) + 1)
 	s.puts[put] = revision
-	s.cells[name] = entryAnswer{asked.Value, revision}
-	s.groups[in] = append(s.groups[in], Event{name, asked.Value, revision})
+	s.cells[name] = entryResponse{request.Value, revision}
+	s.groups[groupName] = append(s.groups[groupName], Event{name, request.Value, revision})
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return http.StatusOK, revisionAnswer{revision}
+	return http.StatusOK, revisionResponse{revision}
 }
 
-func (s *standIn) watch(r *http.Request, name string) (int, any) {
+func (s *fakeServer) watch(r *http.Request, name string) (int, any) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	waitMs, _ := strconv.Atoi(r.URL.Query().Get("waitMs"))
 	end := time.After(time.Duration(waitMs) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		events, changed, oldest := s.groups[strings.TrimSuffix(name, ".")], s.changed, s.oldest
+		events, changed, compactedUpTo := s.groups[strings.TrimSuffix(name, ".")], s.changed, s.compactedUpTo
 		s.mu.Unlock()
 		revision := uint64(len(events))
 		switch {
 		case !strings.HasSuffix(name, "."):
 			return http.StatusBadRequest, nil
 		case after == 0:
-			return http.StatusOK, watchAnswer{Revision: revision}
-		case after < oldest:
+			return http.StatusOK, watchResponse{Revision: revision}
+		case after < compactedUpTo:
 			return http.StatusGone, nil
 		case after < revision:
-			return http.StatusOK, watchAnswer{events[after:], revision}
+			return http.StatusOK, watchResponse{events[after:], revision}
 		}
 		select {
 		case <-changed:
 		case <-end:
-			return http.StatusOK, watchAnswer{Revision: revision}
+			return http.StatusOK, watchResponse{Revision: revision}
 		case <-r.Context().Done():
 			return http.StatusOK, nil
 		}
@@ -260,7 +260,7 @@
 }
 
 // newTestClient makes a client of three nodes in front of a stand-in; n0 is asked first.
-func newTestClient(t *testing.T, s *standIn) *Client {
+func newTestClient(t *testing.T, s *fakeServer) *Client {
 	t.Helper()
 	c, err := New([]string{"n0:1", "n1:1", "n2:1"}, Options{Name: "test", Transport: s})
 	if err != nil {
@@ -271,7 +271,7 @@
 }
 
 // hosts lists the nodes that were asked, in order.
-func (s *standIn) hosts() string {
+func (s *fakeServer) hosts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var hosts []string
@@ -281,22 +281,22 @@
 	return strings.Join(hosts, " ")
 }
 
-func within(t *testing.T, limit time.Duration) context.Context {
+func withTimeout(t *testing.T, limit time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// about says whether two times are the same but for the pauses' random part.
-func about(got, want time.Duration) bool {
+// roughly says whether two times are the same but for the pauses' random part.
+func roughly(got, want time.Duration) bool {
 	return got > want-300*time.Millisecond && got < want+300*time.Millisecond
 }
 
-func describe(err error) string {
-	for name, kind := range map[string]error{"unclear": ErrUnclear, "unavailable": ErrUnavailable, "held": ErrHeld,
+func errorKind(err error) string {
+	for name, target := range map[string]error{"unclear": ErrUnclear, "unavailable": ErrUnavailable, "held": ErrHeld,
 		"lost": ErrLeaseLost, "expired": ErrLeaseExpired, "conflict": ErrConflict, "not found": ErrNotFound, "compacted": ErrCompacted} {
-		if errors.Is(err, kind) {
+		if errors.Is(err, target) {
 			return name
 		}
 	}
@@ -307,11 +307,11 @@
 	return fmt.Sprint(err)
 }
 
-// simulate runs a test by synctest's clock. After it, leases are lost and late answers come.
-func simulate(t *testing.T, test func(t *testing.T, s *standIn)) {
+// runSimulated runs a test by synctest's clock. After it, leases are lost and late answers come.
+func runSimulated(t *testing.T, test func(t *testing.T, s *fakeServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newStandIn()
+		s := newFakeServer()
 		defer time.Sleep(2 * time.Hour)
 		defer s.setFault(func(int, *http.Request) fault { return fault{status: http.StatusConflict} })
 		test(t, s)
--- a/client/grant.go
+++ b/client/grant.go
@@ -33,7 +33,7 @@
 	HoldS float64 `json:"holdS"`
 }
 
-type acquireAnswer struct {
+type acquireResponse struct {
 	Fence uint64 `json:"fence"`
 }
 
@@ -55,30 +55,30 @@
 // If the call is given up without a clear answer, the lock may stand at the owner's name for
 // the hold time. For an owner that was made up it is given back if the answer still comes.
 func (c *Client) RequestGrant(ctx context.Context, name, owner string, hold time.Duration) (Grant, error) {
-	return c.requestInTime(ctx, c.wanted(name, owner, hold))
+	return c.requestUnexpired(ctx, c.newGrantRequest(name, owner, hold))
 }
 
-// wantedGrant is a grant that is asked for.
-type wantedGrant struct {
+// grantRequest is a grant that is asked for.
+type grantRequest struct {
 	Grant
-	ownerIsMadeUp bool
+	ownerGenerated bool
 }
 
-func (c *Client) wanted(name, owner string, hold time.Duration) wantedGrant {
+func (c *Client) newGrantRequest(name, owner string, hold time.Duration) grantRequest {
 	if owner == "" {
-		return wantedGrant{Grant{Name: name, Owner: c.newOwner(), Hold: hold}, true}
+		return grantRequest{Grant{Name: name, Owner: c.newOwner(), Hold: hold}, true}
 	}
-	return wantedGrant{Grant{Name: name, Owner: owner, Hold: hold}, false}
+	return grantRequest{Grant{Name: name, Owner: owner, Hold: hold}, false}
 }
 
-// requestInTime asks until an answer comes in time. One that comes after the grant's end is
+// requestUnexpired asks until an answer comes in time. One that comes after the grant's end is
 // worth nothing, and the same owner asks again.
-func (c *Client) requestInTime(ctx context.Context, wanted wantedGrant) (Grant, error) {
-	if wanted.Hold <= 0 {
-		return Grant{}, fmt.Errorf("lock %s: the hold time must be above 0", wanted.Name)
+func (c *Client) requestUnexpired(ctx context.Context, requested grantRequest) (Grant, error) {
+	if requested.Hold <= 0 {
+		return Grant{}, fmt.Errorf("lock %s: the hold time must be above 0", requested.Name)
 	}
 	for {
-		grant, err := c.requestGrant(ctx, wanted)
+		grant, err := c.requestGrant(ctx, requested)
 		if err != nil || !grant.expired() {
 			return grant, err
 		}
@@ -87,45 +87,45 @@
 
 // requestGrant asks until there is an answer. One that comes after the caller has gone is
 // given back if the owner's name was made up: one that the caller chose may be in use again.
-func (c *Client) requestGrant(ctx context.Context, wanted wantedGrant) (Grant, error) {
-	request := call{
-		method:       http.MethodPost,
-		path:         lockPath(wanted.Name),
-		body:         acquireRequest{Owner: wanted.Owner, HoldS: wanted.Hold.Seconds()},
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
-		accept:       decodeInto(new(acquireAnswer)),
+func (c *Client) requestGrant(ctx context.Context, requested grantRequest) (Grant, error) {
+	request := apiRequest{
+		method:      http.MethodPost,
+		path:        lockPath(requested.Name),
+		body:        acquireRequest{Owner: requested.Owner, HoldS: requested.Hold.Seconds()},
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetries,
+		accept:      decodeInto(new(acquireResponse)),
 	}
-	if wanted.ownerIsMadeUp {
-		request.abandoned = func(reply *answer) { c.returnAbandoned(wanted.Grant, reply) }
+	if requested.ownerGenerated {
+		request.onLateResult = func(result *callResult) { c.returnLateGrant(requested.Grant, result) }
 	}
 	reply, err := c.do(ctx, request)
 	if err != nil {
 		return Grant{}, err
 	}
-	return grantOf(wanted.Grant, reply)
+	return grantFromResult(requested.Grant, reply)
 }
 
-// grantOf reads the answer to an acquire.
-func grantOf(wanted Grant, reply *answer) (Grant, error) {
+// grantFromResult reads the answer to an acquire.
+func grantFromResult(requested Grant, result *callResult) (Grant, error) {
 	switch {
-	case reply.status == http.StatusConflict:
+	case result.status == http.StatusConflict:
 		return Grant{}, ErrHeld
-	case !reply.succeeded():
-		return Grant{}, refusal(reply)
+	case !result.succeeded():
+		return Grant{}, newStatusError(result)
 	}
-	var given acquireAnswer
-	if err := json.Unmarshal(reply.body, &given); err != nil {
+	var response acquireResponse
+	if err := json.Unmarshal(result.body, &response); err != nil {
 		return Grant{}, err
 	}
-	wanted.Token = given.Fence
-	wanted.Until = reply.sentAt.Add(wanted.Hold)
-	return wanted, nil
+	requested.Token = response.Fence
+	requested.Until = result.sentAt.Add(requested.Hold)
+	return requested, nil
 }
 
-// returnAbandoned gives back what was granted after the caller had gone.
-func (c *Client) returnAbandoned(wanted Grant, reply *answer) {
-	grant, err := grantOf(wanted, reply)
+// returnLateGrant gives back what was granted after the caller had gone.
+func (c *Client) returnLateGrant(requested Grant, result *callResult) {
+	grant, err := grantFromResult(requested, result)
 	if err != nil {
 		return
 	}
@@ -138,28 +138,28 @@
 // doesn't count the owner as holder, ErrLeaseExpired that the grant's end had come before
 // the answer.
 func (c *Client) RenewGrant(ctx context.Context, grant Grant) (Grant, error) {
-	return c.renewGrant(ctx, grant, answerTimeout)
+	return c.renewGrant(ctx, grant, responseTimeout)
 }
 
 func (c *Client) renewGrant(ctx context.Context, grant Grant, timeout time.Duration) (Grant, error) {
-	reply, err := c.do(ctx, call{
-		method:       http.MethodPut,
-		path:         lockPath(grant.Name),
-		body:         renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
-		timeout:      timeout,
-		repeatWindow: noLimit,
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodPut,
+		path:        lockPath(grant.Name),
+		body:        renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
+		timeout:     timeout,
+		retryWindow: unlimitedRetries,
 	})
 	switch {
 	case err != nil:
 		return grant, err
-	case reply.status == http.StatusConflict:
+	case result.status == http.StatusConflict:
 		return grant, ErrLeaseLost
-	case !reply.succeeded():
-		return grant, refusal(reply)
+	case !result.succeeded():
+		return grant, newStatusError(result)
 	case grant.expired():
 		return grant, ErrLeaseExpired
 	}
-	grant.Until = reply.sentAt.Add(grant.Hold)
+	grant.Until = result.sentAt.Add(grant.Hold)
 	return grant, nil
 }
 
@@ -168,18 +168,18 @@
 // If it fails, the call may still arrive later. The same owner name must then not be used
 // for this lock again until the grant's end.
 func (c *Client) ReturnGrant(ctx context.Context, grant Grant) error {
-	reply, err := c.do(ctx, call{
-		method:       http.MethodDelete,
-		path:         lockPath(grant.Name),
-		body:         releaseRequest{Owner: grant.Owner, Fence: grant.Token},
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodDelete,
+		path:        lockPath(grant.Name),
+		body:        releaseRequest{Owner: grant.Owner, Fence: grant.Token},
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetries,
 	})
 	switch {
 	case err != nil:
 		return err
-	case !reply.succeeded():
-		return refusal(reply)
+	case !result.succeeded():
+		return newStatusError(result)
 	}
 	return nil
 }
--- a/client/keyvalue.go
+++ b/client/keyvalue.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// putRepeatWindow is for how long a put that may have been done is sent again. The system
+// putRetryWindow is for how long a put that may have been done is sent again. The system
 // recognizes a repeated put for longer than this.
-const putRepeatWindow = 5 * time.Second
+const putRetryWindow = 5 * time.Second
 
 // Entry is a key's value and the revision of the put that gave it.
 type Entry struct {
@@ -26,11 +26,11 @@
 	Enabled *uint64 `json:"enabled,omitempty"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-type entryAnswer struct {
+type entryResponse struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
@@ -38,21 +38,21 @@
 // Get reads a key: the newest put that was acknowledged before the call, or a later one.
 // ErrNotFound says that there is none.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	var found entryAnswer
-	reply, err := c.do(ctx, call{
-		method:       http.MethodGet,
-		path:         keyPath(key),
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
-		accept:       decodeInto(&found),
+	var found entryResponse
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodGet,
+		path:        keyPath(key),
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetries,
+		accept:      decodeInto(&found),
 	})
 	switch {
 	case err != nil:
 		return Entry{}, err
-	case reply.status == http.StatusNotFound:
+	case result.status == http.StatusNotFound:
 		return Entry{}, fmt.Errorf("key %s: %w", key, ErrNotFound)
-	case !reply.succeeded():
-		return Entry{}, refusal(reply)
+	case !result.succeeded():
+		return Entry{}, newStatusError(result)
 	}
 	return Entry{Key: key, Value: found.Value, Revision: found.Revision}, nil
 }
@@ -76,33 +76,33 @@
 }
 
 func (c *Client) put(ctx context.Context, key string, body putRequest) (uint64, error) {
-	var given revisionAnswer
-	reply, err := c.do(ctx, call{
-		method:       http.MethodPut,
-		path:         keyPath(key),
-		body:         body,
-		timeout:      answerTimeout,
-		repeatWindow: putRepeatWindow,
-		accept:       decodeInto(&given),
+	var response revisionResponse
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodPut,
+		path:        keyPath(key),
+		body:        body,
+		timeout:     responseTimeout,
+		retryWindow: putRetryWindow,
+		accept:      decodeInto(&response),
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case reply.status == http.StatusPreconditionFailed:
-		return 0, conflict(key, reply)
-	case !reply.succeeded():
-		return 0, refusal(reply)
+	case result.status == http.StatusPreconditionFailed:
+		return 0, newConflictError(key, result)
+	case !result.succeeded():
+		return 0, newStatusError(result)
 	}
-	return given.Revision, nil
+	return response.Revision, nil
 }
 
-// conflict reads the key's revision from a refused put.
-func conflict(key string, reply *answer) error {
-	var stands revisionAnswer
-	if err := json.Unmarshal(reply.body, &stands); err != nil {
+// newConflictError reads the key's revision from a refused put.
+func newConflictError(key string, result *callResult) error {
+	var current revisionResponse
+	if err := json.Unmarshal(result.body, &current); err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrConflict, key, err)
 	}
-	return &ConflictError{Key: key, Revision: stands.Revision}
+	return &ConflictError{Key: key, Revision: current.Revision}
 }
 
 func keyPath(key string) string { return "/v1/cells/" + url.PathEscape(key) }
--- a/client/lease.go
+++ b/client/lease.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// renewalsPerHold and attemptsPerHold are parts of the hold time: when a lease is renewed,
+	// renewalsPerHoldTime and attemptsPerHold are parts of the hold time: when a lease is renewed,
 	// and how long a renewal waits for one node if that is less than answerTimeout.
-	renewalsPerHold = 3
-	attemptsPerHold = 5
+	renewalsPerHoldTime = 3
+	attemptsPerHoldTime = 5
 )
 
 // Lease is a lock that is held and renewed in the background until Release, or until it is
 // lost.
 type Lease struct {
-	client  *Client
-	ctx     context.Context
-	end     context.CancelCauseFunc
-	renewed chan struct{} // closed when the renewals have ended
+	client       *Client
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	renewalsDone chan struct{} // closed when the renewals have ended
 
 	mu     sync.Mutex
 	grant  Grant
@@ -36,14 +36,14 @@
 //
 // The context bounds only the call, not the lease.
 func (c *Client) TryAcquire(ctx context.Context, name, owner string, hold time.Duration) (*Lease, error) {
-	return c.tryAcquire(ctx, c.wanted(name, owner, hold))
+	return c.tryAcquire(ctx, c.newGrantRequest(name, owner, hold))
 }
 
 // Acquire takes a lock, and waits for it while another owner holds it. See TryAcquire.
 func (c *Client) Acquire(ctx context.Context, name, owner string, hold time.Duration) (*Lease, error) {
-	wanted := c.wanted(name, owner, hold)
+	requested := c.newGrantRequest(name, owner, hold)
 	for {
-		lease, err := c.tryAcquire(ctx, wanted)
+		lease, err := c.tryAcquire(ctx, requested)
 		if !errors.Is(err, ErrHeld) {
 			return lease, err
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-func (c *Client) tryAcquire(ctx context.Context, wanted wantedGrant) (*Lease, error) {
-	grant, err := c.requestInTime(ctx, wanted)
+func (c *Client) tryAcquire(ctx context.Context, requested grantRequest) (*Lease, error) {
+	grant, err := c.requestUnexpired(ctx, requested)
 	if err != nil {
 		return nil, err
 	}
@@ -62,12 +62,12 @@
 }
 
 func (c *Client) newLease(ctx context.Context, grant Grant) *Lease {
-	l := &Lease{client: c, grant: grant, renewed: make(chan struct{})}
-	l.ctx, l.end = context.WithCancelCause(context.WithoutCancel(ctx))
+	l := &Lease{client: c, grant: grant, renewalsDone: make(chan struct{})}
+	l.ctx, l.cancel = context.WithCancelCause(context.WithoutCancel(ctx))
 	l.mu.Lock()
 	l.expiry = time.AfterFunc(time.Until(grant.Until), l.checkExpiry)
 	l.mu.Unlock()
-	go l.renew()
+	go l.renewLoop()
 	return l
 }
 
@@ -101,13 +101,13 @@
 // Release ends the lease and gives the lock back. With an error the lock stays taken for
 // others until its hold time is over.
 func (l *Lease) Release(ctx context.Context) error {
-	l.end(ErrReleased)
+	l.cancel(ErrReleased)
 	l.expiry.Stop()
-	<-l.renewed
-	return l.client.ReturnGrant(ctx, l.current())
+	<-l.renewalsDone
+	return l.client.ReturnGrant(ctx, l.currentGrant())
 }
 
-func (l *Lease) current() Grant {
+func (l *Lease) currentGrant() Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grant
@@ -121,41 +121,41 @@
 		l.expiry.Reset(remaining)
 		return
 	}
-	l.end(ErrLeaseExpired)
+	l.cancel(ErrLeaseExpired)
 }
 
-// renew keeps the lease until it ends.
-func (l *Lease) renew() {
-	defer close(l.renewed)
+// renewLoop keeps the lease until it ends.
+func (l *Lease) renewLoop() {
+	defer close(l.renewalsDone)
 	hold := l.grant.Hold
-	interval := hold / renewalsPerHold
+	interval := hold / renewalsPerHoldTime
 	pause := interval
 	for sleep(l.ctx, pause) == nil {
-		begun := time.Now()
+		started := time.Now()
 		err := l.renewOnce()
 		switch {
 		case errors.Is(err, ErrLeaseLost), errors.Is(err, ErrLeaseExpired):
-			l.end(err)
+			l.cancel(err)
 			return
 		case err != nil:
-			pause = interval / renewalsPerHold
+			pause = interval / renewalsPerHoldTime
 		default:
-			pause = interval - time.Since(begun)
+			pause = interval - time.Since(started)
 		}
 	}
 }
 
 // renewOnce tries one renewal until the lease's end.
 func (l *Lease) renewOnce() error {
-	grant := l.current()
+	grant := l.currentGrant()
 	ctx, cancel := context.WithDeadline(l.ctx, grant.Until)
 	defer cancel()
-	fresh, err := l.client.renewGrant(ctx, grant, min(answerTimeout, grant.Hold/attemptsPerHold))
+	renewed, err := l.client.renewGrant(ctx, grant, min(responseTimeout, grant.Hold/attemptsPerHoldTime))
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.grant.Until = fresh.Until
+	l.grant.Until = renewed.Until
 	return nil
 }
--- a/client/lease_test.go
+++ b/client/lease_test.go
@@ -11,18 +11,18 @@
 const testHold = 3 * time.Second
 
 // The lease counts from when the call was sent, and ends then unless it is renewed.
-func TestALeaseEndsInTime(t *testing.T) {
-	silent := fault{answerDelay: time.Hour}
+func TestLeaseEnd(t *testing.T) {
+	noResponse := fault{answerDelay: time.Hour}
 	for name, c := range map[string]struct {
 		acquired  fault               // of the acquire
 		renewals  func(nth int) fault // of the attempts to renew, from 0
-		meanwhile func(s *standIn)    // done half a second after the acquire
+		meanwhile func(s *fakeServer) // done half a second after the acquire
 		ends      time.Duration       // after the acquire was sent; 0: not in a minute
 		cause     error
 	}{
 		"renewed":                {renewals: func(int) fault { return fault{} }},
-		"acquired slowly":        {acquired: fault{answerDelay: 900 * time.Millisecond}, renewals: func(int) fault { return silent }, ends: testHold, cause: ErrLeaseExpired},
-		"nodes silent":           {renewals: func(int) fault { return silent }, ends: testHold, cause: ErrLeaseExpired},
+		"acquired slowly":        {acquired: fault{answerDelay: 900 * time.Millisecond}, renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
+		"nodes silent":           {renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
 		"nodes without a quorum": {renewals: func(int) fault { return fault{status: 503} }, ends: testHold, cause: ErrLeaseExpired},
 		"refused for good":       {renewals: func(int) fault { return fault{status: 400} }, ends: testHold, cause: ErrLeaseExpired},
 		"one answer lost": {renewals: func(nth int) fault {
@@ -37,13 +37,13 @@
 			if nth < 2 {
 				return fault{}
 			}
-			return silent
+			return noResponse
 		}, ends: 2*time.Second + testHold, cause: ErrLeaseExpired},
-		"lost": {renewals: func(int) fault { return fault{} }, meanwhile: func(s *standIn) { s.mu.Lock(); defer s.mu.Unlock(); delete(s.locks, "l") },
+		"lost": {renewals: func(int) fault { return fault{} }, meanwhile: func(s *fakeServer) { s.mu.Lock(); defer s.mu.Unlock(); delete(s.locks, "l") },
 			ends: time.Second, cause: ErrLeaseLost},
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(t *testing.T, s *standIn) {
+			runSimulated(t, func(t *testing.T, s *fakeServer) {
 				renewals := 0
 				s.setFault(func(_ int, r *http.Request) fault {
 					switch r.Method {
@@ -67,7 +67,7 @@
 				case <-lease.Context().Done():
 				case <-time.After(time.Minute):
 				}
-				ended, cause := time.Since(s.begun), context.Cause(lease.Context())
+				ended, cause := time.Since(s.startedAt), context.Cause(lease.Context())
 				if c.ends == 0 {
 					c.ends = time.Minute
 				}
@@ -86,17 +86,17 @@
 }
 
 // A 200 that comes after the grant's end counts for nothing.
-func TestALateAnswerGivesNoLease(t *testing.T) {
+func TestLateResponseGrantsNoLease(t *testing.T) {
 	const hold = 500 * time.Millisecond
 	late := fault{answerDelay: 700 * time.Millisecond}
-	simulate(t, func(t *testing.T, s *standIn) {
+	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
-		s.failing(late)
+		s.failNext(late)
 		grant, err := c.RequestGrant(t.Context(), "l", "me", hold)
 		if err != nil || len(s.attempts) != 2 || time.Until(grant.Until) != hold {
 			t.Error("acquire:", grant, err, s.hosts())
 		}
-		s.failing(late)
+		s.failNext(late)
 		if _, err := c.RenewGrant(t.Context(), grant); !errors.Is(err, ErrLeaseExpired) {
 			t.Error("renewal:", err)
 		}
@@ -105,7 +105,7 @@
 
 // A lock that is held is waited for; goroutines of one client exclude each other; tokens rise.
 func TestAcquireWaits(t *testing.T) {
-	simulate(t, func(t *testing.T, s *standIn) {
+	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
 		first, err := c.Acquire(t.Context(), "l", "", testHold)
 		if err != nil {
@@ -114,13 +114,13 @@
 		if _, err := c.TryAcquire(t.Context(), "l", "", testHold); !errors.Is(err, ErrHeld) {
 			t.Error(err)
 		}
-		if _, err := c.Acquire(within(t, 5*time.Second), "l", "", testHold); !errors.Is(err, ErrHeld) || !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := c.Acquire(withTimeout(t, 5*time.Second), "l", "", testHold); !errors.Is(err, ErrHeld) || !errors.Is(err, context.DeadlineExceeded) {
 			t.Error(err)
 		}
 		time.AfterFunc(10*time.Second, func() { _ = first.Release(context.Background()) })
 		second, err := c.Acquire(t.Context(), "l", "", testHold)
-		if err != nil || second.Token() <= first.Token() || first.Context().Err() == nil || !about(time.Since(s.begun), 15*time.Second) {
-			t.Fatal(second, err, time.Since(s.begun))
+		if err != nil || second.Token() <= first.Token() || first.Context().Err() == nil || !roughly(time.Since(s.startedAt), 15*time.Second) {
+			t.Fatal(second, err, time.Since(s.startedAt))
 		}
 		if err := first.Release(t.Context()); err != nil || second.Context().Err() != nil {
 			t.Error("a second release:", err, second.Context().Err())
@@ -132,13 +132,13 @@
 }
 
 // What is granted after the caller has gone is given back, unless the caller chose the owner.
-func TestAnAbandonedGrantIsGivenBack(t *testing.T) {
+func TestLateGrantIsReturned(t *testing.T) {
 	for owner, want := range map[string]int{"": 0, "mine": 1} {
-		simulate(t, func(t *testing.T, s *standIn) {
-			s.failing(fault{delay: 800 * time.Millisecond})
-			_, err := newTestClient(t, s).Acquire(within(t, 100*time.Millisecond), "l", owner, testHold)
-			if !errors.Is(err, ErrUnclear) || time.Since(s.begun) != 100*time.Millisecond {
-				t.Error(err, time.Since(s.begun))
+		runSimulated(t, func(t *testing.T, s *fakeServer) {
+			s.failNext(fault{delay: 800 * time.Millisecond})
+			_, err := newTestClient(t, s).Acquire(withTimeout(t, 100*time.Millisecond), "l", owner, testHold)
+			if !errors.Is(err, ErrUnclear) || time.Since(s.startedAt) != 100*time.Millisecond {
+				t.Error(err, time.Since(s.startedAt))
 			}
 			time.Sleep(time.Second)
 			s.mu.Lock()
--- a/client/random_test.go
+++ b/client/random_faults_test.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// history checks what the callers of a random run saw. Everything is by their own count.
-type history struct {
+// callerLog checks what the callers of a random run saw. Everything is by their own count.
+type callerLog struct {
 	t  *testing.T
 	mu sync.Mutex
 	// holder is the lease that counts itself as the lock's, token the highest that was held.
-	holder *Lease
-	token  uint64
-	leases int
-	// given holds the numbers, acknowledged the revisions and values of puts.
-	given        map[uint64]bool
+	holder       *Lease
+	highestToken uint64
+	leases       int
+	// numbers holds the numbers, acknowledged the revisions and values of puts.
+	numbers      map[uint64]bool
 	acknowledged map[uint64]string
 	watched      map[uint64]string
 }
 
-func (h *history) hold(lease *Lease) {
+func (h *callerLog) recordLease(lease *Lease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holder != nil && h.holder.Remaining() > 0 {
 		h.t.Errorf("%s and %s hold the lock at once", h.holder.Owner(), lease.Owner())
 	}
-	if lease.Token() <= h.token {
-		h.t.Errorf("token %d after %d", lease.Token(), h.token)
+	if lease.Token() <= h.highestToken {
+		h.t.Errorf("token %d after %d", lease.Token(), h.highestToken)
 	}
-	h.holder, h.token = lease, lease.Token()
+	h.holder, h.highestToken = lease, lease.Token()
 	h.leases++
 }
 
-func (h *history) draw(before, number uint64) {
+func (h *callerLog) recordNumber(before, number uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.given[number] || number <= before {
+	if h.numbers[number] || number <= before {
 		h.t.Errorf("number %d was given again, or after %d", number, before)
 	}
-	h.given[number] = true
+	h.numbers[number] = true
 }
 
 // TestRandomFaults lets callers work through random faults: late and lost answers, late
@@ -52,18 +52,18 @@
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			simulate(t, func(t *testing.T, s *standIn) { randomRun(t, s, seed) })
+			runSimulated(t, func(t *testing.T, s *fakeServer) { runRandomFaults(t, s, seed) })
 		})
 	}
 }
 
-func randomRun(t *testing.T, s *standIn, seed uint64) {
+func runRandomFaults(t *testing.T, s *fakeServer, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 23))
-	h := &history{t: t, given: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
+	log := &callerLog{t: t, numbers: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
 	s.put("g.first", putRequest{Value: "first"})
-	away := time.Time{} // no node answers before
+	unavailableUntil := time.Time{} // no node answers before
 	s.setFault(func(_ int, r *http.Request) fault {
-		if time.Now().Before(away) {
+		if time.Now().Before(unavailableUntil) {
 			return fault{status: http.StatusServiceUnavailable}
 		}
 		return randomFault(random, r)
@@ -73,27 +73,27 @@
 	var callers sync.WaitGroup
 	for nth := range 4 {
 		c := newTestClient(t, s)
-		callers.Go(func() { lockAgainAndAgain(ctx, c, h, rand.New(rand.NewPCG(seed, uint64(nth)))) })
-		callers.Go(func() { drawAgainAndAgain(ctx, c, h) })
-		callers.Go(func() { putAgainAndAgain(ctx, c, h, nth) })
+		callers.Go(func() { lockRepeatedly(ctx, c, log, rand.New(rand.NewPCG(seed, uint64(nth)))) })
+		callers.Go(func() { drawRepeatedly(ctx, c, log) })
+		callers.Go(func() { putRepeatedly(ctx, c, log, nth) })
 	}
 	callers.Go(func() {
 		for event, err := range newTestClient(t, s).Watch(ctx, "g", 1) {
 			if err != nil {
 				return
 			}
-			h.watched[event.Revision] = event.Value
+			log.watched[event.Revision] = event.Value
 		}
 	})
 	for ctx.Err() == nil {
 		_ = sleep(ctx, 20*time.Second)
 		s.mu.Lock()
-		away = time.Now().Add(1200 * time.Millisecond)
+		unavailableUntil = time.Now().Add(1200 * time.Millisecond)
 		s.mu.Unlock()
-		s.takeover()
+		s.restartLeases()
 	}
 	callers.Wait()
-	h.check(s)
+	log.check(s)
 }
 
 func randomFault(random *rand.Rand, r *http.Request) fault {
@@ -117,37 +117,37 @@
 	return fault{answerDelay: pause / 50}
 }
 
-func lockAgainAndAgain(ctx context.Context, c *Client, h *history, random *rand.Rand) {
+func lockRepeatedly(ctx context.Context, c *Client, log *callerLog, random *rand.Rand) {
 	for {
 		lease, err := c.Acquire(ctx, "l", "", testHold)
 		if err != nil {
 			return
 		}
-		h.hold(lease)
+		log.recordLease(lease)
 		select {
 		case <-lease.Context().Done():
 		case <-time.After(time.Duration(random.IntN(6000)) * time.Millisecond):
 		}
-		giveUp, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
-		_ = lease.Release(giveUp)
+		releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
+		_ = lease.Release(releaseCtx)
 		cancel()
 	}
 }
 
-func drawAgainAndAgain(ctx context.Context, c *Client, h *history) {
+func drawRepeatedly(ctx context.Context, c *Client, log *callerLog) {
 	last := uint64(0)
 	for {
 		number, err := c.Counter("n").Next(ctx)
 		if err != nil {
 			return
 		}
-		h.draw(last, number)
+		log.recordNumber(last, number)
 		last = number
 		_ = sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-func putAgainAndAgain(ctx context.Context, c *Client, h *history, caller int) {
+func putRepeatedly(ctx context.Context, c *Client, log *callerLog, caller int) {
 	key := "g.shared"
 	for nth := 0; ctx.Err() == nil; nth++ {
 		value := fmt.Sprintf("%d.%d", caller, nth)
@@ -157,20 +157,20 @@
 		}
 		revision, err := c.PutIf(ctx, key, value, entry.Revision)
 		if err == nil {
-			h.mu.Lock()
-			h.acknowledged[revision] = value
-			h.mu.Unlock()
+			log.mu.Lock()
+			log.acknowledged[revision] = value
+			log.mu.Unlock()
 		}
 		_ = sleep(ctx, 200*time.Millisecond)
 	}
 }
 
 // check compares what was acknowledged and what was watched with what stands.
-func (h *history) check(s *standIn) {
+func (h *callerLog) check(s *fakeServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.leases < 10 || len(h.given) < 300 || len(h.acknowledged) < 100 || len(h.watched) < 100 {
-		h.t.Errorf("too little was done: %d leases, %d numbers, %d puts, %d events", h.leases, len(h.given), len(h.acknowledged), len(h.watched))
+	if h.leases < 10 || len(h.numbers) < 300 || len(h.acknowledged) < 100 || len(h.watched) < 100 {
+		h.t.Errorf("too little was done: %d leases, %d numbers, %d puts, %d events", h.leases, len(h.numbers), len(h.acknowledged), len(h.watched))
 	}
 	last := uint64(0)
 	for revision := range h.watched {
--- a/client/watch.go
+++ b/client/watch.go
@@ -15,8 +15,8 @@
 const (
 	// emptyGroupInterval is how often a watch looks whether a group has had its first put.
 	emptyGroupInterval = 500 * time.Millisecond
-	// earlyAnswerPause keeps a watch from asking without pause a node that doesn't wait.
-	earlyAnswerPause = 50 * time.Millisecond
+	// earlyResponseDelay keeps a watch from asking without pause a node that doesn't wait.
+	earlyResponseDelay = 50 * time.Millisecond
 )
 
 // Event is one put that a watch has seen. Name is the key. An event without a name is the
@@ -28,14 +28,14 @@
 	Revision uint64 `json:"revision"`
 }
 
-// watchAnswer is every put of a group above the revision that was asked for, up to Revision.
-type watchAnswer struct {
+// watchResponse is every put of a group above the revision that was asked for, up to Revision.
+type watchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
 }
 
 // check tells whether the answer goes on from a revision without a step back.
-func (a *watchAnswer) check(after uint64) error {
+func (a *watchResponse) check(after uint64) error {
 	last := after
 	for _, event := range a.Events {
 		if event.Revision <= last {
@@ -52,8 +52,8 @@
 // Revision is a group's present revision, 0 if it has had no put. To know the keys and miss
 // nothing, read the revision, then the keys, and watch from that revision.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
-	present, err := c.askWatch(ctx, group, 0, 0)
-	return present.Revision, err
+	response, err := c.fetchEvents(ctx, group, 0, 0)
+	return response.Revision, err
 }
 
 // group is what a key has before its first dot.
@@ -71,7 +71,7 @@
 // than they are kept gets ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64) iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
-		w := watch{client: c, group: group, position: after}
+		w := watch{client: c, group: group, seenRevision: after}
 		for {
 			events, err := w.next(ctx)
 			if err != nil {
@@ -89,77 +89,77 @@
 
 // watch is how far one watch has come.
 type watch struct {
-	client   *Client
-	group    string
-	position uint64 // all events up to here have been seen
-	sawEmpty bool   // the group had no put when it was last asked for
+	client       *Client
+	group        string
+	seenRevision uint64 // all events up to here have been seen
+	wasEmpty     bool   // the group had no put when it was last asked for
 }
 
 // next waits for events. It may return none.
 func (w *watch) next(ctx context.Context) ([]Event, error) {
-	if w.position == 0 {
-		return w.begin(ctx)
+	if w.seenRevision == 0 {
+		return w.start(ctx)
 	}
-	begun := time.Now()
-	asked := w.client.preferred.Load()
-	page, err := w.client.askWatch(ctx, w.group, w.position, w.client.watchWait)
+	started := time.Now()
+	endpointIndex := w.client.preferred.Load()
+	response, err := w.client.fetchEvents(ctx, w.group, w.seenRevision, w.client.watchWait)
 	if err != nil {
 		return nil, err
 	}
-	w.position = page.Revision
-	if len(page.Events) == 0 && time.Since(begun) < w.client.watchWait/2 {
+	w.seenRevision = response.Revision
+	if len(response.Events) == 0 && time.Since(started) < w.client.watchWait/2 {
 		// The node didn't wait. It may be leaving.
-		w.client.moveOn(asked)
-		return nil, sleep(ctx, earlyAnswerPause)
+		w.client.preferNext(endpointIndex)
+		return nil, sleep(ctx, earlyResponseDelay)
 	}
-	return page.Events, nil
+	return response.Events, nil
 }
 
-// begin finds the present revision of the group. A watch can't ask for the first put of a
+// start finds the present revision of the group. A watch can't ask for the first put of a
 // group, since 0 stands for the present.
-func (w *watch) begin(ctx context.Context) ([]Event, error) {
-	present, err := w.client.Revision(ctx, w.group)
+func (w *watch) start(ctx context.Context) ([]Event, error) {
+	current, err := w.client.Revision(ctx, w.group)
 	switch {
 	case err != nil:
 		return nil, err
-	case present == 0:
-		w.sawEmpty = true
+	case current == 0:
+		w.wasEmpty = true
 		return nil, sleep(ctx, emptyGroupInterval)
-	case w.sawEmpty:
-		w.position = 1
+	case w.wasEmpty:
+		w.seenRevision = 1
 		return []Event{{Revision: 1}}, nil
 	}
-	w.position = present
+	w.seenRevision = current
 	return nil, nil
 }
 
-// askWatch asks once for the events after a revision.
-func (c *Client) askWatch(ctx context.Context, group string, after uint64, wait time.Duration) (watchAnswer, error) {
-	var page watchAnswer
-	reply, err := c.do(ctx, call{
+// fetchEvents asks once for the events after a revision.
+func (c *Client) fetchEvents(ctx context.Context, group string, after uint64, wait time.Duration) (watchResponse, error) {
+	var response watchResponse
+	result, err := c.do(ctx, apiRequest{
 		method: http.MethodGet,
 		path:   "/v1/watch/" + url.PathEscape(strings.TrimSuffix(group, ".")) + ".",
 		query: url.Values{
 			"after":  {strconv.FormatUint(after, 10)},
 			"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 		},
-		timeout:      wait + answerTimeout,
-		repeatWindow: noLimit,
+		timeout:     wait + responseTimeout,
+		retryWindow: unlimitedRetries,
 		accept: func(body []byte) error {
-			page = watchAnswer{}
-			if err := json.Unmarshal(body, &page); err != nil {
+			response = watchResponse{}
+			if err := json.Unmarshal(body, &response); err != nil {
 				return err
 			}
-			return page.check(after)
+			return response.check(after)
 		},
 	})
 	switch {
 	case err != nil:
-		return watchAnswer{}, err
-	case reply.status == http.StatusGone:
-		return watchAnswer{}, fmt.Errorf("group %s after revision %d: %w", group, after, ErrCompacted)
-	case !reply.succeeded():
-		return watchAnswer{}, refusal(reply)
+		return watchResponse{}, err
+	case result.status == http.StatusGone:
+		return watchResponse{}, fmt.Errorf("group %s after revision %d: %w", group, after, ErrCompacted)
+	case !result.succeeded():
+		return watchResponse{}, newStatusError(result)
 	}
-	return page, nil
+	return response, nil
 }
--- a/client/watch_test.go
+++ b/client/watch_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// follow puts what a watch sees into a list of revisions, "end" and why it ended.
-func follow(ctx context.Context, c *Client, after uint64) func() string {
+// collectWatch puts what a watch sees into a list of revisions, "end" and why it ended.
+func collectWatch(ctx context.Context, c *Client, after uint64) func() string {
 	var seen []string
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for event, err := range c.Watch(ctx, "g", after) {
 			if err != nil {
-				seen = append(seen, describe(err))
+				seen = append(seen, errorKind(err))
 				return
 			}
 			seen = append(seen, fmt.Sprintf("%d=%s", event.Revision, event.Value))
@@ -50,14 +50,14 @@
 		"compacted":                  {3, 1, []fault{{status: 410}}, "compacted"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, func(t *testing.T, s *standIn) {
+			runSimulated(t, func(t *testing.T, s *fakeServer) {
 				client := newTestClient(t, s)
 				put := func(nth int) { s.put("g.k", putRequest{Value: fmt.Sprint("v", nth)}) }
 				for nth := range c.before {
 					put(nth + 1)
 				}
-				s.failing(c.faults...)
-				result := follow(within(t, 30*time.Second), client, c.after)
+				s.failNext(c.faults...)
+				result := collectWatch(withTimeout(t, 30*time.Second), client, c.after)
 				for nth := c.before + 1; nth <= max(c.before, 0)+2; nth++ {
 					time.Sleep(8 * time.Second)
 					s.mu.Lock()
@@ -74,8 +74,8 @@
 }
 
 // A watch sees a put at once, asks once in two seconds, and leaves a node that doesn't wait.
-func TestWatchAsksSeldom(t *testing.T) {
-	simulate(t, func(t *testing.T, s *standIn) {
+func TestWatchPolling(t *testing.T) {
+	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
 		s.put("g.k", putRequest{Value: "v1"})
 		s.setFault(func(_ int, r *http.Request) fault {
@@ -90,8 +90,8 @@
 			s.put("g.k", putRequest{Value: "v2"})
 		})
 		for event, err := range c.Watch(t.Context(), "g.", 1) {
-			if err != nil || event.Revision != 2 || time.Since(s.begun) != 20*time.Second {
-				t.Error(event, err, time.Since(s.begun))
+			if err != nil || event.Revision != 2 || time.Since(s.startedAt) != 20*time.Second {
+				t.Error(event, err, time.Since(s.startedAt))
 			}
 			break
 		}
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -11,20 +11,20 @@
 // how far its partition is committed, written and synced. syncs/op are those that
 // an acknowledgement waits for.
 func BenchmarkBatch(b *testing.B) {
-	counter := counting{osFolder(scratch(b)), new(int)}
-	l, _, err := open(counter, 0, quiet)
+	counter := countingDirectory{osDirectory(scratchDir(b)), new(int)}
+	store, _, err := openDirectory(counter, 0, discardLog)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer store.Close()
 	record, meta := make([]byte, 280), make([]byte, 80)
 	*counter.syncs = 0
 	began := processorTime(b)
 	for b.Loop() {
 		batch := []Entry{{"record/config/route/00000001", record}, {"meta/config", meta}}
-		err := l.Write(batch)
-		if err == nil && l.Full() {
-			err = l.Rewrite(batch)
+		err := store.Write(batch)
+		if err == nil && store.Full() {
+			err = store.Rewrite(batch)
 		}
 		if err != nil {
 			b.Fatal(err)
@@ -34,15 +34,15 @@
 	b.ReportMetric(float64(*counter.syncs)/float64(b.N), "syncs/op")
 }
 
-// counting counts syncs.
-type counting struct {
-	osFolder
+// countingDirectory counts syncs.
+type countingDirectory struct {
+	osDirectory
 	syncs *int
 }
 
-func (c counting) sync(f *os.File) error {
+func (c countingDirectory) syncFile(f *os.File) error {
 	*c.syncs++
-	return c.osFolder.sync(f)
+	return c.osDirectory.syncFile(f)
 }
 
 // processorTime is what this process has used.
--- a/internal/storage/refused_test.go
+++ b/internal/storage/failed_write_test.go
@@ -12,11 +12,11 @@
 
 // A disk that takes part of a batch and no more: buntdb cuts that part off. The
 // store takes nothing until a rewrite, which may be refused too, and often.
-func TestRefusedWrites(t *testing.T) {
-	f := &filer{t: t, dir: scratch(t), state: map[string][]byte{}}
+func TestWritesOnFullDisk(t *testing.T) {
+	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
 	f.open(0)
 	f.change(Entry{"a", []byte("1")}, Entry{"b", []byte("1")})
-	size := f.held()
+	size := f.directorySize()
 
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
@@ -28,11 +28,11 @@
 		t.Fatal(err)
 	}
 	large := Entry{"c", []byte(strings.Repeat("x", int(size)+100))}
-	err := f.l.Write([]Entry{large})
-	again := f.l.Write([]Entry{{"a", nil}})
+	err := f.store.Write([]Entry{large})
+	again := f.store.Write([]Entry{{"a", nil}})
 	var rewrites [3]error
 	for i := range rewrites {
-		rewrites[i] = f.l.Rewrite([]Entry{large})
+		rewrites[i] = f.store.Rewrite([]Entry{large})
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &old); err != nil {
 		t.Fatal(err)
@@ -45,41 +45,41 @@
 			t.Error("a full disk took a rewrite")
 		}
 	}
-	if held := f.held(); held != size {
+	if held := f.directorySize(); held != size {
 		t.Errorf("the folder holds %d bytes instead of %d", held, size)
 	}
 	f.state["c"] = large.Value
 	f.rewrite()
 	f.change(Entry{"a", nil})
-	f.l.Close()
+	f.store.Close()
 	f.open(0)
-	f.l.Close()
+	f.store.Close()
 }
 
 // When buntdb can't cut off the part of a batch it panics with its lock held:
 // the store does not wait for that lock, and the next rewrite makes it good.
-func TestBuntdbGivesUp(t *testing.T) {
-	f := &filer{t: t, dir: scratch(t), state: map[string][]byte{"a": []byte("1")}}
-	l, _, err := Open(f.dir, 0, quiet)
+func TestBuntdbPanicHoldingItsLock(t *testing.T) {
+	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{"a": []byte("1")}}
+	store, _, err := Open(f.dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.l = l
+	f.store = store
 	f.rewrite()
 	// What buntdb does then, by a file that takes a part and can't be cut: a pipe.
 	pipe := fullPipe(t)
-	for _, fd := range descriptors(t, file(t, f.dir)) {
-		if fd != int(l.file.Fd()) {
+	for _, fd := range descriptors(t, storeFile(t, f.dir)) {
+		if fd != int(store.file.Fd()) {
 			if err := syscall.Dup3(pipe, fd, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := l.Write([]Entry{{"a", make([]byte, 1<<20)}}); err == nil || !strings.Contains(err.Error(), "gave up") {
+	if err := store.Write([]Entry{{"a", make([]byte, 1<<20)}}); err == nil || !strings.Contains(err.Error(), "gave up") {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- l.Rewrite([]Entry{{"a", []byte("1")}}) }()
+	go func() { done <- store.Rewrite([]Entry{{"a", []byte("1")}}) }()
 	select {
 	case err := <-done:
 		if err != nil {
@@ -89,9 +89,9 @@
 		t.Fatal("the rewrite hangs")
 	}
 	f.change(Entry{"b", []byte("2")})
-	l.Close()
+	store.Close()
 	f.open(0)
-	f.l.Close()
+	f.store.Close()
 }
 
 // fullPipe returns a pipe's end that takes a few bytes and then refuses.
@@ -119,22 +119,22 @@
 	return fds
 }
 
-// refusing is a folder that refuses syncs and removals while told to.
-type refusing struct {
-	lazy
-	now *bool
+// failingDirectory is a folder that refuses syncs and removals while told to.
+type failingDirectory struct {
+	noSyncDirectory
+	failing *bool
 }
 
-func (r refusing) sync(*os.File) error { return r.err() }
-func (r refusing) syncNames() error    { return r.err() }
-func (r refusing) remove(name string) error {
+func (r failingDirectory) syncFile(*os.File) error { return r.err() }
+func (r failingDirectory) syncDir() error          { return r.err() }
+func (r failingDirectory) remove(name string) error {
 	if err := r.err(); err != nil {
 		return err
 	}
-	return r.lazy.remove(name)
+	return r.noSyncDirectory.remove(name)
 }
-func (r refusing) err() error {
-	if *r.now {
+func (r failingDirectory) err() error {
+	if *r.failing {
 		return syscall.EIO
 	}
 	return nil
@@ -143,48 +143,48 @@
 // After a rewrite that failed late its file may be whole and stay: nothing may
 // then be appended to the one before, since a start would take the newer. Nor may
 // a batch follow one that was not synced: torn, it would be damage then.
-func TestNothingFollowsARefusal(t *testing.T) {
-	refuse := false
-	folder := refusing{lazy{osFolder(scratch(t))}, &refuse}
-	l, _, err := open(folder, 0, quiet)
+func TestNoAppendAfterFailedWrite(t *testing.T) {
+	failing := false
+	dir := failingDirectory{noSyncDirectory{osDirectory(scratchDir(t))}, &failing}
+	store, _, err := openDirectory(dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	one, two := Entry{"a", []byte("1")}, Entry{"b", []byte("2")}
-	if err := l.Write([]Entry{one}); err != nil {
+	if err := store.Write([]Entry{one}); err != nil {
 		t.Fatal(err)
 	}
-	refuse = true
-	if err := l.Rewrite([]Entry{one}); err == nil {
+	failing = true
+	if err := store.Rewrite([]Entry{one}); err == nil {
 		t.Fatal("the rewrite was not refused")
 	}
-	refuse = false
-	if err := l.Write([]Entry{two}); err == nil {
+	failing = false
+	if err := store.Write([]Entry{two}); err == nil {
 		t.Error("a batch follows a refused rewrite")
 	}
-	if err := l.Rewrite([]Entry{one, two}); err != nil {
+	if err := store.Rewrite([]Entry{one, two}); err != nil {
 		t.Fatal(err)
 	}
-	refuse = true
-	if err := l.Write([]Entry{{"a", nil}}); err == nil {
+	failing = true
+	if err := store.Write([]Entry{{"a", nil}}); err == nil {
 		t.Error("a batch was not refused")
 	}
-	refuse = false
-	if err := l.Write([]Entry{{"a", nil}}); err == nil {
+	failing = false
+	if err := store.Write([]Entry{{"a", nil}}); err == nil {
 		t.Error("a batch follows one that was refused")
 	}
-	if err := l.Rewrite([]Entry{one, two}); err != nil {
+	if err := store.Rewrite([]Entry{one, two}); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Write([]Entry{{"a", nil}}); err != nil {
+	if err := store.Write([]Entry{{"a", nil}}); err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
-	l, state, err := open(folder, 0, quiet)
-	if err != nil || !same(state, map[string][]byte{"b": two.Value}) {
+	store.Close()
+	store, state, err := openDirectory(dir, 0, discardLog)
+	if err != nil || !sameState(state, map[string][]byte{"b": two.Value}) {
 		t.Errorf("%q, %v", state, err)
 	}
-	l.Close()
+	store.Close()
 }
 
 // inode returns the number of an open file, whatever its name.
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -15,15 +15,15 @@
 	"github.com/tidwall/buntdb"
 )
 
-// same says whether two states hold the same.
-func same(a, b map[string][]byte) bool { return maps.EqualFunc(a, b, bytes.Equal) }
+// sameState says whether two states hold the sameState.
+func sameState(a, b map[string][]byte) bool { return maps.EqualFunc(a, b, bytes.Equal) }
 
-// history writes small batches after the one, 1, that begins a file, and returns
+// writeHistory writes small batches after the one, 1, that begins a file, and returns
 // the file, where each batch ends and the state after each.
-func history(t *testing.T) (text []byte, ends []int, states []map[string][]byte) {
+func writeHistory(t *testing.T) (text []byte, ends []int, states []map[string][]byte) {
 	t.Helper()
 	dir := t.TempDir()
-	l, _, err := Open(dir, 0, quiet)
+	l, _, err := Open(dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,15 +44,15 @@
 			}
 		}
 		ends, states = append(ends, len(text)), append(states, maps.Clone(state))
-		if got, good, last, err := scan(text); err != nil || good != int64(len(text)) || last != uint64(i+2) || !same(got, state) {
-			t.Fatalf("batch %d: %v at %d, %v, %q", i+1, last, good, err, got)
+		if got, validEnd, last, err := scan(text); err != nil || validEnd != int64(len(text)) || last != uint64(i+2) || !sameState(got, state) {
+			t.Fatalf("batch %d: %v at %d, %v, %q", i+1, last, validEnd, err, got)
 		}
 	}
 	return text, ends, states
 }
 
-// loads checks that buntdb takes what scan took for good.
-func loads(t *testing.T, text []byte) {
+// checkBuntdbLoads checks that buntdb takes what scan took for good.
+func checkBuntdbLoads(t *testing.T, text []byte) {
 	t.Helper()
 	db, err := buntdb.Open(":memory:")
 	if err != nil {
@@ -68,13 +68,13 @@
 // there after a hole: what stands is what the batch before left. Every byte of
 // the batch before is changed: that is damage, since the last one follows it.
 func TestScanAtEveryByte(t *testing.T) {
-	text, ends, states := history(t)
+	text, ends, states := writeHistory(t)
 	for at := ends[0]; at < len(text); at++ {
 		batch, begin := 1, ends[0]
 		if at >= ends[1] {
 			batch, begin = 2, ends[1]
 		}
-		changed := func(what string, from, to int, f func(byte) byte) {
+		checkChanged := func(what string, from, to int, f func(byte) byte) {
 			torn := bytes.Clone(text)
 			for i := from; i < to; i++ {
 				torn[i] = f(torn[i])
@@ -87,38 +87,38 @@
 				if !errors.Is(err, ErrDamaged) {
 					t.Errorf("batch before the last, %s at %d: %v, %q", what, at, err, state)
 				}
-			} else if err != nil || good != int64(ends[1]) || last != 3 || !same(state, states[1]) {
+			} else if err != nil || good != int64(ends[1]) || last != 3 || !sameState(state, states[1]) {
 				t.Errorf("last batch, %s at %d: %v, good to %d, %q", what, at, err, good, state)
 			}
-			loads(t, torn[:good])
+			checkBuntdbLoads(t, torn[:good])
 		}
 		for bit := range 8 {
-			changed(fmt.Sprintf("bit %d flipped", bit), at, at+1, func(b byte) byte { return b ^ 1<<bit })
+			checkChanged(fmt.Sprintf("bit %d flipped", bit), at, at+1, func(b byte) byte { return b ^ 1<<bit })
 		}
-		changed("zero", at, at+1, func(byte) byte { return 0 })
-		changed("hole up to", begin, at+1, func(byte) byte { return 0 })
+		checkChanged("zero", at, at+1, func(byte) byte { return 0 })
+		checkChanged("hole up to", begin, at+1, func(byte) byte { return 0 })
 		state, good, last, err := scan(text[:at])
-		if err != nil || good != int64(begin) || last != uint64(batch+1) || !same(state, states[batch-1]) {
+		if err != nil || good != int64(begin) || last != uint64(batch+1) || !sameState(state, states[batch-1]) {
 			t.Errorf("cut at %d: %v, good to %d, %q", at, err, good, state)
 		}
 	}
 }
 
 // A file of an earlier version, whose checksums leave the keys out, reads as it did.
-func TestScanOfAnEarlierFile(t *testing.T) {
-	const set, one = setHead, "\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x02"
+func TestScanWithoutHeaderOrKeyChecksum(t *testing.T) {
+	const set, one = setPrefix, "\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x02"
 	const two = "\x00\x00\x00\x00\x00\x00\x00\x02\x00\x00\x00\x01"
 	text := set + "$1\r\na\r\n$18\r\n%\x96\xa6'" + one + "\x001\r\n" +
 		set + "$2\r\nbb\r\n$18\r\n%\x96\xa6'" + one + "\x001\r\n" +
 		set + "$1\r\na\r\n$17\r\nGONE" + two + "\x01\r\n"
 	text = strings.Replace(text, "GONE", string(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE([]byte(two+"\x01")))), 1)
-	state, good, last, err := scan([]byte(text))
-	if err != nil || good != int64(len(text)) || last != 2 || !same(state, map[string][]byte{"bb": []byte("1")}) {
-		t.Errorf("%q up to %d, batch %d: %v", state, good, last, err)
+	state, validEnd, last, err := scan([]byte(text))
+	if err != nil || validEnd != int64(len(text)) || last != 2 || !sameState(state, map[string][]byte{"bb": []byte("1")}) {
+		t.Errorf("%q up to %d, batch %d: %v", state, validEnd, last, err)
 	}
 }
 
-func TestScanOfForeignText(t *testing.T) {
+func TestScanOfInvalidText(t *testing.T) {
 	const set = "*3\r\n$3\r\nset\r\n"
 	for _, text := range []string{
 		"", "x", "\x00\x00\x00", set, set + "$", set + "$1\r\n", set + "$-1\r\n",
@@ -135,23 +135,23 @@
 // Just what buntdb writes is a command: a file with anything else in it could
 // not be opened, so it has to be cut off as torn.
 func TestCommandIsStrict(t *testing.T) {
-	const good = setHead + "$2\r\nkk\r\n$1\r\nv\r\n"
-	if key, value, n := command([]byte(good)); key != "kk" || string(value) != "v" || n != len(good) {
+	const good = setPrefix + "$2\r\nkk\r\n$1\r\nv\r\n"
+	if key, value, n := parseCommand([]byte(good)); key != "kk" || string(value) != "v" || n != len(good) {
 		t.Fatalf("%q, %q, %d", key, value, n)
 	}
 	for i := range good {
-		if _, _, n := command([]byte(good[:i])); n != 0 {
+		if _, _, n := parseCommand([]byte(good[:i])); n != 0 {
 			t.Errorf("cut at %d: %d", i, n)
 		}
 		if good[i] == 'k' || good[i] == 'v' {
 			continue
 		}
-		if _, _, n := command([]byte(good[:i] + "\x00" + good[i+1:])); n != 0 {
+		if _, _, n := parseCommand([]byte(good[:i] + "\x00" + good[i+1:])); n != 0 {
 			t.Errorf("zero at %d: %d", i, n)
 		}
 	}
 	for _, size := range []string{"+2", "02", "-0", " 2", "2 ", ""} {
-		if _, _, n := command([]byte(setHead + "$" + size + "\r\nkk\r\n$1\r\nv\r\n")); n != 0 {
+		if _, _, n := parseCommand([]byte(setPrefix + "$" + size + "\r\nkk\r\n$1\r\nv\r\n")); n != 0 {
 			t.Errorf("size %q: %d", size, n)
 		}
 	}
@@ -161,16 +161,16 @@
 // whole, and takes only what buntdb reads too.
 func FuzzScan(f *testing.F) {
 	dir := f.TempDir()
-	l, _, err := Open(dir, 0, quiet)
+	store, _, err := Open(dir, 0, discardLog)
 	if err != nil {
 		f.Fatal(err)
 	}
 	for i := range 3 {
-		if err := l.Write([]Entry{{"a", []byte{byte(i)}}, {"b", nil}}); err != nil {
+		if err := store.Write([]Entry{{"a", []byte{byte(i)}}, {"b", nil}}); err != nil {
 			f.Fatal(err)
 		}
 	}
-	l.Close()
+	store.Close()
 	text, _ := os.ReadFile(filepath.Join(dir, fileNames[0]))
 	f.Add(text)
 	f.Add(text[:len(text)-9])
@@ -179,9 +179,9 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		state, good, last, _ := scan(text)
 		again, end, number, damage := scan(text[:good])
-		if damage != nil || end != good || number != last || !same(again, state) {
+		if damage != nil || end != good || number != last || !sameState(again, state) {
 			t.Fatalf("%q up to %d: %v, %d, %d", text, good, damage, end, number)
 		}
-		loads(t, text[:good])
+		checkBuntdbLoads(t, text[:good])
 	})
 }
--- a/internal/storage/lock_test.go
+++ b/internal/storage/lock_test.go
@@ -7,7 +7,7 @@
 )
 
 // A data directory has one process at a time, and is free once that has let go of it.
-func TestADataDirectoryHasOneProcess(t *testing.T) {
+func TestDataDirectoryLockIsExclusive(t *testing.T) {
 	dir := t.TempDir()
 	first, err := LockDir(dir)
 	if err != nil {
--- a/internal/storage/carryover_test.go
+++ b/internal/storage/migration_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// content reads all files of a folder.
-func content(t *testing.T, dir string) files {
+// readDirectory reads all files of a folder.
+func readDirectory(t *testing.T, dir string) directoryContents {
 	t.Helper()
 	all, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := files{}
+	out := directoryContents{}
 	for _, e := range all {
 		if out[e.Name()], err = os.ReadFile(filepath.Join(dir, e.Name())); err != nil {
 			t.Fatal(err)
@@ -26,11 +26,11 @@
 	return out
 }
 
-func sameFiles(a, b files) bool { return same(a, b) }
+func sameFiles(a, b directoryContents) bool { return sameState(a, b) }
 
-// laterHeader is the header of a format that is not known yet, with more in it.
-func laterHeader(version uint16) string {
-	value := make([]byte, headerBytes+11)
+// newerHeader is the header of a format that is not known yet, with more in it.
+func newerHeader(version uint16) string {
+	value := make([]byte, headerValueSize+11)
 	binary.BigEndian.PutUint16(value[4:], version)
 	binary.BigEndian.PutUint32(value, headerChecksum(value))
 	return string(appendCommand(nil, headerKey, string(value)))
@@ -38,35 +38,35 @@
 
 // A file of a later format is refused with an error that says so, and everything
 // is left as it was, also beside a file of this format or an earlier one.
-func TestLaterFormatIsRefused(t *testing.T) {
-	dir := scratch(t)
-	write(t, dir, 3)
-	text, _ := os.ReadFile(file(t, dir))
-	entry := string(appendCommand(nil, "a", frame(1, 1, Entry{"a", []byte("1")})))
-	later := laterHeader(formatVersion+1) + "whatever a later release puts here"
-	for _, have := range []files{
+func TestNewerFormatIsRefused(t *testing.T) {
+	dir := scratchDir(t)
+	writeBatches(t, dir, 3)
+	text, _ := os.ReadFile(storeFile(t, dir))
+	entry := string(appendCommand(nil, "a", encodeFrame(1, 1, Entry{"a", []byte("1")})))
+	later := newerHeader(formatVersion+1) + "whatever a later release puts here"
+	for _, files := range []directoryContents{
 		{fileNames[0]: []byte(later)},
 		{fileNames[1]: []byte(later), fileNames[0]: text},
-		{fileNames[0]: []byte(later), fileNames[1]: text, markName: markText(9)},
-		{fileNames[0]: []byte(laterHeader(1<<16 - 1)), legacyNames[0]: []byte(entry)},
-		{fileNames[0]: []byte(later), legacyKeptName: make([]byte, 1<<20)},
+		{fileNames[0]: []byte(later), fileNames[1]: text, markName: encodeMark(9)},
+		{fileNames[0]: []byte(newerHeader(1<<16 - 1)), legacyFileNames[0]: []byte(entry)},
+		{fileNames[0]: []byte(later), legacyDamagedName: make([]byte, 1<<20)},
 	} {
-		dir := scratch(t)
-		for name, text := range have {
+		dir := scratchDir(t)
+		for name, text := range files {
 			os.WriteFile(filepath.Join(dir, name), text, 0o600)
 		}
-		l, _, err := Open(dir, 0, quiet)
-		if l != nil || !errors.Is(err, ErrNewerFormat) || errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "later release") {
-			t.Errorf("%q: %v", have, err)
+		store, _, err := Open(dir, 0, discardLog)
+		if store != nil || !errors.Is(err, ErrNewerFormat) || errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "later release") {
+			t.Errorf("%q: %v", files, err)
 		}
-		if got := content(t, dir); !sameFiles(got, have) {
-			t.Errorf("%q was changed to %q", have, got)
+		if got := readDirectory(t, dir); !sameFiles(got, files) {
+			t.Errorf("%q was changed to %q", files, got)
 		}
 	}
 	// The same with one bit changed is damage, not a later format.
 	damaged := []byte(later)
 	damaged[strings.Index(later, headerKey)+len(headerKey)+12] ^= 1
-	if version, _, _, n := readHeader(damaged); n != 0 {
+	if version, _, _, n := parseHeader(damaged); n != 0 {
 		t.Errorf("format %d is read from a damaged header", version)
 	}
 }
@@ -75,10 +75,10 @@
 // the first batch as large as it says.
 func TestHeaderAndBatches(t *testing.T) {
 	head := func(number uint64, entries int) string {
-		return string(appendCommand(nil, headerKey, header(number, entries)))
+		return string(appendCommand(nil, headerKey, encodeHeader(number, entries)))
 	}
 	batch := func(number uint64) string {
-		return string(appendCommand(nil, "a", frame(number, 1, Entry{"a", []byte("1")})))
+		return string(appendCommand(nil, "a", encodeFrame(number, 1, Entry{"a", []byte("1")})))
 	}
 	for _, c := range []struct {
 		name, text string
@@ -104,68 +104,68 @@
 	}
 }
 
-// failingOnce is a folder whose n-th step that changes something is refused.
-type failingOnce struct {
-	lazy
-	left *int
+// failOnceDirectory is a folder whose n-th step that changes something is refused.
+type failOnceDirectory struct {
+	noSyncDirectory
+	stepsLeft *int
 }
 
-func (f failingOnce) step() error {
-	if *f.left--; *f.left == 0 {
+func (f failOnceDirectory) countStep() error {
+	if *f.stepsLeft--; *f.stepsLeft == 0 {
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
-func (f failingOnce) create(name string) (*os.File, error) {
-	if err := f.step(); err != nil {
+func (f failOnceDirectory) create(name string) (*os.File, error) {
+	if err := f.countStep(); err != nil {
 		return nil, err
 	}
-	return f.lazy.create(name)
+	return f.noSyncDirectory.create(name)
 }
 
-func (f failingOnce) remove(name string) error {
-	if err := f.step(); err != nil {
+func (f failOnceDirectory) remove(name string) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
-	return f.lazy.remove(name)
+	return f.noSyncDirectory.remove(name)
 }
-func (f failingOnce) sync(*os.File) error { return f.step() }
-func (f failingOnce) syncNames() error    { return f.step() }
+func (f failOnceDirectory) syncFile(*os.File) error { return f.countStep() }
+func (f failOnceDirectory) syncDir() error          { return f.countStep() }
 
 // A file of an earlier release is carried over to the present name and format. A
 // disk that refuses a step of that leaves the state for the next start.
-func TestEarlierFileIsCarriedOver(t *testing.T) {
+func TestMigrationFromLegacyFile(t *testing.T) {
 	text := ""
 	for number, value := range []string{"1", "2", "3"} {
 		for _, key := range []string{"a", "b"} {
-			text += string(appendCommand(nil, key, frame(uint64(number+1), 2, Entry{key, []byte(value)})))
+			text += string(appendCommand(nil, key, encodeFrame(uint64(number+1), 2, Entry{key, []byte(value)})))
 		}
 	}
 	want := map[string][]byte{"a": []byte("3"), "b": []byte("3")}
-	for _, name := range legacyNames {
+	for _, name := range legacyFileNames {
 		for step := range 12 {
-			dir := scratch(t)
+			dir := scratchDir(t)
 			os.WriteFile(filepath.Join(dir, name), []byte(text+text[:9]), 0o600)
 			left := step
-			l, state, err := open(failingOnce{lazy{osFolder(dir)}, &left}, 0, quiet)
-			if refused := step > 0 && left <= 0; refused != (err != nil) || err == nil && !same(state, want) {
+			store, state, err := openDirectory(failOnceDirectory{noSyncDirectory{osDirectory(dir)}, &left}, 0, discardLog)
+			if refused := step > 0 && left <= 0; refused != (err != nil) || err == nil && !sameState(state, want) {
 				t.Errorf("%s, step %d: %v, %q", name, step, err, state)
 			}
-			if l != nil {
-				l.Close()
+			if store != nil {
+				store.Close()
 			}
-			l, state, err = Open(dir, 0, quiet)
-			if err != nil || !same(state, want) {
+			store, state, err = Open(dir, 0, discardLog)
+			if err != nil || !sameState(state, want) {
 				t.Fatalf("%s, step %d, next start: %v, %q", name, step, err, state)
 			}
-			if err := l.Write([]Entry{{"c", nil}, {"a", []byte("4")}}); err != nil {
+			if err := store.Write([]Entry{{"c", nil}, {"a", []byte("4")}}); err != nil {
 				t.Fatal(err)
 			}
-			l.Close()
-			now, _ := os.ReadFile(file(t, dir))
-			if version, _, _, _ := readHeader(now); version != formatVersion || !strings.HasPrefix(filepath.Base(file(t, dir)), "store.") {
-				t.Errorf("%s, step %d: format %d in %s", name, step, version, file(t, dir))
+			store.Close()
+			now, _ := os.ReadFile(storeFile(t, dir))
+			if version, _, _, _ := parseHeader(now); version != formatVersion || !strings.HasPrefix(filepath.Base(storeFile(t, dir)), "store.") {
+				t.Errorf("%s, step %d: format %d in %s", name, step, version, storeFile(t, dir))
 			}
 		}
 	}
--- a/internal/storage/mark.go
+++ b/internal/storage/syncmark.go
@@ -14,10 +14,10 @@
 	markName = "store.synced"
 	// The mark has two places, a sector apart, that are written by turns, so a
 	// torn write leaves the mark before it.
-	markPlaces   = 2
-	markDistance = 512
-	markSize     = 4 + 8 // checksum, number of the batch
-	markVersion  = "synced 1"
+	markSlots      = 2
+	markSlotStride = 512
+	markRecordSize = 4 + 8 // checksum, number of the batch
+	markVersion    = "synced 1"
 )
 
 // syncMark is the number of a batch that was synced, in a file beside. Without it
@@ -25,14 +25,14 @@
 // shown to have been synced by the one that follows it. The mark is written when
 // nothing else is, so it may lag: it claims too little, never too much.
 type syncMark struct {
-	number uint64
-	place  int // where the next one goes
-	exists bool
-	file   *os.File
+	batch    uint64
+	nextSlot int // where the next one goes
+	exists   bool
+	file     *os.File
 }
 
 // load reads the mark; there is none if it can't be read as one.
-func (m *syncMark) load(dir folder) error {
+func (m *syncMark) load(dir directory) error {
 	text, err := dir.read(markName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -41,29 +41,29 @@
 		return err
 	}
 	m.exists = true
-	for place := range markPlaces {
-		number, ok := readMark(text, place*markDistance)
-		if ok && number > m.number {
-			m.number, m.place = number, (place+1)%markPlaces
+	for slot := range markSlots {
+		batch, ok := parseMark(text, slot*markSlotStride)
+		if ok && batch > m.batch {
+			m.batch, m.nextSlot = batch, (slot+1)%markSlots
 		}
 	}
 	return nil
 }
 
-func readMark(text []byte, at int) (number uint64, ok bool) {
-	if len(text) < at+markSize {
+func parseMark(text []byte, offset int) (batch uint64, ok bool) {
+	if len(text) < offset+markRecordSize {
 		return 0, false
 	}
-	record := text[at : at+markSize]
+	record := text[offset : offset+markRecordSize]
 	return binary.BigEndian.Uint64(record[4:]), binary.BigEndian.Uint32(record) == markChecksum(record)
 }
 
 func markChecksum(record []byte) uint32 {
-	return crc32.Update(crc32.ChecksumIEEE([]byte(markVersion)), crc32.IEEETable, record[4:markSize])
+	return crc32.Update(crc32.ChecksumIEEE([]byte(markVersion)), crc32.IEEETable, record[4:markRecordSize])
 }
 
-// set writes the mark and syncs it.
-func (m *syncMark) set(dir folder, number uint64) error {
+// write writes the mark and syncs it.
+func (m *syncMark) write(dir directory, batch uint64) error {
 	if m.file == nil {
 		f, err := dir.open(markName)
 		if err != nil {
@@ -71,20 +71,20 @@
 		}
 		m.file = f
 	}
-	record := make([]byte, markSize)
-	binary.BigEndian.PutUint64(record[4:], number)
+	record := make([]byte, markRecordSize)
+	binary.BigEndian.PutUint64(record[4:], batch)
 	binary.BigEndian.PutUint32(record, markChecksum(record))
-	if _, err := m.file.WriteAt(record, int64(m.place*markDistance)); err != nil {
+	if _, err := m.file.WriteAt(record, int64(m.nextSlot*markSlotStride)); err != nil {
 		return err
 	}
-	if err := dir.sync(m.file); err != nil {
+	if err := dir.syncFile(m.file); err != nil {
 		return err
 	}
-	m.number, m.place = number, (m.place+1)%markPlaces
+	m.batch, m.nextSlot = batch, (m.nextSlot+1)%markSlots
 	if m.exists {
 		return nil
 	}
-	if err := dir.syncNames(); err != nil {
+	if err := dir.syncDir(); err != nil {
 		return err
 	}
 	m.exists = true
@@ -102,8 +102,8 @@
 // yet noted. Callers do that while nothing waits to be written: it takes a sync,
 // and a batch that follows says the same of the one before it.
 func (s *Store) MarkSynced() error {
-	if s.needsRewrite || s.mark.number == s.batch {
+	if s.needsRewrite || s.mark.batch == s.lastBatch {
 		return nil
 	}
-	return s.mark.set(s.dir, s.batch)
+	return s.mark.write(s.dir, s.lastBatch)
 }
--- /dev/null
+++ b/internal/storage/syncmark_test.go
@@ -0,0 +1,273 @@
+package storage
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// A byte of what was synced is changed, anywhere, or the file ends before it: with
+// the mark written a start finds nothing and says so, never an earlier state.
+func TestDamageInLastSyncedBatch(t *testing.T) {
+	for seed := range uint64(4) {
+		rng := rand.New(rand.NewPCG(seed, 22))
+		name, text, state := randomFile(t, rng)
+		number := lastBatchOf(t, text)
+		checkStart := func(what string, damaged []byte) {
+			dir := scratchDir(t)
+			os.WriteFile(filepath.Join(dir, name), damaged, 0o600)
+			os.WriteFile(filepath.Join(dir, markName), encodeMark(number), 0o600)
+			store, found, err := Open(dir, 0, discardLog)
+			if err != nil && !errors.Is(err, ErrDamaged) {
+				t.Fatalf("seed %d, %s: %v", seed, what, err)
+			}
+			defer store.Close()
+			if whole := bytes.Equal(damaged, text); whole && (err != nil || !sameState(found, state)) || !whole && (err == nil || len(found) > 0) {
+				t.Errorf("seed %d, %s: %v, %q", seed, what, err, found)
+			}
+		}
+		checkStart("whole", text)
+		for at := range text {
+			with := bytes.Clone(text)
+			with[at] ^= 1 << rng.IntN(8)
+			checkStart(fmt.Sprintf("byte %d of %d", at, len(text)), with)
+			checkStart(fmt.Sprintf("cut at %d of %d", at, len(text)), text[:at])
+		}
+	}
+}
+
+// randomFile writes a few batches, some after a rewrite.
+func randomFile(t *testing.T, rng *rand.Rand) (name string, text []byte, state map[string][]byte) {
+	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+	f.open(0)
+	for range 1 + rng.IntN(4) {
+		f.change(Entry{fmt.Sprint(rng.IntN(3)), make([]byte, rng.IntN(9))}, Entry{"last", []byte{byte(rng.IntN(256))}})
+		if rng.IntN(3) == 0 {
+			f.rewrite()
+		}
+	}
+	f.store.Close()
+	path := storeFile(t, f.dir)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return filepath.Base(path), text, f.state
+}
+
+// lastBatchOf returns the number of the last batch of a file.
+func lastBatchOf(t *testing.T, text []byte) uint64 {
+	_, end, last, err := scan(text)
+	if err != nil || end != int64(len(text)) {
+		t.Fatal(err)
+	}
+	return last
+}
+
+// encodeMark is a mark file that has had one mark.
+func encodeMark(number uint64) []byte {
+	record := make([]byte, markRecordSize)
+	for i := range 8 {
+		record[4+i] = byte(number >> (56 - 8*i))
+	}
+	sum := markChecksum(record)
+	for i := range 4 {
+		record[i] = byte(sum >> (24 - 8*i))
+	}
+	return record
+}
+
+// A batch that was not marked and is not whole was not synced, as far as anybody
+// can tell; the mark of an earlier batch does not make it damage. A mark that is
+// torn leaves the one before it, and one that can't be read claims nothing.
+func TestSyncMark(t *testing.T) {
+	dir := scratchDir(t)
+	store, _, err := Open(dir, 0, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(dir, markName)
+	var texts [][]byte
+	for i := range byte(4) {
+		if err := store.Write([]Entry{{"a", []byte{i}}}); err != nil {
+			t.Fatal(err)
+		}
+		if err := store.MarkSynced(); err != nil {
+			t.Fatal(err)
+		}
+		text, _ := os.ReadFile(path)
+		texts = append(texts, text)
+		for cut := range markRecordSize {
+			torn := bytes.Clone(text)
+			at := int(i) % markSlots * markSlotStride
+			torn[at+cut] ^= 0x10
+			m := syncMark{}
+			os.WriteFile(path, torn, 0o600)
+			if err := m.load(osDirectory(dir)); err != nil || m.batch != uint64(i)+1 && i > 0 || i == 0 && m.batch != 0 {
+				t.Errorf("mark %d torn at %d: %d, %v", i+2, cut, m.batch, err)
+			}
+			os.WriteFile(path, text, 0o600)
+		}
+	}
+	kill(store)
+	if m := (syncMark{}); m.load(osDirectory(dir)) != nil || m.batch != 5 {
+		t.Errorf("the mark says %d", m.batch)
+	}
+	whole := storeFile(t, dir)
+	text, _ := os.ReadFile(whole)
+	for i, mark := range append(texts, nil) {
+		dir := scratchDir(t)
+		os.WriteFile(filepath.Join(dir, filepath.Base(whole)), text[:len(text)-1], 0o600)
+		os.WriteFile(filepath.Join(dir, markName), mark, 0o600)
+		l, state, err := Open(dir, 0, discardLog)
+		if last := i == len(texts)-1; errors.Is(err, ErrDamaged) != last || (len(state) == 0) != last {
+			t.Errorf("mark of batch %d, and batch 5 is torn: %v, %q", i+2, err, state)
+		}
+		l.Close()
+	}
+}
+
+// unreliableDirectory is a disk that refuses syncs while it is told to, and after one that it
+// has refused claims success for the same file though nothing was written.
+type unreliableDirectory struct {
+	osDirectory
+	shouldFail    func() bool
+	durable       directoryContents // what a loss of power leaves
+	failedSyncs   map[uint64]bool   // inodes of which a sync has failed
+	unsyncedNames map[string]bool   // whose change isn't durable
+}
+
+func (u *unreliableDirectory) create(name string) (*os.File, error) {
+	_, absent := u.size(name)
+	f, err := u.osDirectory.create(name)
+	u.unsyncedNames[name] = true
+	if absent != nil {
+		delete(u.failedSyncs, inode(f)) // the number may have been another file's
+	}
+	return f, err
+}
+
+func (u *unreliableDirectory) remove(name string) error {
+	if u.shouldFail() {
+		return os.ErrInvalid
+	}
+	u.unsyncedNames[name] = true
+	return u.osDirectory.remove(name)
+}
+
+func (u *unreliableDirectory) syncFile(f *os.File) error {
+	id := inode(f)
+	if u.shouldFail() {
+		u.failedSyncs[id] = true
+		return os.ErrInvalid
+	}
+	if u.failedSyncs[id] {
+		return nil // and nothing is written any more
+	}
+	name := filepath.Base(f.Name())
+	u.durable[name], _ = u.read(name)
+	return nil
+}
+
+func (u *unreliableDirectory) syncDir() error {
+	if u.shouldFail() {
+		return os.ErrInvalid
+	}
+	for name := range u.unsyncedNames {
+		if _, err := u.size(name); err != nil {
+			delete(u.durable, name)
+		}
+	}
+	clear(u.unsyncedNames)
+	return nil
+}
+
+// Syncs are refused now and then, and claimed after; processes are killed at any
+// time, and power is lost. What was reported is there, whatever was refused before.
+func TestNoDataLossAfterFailedSync(t *testing.T) {
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 5))
+		failurePercent := 0
+		disk := &unreliableDirectory{shouldFail: func() bool { return rng.IntN(100) < failurePercent }, durable: directoryContents{}}
+		acknowledged := map[string][]byte{} // and the change after it, if one was put
+		var uncertain []map[string][]byte
+		boot := func(have directoryContents) {
+			dir := scratchDir(t)
+			for name, text := range have {
+				os.WriteFile(filepath.Join(dir, name), text, 0o600)
+			}
+			disk.osDirectory, disk.failedSyncs, disk.unsyncedNames = osDirectory(dir), map[uint64]bool{}, map[string]bool{}
+			disk.durable = maps.Clone(have)
+		}
+		powerLoss := func() {
+			for _, name := range slices.Sorted(maps.Keys(disk.unsyncedNames)) {
+				if rng.IntN(2) == 0 {
+					delete(disk.durable, name)
+				}
+			}
+			boot(disk.durable)
+		}
+		boot(directoryContents{})
+		var store *Store
+		for step := range 120 {
+			failurePercent = []int{0, 0, 30}[rng.IntN(3)]
+			if store == nil {
+				if rng.IntN(4) == 0 {
+					powerLoss()
+				}
+				s, state, err := openDirectory(disk, 0, discardLog)
+				if err != nil {
+					if errors.Is(err, ErrDamaged) {
+						t.Fatalf("seed %d, step %d: %v", seed, step, err)
+					}
+					continue
+				}
+				if !sameState(state, acknowledged) && !slices.ContainsFunc(uncertain, func(m map[string][]byte) bool { return sameState(m, state) }) {
+					t.Fatalf("seed %d, step %d: %q, not %q or one of %q", seed, step, state, acknowledged, uncertain)
+				}
+				store, acknowledged, uncertain = s, state, nil
+				continue
+			}
+			switch rng.IntN(12) {
+			case 0: // a kill
+				kill(store)
+				store = nil
+			case 1: // a loss of power
+				kill(store)
+				powerLoss()
+				store = nil
+			case 2:
+				_ = store.MarkSynced()
+			case 3:
+				if store.Rewrite((candidate{state: inMemoryState(acknowledged, uncertain)}).entries()) == nil {
+					acknowledged, uncertain = inMemoryState(acknowledged, uncertain), nil
+				}
+			default:
+				next := maps.Clone(inMemoryState(acknowledged, uncertain))
+				e := Entry{fmt.Sprint(rng.IntN(3)), fmt.Append(nil, step)}
+				next[e.Key] = e.Value
+				uncertain = append(uncertain, next)
+				if store.Write([]Entry{e}) == nil {
+					acknowledged, uncertain = next, nil
+				}
+			}
+		}
+		if store != nil {
+			store.Close()
+		}
+	}
+}
+
+// inMemoryState is the state in memory: the last change that was put.
+func inMemoryState(acknowledged map[string][]byte, uncertain []map[string][]byte) map[string][]byte {
+	if len(uncertain) > 0 {
+		return uncertain[len(uncertain)-1]
+	}
+	return acknowledged
+}
