--- a/internal/storage/directory.go
+++ b/internal/storage/directory.go
@@ -5,18 +5,18 @@
 	"path/filepath"
 )
 
-// directory is what the store does to files beside appending by buntdb. Tests put
-// a loss of power before each step.
+// directory holds the file operations of the store, except for the appends that buntdb
+// makes. Tests replace it to simulate failures and power loss before each operation.
 type directory interface {
 	path(name string) string
 	read(name string) ([]byte, error)
-	create(name string) (*os.File, error) // an empty one
-	open(name string) (*os.File, error)   // made if it isn't there
+	create(name string) (*os.File, error) // truncates an existing file
+	open(name string) (*os.File, error)   // creates the file if it does not exist
 	truncate(name string, size int64) error
 	size(name string) (int64, error)
 	remove(name string) error
 	syncFile(f *os.File) error
-	syncDir() error // makes names durable that were made, changed or removed
+	syncDir() error // makes created and removed directory entries durable
 }
 
 type osDirectory string
--- a/internal/storage/failed_write_test.go
+++ b/internal/storage/failed_write_test.go
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	if err := store.Write([]Entry{{"a", make([]byte, 1<<20)}}); err == nil || !strings.Contains(err.Error(), "gave up") {
+	if err := store.Write([]Entry{{"a", make([]byte, 1<<20)}}); err == nil || !strings.Contains(err.Error(), "panicked") {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -1,7 +1,9 @@
 package storage
 
-// This file holds the format of the file: its header, the frames of batches, and
-// their reading. Files of earlier releases have the same frames and no header.
+// This file encodes and decodes the file format. A file is a buntdb append-only file:
+// a sequence of Redis "set" commands. The first command is the header; each later one
+// holds one entry of a batch, whose value is wrapped in a frame. Files of earlier
+// releases have the same frames but no header.
 
 import (
 	"bytes"
@@ -13,33 +15,33 @@
 
 const (
 	setPrefix       = "*3\r\n$3\r\nset\r\n"
-	frameHeaderSize = 4 + 8 + 4 + 1 // crc, batch, entries in the batch, gone
+	frameHeaderSize = 4 + 8 + 4 + 1 // checksum, batch number, number of entries in the batch, flags
 )
 
-// What a frame's last byte of head says.
+// Flags in the last byte of a frame's header.
 const (
 	flagRemoved        = 1 << iota // the key is removed
-	flagKeyChecksummed             // the checksum covers the key too; files of earlier releases lack it
+	flagKeyChecksummed             // the checksum covers the key too; not set in files of earlier releases
 )
 
-// formatVersion is the newest format that is read, and the one that is written. A
+// formatVersion is the format that is written, and the newest that can be read. A
 // file without a header has format 1.
 const formatVersion = 2
 
-// Every format keeps these: the file begins with a command that sets headerKey,
-// and its value begins with a checksum of all that follows it and the key, and
-// the version.
+// These are the same in every format: the file begins with a command that sets
+// headerKey, and the header value begins with a checksum (of the rest of the value
+// and the key) and the version.
 const (
 	headerKey        = "!madderwing/storage"
 	headerPrefixSize = 4 + 2                    // checksum, version
-	headerValueSize  = headerPrefixSize + 8 + 4 // number of the first batch, its entries
+	headerValueSize  = headerPrefixSize + 8 + 4 // number of the first batch, number of entries in it
 )
 
-// headerCommandSize is how many bytes of the file the header takes.
+// headerCommandSize is the size in bytes of the command that holds the header.
 var headerCommandSize = commandSize(len(headerKey), headerValueSize)
 
-// encodeHeader is the value of headerKey for a file whose first batch has the given
-// number and n entries, which may be none.
+// encodeHeader returns the value of headerKey for a file whose first batch has the
+// given number and number of entries, which may be 0.
 func encodeHeader(batch uint64, entries int) string {
 	value := make([]byte, headerValueSize)
 	binary.BigEndian.PutUint16(value[4:], formatVersion)
@@ -53,8 +55,9 @@
 	return crc32.Update(crc32.ChecksumIEEE(value[4:]), crc32.IEEETable, []byte(headerKey))
 }
 
-// parseHeader reads the header that a file begins with; n is the length of its
-// command, 0 if there is none. Of a later version only that is known.
+// parseHeader reads the header at the beginning of a file. length is the size of its
+// command, 0 if there is no valid header. For a newer version only version and length
+// are set.
 func parseHeader(text []byte) (version int, batch uint64, entries, length int) {
 	key, value, length := parseCommand(text)
 	if length == 0 || key != headerKey || len(value) < headerPrefixSize || binary.BigEndian.Uint32(value) != headerChecksum(value) {
@@ -70,7 +73,8 @@
 	return version, binary.BigEndian.Uint64(value[6:]), int(binary.BigEndian.Uint32(value[14:])), length
 }
 
-// encodeFrame is the value that stands on disk for one entry of a batch of n.
+// encodeFrame returns the value that is stored for one entry of a batch with the given
+// number of entries.
 func encodeFrame(batch uint64, entries int, entry Entry) string {
 	value := make([]byte, frameHeaderSize, frameHeaderSize+len(entry.Value))
 	binary.BigEndian.PutUint64(value[4:], batch)
@@ -92,12 +96,12 @@
 	return sum
 }
 
-// frameIntact says whether a frame is as it was written for key.
+// frameIntact reports whether the checksum of a frame matches its content and key.
 func frameIntact(key string, frame []byte) bool {
 	return len(frame) >= frameHeaderSize && binary.BigEndian.Uint32(frame) == frameChecksum(key, frame)
 }
 
-// damageError is an ErrDamaged at a place.
+// damageError is an ErrDamaged with its position in the file.
 type damageError struct {
 	offset int
 	reason string
@@ -108,10 +112,10 @@
 }
 func (d *damageError) Unwrap() error { return ErrDamaged }
 
-// scan reads a file of buntdb's and returns the state after the last whole
-// batch, where that batch ends and its number. Damage that is followed by more
-// than the remains of one batch is an error, and so is a first batch that is not
-// whole, if the header or its number shows that it was written by a rewrite.
+// scan reads a file and returns the state after the last complete batch, the offset
+// at which that batch ends, and its number. An incomplete last batch is ignored. It is
+// damage if an entry of a later batch follows, or if the incomplete batch is the first
+// one and the header or its number shows that a rewrite wrote it.
 func scan(text []byte) (state map[string][]byte, validEnd int64, lastBatch uint64, damage error) {
 	_, firstBatch, entries, offset := parseHeader(text)
 	hasHeader := offset > 0
@@ -125,7 +129,7 @@
 			// Batches are written one at a time and each is synced before the
 			// next, so only the last one may be torn.
 			if hasLaterBatch(text[offset:], r.lastBatch) || hasHeader && r.lastBatch == 0 {
-				return r.state, int64(r.end), r.lastBatch, &damageError{offset, "no entry"}
+				return r.state, int64(r.end), r.lastBatch, &damageError{offset, "invalid entry"}
 			}
 			break
 		}
@@ -135,31 +139,32 @@
 		}
 	}
 	if r.lastBatch == 0 && (hasHeader || len(r.pending) > 0 && r.pendingBatch > 1) {
-		// What a rewrite wrote was durable before the file was the only one.
-		return r.state, int64(r.end), r.lastBatch, &damageError{offset, "the rewritten batch is not whole"}
+		// The batch of a rewrite is durable before the other files are removed.
+		return r.state, int64(r.end), r.lastBatch, &damageError{offset, "the batch of the rewrite is incomplete"}
 	}
 	return r.state, int64(r.end), r.lastBatch, nil
 }
 
-// batchReader puts whole entries together to batches.
+// batchReader assembles intact entries into batches and applies each complete batch.
 type batchReader struct {
-	state        map[string][]byte // after the last whole batch
-	end          int               // where that ends
-	lastBatch    uint64            // its number
-	nextBatch    uint64            // number of the next batch; 0 if the file may begin with any
+	state        map[string][]byte // after the last complete batch
+	end          int               // offset at which the last complete batch ends
+	lastBatch    uint64            // number of the last complete batch; 0 if there is none
+	nextBatch    uint64            // expected number of the next batch; 0 if any number is allowed
 	pendingBatch uint64            // number of the batch that is being read
-	pending      []Entry           // what was read of it
+	pending      []Entry           // entries of that batch so far
 }
 
-// add takes the entry that ends at a place of the file.
+// add adds the entry that ends at offset end, and applies the batch if the entry
+// completes it.
 func (r *batchReader) add(key string, value []byte, end int) error {
 	batch := binary.BigEndian.Uint64(value[4:])
 	count := int(binary.BigEndian.Uint32(value[12:]))
 	if len(r.pending) > 0 && batch != r.pendingBatch {
-		return fmt.Errorf("batch %d is not whole", r.pendingBatch)
+		return fmt.Errorf("batch %d is incomplete", r.pendingBatch)
 	}
 	if r.nextBatch != 0 && batch != r.nextBatch {
-		return fmt.Errorf("batch %d instead of %d", batch, r.nextBatch)
+		return fmt.Errorf("found batch %d, expected batch %d", batch, r.nextBatch)
 	}
 	r.pendingBatch = batch
 	e := Entry{Key: key}
@@ -182,20 +187,20 @@
 	return nil
 }
 
-// endBatch notes that a batch ends at a place of the file.
+// endBatch records that a batch is complete and ends at offset end.
 func (r *batchReader) endBatch(end int, batch uint64) {
 	r.end, r.lastBatch, r.nextBatch = end, batch, batch+1
 }
 
-// hasLaterBatch says whether a batch that was begun two or more after the last whole
-// one shows up in what follows the damage.
+// hasLaterBatch reports whether rest holds an intact entry of a batch later than
+// lastBatch+1. Such a batch shows that batch lastBatch+1 was synced.
 func hasLaterBatch(rest []byte, lastBatch uint64) bool {
 	_, highest := batchRange(rest)
 	return highest > lastBatch+1
 }
 
-// batchRange returns the least and the greatest number of a batch of which entries
-// are whole, wherever they lie; 0 if there are none.
+// batchRange returns the lowest and the highest batch number among the intact entries
+// anywhere in rest; 0 if there are none.
 func batchRange(rest []byte) (lowest, highest uint64) {
 	prefix := []byte(setPrefix)
 	for {
@@ -227,7 +232,7 @@
 	return buffer
 }
 
-// commandSize is how many bytes a command takes for a key and a frame of the given sizes.
+// commandSize returns the size of a command for a key and a frame of the given sizes.
 func commandSize(key, frame int) int64 {
 	size := len(setPrefix)
 	for _, n := range []int{key, frame} {
@@ -240,8 +245,9 @@
 	return int64(size)
 }
 
-// parseCommand reads one set parseCommand; n is its length, 0 if there is none. It takes
-// just what buntdb writes: buntdb refuses a whole file for less.
+// parseCommand reads one set command. length is its size, 0 if it is not valid. It
+// accepts only exactly what buntdb writes, because buntdb rejects the whole file for
+// any deviation.
 func parseCommand(text []byte) (key string, value []byte, length int) {
 	rest, ok := bytes.CutPrefix(text, []byte(setPrefix))
 	if !ok {
@@ -258,7 +264,8 @@
 	return string(keyPart), valuePart, len(text) - len(rest)
 }
 
-// parseBulkString reads one part of a command and returns what follows it.
+// parseBulkString reads one length-prefixed string of a command and returns the text
+// after it.
 func parseBulkString(text []byte) (part, rest []byte, ok bool) {
 	head, rest, ok := bytes.Cut(text, []byte("\r\n"))
 	if !ok || len(head) < 2 || head[0] != '$' {
--- a/internal/storage/lock.go
+++ b/internal/storage/lock.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrInUse says that another process has the data directory.
-var ErrInUse = errors.New("another process has the data directory")
+// ErrInUse means that another process has locked the data directory.
+var ErrInUse = errors.New("another process has locked the data directory")
 
-// Lock is one process's hold on a data directory. It ends with the process, however that ends.
+// Lock is an exclusive lock on a data directory. The operating system releases it when the process
+// ends for any reason.
 type Lock struct{ dir *os.File }
 
-// LockDir takes a data directory for this process, before any file in it is opened. It writes
-// nothing, so that a full disk does not keep a process from starting. Where the file system knows no
-// locks, there is none.
+// LockDir locks a data directory for this process; call it before opening any file in it. It writes
+// nothing, so that a process can start on a full disk. If the file system does not support locks, the
+// directory is not locked and LockDir succeeds.
 func LockDir(path string) (*Lock, error) {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -28,5 +29,5 @@
 	return &Lock{dir}, nil
 }
 
-// Release gives the data directory back.
+// Release unlocks the data directory.
 func (l *Lock) Release() { l.dir.Close() }
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -1,6 +1,6 @@
 package storage
 
-// This file holds what a start does with the files that it finds.
+// This file recovers the state at start from the files in the data directory.
 
 import (
 	"errors"
@@ -11,12 +11,12 @@
 	"slices"
 )
 
-// Open opens the state in dir and returns what it holds, which is then durable.
-// A last batch that is torn, and was never synced, is left out. Where something
-// that was synced is damaged or missing, the files are set aside and ErrDamaged
-// is returned together with an empty, usable store. ErrNewerFormat leaves all as
-// it is. The files in dir stay within room, the disk's bytes (0: 64 MB), as long
-// as the state takes no more than half of that.
+// Open opens the store in dir and returns its state, which is then durable. A torn last
+// batch, which was never synced, is ignored. If synced data is damaged or missing, the
+// files are removed except for an excerpt, and Open returns ErrDamaged together with an
+// empty, usable store. With ErrNewerFormat the files are left unchanged. The files in
+// dir take at most diskSize bytes (0: 64 MB) as long as the state takes at most half of
+// that.
 func Open(dir string, diskSize int64, logger *slog.Logger) (*Store, map[string][]byte, error) {
 	return openDirectory(osDirectory(dir), diskSize, logger)
 }
@@ -39,7 +39,7 @@
 	chosen := newest(found)
 	damage := chosen.damage
 	if damage == nil && chosen.lastBatch < s.mark.batch {
-		damage = &damageError{int(chosen.validEnd), fmt.Sprintf("batch %d was synced and the last one there is %d", s.mark.batch, chosen.lastBatch)}
+		damage = &damageError{int(chosen.validEnd), fmt.Sprintf("batch %d was synced, but the last batch found is %d", s.mark.batch, chosen.lastBatch)}
 	}
 	if damage != nil {
 		if err := s.discardDamaged(chosen, damage); err != nil {
@@ -59,17 +59,17 @@
 	return s, chosen.state, damage
 }
 
-// candidate is a file that a start may take.
+// candidate is a file from which a start may recover the state.
 type candidate struct {
 	name      string
 	state     map[string][]byte
-	validEnd  int64  // bytes up to the end of the last whole batch
+	validEnd  int64  // offset at which the last complete batch ends
 	size      int64  // bytes of the file
-	lastBatch uint64 // number of that batch; 0 if there is none
-	damage    error
+	lastBatch uint64 // number of the last complete batch, 0 if there is none; see readFiles for a damaged file
+	damage    error  // nil if the file is not damaged
 }
 
-// readFiles reads all files that are there, the present names first.
+// readFiles reads all existing files, those under the current names first.
 func (s *Store) readFiles() (found []candidate, err error) {
 	for _, name := range slices.Concat(fileNames[:], legacyFileNames[:]) {
 		text, err := s.dir.read(name)
@@ -80,12 +80,13 @@
 			return nil, err
 		}
 		if version, _, _, length := parseHeader(text); length > 0 && version > formatVersion {
-			return nil, fmt.Errorf("%s: %w: its format is %d, this release reads up to %d", name, ErrNewerFormat, version, formatVersion)
+			return nil, fmt.Errorf("%s: %w: its format is %d, this release reads formats up to %d", name, ErrNewerFormat, version, formatVersion)
 		}
 		c := candidate{name: name, size: int64(len(text))}
 		c.state, c.validEnd, c.lastBatch, c.damage = scan(text)
 		if c.damage != nil {
-			// One number only: a rewrite that was not finished. More: a file in use.
+			// Entries of only one batch: a rewrite that was not finished, which does not
+			// count. Entries of several batches: the file was in use.
 			c.lastBatch = 0
 			if lowest, highest := batchRange(text); lowest < highest {
 				c.lastBatch = highest
@@ -96,8 +97,8 @@
 	return found, nil
 }
 
-// newest returns the file whose last batch is the newest. While there are several,
-// no batch was reported that is in one of them only: see replace.
+// newest returns the file whose last batch has the highest number. While there are
+// several files, each acknowledged batch is in all of them: see replaceFile.
 func newest(found []candidate) (best candidate) {
 	for _, c := range found {
 		if c.lastBatch > best.lastBatch || best.lastBatch == 0 && best.damage == nil {
@@ -107,28 +108,28 @@
 	return best
 }
 
-// resume goes on with the chosen file if its last batch is known to have been
-// synced and nothing follows it. Else it writes the state to a new file: what is
-// found may be what a sync has failed for, and a later sync of the same file may
-// claim success all the same.
+// resume keeps using the chosen file if its last batch is known to have been synced and
+// nothing follows it. Otherwise it writes the state to a new file: a sync of the chosen
+// file may have failed, and a later sync of the same file may then report success
+// although the data is not on disk.
 func (s *Store) resume(chosen candidate, found []candidate) error {
 	wasSynced := chosen.lastBatch > 0 && chosen.lastBatch == s.mark.batch
 	if wasSynced && chosen.validEnd == chosen.size && !chosen.isLegacy() {
 		return s.reuse(chosen, found)
 	}
 	if chosen.validEnd < chosen.size {
-		s.log.Warn("torn batch left out", "bytes", chosen.size-chosen.validEnd)
+		s.log.Warn("incomplete last batch ignored", "bytes", chosen.size-chosen.validEnd)
 	}
 	preserved := fallbackFile(found, chosen)
 	target := fileNames[0]
 	if preserved.name == target || chosen.name == fileNames[1] && preserved.name != chosen.name {
 		target = fileNames[1]
 	}
-	// What is neither taken nor kept goes first, for room.
+	// Files that are neither chosen nor preserved are removed first to free space.
 	var others []string
 	for _, c := range found {
 		switch c.name {
-		case target: // is written anew
+		case target: // replaceFile writes it anew
 		case preserved.name, chosen.name:
 			others = append(others, c.name)
 			s.fileSize += c.size
@@ -142,8 +143,8 @@
 	return s.replaceFile(target, chosen.entries(), others...)
 }
 
-// reuse appends to the chosen file once all others are gone for good, also those
-// that a start before this one has removed.
+// reuse makes the chosen file the current one. It first makes sure that the removal of
+// all other files is durable, including those that an earlier start removed.
 func (s *Store) reuse(chosen candidate, found []candidate) error {
 	for _, c := range found {
 		if c.name == chosen.name {
@@ -161,9 +162,9 @@
 	return s.openFile()
 }
 
-// fallbackFile returns the file that has to stay until a new one is durable: the
-// oldest that is not damaged. It was in use before a rewrite, so all of it that was
-// reported is durable; the rewrite may not be.
+// fallbackFile returns the file that must be preserved until a new one is durable: the
+// oldest file that is not damaged. It was in use before a rewrite, so every acknowledged
+// batch in it is durable; the file of the rewrite may not be.
 func fallbackFile(found []candidate, chosen candidate) candidate {
 	oldest := chosen
 	for _, c := range found {
@@ -185,28 +186,29 @@
 	return entries
 }
 
-// discardDamaged removes a damaged file, and before it anything that could be taken
-// for an earlier state of the replica. For people it keeps the damaged place.
+// discardDamaged removes a damaged file after saving an excerpt for operators. It first
+// removes all other files, so that no later start takes an earlier state of the replica
+// from them.
 func (s *Store) discardDamaged(chosen candidate, damage error) error {
-	s.log.Error("damaged state set aside", "error", damage)
+	s.log.Error("discarding the damaged state on disk", "error", damage)
 	all := slices.Concat(fileNames[:], legacyFileNames[:])
 	others := slices.DeleteFunc(all, func(name string) bool { return name == chosen.name })
 	if err := s.removeFiles(others...); err != nil {
 		return err
 	}
-	if err := s.dir.syncDir(); err != nil { // a start before this one may have dropped it
+	if err := s.dir.syncDir(); err != nil { // an earlier start may have removed files without a sync
 		return err
 	}
 	if chosen.name == "" {
 		return nil
 	}
 	if err := s.saveExcerpt(chosen.name, damage); err != nil {
-		s.log.Warn("nothing of the damaged file is kept", "error", err)
+		s.log.Warn("could not save an excerpt of the damaged file", "error", err)
 	}
 	return s.removeFiles(chosen.name)
 }
 
-// saveExcerpt copies what lies around a damaged place.
+// saveExcerpt copies the part of the file around the damage to excerptName.
 func (s *Store) saveExcerpt(name string, damage error) error {
 	text, err := s.dir.read(name)
 	if err != nil {
@@ -228,7 +230,8 @@
 	return err
 }
 
-// truncateExcerpts cuts off what an earlier release kept, a whole damaged file.
+// truncateExcerpts shortens saved files to the size of an excerpt: earlier releases kept
+// the whole damaged file.
 func (s *Store) truncateExcerpts(names ...string) error {
 	limit := fractionOf(s.diskSize, excerptFraction)
 	for _, name := range names {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,7 +1,7 @@
-// Package storage keeps a replica's state on disk with buntdb. Every batch is
-// framed so that a start can tell a whole batch from a torn one, and is synced
-// before it is reported as written. What is written when is in
-// docs/notes/hardening-disk.md.
+// Package storage keeps a replica's state on disk with buntdb. Changes are written in
+// numbered batches. The entries of a batch are framed so that a start can tell a
+// complete batch from a torn one, and a batch is synced before it is acknowledged.
+// The order of writes and syncs is described in docs/notes/hardening-disk.md.
 package storage
 
 import (
@@ -23,45 +23,49 @@
 }
 
 var (
-	// ErrDamaged says that something that was synced is damaged or missing.
+	// ErrDamaged means that synced data is damaged or missing.
 	ErrDamaged = errors.New("the state on disk is damaged")
-	// ErrNewerFormat says that a later release wrote the file. Nothing was changed.
+	// ErrNewerFormat means that a later release wrote the file. Nothing was changed.
 	ErrNewerFormat = errors.New("the file was written by a later release")
-	// ErrRoom says that after a batch there would be no room on the disk to rewrite
-	// the file. The batch was not written; Rewrite makes room.
-	ErrRoom = errors.New("the file has to be rewritten to make room")
-	// ErrTooLarge says that a rewrite would not fit on the disk beside the file.
+	// ErrRoom means that the batch would leave too little disk space to rewrite the
+	// file. The batch was not written; Rewrite frees space.
+	ErrRoom = errors.New("the file must be rewritten to free disk space")
+	// ErrTooLarge means that a rewrite would not fit on the disk beside the current file.
 	ErrTooLarge = errors.New("the state is too large for the disk")
 
-	errNeedsRewrite = errors.New("the file has to be rewritten after a refusal")
+	errNeedsRewrite = errors.New("the file must be rewritten after a failed write")
 )
 
 const (
-	defaultDiskSize = 64 << 20 // bytes, where the settings name no disk
+	defaultDiskSize = 64 << 20 // bytes, if the settings give no disk size
 
-	// The file is worth a rewrite above these: times the size of the state, and
-	// part of the disk that it and its rewrite fill. It isn't below the least
-	// part of the disk.
+	// A rewrite is worthwhile if the file is larger than rewriteLiveRatio times its live
+	// size, or if the file and its rewrite together would fill more than
+	// rewriteFillFraction of the disk; but never while the file is at most
+	// rewriteMinFraction of the disk.
 	rewriteLiveRatio    = 3
 	rewriteFillFraction = 7.0 / 8
 	rewriteMinFraction  = 1.0 / 64
-	// No batch makes the file and its rewrite fill more than this part of the disk.
+	// maxFillFraction is the part of the disk that the file and its rewrite together may
+	// fill after a batch.
 	maxFillFraction = 15.0 / 16
-	// RewritableFill is the part of the disk up to which a state leaves room for
-	// itself twice and for changes in between. Whoever adds to the state keeps to it.
+	// RewritableFill is the largest part of the disk that the state may take so that the
+	// disk has room for the state twice and for changes between two rewrites. Callers
+	// must not add to the state beyond it.
 	RewritableFill = 3.0 / 8
-	// So much of the disk is kept of a damaged file, around the damage.
+	// excerptFraction is the size of the excerpt that is kept of a damaged file, as a
+	// part of the disk.
 	excerptFraction = 1.0 / 1024
 
 	excerptName       = "store.damaged"
 	legacyDamagedName = "stacks.db.damaged"
 )
 
-// fileNames are the names that the file has by turns.
+// fileNames are the two names of the file; each rewrite switches to the other name.
 var fileNames = [2]string{"store.1.db", "store.2.db"}
 
-// legacyFileNames are those that earlier releases gave it. What is found there is
-// carried over by a rewrite.
+// legacyFileNames are the file names of earlier releases. A start migrates such a file
+// by rewriting it under one of fileNames.
 var legacyFileNames = [2]string{"stacks.db", "stacks.2.db"}
 
 // Store is a replica's state on disk, open for writing.
@@ -69,25 +73,25 @@
 	dir          directory
 	log          *slog.Logger
 	db           *buntdb.DB
-	file         *os.File // the file of db, to sync it
-	fileName     string   // of the file in use
-	lastBatch    uint64   // number of the last batch, also of one that was refused
+	file         *os.File // second handle on the file of db, to sync it
+	fileName     string   // name of the current file
+	lastBatch    uint64   // highest batch number used, also by a batch whose sync failed
 	mark         syncMark
-	diskSize     int64 // bytes of the disk
-	fileSize     int64 // bytes of the file
-	liveSize     int64 // bytes that a rewrite would have
-	needsRewrite bool  // nothing more may be appended
-	dbLocked     bool  // buntdb gave up with its lock held; it is left as it is
+	diskSize     int64 // bytes
+	fileSize     int64 // bytes of the current file
+	liveSize     int64 // bytes that the file would have after a rewrite
+	needsRewrite bool  // a write failed; nothing may be appended until a rewrite
+	dbLocked     bool  // buntdb panicked holding its lock, so closing db would block
 }
 
-// openFile opens the file in use.
+// openFile opens the current file.
 func (s *Store) openFile() error {
 	path := s.dir.path(s.fileName)
 	db, err := buntdb.Open(path)
 	if err != nil {
 		return err
 	}
-	// buntdb drops the error of its own sync, so the sync is done here.
+	// buntdb ignores the error of its own sync, so the store syncs the file itself.
 	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
 		db.Close()
 		return err
@@ -101,7 +105,7 @@
 	return nil
 }
 
-// closeFile closes the file in use.
+// closeFile closes the current file.
 func (s *Store) closeFile() error {
 	if s.db == nil {
 		return nil
@@ -115,7 +119,7 @@
 	return err
 }
 
-// Close closes the file.
+// Close records that the last batch was synced, if it was, and closes the files.
 func (s *Store) Close() error {
 	if s.db != nil {
 		_ = s.MarkSynced()
@@ -124,15 +128,15 @@
 	return s.closeFile()
 }
 
-// Write writes a batch and syncs it. After an error the caller writes its
-// whole state again with Rewrite, at once if it is ErrRoom.
+// Write appends a batch and syncs it. After an error the caller must write its whole
+// state with Rewrite; after ErrRoom it can do so at once.
 func (s *Store) Write(batch []Entry) (err error) {
 	if s.needsRewrite {
 		return errNeedsRewrite
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("buntdb gave up: %v", r)
+			err = fmt.Errorf("buntdb panicked: %v", r)
 			s.dbLocked = true
 		}
 		if err != nil && !errors.Is(err, ErrRoom) {
@@ -140,7 +144,7 @@
 		}
 	}()
 	if batch = lastEntryPerKey(batch); len(batch) == 0 {
-		return nil // all before it is synced, and a number without entries would be a gap
+		return nil // everything before is synced, and a batch number without entries would leave a gap
 	}
 	grown, liveSize, err := s.appendBatch(batch)
 	if err != nil {
@@ -155,8 +159,8 @@
 	return nil
 }
 
-// appendBatch appends a batch to the file, unless there is no room for it. It
-// returns by how many bytes the file grew and how many a rewrite would have then.
+// appendBatch appends a batch to the file, or returns ErrRoom. It also returns by how
+// many bytes the file grew and the new live size.
 func (s *Store) appendBatch(batch []Entry) (grown, liveSize int64, err error) {
 	liveSize = s.liveSize
 	err = s.db.Update(func(tx *buntdb.Tx) error {
@@ -183,11 +187,10 @@
 	return grown, liveSize, err
 }
 
-// fractionOf is a fractionOf of a number of bytes.
 func fractionOf(bytes int64, fraction float64) int64 { return int64(float64(bytes) * fraction) }
 
-// lastEntryPerKey keeps the last entry of each key, in order: buntdb writes one entry of
-// a key, and a batch is whole when as many are there as it says.
+// lastEntryPerKey keeps only the last entry of each key, in order. buntdb writes one
+// entry per key and transaction, and the entry count in the frames must match.
 func lastEntryPerKey(entries []Entry) []Entry {
 	last := make(map[string]int, len(entries))
 	for i, e := range entries {
@@ -205,21 +208,23 @@
 	return kept
 }
 
-// Live is how many bytes a rewrite of the state would have.
+// Live returns the size in bytes that the file would have after a rewrite.
 func (s *Store) Live() int64 { return s.liveSize }
 
-// Disk is how many bytes the disk has.
+// Disk returns the size of the disk in bytes.
 func (s *Store) Disk() int64 { return s.diskSize }
 
-// Full says whether the file has grown enough to be worth a Rewrite.
+// Full reports whether the file has grown enough to make a Rewrite worthwhile.
 func (s *Store) Full() bool {
 	return s.fileSize > fractionOf(s.diskSize, rewriteMinFraction) &&
 		(s.fileSize > rewriteLiveRatio*s.liveSize || s.fileSize+s.liveSize > fractionOf(s.diskSize, rewriteFillFraction))
 }
 
-// Rewrite writes just the given state to the other name and goes on there.
+// Rewrite writes the given state as a single batch to a new file under the other name
+// and switches to that file.
 func (s *Store) Rewrite(state []Entry) error {
-	// A damaged end of the file must not look torn while there are two.
+	// While there are two files, damage at the end of the old one must not be taken for
+	// a torn write.
 	_ = s.MarkSynced()
 	target := fileNames[0]
 	if s.fileName == target {
@@ -228,17 +233,18 @@
 	return s.replaceFile(target, state, s.fileName)
 }
 
-// replaceFile writes a new file that holds just the given state, removes the others
-// and goes on in the new one. No name ever stands for two files: the new file and
-// its name are durable before another one is removed, and the others are gone for
-// good before a batch follows in the new one. So whatever a loss of power takes,
-// one of them is left, and while there are several each holds all that was reported.
+// replaceFile writes a new file that holds only the given state, switches to it and
+// removes the others. The new file and its directory entry are durable before another
+// file is removed, and the removals are durable before a batch is appended to the new
+// file. No file is renamed over another one. So after a power loss at any moment at
+// least one of the files is left, and while there are several, each holds every
+// acknowledged batch.
 func (s *Store) replaceFile(target string, state []Entry, others ...string) error {
 	s.needsRewrite = true
 	state = slices.DeleteFunc(slices.Clone(lastEntryPerKey(state)), func(e Entry) bool { return e.Value == nil })
 	size := rewrittenSize(state)
 	if s.fileSize+size > s.diskSize {
-		return fmt.Errorf("%w: %d bytes beside a file of %d, and the disk has %d", ErrTooLarge, size, s.fileSize, s.diskSize)
+		return fmt.Errorf("%w: a rewrite needs %d bytes beside the current %d bytes, and the disk has %d bytes", ErrTooLarge, size, s.fileSize, s.diskSize)
 	}
 	s.lastBatch++
 	err := s.writeFile(target, state)
@@ -246,7 +252,7 @@
 		err = s.dir.syncDir()
 	}
 	if err != nil {
-		_ = s.dir.remove(target) // leaves room; a start would pass over it too
+		_ = s.dir.remove(target) // frees the space; a start would ignore an incomplete file
 		return err
 	}
 	_ = s.closeFile()
@@ -261,8 +267,8 @@
 	return nil
 }
 
-// writeFile writes a file that holds one batch, and syncs it. It is a file of its own
-// also where one of that name was: of that one a sync may have failed.
+// writeFile writes a file that holds one batch, and syncs it. An existing file of that
+// name is removed first and not reused, because a sync of it may have failed.
 func (s *Store) writeFile(name string, state []Entry) error {
 	if err := s.dir.remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -287,7 +293,7 @@
 	return err
 }
 
-// rewrittenSize is how many bytes a file has that holds just a state.
+// rewrittenSize returns the size of a file that holds only the given state.
 func rewrittenSize(state []Entry) int64 {
 	size := headerCommandSize
 	for _, e := range state {
@@ -296,7 +302,7 @@
 	return size
 }
 
-// removeFiles removes files for good.
+// removeFiles removes files and makes the removal durable.
 func (s *Store) removeFiles(names ...string) error {
 	removed := false
 	for _, name := range names {
--- a/internal/storage/syncmark.go
+++ b/internal/storage/syncmark.go
@@ -1,7 +1,5 @@
 package storage
 
-// This file holds the mark of the last batch that was synced.
-
 import (
 	"encoding/binary"
 	"errors"
@@ -12,26 +10,27 @@
 
 const (
 	markName = "store.synced"
-	// The mark has two places, a sector apart, that are written by turns, so a
-	// torn write leaves the mark before it.
+	// The file has two slots, a sector apart, that are written alternately, so that a
+	// torn write leaves the previous mark intact.
 	markSlots      = 2
 	markSlotStride = 512
-	markRecordSize = 4 + 8 // checksum, number of the batch
-	markVersion    = "synced 1"
+	markRecordSize = 4 + 8      // checksum, batch number
+	markVersion    = "synced 1" // covered by the checksum
 )
 
-// syncMark is the number of a batch that was synced, in a file beside. Without it
-// the last batch of a file could be damaged and look torn; every batch before is
-// shown to have been synced by the one that follows it. The mark is written when
-// nothing else is, so it may lag: it claims too little, never too much.
+// syncMark records the number of a synced batch in a separate file. Without it, damage
+// to the last batch of the state could not be told from a torn write; every earlier
+// batch is known to have been synced because another one follows it. The mark is
+// written when there is nothing else to write. It may therefore be behind the last
+// synced batch, but never ahead of it.
 type syncMark struct {
-	batch    uint64
-	nextSlot int // where the next one goes
-	exists   bool
+	batch    uint64 // 0 if there is no valid mark
+	nextSlot int    // slot for the next write
+	exists   bool   // the directory entry needs no further sync
 	file     *os.File
 }
 
-// load reads the mark; there is none if it can't be read as one.
+// load reads the newer of the two slots that is valid.
 func (m *syncMark) load(dir directory) error {
 	text, err := dir.read(markName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -62,7 +61,7 @@
 	return crc32.Update(crc32.ChecksumIEEE([]byte(markVersion)), crc32.IEEETable, record[4:markRecordSize])
 }
 
-// write writes the mark and syncs it.
+// write writes the mark to the next slot and syncs it.
 func (m *syncMark) write(dir directory, batch uint64) error {
 	if m.file == nil {
 		f, err := dir.open(markName)
@@ -98,9 +97,9 @@
 	}
 }
 
-// MarkSynced notes on disk that the last batch was synced, if that is so and not
-// yet noted. Callers do that while nothing waits to be written: it takes a sync,
-// and a batch that follows says the same of the one before it.
+// MarkSynced records on disk that the last batch was synced, if it was and this is not
+// recorded yet. It costs one sync, so callers use it when no writes are waiting; a
+// batch that follows would prove the same.
 func (s *Store) MarkSynced() error {
 	if s.needsRewrite || s.mark.batch == s.lastBatch {
 		return nil
