--- a/client/call.go
+++ b/client/call.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// responseTimeout is how long a node may be silent before another one is asked.
+	// responseTimeout is how long to wait for a node's response before trying the next node.
 	responseTimeout  = time.Second
 	maxRedirects     = 2
 	maxResponseBytes = 64 << 20
@@ -27,41 +27,42 @@
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = time.Second
 
-	// unlimitedRetries lets a call be repeated for as long as its context lasts.
-	unlimitedRetries = time.Duration(math.MaxInt64)
+	// unlimitedRetryWindow allows retries for as long as the call's context lasts.
+	unlimitedRetryWindow = time.Duration(math.MaxInt64)
 )
 
-// apiRequest is one apiRequest of the interface, with the rules for sending it again.
+// apiRequest is one request to the control nodes' HTTP API, with its retry rules.
 type apiRequest struct {
 	method string
 	path   string
 	query  url.Values
 	body   any
-	// timeout is how long each attempt waits for its answer.
+	// timeout is how long each attempt waits for its response.
 	timeout time.Duration
-	// retryWindow is for how long the call may be sent again once it may have been done.
+	// retryWindow limits how long a request may be retried, counted from the start of the
+	// first attempt that may have been executed. It does not apply to GET requests.
 	retryWindow time.Duration
-	// onLateResult, if it is there, is told of an answer that came after the context had ended.
-	// Without it an attempt that is under way is broken off.
+	// onLateResult, if not nil, receives a result that arrives after the context has ended.
+	// If it is nil, the end of the context cancels the attempt in progress.
 	onLateResult func(*callResult)
-	// accept reads the body of a 2xx. With an error the answer counts as none.
-	accept func(body []byte) error
+	// decodeBody reads the body of a 2xx response. If it returns an error, the attempt has failed.
+	decodeBody func(body []byte) error
 }
 
 func (r *apiRequest) String() string { return r.method + " " + r.path }
 
-// callResult is an callResult that decides a call: a 2xx, or a refusal for good.
+// callResult is a final response to a request: a 2xx, or an error that a retry can't change.
 type callResult struct {
 	status int
 	body   []byte
-	sentAt time.Time // when the attempt that was answered was begun
+	sentAt time.Time // start of the attempt that got the response
 }
 
 func (a *callResult) succeeded() bool { return a.status >= 200 && a.status < 300 }
 
-// attemptError is an attempt that decides nothing.
+// attemptError is the failure of one attempt, after which the request may be retried.
 type attemptError struct {
-	unclear    bool // the call may have been carried out
+	unclear    bool // the request may have been executed
 	retryAfter time.Duration
 	err        error
 }
@@ -69,8 +70,8 @@
 func (e *attemptError) Error() string { return e.err.Error() }
 func (e *attemptError) Unwrap() error { return e.err }
 
-// do sends a call, to one node after the other, until one decides it, the context ends or
-// it may not be repeated for longer.
+// do sends a request to one node after the other until there is a final response, the context
+// ends or the retry window is over.
 func (c *Client) do(ctx context.Context, request apiRequest) (*callResult, error) {
 	payload, err := encode(request.body)
 	if err != nil {
@@ -106,14 +107,14 @@
 	}
 }
 
-// preferNext makes the endpoint after the one at index the first to be asked, unless another
-// call has changed it meanwhile.
+// preferNext makes the endpoint after the one at index the preferred one, unless another
+// request has changed it meanwhile.
 func (c *Client) preferNext(index int64) {
 	c.preferred.CompareAndSwap(index, (index+1)%int64(len(c.endpoints)))
 }
 
-// attemptDetached is an attempt that goes on without its caller if the call says who is to
-// be told of its answer.
+// attemptDetached makes one attempt. If the request has onLateResult, the attempt continues in
+// the background when the context ends, and onLateResult receives its result.
 func (c *Client) attemptDetached(ctx context.Context, endpoint *url.URL, request *apiRequest, body []byte) (*callResult, *attemptError) {
 	if request.onLateResult == nil {
 		return c.attempt(ctx, endpoint, request, body)
@@ -124,8 +125,8 @@
 	}
 	outcomes := make(chan outcome, 1)
 	go func() {
-		reply, failure := c.attempt(context.WithoutCancel(ctx), endpoint, request, body)
-		outcomes <- outcome{reply, failure}
+		result, attemptErr := c.attempt(context.WithoutCancel(ctx), endpoint, request, body)
+		outcomes <- outcome{result, attemptErr}
 	}()
 	select {
 	case finished := <-outcomes:
@@ -133,14 +134,14 @@
 	case <-ctx.Done():
 	}
 	go func() {
-		if o := <-outcomes; o.attemptErr == nil {
-			request.onLateResult(o.result)
+		if late := <-outcomes; late.attemptErr == nil {
+			request.onLateResult(late.result)
 		}
 	}()
 	return nil, &attemptError{unclear: true, err: ctx.Err()}
 }
 
-// attempt sends a call to one node and follows its redirections.
+// attempt sends a request to one node and follows redirects.
 func (c *Client) attempt(ctx context.Context, endpoint *url.URL, request *apiRequest, body []byte) (*callResult, *attemptError) {
 	sentAt := time.Now()
 	target := *endpoint
@@ -157,49 +158,50 @@
 		}
 		location, err := response.Location()
 		if err != nil || redirects == maxRedirects {
-			return nil, &attemptError{err: fmt.Errorf("%s redirects to nowhere", target.Host)}
+			return nil, &attemptError{err: fmt.Errorf("%s: invalid redirect or too many redirects", target.Host)}
 		}
 		target = *location
 	}
 }
 
-// exchange sends a request and reads the whole answer.
+// exchange sends a request once and reads the whole response.
 func (c *Client) exchange(ctx context.Context, target string, request *apiRequest, body []byte) (*http.Response, []byte, *attemptError) {
 	attemptContext, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	var connected atomic.Bool
-	traced := httptrace.WithClientTrace(attemptContext, &httptrace.ClientTrace{
+	tracedContext := httptrace.WithClientTrace(attemptContext, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	outgoing, err := http.NewRequestWithContext(traced, request.method, target, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(tracedContext, request.method, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, &attemptError{err: err}
 	}
-	outgoing.Header.Set("Content-Type", "application/json")
-	response, responseBody, err := c.roundTrip(outgoing)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	response, responseBody, err := c.roundTrip(httpRequest)
 	switch {
 	case err == nil:
 		return response, responseBody, nil
 	case attemptContext.Err() != nil && ctx.Err() == nil:
-		err = fmt.Errorf("%s: no answer within %v", outgoing.URL.Host, request.timeout)
+		err = fmt.Errorf("%s: no response within %v", httpRequest.URL.Host, request.timeout)
 	}
 	return nil, nil, &attemptError{unclear: connected.Load(), err: err}
 }
 
-func (c *Client) roundTrip(outgoing *http.Request) (*http.Response, []byte, error) {
-	response, err := c.http.Do(outgoing)
+func (c *Client) roundTrip(httpRequest *http.Request) (*http.Response, []byte, error) {
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer response.Body.Close()
 	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err == nil && len(responseBody) > maxResponseBytes {
-		err = fmt.Errorf("an answer of more than %d bytes", maxResponseBytes)
+		err = fmt.Errorf("response is larger than %d bytes", maxResponseBytes)
 	}
 	return response, responseBody, err
 }
 
-// classify tells answers that decide a call from those after which another node is asked.
+// classify returns a final response as a callResult, and a response after which another node
+// is to be tried as an attemptError.
 func classify(response *http.Response, responseBody []byte, request *apiRequest, sentAt time.Time) (*callResult, *attemptError) {
 	status := response.StatusCode
 	statusErr := fmt.Errorf("%s answered %d: %s", response.Request.URL.Host, status, strings.TrimSpace(string(responseBody)))
@@ -210,14 +212,15 @@
 		return nil, &attemptError{unclear: true, err: statusErr}
 	}
 	result := &callResult{status: status, body: responseBody, sentAt: sentAt}
-	if result.succeeded() && request.accept != nil {
-		if err := request.accept(responseBody); err != nil {
-			return nil, &attemptError{unclear: true, err: fmt.Errorf("%s: answer not understood: %w", response.Request.URL.Host, err)}
+	if result.succeeded() && request.decodeBody != nil {
+		if err := request.decodeBody(responseBody); err != nil {
+			return nil, &attemptError{unclear: true, err: fmt.Errorf("%s: invalid response: %w", response.Request.URL.Host, err)}
 		}
 	}
 	return result, nil
 }
 
+// retryAfter returns the time in the Retry-After header, at most maxBackoff; 0 if there is none.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -233,30 +236,31 @@
 	return json.Marshal(body)
 }
 
-// decodeInto returns an accept function that reads an answer into result.
+// decodeInto returns a decodeBody function that reads a response body into result.
 func decodeInto[T any](result *T) func([]byte) error {
 	return func(body []byte) error {
-		var fresh T
-		if err := json.Unmarshal(body, &fresh); err != nil {
+		var decoded T
+		if err := json.Unmarshal(body, &decoded); err != nil {
 			return err
 		}
-		*result = fresh
+		*result = decoded
 		return nil
 	}
 }
 
-// backoff counts the attempts of a call and tells how long to pause before the next one.
+// backoff computes the pauses between the attempts of a request.
 type backoff struct {
 	endpoints int
 	attempts  int
 }
 
-// next is the pause after an attempt that failed: it doubles each time, with a random part
-// of up to a half. What a node said in Retry-After counts only once all have been asked.
+// next returns the pause after a failed attempt. It doubles with each attempt and is then
+// shortened by a random part of up to a half. Retry-After applies only to the pause after
+// each round of attempts over all endpoints, because another node may be available sooner.
 func (b *backoff) next(retryAfter time.Duration) time.Duration {
 	pause := maxBackoff
-	if doublings := b.attempts; initialBackoff<<min(doublings, 16) < maxBackoff {
-		pause = initialBackoff << doublings
+	if attempt := b.attempts; initialBackoff<<min(attempt, 16) < maxBackoff {
+		pause = initialBackoff << attempt
 	}
 	b.attempts++
 	pause = jitter(pause)
@@ -266,15 +270,16 @@
 	return pause
 }
 
-// randomBelow draws a duration from 0 up to, but not including, a limit. Tests put a fixed one in its place.
+// randomBelow returns a random duration in [0, limit). Tests replace it by a fixed one.
 var randomBelow = func(limit time.Duration) time.Duration { return mathrand.N(limit) }
 
-// jitter takes a random part of up to a half off a pause, so that callers spread out.
+// jitter shortens a pause by a random part of up to a half, so that callers do not retry at
+// the same moment.
 func jitter(pause time.Duration) time.Duration {
 	return pause - randomBelow(pause/2+1)
 }
 
-// sleep waits, or returns the context's error.
+// sleep waits for the pause, or returns the context's error if that ends first.
 func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/client/client.go
+++ b/client/client.go
@@ -25,32 +25,33 @@
 	maxOwnerNameBytes      = 24
 )
 
-// Options are what a Client may be told beside its endpoints. The zero value is good.
+// Options configures a Client. The zero value selects the defaults.
 type Options struct {
-	// Name begins the owner names that the client makes up. Default: the host's name.
+	// Name is the prefix of the owner names that the client generates. Default: the host name.
 	Name string
-	// Transport carries the calls. Default: one of the client's own, which uses no proxy.
+	// Transport sends the requests. Default: a transport of the client's own, without a proxy.
 	Transport http.RoundTripper
-	// AcquireInterval is how often Acquire asks again for a lock that is held.
+	// AcquireInterval is how often Acquire retries while another owner holds the lock.
 	// Default: 250 ms.
 	AcquireInterval time.Duration
-	// WatchWait is how long a node may keep a watch's question unanswered while there are no
-	// events. A node that fails in silence delays events by this and a second. Default: 2 s.
+	// WatchWait is how long a node may hold a watch request open while there are no events
+	// (long polling). A node that stops responding delays events by up to this time plus a
+	// second. Default: 2 s.
 	WatchWait time.Duration
 }
 
-// Client calls the control nodes. It may be used by many goroutines at once.
+// Client sends requests to the control nodes. It is safe for concurrent use.
 type Client struct {
 	endpoints       []*url.URL
-	preferred       atomic.Int64 // index of the endpoint that is asked first
+	preferred       atomic.Int64 // index of the endpoint that is tried first
 	http            *http.Client
 	acquireInterval time.Duration
 	watchWait       time.Duration
 	ownerPrefix     string
-	ownerCount      atomic.Uint64
+	ownerCount      atomic.Uint64 // generated owner names
 }
 
-// New makes a client of the nodes whose control addresses are given, as host:port or as URLs.
+// New returns a client for the nodes with the given control addresses, as host:port or as URLs.
 func New(endpoints []string, options Options) (*Client, error) {
 	c := &Client{
 		acquireInterval: options.AcquireInterval,
@@ -71,7 +72,7 @@
 		c.endpoints = append(c.endpoints, endpoint)
 	}
 	if len(c.endpoints) == 0 {
-		return nil, errors.New("no endpoints")
+		return nil, errors.New("no endpoints given")
 	}
 	c.preferred.Store(mathrand.Int64N(int64(len(c.endpoints))))
 	transport := options.Transport
@@ -94,7 +95,7 @@
 		return nil, fmt.Errorf("endpoint: %w", err)
 	}
 	if endpoint.Host == "" || strings.Trim(endpoint.Path, "/") != "" || endpoint.RawQuery != "" {
-		return nil, fmt.Errorf("endpoint %q: host:port is wanted", text)
+		return nil, fmt.Errorf("endpoint %q: must be host:port or a URL without a path", text)
 	}
 	endpoint.Path = ""
 	return endpoint, nil
@@ -110,7 +111,8 @@
 	}
 }
 
-// ownerPrefix is different for each client, also on one host and in one process.
+// ownerPrefix returns a prefix for owner names that is unique for each client, even within one
+// process.
 func ownerPrefix(name string) string {
 	if name == "" {
 		name, _ = os.Hostname()
@@ -122,7 +124,7 @@
 	return fmt.Sprintf("%s-%d-%s", name, os.Getpid(), hex.EncodeToString(random))
 }
 
-// ownerCharacter keeps letters, digits and dashes.
+// ownerCharacter replaces everything but ASCII letters, digits and dashes by a dash.
 func ownerCharacter(r rune) rune {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9', r == '-':
@@ -131,7 +133,7 @@
 	return '-'
 }
 
-// newOwner makes up an owner name that was never used before.
+// newOwner generates an owner name that was never used before.
 func (c *Client) newOwner() string {
 	return fmt.Sprintf("%s.%d", c.ownerPrefix, c.ownerCount.Add(1))
 }
--- a/client/counter.go
+++ b/client/counter.go
@@ -6,13 +6,13 @@
 	"net/url"
 )
 
-// Counter gives rising numbers under one name.
+// Counter is a named counter that returns increasing numbers.
 type Counter struct {
 	client *Client
 	name   string
 }
 
-// Counter returns the counter of a name. It begins with the first draw.
+// Counter returns the counter with the given name. The first call of Next creates it.
 func (c *Client) Counter(name string) *Counter { return &Counter{client: c, name: name} }
 
 type drawRequest struct{}
@@ -21,9 +21,9 @@
 	Value uint64 `json:"value"`
 }
 
-// Next draws a number that is greater than each that was given before the call. No number is
-// given twice. Numbers may skip: a draw whose answer was lost is repeated, and its first
-// number is then nobody's.
+// Next returns a number that is greater than every number returned before the call. No number
+// is returned twice. There may be gaps: if a response is lost, the request is retried and the
+// first number stays unused.
 func (n *Counter) Next(ctx context.Context) (uint64, error) {
 	var drawn drawResponse
 	result, err := n.client.do(ctx, apiRequest{
@@ -31,8 +31,8 @@
 		path:        "/v1/numbers/" + url.PathEscape(n.name),
 		body:        drawRequest{},
 		timeout:     responseTimeout,
-		retryWindow: unlimitedRetries,
-		accept:      decodeInto(&drawn),
+		retryWindow: unlimitedRetryWindow,
+		decodeBody:      decodeInto(&drawn),
 	})
 	switch {
 	case err != nil:
--- a/client/election.go
+++ b/client/election.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// electionPrefix begins the names of the lock and of the key that an election uses.
+// electionPrefix is the prefix of the names of an election's lock and key.
 const electionPrefix = "election-"
 
-// resignNoticeTimeout bounds the notice of a resignation, which nobody depends on.
+// resignNoticeTimeout limits the time for announcing a resignation. The announcement is
+// optional: the next leader does not need it.
 const resignNoticeTimeout = 2 * time.Second
 
-// Election chooses one leader among candidates. It is a lock that the leader holds for as
-// long as it leads, and a key that tells others who that is.
+// Election elects one leader among candidates. It consists of a lock, which the leader holds
+// for as long as it leads, and a key that holds the leader's name for observers.
 type Election struct {
 	client *Client
 	name   string
 	hold   time.Duration
 }
 
-// Election returns the election of a name. Hold is how long a leader that dies keeps the
-// next one waiting; all candidates should use the same.
+// Election returns the election with the given name. If a leader dies, the lock stays
+// taken for the rest of the hold time; all candidates should use the same hold time.
 func (c *Client) Election(name string, hold time.Duration) *Election {
 	return &Election{client: c, name: name, hold: hold}
 }
@@ -35,15 +36,15 @@
 
 func (e *Election) leaderKey() string { return electionPrefix + e.name + ".leader" }
 
-// Leadership is the time for which a candidate leads.
+// Leadership is one term of a candidate as leader.
 type Leadership struct {
 	election  *Election
 	lease     *Lease
 	candidate string
-	announced chan struct{} // closed when the announcement has ended
+	announced chan struct{} // closed when announcing the leadership has succeeded or failed
 }
 
-// Campaign waits until this candidate leads. Candidate is the name that others see.
+// Campaign waits until this candidate is the leader. Candidate is the name that observers see.
 func (e *Election) Campaign(ctx context.Context, candidate string) (*Leadership, error) {
 	lease, err := e.client.Acquire(ctx, e.lockName(), "", e.hold)
 	if err != nil {
@@ -52,7 +53,7 @@
 	l := &Leadership{election: e, lease: lease, candidate: candidate, announced: make(chan struct{})}
 	go func() {
 		defer close(l.announced)
-		// Observers learn of the leader a little later if this fails; leading doesn't need it.
+		// If this fails, observers do not learn of the leader; the leadership is valid without it.
 		_ = e.announce(lease.Context(), Leader{Candidate: candidate, Token: lease.Token()})
 	}()
 	return l, nil
@@ -64,7 +65,7 @@
 // Token is the leadership's fencing token; see Lease.Token.
 func (l *Leadership) Token() uint64 { return l.lease.Token() }
 
-// Resign ends the leadership, so that the next candidate need not wait for the hold time.
+// Resign ends the leadership, so that the next candidate does not have to wait for the hold time.
 func (l *Leadership) Resign(ctx context.Context) error {
 	err := l.lease.Release(ctx)
 	<-l.announced
@@ -74,28 +75,28 @@
 	return err
 }
 
-// Leader is who announced itself last. It may have died since, or lost its leadership: only
-// the leader itself knows that it leads.
+// Leader is the latest announced leader. It may have died or lost its leadership since: only
+// the leader itself knows whether it still leads.
 type Leader struct {
 	Candidate string `json:"candidate"`
 	Token     uint64 `json:"token"`
 	Resigned  bool   `json:"resigned,omitempty"`
 }
 
-// olderThan says that an announcement is older than another one.
+// olderThan reports whether an announcement is older than another one.
 func (l Leader) olderThan(other Leader) bool {
 	return l.Token < other.Token || l.Token == other.Token && !l.Resigned && other.Resigned
 }
 
-// Leader reads who announced itself last; ErrNotFound says that nobody has.
+// Leader reads the latest announcement; it returns ErrNotFound if there is none.
 func (e *Election) Leader(ctx context.Context) (Leader, error) {
 	leader, _, err := e.read(ctx)
 	return leader, err
 }
 
-// Observe follows the announcements, beginning with the last one if there is one. The
-// sequence ends with an error, as that of Client.Watch does. It passes over what was
-// announced and overtaken while the observer was away.
+// Observe returns the announcements, starting with the latest one if there is one. The
+// sequence ends with an error, as that of Client.Watch does. An announcement that is replaced
+// before the observer reads it is skipped.
 func (e *Election) Observe(ctx context.Context) iter.Seq2[Leader, error] {
 	return func(yield func(Leader, error) bool) {
 		var seen Leader
@@ -111,8 +112,8 @@
 	}
 }
 
-// observe reads the leader and watches from there. It returns nil once the caller wants no
-// more.
+// observe reads the leader and then watches for changes. It returns nil when the caller stops
+// the iteration.
 func (e *Election) observe(ctx context.Context, seen *Leader, yield func(Leader, error) bool) error {
 	revision, err := e.client.Revision(ctx, e.group())
 	if err != nil {
@@ -126,15 +127,15 @@
 		if err != nil {
 			return err
 		}
-		// The key is read anew: an event of an empty group has no content.
-		if goOn, err := e.yieldIfNewer(ctx, seen, yield); err != nil || !goOn {
+		// Read the key, because the event for the first put of a group has no content.
+		if wantsMore, err := e.yieldIfNewer(ctx, seen, yield); err != nil || !wantsMore {
 			return err
 		}
 	}
 	return nil
 }
 
-// yieldIfNewer yields the leader if it is a newer one than was seen.
+// yieldIfNewer yields the current leader if it is newer than the last one seen.
 func (e *Election) yieldIfNewer(ctx context.Context, seen *Leader, yield func(Leader, error) bool) (wantsMore bool, err error) {
 	leader, _, err := e.read(ctx)
 	switch {
@@ -149,7 +150,7 @@
 	return yield(leader, nil), nil
 }
 
-// read returns the last announcement and its revision.
+// read returns the latest announcement and its revision.
 func (e *Election) read(ctx context.Context) (Leader, uint64, error) {
 	entry, err := e.client.Get(ctx, e.leaderKey())
 	if err != nil {
@@ -162,7 +163,7 @@
 	return leader, entry.Revision, nil
 }
 
-// announce writes who leads, unless something newer stands there.
+// announce writes the leader to the key, unless the key holds a newer announcement.
 func (e *Election) announce(ctx context.Context, leader Leader) error {
 	value, err := json.Marshal(leader)
 	if err != nil {
--- a/client/errors.go
+++ b/client/errors.go
@@ -6,34 +6,35 @@
 	"strings"
 )
 
-// The errors that callers may test for with errors.Is.
+// Errors that callers can test for with errors.Is.
 var (
-	// ErrHeld says that another owner holds the lock.
+	// ErrHeld means that another owner holds the lock.
 	ErrHeld = errors.New("the lock is held by another owner")
-	// ErrLeaseLost says that the system no longer counts the owner as the lock's holder.
+	// ErrLeaseLost means that the control nodes no longer regard the owner as the lock's holder.
 	ErrLeaseLost = errors.New("the lease was lost")
-	// ErrLeaseExpired says that the lease was not renewed in time.
+	// ErrLeaseExpired means that the lease was not renewed in time.
 	ErrLeaseExpired = errors.New("the lease expired")
 	// ErrReleased is the cause of a lease's context after Release.
 	ErrReleased = errors.New("the lease was released")
-	// ErrNotFound says that the key, or the election's leader, doesn't exist.
+	// ErrNotFound means that the key, or the election's leader, does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrConflict says that the key isn't at the revision that PutIf asked for. The error
-	// is a *ConflictError.
+	// ErrConflict means that the key is not at the revision that PutIf expected. The error
+	// is usually a *ConflictError.
 	ErrConflict = errors.New("the key is at another revision")
-	// ErrCompacted says that a watch asked for events that are no longer kept. Read the keys
-	// again, and watch from the group's revision as it was before that.
+	// ErrCompacted means that a watch asked for events that are no longer kept. To recover,
+	// read the group's revision, then the keys, and watch from that revision.
 	ErrCompacted = errors.New("the events after this revision are no longer kept")
-	// ErrUnavailable says that no node carried the call out until it was given up.
-	ErrUnavailable = errors.New("no control node carried the call out")
-	// ErrUnclear says that the call may or may not have been carried out.
-	ErrUnclear = errors.New("the call may or may not have been carried out")
+	// ErrUnavailable means that no control node completed the call. A call that changes
+	// something was not executed.
+	ErrUnavailable = errors.New("no control node completed the call")
+	// ErrUnclear means that the call failed but may have been executed.
+	ErrUnclear = errors.New("the call may or may not have been executed")
 )
 
-// ConflictError says at which revision a key was when PutIf was refused.
+// ConflictError tells the revision of the key for which PutIf was refused.
 type ConflictError struct {
 	Key      string
-	Revision uint64 // 0: the key doesn't exist
+	Revision uint64 // 0: the key does not exist
 }
 
 func (e *ConflictError) Error() string {
@@ -43,8 +44,8 @@
 // Is makes errors.Is(err, ErrConflict) true.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// StatusError is an answer that refuses a call for good, such as a name or a hold time that
-// the system doesn't take.
+// StatusError is an error response that a retry can't change, such as for an invalid name or
+// hold time.
 type StatusError struct {
 	Status  int
 	Message string
@@ -52,21 +53,21 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Message) }
 
-// newStatusError makes a StatusError of an answer.
 func newStatusError(result *callResult) error {
 	return &StatusError{Status: result.status, Message: strings.TrimSpace(string(result.body))}
 }
 
-// CallError says why a call was given up. It is ErrUnclear or ErrUnavailable.
+// CallError tells why a call failed after all retries. errors.Is matches it with either
+// ErrUnclear or ErrUnavailable.
 type CallError struct {
 	// Call is the method and path of the call.
 	Call string
-	// Unclear says that the call may have been carried out.
+	// Unclear means that the call may have been executed.
 	Unclear bool
-	// Last is what the last attempt met with; nil if there was none.
+	// Last is the error of the last attempt; nil if there was no attempt.
 	Last error
-	// Ended is the error of the context that ended the call; nil if the call was given up
-	// because it may not be repeated for longer.
+	// Ended is the error of the context if that ended the call; nil if the call failed because
+	// it could not be retried safely any longer.
 	Ended error
 }
 
@@ -81,7 +82,7 @@
 	return fmt.Sprintf("%s: %s: %v", e.Call, text, e.Ended)
 }
 
-// Is tells whether target is the one of ErrUnclear and ErrUnavailable that applies.
+// Is matches ErrUnclear if the call may have been executed, otherwise ErrUnavailable.
 func (e *CallError) Is(target error) bool {
 	if e.Unclear {
 		return target == ErrUnclear
@@ -89,7 +90,7 @@
 	return target == ErrUnavailable
 }
 
-// Unwrap returns the context's error and the last attempt's.
+// Unwrap returns the errors of the context and of the last attempt.
 func (e *CallError) Unwrap() []error {
 	var causes []error
 	for _, cause := range []error{e.Ended, e.Last} {
--- a/client/fakeserver_test.go
+++ b/client/fakeserver_test.go
@@ -217,7 +217,7 @@
 	if revision, repeated := s.puts[put]; repeated {
 		return http.StatusOK, revisionResponse{revision}
 	}
-	if current := s.cells[name].Revision; request.Enabled != nil && *request.Enabled != current {
+	if current := s.cells[name].Revision; request.ExpectedRevision != nil && *request.ExpectedRevision != current {
 		return http.StatusPreconditionFailed, revisionResponse{current}
 	}
 	groupName := group(name)
--- a/client/grant.go
+++ b/client/grant.go
@@ -9,23 +9,22 @@
 	"time"
 )
 
-// Grant is one span of holding a lock, as one acquire or renewal gave it. Nothing renews it:
-// it is for programs that keep the time themselves. All others use Acquire.
+// Grant is a lock granted for a limited time by one acquire or renewal. It is not renewed
+// automatically: it is for programs that manage renewals themselves. All others use Acquire.
 type Grant struct {
 	// Name is the lock's name.
 	Name string
-	// Owner is who holds it.
+	// Owner is the name of the lock's holder.
 	Owner string
-	// Token is the fencing token: higher than that of each holder before.
+	// Token is the fencing token: higher than that of every earlier holder.
 	Token uint64
-	// Hold is how long the grant lasts.
+	// Hold is how long the grant lasts (the hold time).
 	Hold time.Duration
-	// Until is when the grant ends by this process's steady clock: Hold after the call that
-	// gave it was sent. Zero means that it isn't known.
+	// Until is when the grant expires by the monotonic clock of this process: Hold after the
+	// successful request was sent. Zero means unknown.
 	Until time.Time
 }
 
-// expired says that the grant's time has run out.
 func (g *Grant) expired() bool { return !g.Until.IsZero() && !time.Now().Before(g.Until) }
 
 type acquireRequest struct {
@@ -48,17 +47,18 @@
 	Fence uint64 `json:"fence"`
 }
 
-// RequestGrant asks once for a lock; ErrHeld says that another owner has it. An owner that
-// holds it already gets its token again, and the whole time. Where owner is empty, a name is
-// made up.
+// RequestGrant tries once to acquire a lock; it returns ErrHeld if another owner holds it. An
+// owner that already holds the lock gets the same token and the full hold time again. If owner
+// is empty, the client generates a name.
 //
-// If the call is given up without a clear answer, the lock may stand at the owner's name for
-// the hold time. For an owner that was made up it is given back if the answer still comes.
+// If the call fails with ErrUnclear, the lock may be held under the owner's name for the hold
+// time. With a generated owner name, the lock is released if a successful response arrives
+// after the context has ended.
 func (c *Client) RequestGrant(ctx context.Context, name, owner string, hold time.Duration) (Grant, error) {
 	return c.requestUnexpired(ctx, c.newGrantRequest(name, owner, hold))
 }
 
-// grantRequest is a grant that is asked for.
+// grantRequest describes the grant to acquire: the lock's name, owner and hold time.
 type grantRequest struct {
 	Grant
 	ownerGenerated bool
@@ -71,11 +71,11 @@
 	return grantRequest{Grant{Name: name, Owner: owner, Hold: hold}, false}
 }
 
-// requestUnexpired asks until an answer comes in time. One that comes after the grant's end is
-// worth nothing, and the same owner asks again.
+// requestUnexpired requests a grant and repeats the request, with the same owner, if the
+// response arrives after the grant has already expired.
 func (c *Client) requestUnexpired(ctx context.Context, requested grantRequest) (Grant, error) {
 	if requested.Hold <= 0 {
-		return Grant{}, fmt.Errorf("lock %s: the hold time must be above 0", requested.Name)
+		return Grant{}, fmt.Errorf("lock %s: the hold time must be greater than 0", requested.Name)
 	}
 	for {
 		grant, err := c.requestGrant(ctx, requested)
@@ -85,28 +85,29 @@
 	}
 }
 
-// requestGrant asks until there is an answer. One that comes after the caller has gone is
-// given back if the owner's name was made up: one that the caller chose may be in use again.
+// requestGrant requests a grant, with retries. A grant that arrives after the context has
+// ended is released if the owner name was generated; a name that the caller chose may already
+// be in use again.
 func (c *Client) requestGrant(ctx context.Context, requested grantRequest) (Grant, error) {
 	request := apiRequest{
 		method:      http.MethodPost,
 		path:        lockPath(requested.Name),
 		body:        acquireRequest{Owner: requested.Owner, HoldS: requested.Hold.Seconds()},
 		timeout:     responseTimeout,
-		retryWindow: unlimitedRetries,
-		accept:      decodeInto(new(acquireResponse)),
+		retryWindow: unlimitedRetryWindow,
+		decodeBody:      decodeInto(new(acquireResponse)),
 	}
 	if requested.ownerGenerated {
 		request.onLateResult = func(result *callResult) { c.returnLateGrant(requested.Grant, result) }
 	}
-	reply, err := c.do(ctx, request)
+	result, err := c.do(ctx, request)
 	if err != nil {
 		return Grant{}, err
 	}
-	return grantFromResult(requested.Grant, reply)
+	return grantFromResult(requested.Grant, result)
 }
 
-// grantFromResult reads the answer to an acquire.
+// grantFromResult completes the requested grant with the result of an acquire request.
 func grantFromResult(requested Grant, result *callResult) (Grant, error) {
 	switch {
 	case result.status == http.StatusConflict:
@@ -123,7 +124,7 @@
 	return requested, nil
 }
 
-// returnLateGrant gives back what was granted after the caller had gone.
+// returnLateGrant releases a grant that arrived after the context had ended.
 func (c *Client) returnLateGrant(requested Grant, result *callResult) {
 	grant, err := grantFromResult(requested, result)
 	if err != nil {
@@ -131,12 +132,12 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), grant.Until)
 	defer cancel()
-	_ = c.ReturnGrant(ctx, grant) // else it ends by itself
+	_ = c.ReturnGrant(ctx, grant) // on failure it expires by itself
 }
 
-// RenewGrant asks for the whole hold time once more. ErrLeaseLost says that the system
-// doesn't count the owner as holder, ErrLeaseExpired that the grant's end had come before
-// the answer.
+// RenewGrant renews a grant for its full hold time. ErrLeaseLost means that the control nodes
+// no longer regard the owner as the holder, ErrLeaseExpired that the grant expired before the
+// response arrived.
 func (c *Client) RenewGrant(ctx context.Context, grant Grant) (Grant, error) {
 	return c.renewGrant(ctx, grant, responseTimeout)
 }
@@ -147,7 +148,7 @@
 		path:        lockPath(grant.Name),
 		body:        renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
 		timeout:     timeout,
-		retryWindow: unlimitedRetries,
+		retryWindow: unlimitedRetryWindow,
 	})
 	switch {
 	case err != nil:
@@ -163,17 +164,17 @@
 	return grant, nil
 }
 
-// ReturnGrant gives the lock back. It succeeds too if the owner doesn't hold it any more.
+// ReturnGrant releases the lock. It also succeeds if the owner no longer holds it.
 //
-// If it fails, the call may still arrive later. The same owner name must then not be used
-// for this lock again until the grant's end.
+// If it fails, a node may still receive the request later. The same owner name must then not
+// be used for this lock again until the grant has expired.
 func (c *Client) ReturnGrant(ctx context.Context, grant Grant) error {
 	result, err := c.do(ctx, apiRequest{
 		method:      http.MethodDelete,
 		path:        lockPath(grant.Name),
 		body:        releaseRequest{Owner: grant.Owner, Fence: grant.Token},
 		timeout:     responseTimeout,
-		retryWindow: unlimitedRetries,
+		retryWindow: unlimitedRetryWindow,
 	})
 	switch {
 	case err != nil:
--- a/client/keyvalue.go
+++ b/client/keyvalue.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// putRetryWindow is for how long a put that may have been done is sent again. The system
-// recognizes a repeated put for longer than this.
+// putRetryWindow is for how long a put that may have been executed is retried. The control
+// nodes recognize a repeated put for longer than this.
 const putRetryWindow = 5 * time.Second
 
-// Entry is a key's value and the revision of the put that gave it.
+// Entry is a key with its value and the revision of the put that set it.
 type Entry struct {
 	Key      string
 	Value    string
@@ -22,8 +22,8 @@
 
 type putRequest struct {
 	Value string `json:"value"`
-	// Enabled is the revision that the key must have; absent: any.
-	Enabled *uint64 `json:"enabled,omitempty"`
+	// ExpectedRevision is the revision that the key must have; nil: any.
+	ExpectedRevision *uint64 `json:"enabled,omitempty"`
 }
 
 type revisionResponse struct {
@@ -35,16 +35,16 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Get reads a key: the newest put that was acknowledged before the call, or a later one.
-// ErrNotFound says that there is none.
+// Get reads a key. The result reflects every put that was acknowledged before the call.
+// ErrNotFound means that the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	var found entryResponse
+	var response entryResponse
 	result, err := c.do(ctx, apiRequest{
 		method:      http.MethodGet,
 		path:        keyPath(key),
 		timeout:     responseTimeout,
-		retryWindow: unlimitedRetries,
-		accept:      decodeInto(&found),
+		retryWindow: unlimitedRetryWindow,
+		decodeBody:      decodeInto(&response),
 	})
 	switch {
 	case err != nil:
@@ -54,25 +54,25 @@
 	case !result.succeeded():
 		return Entry{}, newStatusError(result)
 	}
-	return Entry{Key: key, Value: found.Value, Revision: found.Revision}, nil
+	return Entry{Key: key, Value: response.Value, Revision: response.Revision}, nil
 }
 
-// Put sets a key and returns the revision of this put. Keys that are the same up to the
-// first dot form a group and share one rising count of revisions.
+// Put sets a key and returns the revision of this put. Keys with the same text before the
+// first dot form a group and share one increasing sequence of revisions.
 //
-// A value tells one put of a key from another: a put of the value that the key has, or had
-// shortly before, is taken for the repeat of that put and changes nothing. Where the same
-// content may come back, put something into the value that differs each time.
+// Puts of a key are told apart by their values: a put of the value that the key has, or had
+// shortly before, is taken for a retry of that put and changes nothing. If the same content
+// may be set again, include something in the value that differs each time.
 //
-// ErrUnclear says that the put may have been done.
+// ErrUnclear means that the put may have been executed.
 func (c *Client) Put(ctx context.Context, key, value string) (uint64, error) {
 	return c.put(ctx, key, putRequest{Value: value})
 }
 
-// PutIf sets a key if it is at a revision; 0: if it doesn't exist. Else it returns a
-// *ConflictError. See Put.
+// PutIf sets a key if it is at the given revision; revision 0 means that the key must not
+// exist. Otherwise it returns a *ConflictError. See Put.
 func (c *Client) PutIf(ctx context.Context, key, value string, revision uint64) (uint64, error) {
-	return c.put(ctx, key, putRequest{Value: value, Enabled: &revision})
+	return c.put(ctx, key, putRequest{Value: value, ExpectedRevision: &revision})
 }
 
 func (c *Client) put(ctx context.Context, key string, body putRequest) (uint64, error) {
@@ -83,7 +83,7 @@
 		body:        body,
 		timeout:     responseTimeout,
 		retryWindow: putRetryWindow,
-		accept:      decodeInto(&response),
+		decodeBody:      decodeInto(&response),
 	})
 	switch {
 	case err != nil:
@@ -96,7 +96,7 @@
 	return response.Revision, nil
 }
 
-// newConflictError reads the key's revision from a refused put.
+// newConflictError returns a ConflictError with the revision in the response to a refused put.
 func newConflictError(key string, result *callResult) error {
 	var current revisionResponse
 	if err := json.Unmarshal(result.body, &current); err != nil {
--- a/client/lease.go
+++ b/client/lease.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// renewalsPerHoldTime and attemptsPerHold are parts of the hold time: when a lease is renewed,
-	// and how long a renewal waits for one node if that is less than answerTimeout.
+	// A lease is renewed every hold time / renewalsPerHoldTime. Each attempt to renew waits for
+	// a response for hold time / attemptsPerHoldTime, but at most responseTimeout.
 	renewalsPerHoldTime = 3
 	attemptsPerHoldTime = 5
 )
 
-// Lease is a lock that is held and renewed in the background until Release, or until it is
-// lost.
+// Lease is a held lock that is renewed in the background until it is released, lost or
+// expired.
 type Lease struct {
 	client       *Client
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
-	renewalsDone chan struct{} // closed when the renewals have ended
+	renewalsDone chan struct{} // closed when renewLoop has returned
 
 	mu     sync.Mutex
 	grant  Grant
 	expiry *time.Timer
 }
 
-// TryAcquire takes a lock if nobody else holds it, else it returns ErrHeld. Hold is how long
-// the lock stays with this holder if it dies. An empty owner is the usual case: the client
-// makes up a name of its own for each lease, so that goroutines exclude each other as well.
+// TryAcquire acquires a lock, or returns ErrHeld if another owner holds it. Hold is the hold
+// time: how long the lock stays taken if this holder dies. Owner is usually empty: the client
+// then generates a name for each lease, so that goroutines exclude each other as well.
 //
-// An owner name that the caller chooses takes its lock back, with the same token, if it
-// still holds it from an earlier life. Two holders must never use the same name.
+// With an owner name chosen by the caller, a restarted process that still holds the lock from
+// before gets it again with the same token. Two holders must never use the same name.
 //
-// The context bounds only the call, not the lease.
+// The context limits only the call, not the lease.
 func (c *Client) TryAcquire(ctx context.Context, name, owner string, hold time.Duration) (*Lease, error) {
 	return c.tryAcquire(ctx, c.newGrantRequest(name, owner, hold))
 }
 
-// Acquire takes a lock, and waits for it while another owner holds it. See TryAcquire.
+// Acquire acquires a lock, and waits while another owner holds it. See TryAcquire.
 func (c *Client) Acquire(ctx context.Context, name, owner string, hold time.Duration) (*Lease, error) {
 	requested := c.newGrantRequest(name, owner, hold)
 	for {
@@ -71,24 +71,25 @@
 	return l
 }
 
-// Name is the lock's name.
+// Name returns the lock's name.
 func (l *Lease) Name() string { return l.grant.Name }
 
-// Owner is the name that the lock is held under.
+// Owner returns the owner name that the lock is held under.
 func (l *Lease) Owner() string { return l.grant.Owner }
 
-// Token is the lease's fencing token. Each holder's token is higher than those of all
-// holders before. Pass it with each write to whatever the lock protects, and let that refuse
-// a token below the highest it has seen: the lease's end alone can't stop a write that is
-// already under way, nor one by a process that was frozen.
+// Token returns the lease's fencing token, which is higher than that of every earlier holder.
+// Pass it with each write to the resource that the lock protects, and let the resource refuse
+// a token below the highest it has seen: the end of the lease alone can't stop a write that is
+// already in progress, nor one by a process that was suspended.
 func (l *Lease) Token() uint64 { return l.grant.Token }
 
-// Context ends when the lease does. context.Cause tells why: ErrLeaseLost, ErrLeaseExpired
-// or ErrReleased.
+// Context returns a context that ends with the lease. context.Cause tells why: ErrLeaseLost,
+// ErrLeaseExpired or ErrReleased.
 func (l *Lease) Context() context.Context { return l.ctx }
 
-// Remaining is how much longer the lease lasts unless it is renewed; 0 or less if it has
-// ended. In a process that has just been frozen it is more exact than Context.
+// Remaining returns the time until the lease expires unless it is renewed; 0 or less if it has
+// ended. In a process that has just resumed after a suspension it is more exact than Context,
+// which ends only when a timer has run.
 func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +99,8 @@
 	return time.Until(l.grant.Until)
 }
 
-// Release ends the lease and gives the lock back. With an error the lock stays taken for
-// others until its hold time is over.
+// Release ends the lease and releases the lock. After an error, others may have to wait for
+// the lock until the hold time is over.
 func (l *Lease) Release(ctx context.Context) error {
 	l.cancel(ErrReleased)
 	l.expiry.Stop()
@@ -113,7 +114,8 @@
 	return l.grant
 }
 
-// checkExpiry ends the lease once its time has run out without a renewal.
+// checkExpiry runs when the expiry timer fires. It ends the lease, or resets the timer if the
+// lease has been renewed meanwhile.
 func (l *Lease) checkExpiry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +126,7 @@
 	l.cancel(ErrLeaseExpired)
 }
 
-// renewLoop keeps the lease until it ends.
+// renewLoop renews the lease until it ends.
 func (l *Lease) renewLoop() {
 	defer close(l.renewalsDone)
 	hold := l.grant.Hold
@@ -145,7 +147,7 @@
 	}
 }
 
-// renewOnce tries one renewal until the lease's end.
+// renewOnce renews the lease once, with retries until the lease expires.
 func (l *Lease) renewOnce() error {
 	grant := l.currentGrant()
 	ctx, cancel := context.WithDeadline(l.ctx, grant.Until)
--- a/client/watch.go
+++ b/client/watch.go
@@ -13,62 +13,64 @@
 )
 
 const (
-	// emptyGroupInterval is how often a watch looks whether a group has had its first put.
+	// emptyGroupInterval is how often a watch checks whether an empty group has had its first put.
 	emptyGroupInterval = 500 * time.Millisecond
-	// earlyResponseDelay keeps a watch from asking without pause a node that doesn't wait.
+	// earlyResponseDelay is the pause after a node responds without waiting for events, so that
+	// the watch does not poll in a tight loop.
 	earlyResponseDelay = 50 * time.Millisecond
 )
 
-// Event is one put that a watch has seen. Name is the key. An event without a name is the
-// first put of a group that was empty when the watch began: its content isn't told, and
-// whoever needs it reads the keys.
+// Event is one put seen by a watch. Name is the key. An event without a name stands for the
+// first put of a group that was empty when the watch started: its content is not known, and
+// callers that need it must read the keys.
 type Event struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// watchResponse is every put of a group above the revision that was asked for, up to Revision.
+// watchResponse holds all puts of a group after the requested revision, up to Revision.
 type watchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
 }
 
-// check tells whether the answer goes on from a revision without a step back.
+// check returns an error unless the revisions in the response increase, starting after the
+// given one.
 func (a *watchResponse) check(after uint64) error {
 	last := after
 	for _, event := range a.Events {
 		if event.Revision <= last {
-			return fmt.Errorf("event at revision %d after %d", event.Revision, last)
+			return fmt.Errorf("event at revision %d follows revision %d", event.Revision, last)
 		}
 		last = event.Revision
 	}
 	if a.Revision < last {
-		return fmt.Errorf("at revision %d, behind %d", a.Revision, last)
+		return fmt.Errorf("response is at revision %d, behind revision %d", a.Revision, last)
 	}
 	return nil
 }
 
-// Revision is a group's present revision, 0 if it has had no put. To know the keys and miss
-// nothing, read the revision, then the keys, and watch from that revision.
+// Revision returns a group's current revision, 0 if it has had no put. To read the keys and
+// then miss no change, read the revision, then the keys, and watch from that revision.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	response, err := c.fetchEvents(ctx, group, 0, 0)
 	return response.Revision, err
 }
 
-// group is what a key has before its first dot.
+// group returns the part of a key before its first dot.
 func group(key string) string {
 	name, _, _ := strings.Cut(key, ".")
 	return name
 }
 
-// Watch follows the puts to a group's keys above a revision, in rising order and without
-// gaps, over failures and changes of nodes. With after 0 it begins at the present revision.
-// The group is what its keys have before their first dot.
+// Watch returns the puts to a group's keys after a revision, in increasing order and without
+// gaps, also when nodes fail or the watch switches nodes. If after is 0, it starts at the
+// current revision. The group is the part of its keys before the first dot.
 //
 // The sequence ends with an error: that of the context, ErrCompacted if the events after the
-// last revision are no longer kept, or a refusal. A caller that takes longer over events
-// than they are kept gets ErrCompacted.
+// last revision are no longer kept, or a *StatusError. A caller that processes events so
+// slowly that the next ones are no longer kept gets ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64) iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
 		w := watch{client: c, group: group, seenRevision: after}
@@ -87,15 +89,15 @@
 	}
 }
 
-// watch is how far one watch has come.
+// watch is the position of one watch.
 type watch struct {
 	client       *Client
 	group        string
-	seenRevision uint64 // all events up to here have been seen
-	wasEmpty     bool   // the group had no put when it was last asked for
+	seenRevision uint64 // all events up to this revision have been seen; 0 before the start
+	wasEmpty     bool   // the group had no put at the last request
 }
 
-// next waits for events. It may return none.
+// next waits for events. It may return none before the wait is over.
 func (w *watch) next(ctx context.Context) ([]Event, error) {
 	if w.seenRevision == 0 {
 		return w.start(ctx)
@@ -108,15 +110,15 @@
 	}
 	w.seenRevision = response.Revision
 	if len(response.Events) == 0 && time.Since(started) < w.client.watchWait/2 {
-		// The node didn't wait. It may be leaving.
+		// The node responded too early; it may be shutting down.
 		w.client.preferNext(endpointIndex)
 		return nil, sleep(ctx, earlyResponseDelay)
 	}
 	return response.Events, nil
 }
 
-// start finds the present revision of the group. A watch can't ask for the first put of a
-// group, since 0 stands for the present.
+// start sets seenRevision to the current revision of the group. A watch can't request the
+// first put of a group, because revision 0 in a request means the current revision.
 func (w *watch) start(ctx context.Context) ([]Event, error) {
 	current, err := w.client.Revision(ctx, w.group)
 	switch {
@@ -133,7 +135,7 @@
 	return nil, nil
 }
 
-// fetchEvents asks once for the events after a revision.
+// fetchEvents makes one request for the events after a revision.
 func (c *Client) fetchEvents(ctx context.Context, group string, after uint64, wait time.Duration) (watchResponse, error) {
 	var response watchResponse
 	result, err := c.do(ctx, apiRequest{
@@ -144,8 +146,8 @@
 			"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 		},
 		timeout:     wait + responseTimeout,
-		retryWindow: unlimitedRetries,
-		accept: func(body []byte) error {
+		retryWindow: unlimitedRetryWindow,
+		decodeBody: func(body []byte) error {
 			response = watchResponse{}
 			if err := json.Unmarshal(body, &response); err != nil {
 				return err
