--- a/client/counter.go
+++ b/client/counter.go
@@ -32,7 +32,7 @@
 		body:        drawRequest{},
 		timeout:     responseTimeout,
 		retryWindow: unlimitedRetryWindow,
-		decodeBody:      decodeInto(&drawn),
+		decodeBody:  decodeInto(&drawn),
 	})
 	switch {
 	case err != nil:
--- a/client/grant.go
+++ b/client/grant.go
@@ -95,7 +95,7 @@
 		body:        acquireRequest{Owner: requested.Owner, HoldS: requested.Hold.Seconds()},
 		timeout:     responseTimeout,
 		retryWindow: unlimitedRetryWindow,
-		decodeBody:      decodeInto(new(acquireResponse)),
+		decodeBody:  decodeInto(new(acquireResponse)),
 	}
 	if requested.ownerGenerated {
 		request.onLateResult = func(result *callResult) { c.returnLateGrant(requested.Grant, result) }
--- a/client/keyvalue.go
+++ b/client/keyvalue.go
@@ -44,7 +44,7 @@
 		path:        keyPath(key),
 		timeout:     responseTimeout,
 		retryWindow: unlimitedRetryWindow,
-		decodeBody:      decodeInto(&response),
+		decodeBody:  decodeInto(&response),
 	})
 	switch {
 	case err != nil:
@@ -83,7 +83,7 @@
 		body:        body,
 		timeout:     responseTimeout,
 		retryWindow: putRetryWindow,
-		decodeBody:      decodeInto(&response),
+		decodeBody:  decodeInto(&response),
 	})
 	switch {
 	case err != nil:
--- a/client/watch.go
+++ b/client/watch.go
@@ -97,7 +97,7 @@
 	wasEmpty     bool   // the group had no put at the last request
 }
 
-// next waits for events. It may return none before the wait is over.
+// next waits for events. It may return none.
 func (w *watch) next(ctx context.Context) ([]Event, error) {
 	if w.seenRevision == 0 {
 		return w.start(ctx)
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkBatch is what one acknowledged change costs: a record and the mark of
-// how far its partition is committed, written and synced. syncs/op are those that
-// an acknowledgement waits for.
+// BenchmarkBatch measures the cost of one acknowledged change: a batch of a record and
+// the commit index of its partition, written and synced. syncs/op counts the syncs that
+// the acknowledgement waits for.
 func BenchmarkBatch(b *testing.B) {
 	counter := countingDirectory{osDirectory(scratchDir(b)), new(int)}
 	store, _, err := openDirectory(counter, 0, discardLog)
@@ -45,7 +45,7 @@
 	return c.osDirectory.syncFile(f)
 }
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/storage/disk_size_test.go
+++ b/internal/storage/disk_size_test.go
@@ -9,25 +9,26 @@
 	"testing"
 )
 
-// noSyncDirectory is a folder without syncs: what it holds is looked at, not lost.
+// noSyncDirectory is a directory that skips syncs, for tests without power loss.
 type noSyncDirectory struct{ osDirectory }
 
 func (noSyncDirectory) syncFile(*os.File) error { return nil }
 func (noSyncDirectory) syncDir() error          { return nil }
 
-// trackedStore keeps a state on a store as a member does, and watches the folder.
+// trackedStore uses a store as a replica does: it rewrites the file when it is full. It
+// checks the store's counts after each change and records the size of the directory.
 type trackedStore struct {
 	t              testing.TB
 	dir            string
 	store          *Store
 	state          map[string][]byte
-	maxBytes       int64 // bytes that the folder ever held
+	maxBytes       int64 // largest size of the directory so far
 	rewrites       int
-	refusedBatches int // batches for which there was no room
+	refusedBatches int // batches refused with ErrRoom
 }
 
-func (f *trackedStore) directorySize() (sum int64) {
-	paths, _ := filepath.Glob(filepath.Join(f.dir, "*"))
+func (s *trackedStore) directorySize() (sum int64) {
+	paths, _ := filepath.Glob(filepath.Join(s.dir, "*"))
 	for _, name := range paths {
 		if info, err := os.Stat(name); err == nil {
 			sum += info.Size()
@@ -36,92 +37,92 @@
 	return sum
 }
 
-func (f *trackedStore) open(diskSize int64) {
-	f.t.Helper()
-	store, state, err := openDirectory(noSyncDirectory{osDirectory(f.dir)}, diskSize, discardLog)
-	if err != nil || !sameState(state, f.state) {
-		f.t.Fatalf("%d entries instead of %d: %v", len(state), len(f.state), err)
+func (s *trackedStore) open(diskSize int64) {
+	s.t.Helper()
+	store, state, err := openDirectory(noSyncDirectory{osDirectory(s.dir)}, diskSize, discardLog)
+	if err != nil || !sameState(state, s.state) {
+		s.t.Fatalf("opened with %d entries, want %d: %v", len(state), len(s.state), err)
 	}
-	f.store = store
+	s.store = store
 }
 
-func (f *trackedStore) rewrite() {
-	f.t.Helper()
-	var all []Entry
-	for k, v := range f.state {
-		all = append(all, Entry{k, v})
-	}
-	before := f.directorySize()
-	if err := f.store.Rewrite(all); err != nil {
-		f.t.Fatal(err)
-	}
-	f.rewrites++
-	f.maxBytes = max(f.maxBytes, before+f.directorySize()) // both files stood there
+func (s *trackedStore) rewrite() {
+	s.t.Helper()
+	var entries []Entry
+	for k, v := range s.state {
+		entries = append(entries, Entry{k, v})
+	}
+	before := s.directorySize()
+	if err := s.store.Rewrite(entries); err != nil {
+		s.t.Fatal(err)
+	}
+	s.rewrites++
+	s.maxBytes = max(s.maxBytes, before+s.directorySize()) // during the rewrite both files exist
 }
 
-func (f *trackedStore) change(batch ...Entry) {
-	f.t.Helper()
+func (s *trackedStore) change(batch ...Entry) {
+	s.t.Helper()
 	for _, e := range batch {
-		if f.state[e.Key] = e.Value; e.Value == nil {
-			delete(f.state, e.Key)
+		if s.state[e.Key] = e.Value; e.Value == nil {
+			delete(s.state, e.Key)
 		}
 	}
-	err := f.store.Write(batch)
+	err := s.store.Write(batch)
 	if err != nil && !errors.Is(err, ErrRoom) {
-		f.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	if err != nil {
-		f.refusedBatches++
+		s.refusedBatches++
 	}
-	f.maxBytes = max(f.maxBytes, f.directorySize())
-	if err != nil || f.store.Full() {
-		f.rewrite()
+	s.maxBytes = max(s.maxBytes, s.directorySize())
+	if err != nil || s.store.Full() {
+		s.rewrite()
 	}
 	live := headerCommandSize
-	for k, v := range f.state {
+	for k, v := range s.state {
 		live += commandSize(len(k), frameHeaderSize+len(v))
 	}
-	mark, _ := osDirectory(f.dir).size(markName)
-	if f.store.fileSize+mark != f.directorySize() || f.store.liveSize != live {
-		f.t.Fatalf("the store counts %d bytes, %d of them live; the folder holds %d, %d", f.store.fileSize+mark, f.store.liveSize, f.directorySize(), live)
+	mark, _ := osDirectory(s.dir).size(markName)
+	if s.store.fileSize+mark != s.directorySize() || s.store.liveSize != live {
+		s.t.Fatalf("the store counts %d bytes and %d live bytes; the directory holds %d and %d", s.store.fileSize+mark, s.store.liveSize, s.directorySize(), live)
 	}
-	if f.store.fileSize > max(3*live, f.store.diskSize/64) {
-		f.t.Fatalf("%d bytes where %d stand", f.store.fileSize, live)
+	if s.store.fileSize > max(3*live, s.store.diskSize/64) {
+		s.t.Fatalf("the file has %d bytes for %d live bytes", s.store.fileSize, live)
 	}
-	if f.store.fileSize == f.store.liveSize && f.store.Full() && f.store.liveSize < f.store.diskSize*7/16 {
-		f.t.Fatalf("full at once after a rewrite of %d bytes", f.store.liveSize)
+	if s.store.fileSize == s.store.liveSize && s.store.Full() && s.store.liveSize < s.store.diskSize*7/16 {
+		s.t.Fatalf("full immediately after a rewrite of %d bytes", s.store.liveSize)
 	}
 }
 
-// A catalogue near its limit of 12 MB on a disk of 64 MB, both a 64th: thousands of
-// changes of a record, and some of a range and of all; while what stands grows and shrinks;
-// with starts in between. The file and its rewrite stay within the disk, and the
-// file, looked at after each change, within three times what stands (or a 64th of
-// the disk); changes of a record never wait for room.
+// The configuration catalogue at its limit of 12 MB on a disk of 64 MB, both scaled to
+// 1/64: thousands of changes of one record, some of ranges and of all records, while the
+// live size grows and shrinks, with restarts in between. The file and its rewrite must
+// fit on the disk, and after each change the file must be at most three times the live
+// size (or 1/64 of the disk). Changes of one record must never be refused with ErrRoom.
 func TestFileStaysWithinItsDisk(t *testing.T) {
 	const diskSize = 1 << 20
 	const limit = diskSize * 12 / 64
 	for _, c := range []struct {
 		what       string
 		key, value int   // bytes
-		ranges     []int // of 16, by turns; 0: a record
+		ranges     []int // sixteenths of the records that each change covers, cycled through; 0: one record
 		changes    int
 	}{
-		{"a record each", 20, 200, []int{0}, 3000},
-		{"a range each", 20, 200, []int{1}, 600},
-		{"all at once", 20, 200, []int{0, 1, 0, 16}, 150},
-		{"names alone, twice what a catalogue counts", 200, 0, []int{0, 1, 4, 16}, 150},
-		{"names alone, a record each", 200, 0, []int{0}, 900},
+		{"one record per change", 20, 200, []int{0}, 3000},
+		{"one range per change", 20, 200, []int{1}, 600},
+		{"records, ranges and all records", 20, 200, []int{0, 1, 0, 16}, 150},
+		{"names without values, twice the size that the catalogue counts", 200, 0, []int{0, 1, 4, 16}, 150},
+		{"names without values, one record per change", 200, 0, []int{0}, 900},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(len(c.what))))
 			n := limit / (c.key + c.value + 64)
 			name := func(i int) string { return fmt.Sprintf("record/%0*d", c.key, i) }
 			value := func() []byte { return []byte(fmt.Sprintf("%0*d", 100+c.key+c.value, rng.IntN(1e6))) }
-			f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
-			f.open(diskSize)
+			tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+			tracked.open(diskSize)
 			for i := range n {
-				f.change(Entry{name(i), value()})
+				tracked.change(Entry{name(i), value()})
 			}
 			for i := range c.changes {
 				var batch []Entry
@@ -129,65 +130,65 @@
 				for at := rng.IntN(n); len(batch) < count; at++ {
 					e := Entry{name(at % n), value()}
 					if 3*i/c.changes == 1 && rng.IntN(8) > 0 {
-						e.Value = nil // most of the second third remove
+						e.Value = nil // most changes in the second third of the run remove
 					}
 					batch = append(batch, e)
 				}
-				f.change(batch...)
+				tracked.change(batch...)
 				if i%(c.changes/6) == 9 {
-					f.store.Close()
-					f.open(diskSize)
+					tracked.store.Close()
+					tracked.open(diskSize)
 				}
 			}
-			if f.maxBytes > diskSize {
-				t.Errorf("%d bytes on a disk of %d", f.maxBytes, diskSize)
+			if tracked.maxBytes > diskSize {
+				t.Errorf("%d bytes used on a disk of %d", tracked.maxBytes, diskSize)
 			}
-			if c.ranges[0] == 0 && len(c.ranges) == 1 && f.refusedBatches > 0 {
-				t.Errorf("%d changes of a record had to wait for room", f.refusedBatches)
+			if c.ranges[0] == 0 && len(c.ranges) == 1 && tracked.refusedBatches > 0 {
+				t.Errorf("%d changes of a record were refused for lack of space", tracked.refusedBatches)
 			}
-			t.Logf("most %.2f of the disk, %d rewrites", float64(f.maxBytes)/diskSize, f.rewrites)
+			t.Logf("at most %.2f of the disk used, %d rewrites", float64(tracked.maxBytes)/diskSize, tracked.rewrites)
 		})
 	}
 }
 
-// A start with a file full of overwritten entries knows that it is worth a
-// rewrite, and one with a file that was just rewritten that it is not.
+// A start computes the live size from the file: a file full of overwritten entries is
+// reported as full, a rewritten one is not.
 func TestStartRecomputesLiveSize(t *testing.T) {
 	const diskSize = 1 << 20
-	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
-	f.open(diskSize)
+	tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+	tracked.open(diskSize)
 	e := Entry{"a", make([]byte, 100)}
-	f.state[e.Key] = e.Value
-	for f.store.fileSize <= diskSize/64 {
-		if err := f.store.Write([]Entry{e}); err != nil {
+	tracked.state[e.Key] = e.Value
+	for tracked.store.fileSize <= diskSize/64 {
+		if err := tracked.store.Write([]Entry{e}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.store.Close()
-	if f.open(diskSize); !f.store.Full() {
-		t.Errorf("%d bytes, %d of them live, are not worth a rewrite", f.store.fileSize, f.store.liveSize)
+	tracked.store.Close()
+	if tracked.open(diskSize); !tracked.store.Full() {
+		t.Errorf("%d bytes, %d of them live, are not reported as full", tracked.store.fileSize, tracked.store.liveSize)
 	}
-	f.rewrite()
-	f.store.Close()
-	if f.open(diskSize); f.store.Full() || f.store.fileSize != f.store.liveSize {
-		t.Errorf("rewritten: %d bytes, %d of them live", f.store.fileSize, f.store.liveSize)
+	tracked.rewrite()
+	tracked.store.Close()
+	if tracked.open(diskSize); tracked.store.Full() || tracked.store.fileSize != tracked.store.liveSize {
+		t.Errorf("after a rewrite: %d bytes, %d of them live", tracked.store.fileSize, tracked.store.liveSize)
 	}
 }
 
-// BenchmarkChanges is 3,000 changes of a record and its mark at a catalogue near
-// its limit on a disk of 64 MB, then starts.
+// BenchmarkChanges makes 3,000 changes of a record and its commit index in a catalogue
+// near its limit on a disk of 64 MB, and then measures starts.
 func BenchmarkChanges(b *testing.B) {
-	f := &trackedStore{t: b, dir: b.TempDir(), state: map[string][]byte{}}
+	tracked := &trackedStore{t: b, dir: b.TempDir(), state: map[string][]byte{}}
 	value := func(i int) []byte { return fmt.Appendf(nil, "%0280d", i) }
 	name := func(i int) string { return fmt.Sprintf("record/catalogue/route/%08d", i) }
 	const records = 12 << 20 / (14 + 200 + 64)
-	var all []Entry
+	var entries []Entry
 	for i := range records {
-		all = append(all, Entry{name(i), value(i)})
+		entries = append(entries, Entry{name(i), value(i)})
 	}
-	store, _, err := Open(f.dir, 0, discardLog)
+	store, _, err := Open(tracked.dir, 0, discardLog)
 	if err == nil {
-		err = store.Rewrite(all)
+		err = store.Rewrite(entries)
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -203,37 +204,37 @@
 	}
 	store.Close()
 	for b.Loop() {
-		l, state, err := Open(f.dir, 0, discardLog)
+		store, state, err := Open(tracked.dir, 0, discardLog)
 		if err != nil || len(state) != records+1 {
 			b.Fatal(err, len(state))
 		}
-		l.Close()
+		store.Close()
 	}
 	b.ReportMetric(float64(fresh)/(1<<20), "MB-rewritten")
 	b.ReportMetric(float64(store.fileSize)/(1<<20), "MB-after-changes")
 }
 
-// Where the state and its rewrite don't fit on the disk together, a rewrite is
-// refused at once and says so; the file stays, and a smaller state is taken.
+// A rewrite that does not fit on the disk beside the file is refused with ErrTooLarge
+// before it is written. The file stays, and a rewrite of a smaller state succeeds.
 func TestRewriteThatDoesNotFit(t *testing.T) {
 	const diskSize = 1 << 20
-	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
-	f.open(diskSize)
-	f.change(Entry{"a", make([]byte, diskSize*3/8)})
-	before := f.directorySize()
+	tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+	tracked.open(diskSize)
+	tracked.change(Entry{"a", make([]byte, diskSize*3/8)})
+	before := tracked.directorySize()
 	large := []Entry{{"a", make([]byte, diskSize*3/4)}}
-	if err := f.store.Rewrite(large); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a rewrite above the disk: %v", err)
+	if err := tracked.store.Rewrite(large); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("rewrite larger than the disk: %v", err)
 	}
-	if f.directorySize() > before+headerCommandSize+markSlotStride+markRecordSize {
-		t.Errorf("%d bytes are left of it", f.directorySize()-before)
+	if tracked.directorySize() > before+headerCommandSize+markSlotStride+markRecordSize {
+		t.Errorf("the refused rewrite left %d bytes", tracked.directorySize()-before)
 	}
-	if err := f.store.Write([]Entry{{"b", nil}}); err == nil {
-		t.Error("a batch follows a refused rewrite")
+	if err := tracked.store.Write([]Entry{{"b", nil}}); err == nil {
+		t.Error("a batch was accepted after a refused rewrite")
 	}
-	f.rewrite()
-	f.change(Entry{"b", []byte("1")})
-	f.store.Close()
-	f.open(diskSize)
-	f.store.Close()
+	tracked.rewrite()
+	tracked.change(Entry{"b", []byte("1")})
+	tracked.store.Close()
+	tracked.open(diskSize)
+	tracked.store.Close()
 }
--- a/internal/storage/failed_write_test.go
+++ b/internal/storage/failed_write_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// A disk that takes part of a batch and no more: buntdb cuts that part off. The
-// store takes nothing until a rewrite, which may be refused too, and often.
+// A full disk accepts only part of a batch, and buntdb truncates that part. The store
+// then refuses batches until a rewrite succeeds; rewrites may fail several times before.
 func TestWritesOnFullDisk(t *testing.T) {
-	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
-	f.open(0)
-	f.change(Entry{"a", []byte("1")}, Entry{"b", []byte("1")})
-	size := f.directorySize()
+	tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+	tracked.open(0)
+	tracked.change(Entry{"a", []byte("1")}, Entry{"b", []byte("1")})
+	size := tracked.directorySize()
 
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
@@ -28,47 +28,47 @@
 		t.Fatal(err)
 	}
 	large := Entry{"c", []byte(strings.Repeat("x", int(size)+100))}
-	err := f.store.Write([]Entry{large})
-	again := f.store.Write([]Entry{{"a", nil}})
+	err := tracked.store.Write([]Entry{large})
+	again := tracked.store.Write([]Entry{{"a", nil}})
 	var rewrites [3]error
 	for i := range rewrites {
-		rewrites[i] = f.store.Rewrite([]Entry{large})
+		rewrites[i] = tracked.store.Rewrite([]Entry{large})
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &old); err != nil {
 		t.Fatal(err)
 	}
 	if err == nil || again == nil {
-		t.Errorf("a full disk took a batch: %v, %v", err, again)
+		t.Errorf("a batch was accepted on a full disk: %v, %v", err, again)
 	}
 	for _, err := range rewrites {
 		if err == nil {
-			t.Error("a full disk took a rewrite")
+			t.Error("a rewrite succeeded on a full disk")
 		}
 	}
-	if held := f.directorySize(); held != size {
-		t.Errorf("the folder holds %d bytes instead of %d", held, size)
+	if held := tracked.directorySize(); held != size {
+		t.Errorf("the directory holds %d bytes, want %d", held, size)
 	}
-	f.state["c"] = large.Value
-	f.rewrite()
-	f.change(Entry{"a", nil})
-	f.store.Close()
-	f.open(0)
-	f.store.Close()
+	tracked.state["c"] = large.Value
+	tracked.rewrite()
+	tracked.change(Entry{"a", nil})
+	tracked.store.Close()
+	tracked.open(0)
+	tracked.store.Close()
 }
 
-// When buntdb can't cut off the part of a batch it panics with its lock held:
-// the store does not wait for that lock, and the next rewrite makes it good.
+// If buntdb can't truncate a partly written batch, it panics holding its lock. The store
+// must not wait for that lock, and the next rewrite must succeed.
 func TestBuntdbPanicHoldingItsLock(t *testing.T) {
-	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{"a": []byte("1")}}
-	store, _, err := Open(f.dir, 0, discardLog)
+	tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{"a": []byte("1")}}
+	store, _, err := Open(tracked.dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.store = store
-	f.rewrite()
-	// What buntdb does then, by a file that takes a part and can't be cut: a pipe.
+	tracked.store = store
+	tracked.rewrite()
+	// Replace buntdb's file by a pipe, which accepts part of a write and can't be truncated.
 	pipe := fullPipe(t)
-	for _, fd := range descriptors(t, storeFile(t, f.dir)) {
+	for _, fd := range descriptors(t, storeFile(t, tracked.dir)) {
 		if fd != int(store.file.Fd()) {
 			if err := syscall.Dup3(pipe, fd, 0); err != nil {
 				t.Fatal(err)
@@ -86,15 +86,16 @@
 			t.Fatal(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the rewrite hangs")
+		t.Fatal("the rewrite did not return within 10 s")
 	}
-	f.change(Entry{"b", []byte("2")})
+	tracked.change(Entry{"b", []byte("2")})
 	store.Close()
-	f.open(0)
-	f.store.Close()
+	tracked.open(0)
+	tracked.store.Close()
 }
 
-// fullPipe returns a pipe's end that takes a few bytes and then refuses.
+// fullPipe returns the write end of a non-blocking pipe that nobody reads: it accepts what
+// fits into the pipe's buffer and then returns an error.
 func fullPipe(t *testing.T) int {
 	var ends [2]int
 	if err := syscall.Pipe2(ends[:], syscall.O_NONBLOCK|syscall.O_CLOEXEC); err != nil {
@@ -104,13 +105,13 @@
 	return ends[1]
 }
 
-// descriptors returns those that are open on a path.
+// descriptors returns the file descriptors that are open on a path.
 func descriptors(t *testing.T, path string) (fds []int) {
-	all, err := os.ReadDir("/proc/self/fd")
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		if to, _ := os.Readlink("/proc/self/fd/" + e.Name()); to == path {
 			fd, _ := strconv.Atoi(e.Name())
 			fds = append(fds, fd)
@@ -119,7 +120,7 @@
 	return fds
 }
 
-// failingDirectory is a folder that refuses syncs and removals while told to.
+// failingDirectory is a directory whose syncs and removals fail while *failing is true.
 type failingDirectory struct {
 	noSyncDirectory
 	failing *bool
@@ -140,9 +141,9 @@
 	return nil
 }
 
-// After a rewrite that failed late its file may be whole and stay: nothing may
-// then be appended to the one before, since a start would take the newer. Nor may
-// a batch follow one that was not synced: torn, it would be damage then.
+// A failed rewrite may leave a complete new file. Nothing may then be appended to the
+// old file, because a start would choose the new one. Nor may a batch follow one whose
+// sync failed: if that one is torn, a start would take it for damage.
 func TestNoAppendAfterFailedWrite(t *testing.T) {
 	failing := false
 	dir := failingDirectory{noSyncDirectory{osDirectory(scratchDir(t))}, &failing}
@@ -156,22 +157,22 @@
 	}
 	failing = true
 	if err := store.Rewrite([]Entry{one}); err == nil {
-		t.Fatal("the rewrite was not refused")
+		t.Fatal("the rewrite did not fail")
 	}
 	failing = false
 	if err := store.Write([]Entry{two}); err == nil {
-		t.Error("a batch follows a refused rewrite")
+		t.Error("a batch was accepted after a failed rewrite")
 	}
 	if err := store.Rewrite([]Entry{one, two}); err != nil {
 		t.Fatal(err)
 	}
 	failing = true
 	if err := store.Write([]Entry{{"a", nil}}); err == nil {
-		t.Error("a batch was not refused")
+		t.Error("the batch did not fail")
 	}
 	failing = false
 	if err := store.Write([]Entry{{"a", nil}}); err == nil {
-		t.Error("a batch follows one that was refused")
+		t.Error("a batch was accepted after a failed one")
 	}
 	if err := store.Rewrite([]Entry{one, two}); err != nil {
 		t.Fatal(err)
@@ -187,7 +188,7 @@
 	store.Close()
 }
 
-// inode returns the number of an open file, whatever its name.
+// inode returns the inode number of an open file.
 func inode(f *os.File) uint64 {
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -15,26 +15,26 @@
 	"github.com/tidwall/buntdb"
 )
 
-// sameState says whether two states hold the sameState.
 func sameState(a, b map[string][]byte) bool { return maps.EqualFunc(a, b, bytes.Equal) }
 
-// writeHistory writes small batches after the one, 1, that begins a file, and returns
-// the file, where each batch ends and the state after each.
+// writeHistory writes three small batches, numbered 2 to 4, after batch 1, which begins
+// the file. It returns the file, the offset at which each of them ends, and the state
+// after each.
 func writeHistory(t *testing.T) (text []byte, ends []int, states []map[string][]byte) {
 	t.Helper()
 	dir := t.TempDir()
-	l, _, err := Open(dir, 0, discardLog)
+	store, _, err := Open(dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer store.Close()
 	state := map[string][]byte{}
 	for i, batch := range [][]Entry{
 		{{"a", []byte("1")}, {"bb", []byte("1")}},
 		{{"a", []byte("2")}, {"c", []byte("")}},
 		{{"a", nil}, {"bb", []byte("3")}, {"d", []byte("\r\n$1\r\n3")}},
 	} {
-		if err := l.Write(batch); err != nil {
+		if err := store.Write(batch); err != nil {
 			t.Fatal(err)
 		}
 		text, _ = os.ReadFile(filepath.Join(dir, fileNames[0]))
@@ -51,7 +51,7 @@
 	return text, ends, states
 }
 
-// checkBuntdbLoads checks that buntdb takes what scan took for good.
+// checkBuntdbLoads checks that buntdb can load text.
 func checkBuntdbLoads(t *testing.T, text []byte) {
 	t.Helper()
 	db, err := buntdb.Open(":memory:")
@@ -60,13 +60,13 @@
 	}
 	defer db.Close()
 	if err := db.Load(bytes.NewReader(text)); err != nil {
-		t.Errorf("buntdb refuses %q: %v", text, err)
+		t.Errorf("buntdb can't load %q: %v", text, err)
 	}
 }
 
-// Every byte of the last batch is cut off, flipped, zeroed, or the first to be
-// there after a hole: what stands is what the batch before left. Every byte of
-// the batch before is changed: that is damage, since the last one follows it.
+// Truncating the last batch at any byte, or flipping, zeroing or leaving a hole of zeros
+// in it, must leave the state of the batch before. The same changes to the batch before
+// are damage, because the last batch follows it.
 func TestScanAtEveryByte(t *testing.T) {
 	text, ends, states := writeHistory(t)
 	for at := ends[0]; at < len(text); at++ {
@@ -82,15 +82,15 @@
 			if bytes.Equal(torn, text) {
 				return
 			}
-			state, good, last, err := scan(torn)
+			state, validEnd, last, err := scan(torn)
 			if batch == 1 {
 				if !errors.Is(err, ErrDamaged) {
-					t.Errorf("batch before the last, %s at %d: %v, %q", what, at, err, state)
+					t.Errorf("change to the batch before the last, %s at %d: %v, %q", what, at, err, state)
 				}
-			} else if err != nil || good != int64(ends[1]) || last != 3 || !sameState(state, states[1]) {
-				t.Errorf("last batch, %s at %d: %v, good to %d, %q", what, at, err, good, state)
+			} else if err != nil || validEnd != int64(ends[1]) || last != 3 || !sameState(state, states[1]) {
+				t.Errorf("change to the last batch, %s at %d: %v, valid up to %d, %q", what, at, err, validEnd, state)
 			}
-			checkBuntdbLoads(t, torn[:good])
+			checkBuntdbLoads(t, torn[:validEnd])
 		}
 		for bit := range 8 {
 			checkChanged(fmt.Sprintf("bit %d flipped", bit), at, at+1, func(b byte) byte { return b ^ 1<<bit })
@@ -99,12 +99,13 @@
 		checkChanged("hole up to", begin, at+1, func(byte) byte { return 0 })
 		state, good, last, err := scan(text[:at])
 		if err != nil || good != int64(begin) || last != uint64(batch+1) || !sameState(state, states[batch-1]) {
-			t.Errorf("cut at %d: %v, good to %d, %q", at, err, good, state)
+			t.Errorf("truncated at %d: %v, valid up to %d, %q", at, err, good, state)
 		}
 	}
 }
 
-// A file of an earlier version, whose checksums leave the keys out, reads as it did.
+// Files of earlier releases have no header, and their checksums do not cover the keys.
+// They must remain readable.
 func TestScanWithoutHeaderOrKeyChecksum(t *testing.T) {
 	const set, one = setPrefix, "\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x02"
 	const two = "\x00\x00\x00\x00\x00\x00\x00\x02\x00\x00\x00\x01"
@@ -126,14 +127,14 @@
 		set + "$9223372036854775800\r\nk\r\n$1\r\nv\r\n",
 		set + "$99999999999999999999\r\nk\r\n$1\r\nv\r\n",
 	} {
-		if state, good, last, err := scan([]byte(text)); len(state) != 0 || good != 0 || last != 0 || err != nil {
-			t.Errorf("%q: %v, %d, %d, %v", text, state, good, last, err)
+		if state, validEnd, last, err := scan([]byte(text)); len(state) != 0 || validEnd != 0 || last != 0 || err != nil {
+			t.Errorf("%q: %v, %d, %d, %v", text, state, validEnd, last, err)
 		}
 	}
 }
 
-// Just what buntdb writes is a command: a file with anything else in it could
-// not be opened, so it has to be cut off as torn.
+// parseCommand accepts only exactly what buntdb writes. buntdb can't open a file with
+// anything else in it, so such text must be cut off as a torn write.
 func TestCommandIsStrict(t *testing.T) {
 	const good = setPrefix + "$2\r\nkk\r\n$1\r\nv\r\n"
 	if key, value, n := parseCommand([]byte(good)); key != "kk" || string(value) != "v" || n != len(good) {
@@ -141,7 +142,7 @@
 	}
 	for i := range good {
 		if _, _, n := parseCommand([]byte(good[:i])); n != 0 {
-			t.Errorf("cut at %d: %d", i, n)
+			t.Errorf("truncated at %d: %d", i, n)
 		}
 		if good[i] == 'k' || good[i] == 'v' {
 			continue
@@ -157,8 +158,8 @@
 	}
 }
 
-// Whatever the text, scan does not panic, takes nothing from a batch that is not
-// whole, and takes only what buntdb reads too.
+// For any text, scan must not panic, must not apply part of an incomplete batch, and must
+// accept only what buntdb can load too.
 func FuzzScan(f *testing.F) {
 	dir := f.TempDir()
 	store, _, err := Open(dir, 0, discardLog)
--- a/internal/storage/lock_test.go
+++ b/internal/storage/lock_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A data directory has one process at a time, and is free once that has let go of it.
+// Only one process at a time can lock a data directory. Locking writes no file.
 func TestDataDirectoryLockIsExclusive(t *testing.T) {
 	dir := t.TempDir()
 	first, err := LockDir(dir)
@@ -14,18 +14,18 @@
 		t.Fatal(err)
 	}
 	if _, err := LockDir(dir); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("second lock of a locked directory: %v", err)
 	}
 	first.Release()
 	second, err := LockDir(dir)
 	if err != nil {
-		t.Fatalf("after the first has gone: %v", err)
+		t.Fatalf("after the first lock was released: %v", err)
 	}
 	second.Release()
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) > 0 {
-		t.Errorf("%v was written, %v", entries, err)
+		t.Errorf("files were written: %v, %v", entries, err)
 	}
 	if _, err := LockDir(dir + "/none"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a directory that is not there: %v", err)
+		t.Errorf("missing directory: %v", err)
 	}
 }
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -10,25 +10,25 @@
 	"testing"
 )
 
-// readDirectory reads all files of a folder.
+// readDirectory returns the contents of all files in a directory.
 func readDirectory(t *testing.T, dir string) directoryContents {
 	t.Helper()
-	all, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := directoryContents{}
-	for _, e := range all {
-		if out[e.Name()], err = os.ReadFile(filepath.Join(dir, e.Name())); err != nil {
+	contents := directoryContents{}
+	for _, e := range entries {
+		if contents[e.Name()], err = os.ReadFile(filepath.Join(dir, e.Name())); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return contents
 }
 
 func sameFiles(a, b directoryContents) bool { return sameState(a, b) }
 
-// newerHeader is the header of a format that is not known yet, with more in it.
+// newerHeader returns a header of a given newer format, with a longer value.
 func newerHeader(version uint16) string {
 	value := make([]byte, headerValueSize+11)
 	binary.BigEndian.PutUint16(value[4:], version)
@@ -36,8 +36,8 @@
 	return string(appendCommand(nil, headerKey, string(value)))
 }
 
-// A file of a later format is refused with an error that says so, and everything
-// is left as it was, also beside a file of this format or an earlier one.
+// A file of a newer format is refused with ErrNewerFormat and all files are left
+// unchanged, also if there is a file of the current or an earlier format beside it.
 func TestNewerFormatIsRefused(t *testing.T) {
 	dir := scratchDir(t)
 	writeBatches(t, dir, 3)
@@ -63,16 +63,16 @@
 			t.Errorf("%q was changed to %q", files, got)
 		}
 	}
-	// The same with one bit changed is damage, not a later format.
+	// With one bit changed, the header is damaged and must not be taken for a newer format.
 	damaged := []byte(later)
 	damaged[strings.Index(later, headerKey)+len(headerKey)+12] ^= 1
 	if version, _, _, n := parseHeader(damaged); n != 0 {
-		t.Errorf("format %d is read from a damaged header", version)
+		t.Errorf("format %d was read from a damaged header", version)
 	}
 }
 
-// A header and the batches after it belong together: numbers without a gap, and
-// the first batch as large as it says.
+// The batches must match the header: the first batch has the number in the header, a
+// non-empty one must be complete, and the numbers after it have no gap.
 func TestHeaderAndBatches(t *testing.T) {
 	head := func(number uint64, entries int) string {
 		return string(appendCommand(nil, headerKey, encodeHeader(number, entries)))
@@ -88,14 +88,14 @@
 		{"empty state", head(7, 0), 7, false},
 		{"empty state and a batch", head(7, 0) + batch(8), 8, false},
 		{"empty state and a torn batch", head(7, 0) + batch(8)[:20], 7, false},
-		{"a batch is missing after an empty state", head(7, 0) + batch(9), 7, true},
+		{"missing batch after an empty state", head(7, 0) + batch(9), 7, true},
 		{"rewritten", head(7, 1) + batch(7) + batch(8), 8, false},
 		{"rewritten batch missing", head(7, 1), 0, true},
-		{"rewritten batch missing, and one after it", head(7, 1) + batch(8), 0, true},
+		{"rewritten batch missing, a later one present", head(7, 1) + batch(8), 0, true},
 		{"rewritten batch torn", head(7, 1) + batch(7)[:20], 0, true},
-		{"a batch is missing", head(7, 1) + batch(7) + batch(9), 7, true},
-		{"a batch is missing in a file of an earlier release", batch(7) + batch(9), 7, true},
-		{"a batch twice", head(7, 1) + batch(7) + batch(7), 7, true},
+		{"missing batch", head(7, 1) + batch(7) + batch(9), 7, true},
+		{"missing batch in a file without a header", batch(7) + batch(9), 7, true},
+		{"repeated batch", head(7, 1) + batch(7) + batch(7), 7, true},
 	} {
 		_, _, last, err := scan([]byte(c.text))
 		if last != c.last || errors.Is(err, ErrDamaged) != c.damaged {
@@ -104,7 +104,8 @@
 	}
 }
 
-// failOnceDirectory is a folder whose n-th step that changes something is refused.
+// failOnceDirectory is a directory whose n-th create, remove or sync fails. stepsLeft
+// starts at n.
 type failOnceDirectory struct {
 	noSyncDirectory
 	stepsLeft *int
@@ -133,8 +134,8 @@
 func (f failOnceDirectory) syncFile(*os.File) error { return f.countStep() }
 func (f failOnceDirectory) syncDir() error          { return f.countStep() }
 
-// A file of an earlier release is carried over to the present name and format. A
-// disk that refuses a step of that leaves the state for the next start.
+// A file of an earlier release is migrated to the current name and format. If a step of
+// the migration fails, the next start still finds the state.
 func TestMigrationFromLegacyFile(t *testing.T) {
 	text := ""
 	for number, value := range []string{"1", "2", "3"} {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -14,7 +14,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// storeFile returns the path of the one storeFile in dir beside the mark.
+// storeFile returns the path of the only file in dir apart from the sync mark.
 func storeFile(t *testing.T, dir string) string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -25,12 +25,13 @@
 	return filepath.Join(dir, entries[0].Name())
 }
 
-// kill ends a store as a kill does.
+// kill closes a store without writing the sync mark, as when the process is killed.
 func kill(s *Store) {
 	s.mark.close()
 	_ = s.closeFile()
 }
 
+// writeBatches opens a store in dir, writes n batches and closes it.
 func writeBatches(t *testing.T, dir string, n int) {
 	t.Helper()
 	store, _, err := Open(dir, 0, discardLog)
@@ -46,8 +47,8 @@
 	store.Close()
 }
 
-// Whatever prefix of the last batch reaches the disk, a start finds either all
-// of that batch or none of it, and everything before it.
+// Whatever part of the last batch reaches the disk, a start finds either all of that batch
+// or none of it, and everything before it.
 func TestTornLastBatch(t *testing.T) {
 	dir := t.TempDir()
 	writeBatches(t, dir, 2)
@@ -71,26 +72,26 @@
 			dir := scratchDir(t)
 			os.WriteFile(filepath.Join(dir, filepath.Base(path)), text, 0o600)
 			os.WriteFile(filepath.Join(dir, markName), mark, 0o600)
-			l, state, err := Open(dir, 0, discardLog)
+			store, state, err := Open(dir, 0, discardLog)
 			if err != nil {
-				t.Fatalf("cut %d: %v", cut, err)
+				t.Fatalf("truncated at %d: %v", cut, err)
 			}
 			whole := cut == len(after) && !hole
 			if got := string(state["a"]) == "new" && state["b"] == nil; got != whole {
-				t.Fatalf("cut %d hole %v: a=%q b=%q", cut, hole, state["a"], state["b"])
+				t.Fatalf("truncated at %d, hole %v: a=%q b=%q", cut, hole, state["a"], state["b"])
 			}
 			if string(state["c"]) != "value-1" {
-				t.Fatalf("cut %d: lost c=%q", cut, state["c"])
+				t.Fatalf("truncated at %d: lost c=%q", cut, state["c"])
 			}
-			if err := l.Write([]Entry{{"d", []byte("x")}}); err != nil {
+			if err := store.Write([]Entry{{"d", []byte("x")}}); err != nil {
 				t.Fatal(err)
 			}
-			l.Close()
-			l, state, err = Open(dir, 0, discardLog)
+			store.Close()
+			store, state, err = Open(dir, 0, discardLog)
 			if err != nil || string(state["d"]) != "x" {
-				t.Fatalf("cut %d: write after the cut lost: %v", cut, err)
+				t.Fatalf("truncated at %d: batch written after the start is lost: %v", cut, err)
 			}
-			l.Close()
+			store.Close()
 		}
 	}
 }
@@ -110,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, excerptName)); err != nil {
-		t.Fatal("damaged file not kept")
+		t.Fatal("no excerpt of the damaged file was saved")
 	}
 }
 
@@ -122,11 +123,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []Entry
+	var entries []Entry
 	for k, v := range state {
-		all = append(all, Entry{k, v})
+		entries = append(entries, Entry{k, v})
 	}
-	if err := store.Rewrite(all); err != nil {
+	if err := store.Rewrite(entries); err != nil {
 		t.Fatal(err)
 	}
 	if err := store.Write([]Entry{{"z", []byte("1")}}); err != nil {
@@ -140,8 +141,8 @@
 	}
 }
 
-// Of a key that a batch names twice the last entry stands; a batch without
-// entries leaves nothing, and a torn one after it is no damage.
+// If a batch has several entries for a key, the last one counts. An empty batch writes
+// nothing. After either, a torn batch is not taken for damage.
 func TestRepeatedKeysAndEmptyBatches(t *testing.T) {
 	one, two := []byte("1"), []byte("2")
 	for _, c := range []struct {
@@ -149,10 +150,10 @@
 		batch []Entry
 		want  map[string][]byte
 	}{
-		{"twice", []Entry{{"a", one}, {"b", one}, {"a", two}}, map[string][]byte{"a": two, "b": one, "z": one}},
+		{"key set twice", []Entry{{"a", one}, {"b", one}, {"a", two}}, map[string][]byte{"a": two, "b": one, "z": one}},
 		{"set and removed", []Entry{{"a", one}, {"a", nil}}, map[string][]byte{"z": one}},
 		{"removed and set", []Entry{{"z", nil}, {"z", two}}, map[string][]byte{"z": two}},
-		{"nothing", nil, map[string][]byte{"z": one}},
+		{"empty batch", nil, map[string][]byte{"z": one}},
 	} {
 		for _, rewrite := range []bool{false, true} {
 			dir := t.TempDir()
@@ -184,14 +185,14 @@
 			os.WriteFile(path, text, 0o600)
 			store, state, err := Open(dir, 0, discardLog)
 			if err != nil || !sameState(state, c.want) {
-				t.Errorf("%s, rewrite %v, torn after it: %q, %v", c.name, rewrite, state, err)
+				t.Errorf("%s, rewrite %v, next batch torn: %q, %v", c.name, rewrite, state, err)
 			}
 			store.Close()
 		}
 	}
 }
 
-// removeExcerpt removes what is kept of a damaged file.
+// removeExcerpt removes the excerpt of a damaged file, if there is one, and returns dir.
 func removeExcerpt(t *testing.T, dir string) string {
 	if err := os.Remove(filepath.Join(dir, excerptName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		t.Fatal(err)
@@ -199,14 +200,16 @@
 	return dir
 }
 
-// Of the two files that may be there a start takes the newer one, passes over a
-// rewrite that was not finished, and goes back to no earlier one for damage.
+// If there are two files, a start chooses the newer one and ignores an unfinished rewrite.
+// If the newer one is damaged, it must not fall back to the older one.
 func TestFileSelectionAtStart(t *testing.T) {
 	checkFileSelection(t, fileNames, true, true)
 	checkFileSelection(t, legacyFileNames, false, false)
-	checkFileSelection(t, [2]string{legacyFileNames[0], fileNames[0]}, false, true) // as it is carried over
+	checkFileSelection(t, [2]string{legacyFileNames[0], fileNames[0]}, false, true) // during a migration
 }
 
+// checkFileSelection checks which of two files a start chooses. oldHeader and newHeader tell
+// whether the older and the newer file have a header.
 func checkFileSelection(t *testing.T, names [2]string, oldHeader, newHeader bool) {
 	batch := func(number uint64, value string) string {
 		text := ""
@@ -226,70 +229,70 @@
 	old, snapshot := batch(1, "1")+batch(2, "2"), batch(4, "4")
 	const absent = "absent"
 	for _, c := range []struct {
-		name       string
-		file, next string
-		want       map[string][]byte
-		damaged    bool
+		name          string
+		first, second string
+		want          map[string][]byte
+		damaged       bool
 	}{
-		{"nothing", absent, absent, none, false},
-		{"empty", "", absent, none, false},
+		{"no file", absent, absent, none, false},
+		{"empty file", "", absent, none, false},
 		{"first batch torn", batch(1, "1")[:50], absent, none, false},
 		{"rewritten, first entry damaged", damage(snapshot, 3), absent, none, true},
 		{"rewritten, last entry damaged", damage(snapshot, len(snapshot)-9), absent, none, true},
 		{"rewritten, cut after its first entry", snapshot[:len(snapshot)/2], absent, none, true},
 		{"rewritten, its last batch torn", snapshot + batch(5, "5")[:50], absent, state("4"), false},
-		{"one", old, absent, state("2"), false},
-		{"one torn", old[:len(old)-1], absent, state("1"), false},
-		{"one and an empty one", old, "", state("2"), false},
-		{"one and an unfinished rewrite", old, snapshot[:50], state("2"), false},
-		{"one and a rewrite with a hole", old, damage(snapshot, 3), state("2"), false},
-		{"one torn and an unfinished rewrite", old[:len(old)-1], snapshot[:50], state("1"), false},
-		{"one and a rewrite", old, snapshot, state("4"), false},
-		{"one torn and a rewrite", old[:len(old)-1], snapshot, state("4"), false},
-		{"one damaged and a rewrite", damage(old, 3), snapshot, state("4"), false},
-		{"one damaged and an unfinished rewrite", damage(old, 3), snapshot[:50], none, true},
-		{"one damaged and an empty one", damage(old, 3), "", none, true},
-		{"one and a newer one in use", old, snapshot + batch(5, "5"), state("5"), false},
-		{"one and a newer one damaged", old, damage(snapshot, 3) + batch(5, "5"), none, true},
-		{"one and a newer one damaged later", old, snapshot + damage(batch(5, "5"), 3) + batch(6, "6"), none, true},
+		{"one file", old, absent, state("2"), false},
+		{"one torn file", old[:len(old)-1], absent, state("1"), false},
+		{"a file and an empty one", old, "", state("2"), false},
+		{"a file and an unfinished rewrite", old, snapshot[:50], state("2"), false},
+		{"a file and a damaged rewrite", old, damage(snapshot, 3), state("2"), false},
+		{"a torn file and an unfinished rewrite", old[:len(old)-1], snapshot[:50], state("1"), false},
+		{"a file and a rewrite", old, snapshot, state("4"), false},
+		{"a torn file and a rewrite", old[:len(old)-1], snapshot, state("4"), false},
+		{"a damaged file and a rewrite", damage(old, 3), snapshot, state("4"), false},
+		{"a damaged file and an unfinished rewrite", damage(old, 3), snapshot[:50], none, true},
+		{"a damaged file and an empty one", damage(old, 3), "", none, true},
+		{"a file and a newer one in use", old, snapshot + batch(5, "5"), state("5"), false},
+		{"a file and a newer one damaged", old, damage(snapshot, 3) + batch(5, "5"), none, true},
+		{"a file and a newer one damaged after its first batch", old, snapshot + damage(batch(5, "5"), 3) + batch(6, "6"), none, true},
 	} {
 		for swap := range 2 {
 			if swap == 1 && oldHeader != newHeader {
-				continue // the format goes with the name
+				continue // files with a header have the current names, files without have the legacy names
 			}
 			dir := t.TempDir()
-			for i, text := range []string{c.file, c.next} {
+			for i, text := range []string{c.first, c.second} {
 				if text != absent {
 					os.WriteFile(filepath.Join(dir, names[i^swap]), []byte(text), 0o600)
 				}
 			}
 			store, got, err := Open(dir, 0, discardLog)
 			if errors.Is(err, ErrDamaged) != c.damaged || err != nil && !c.damaged || !sameState(got, c.want) {
-				t.Errorf("%s in %q, turn %d: %v, %q", c.name, names, swap, err, got)
+				t.Errorf("%s in %q, swap %d: %v, %q", c.name, names, swap, err, got)
 			}
 			if store == nil {
 				continue
 			}
 			store.Close()
 			if name := filepath.Base(storeFile(t, removeExcerpt(t, dir))); !slices.Contains(fileNames[:], name) {
-				t.Errorf("%s in %q, turn %d: the file is %s", c.name, names, swap, name)
+				t.Errorf("%s in %q, swap %d: the file is %s", c.name, names, swap, name)
 			}
 			store, got, err = Open(dir, 0, discardLog)
 			if err != nil || !sameState(got, c.want) {
-				t.Errorf("%s in %q, turn %d, once more: %v, %q", c.name, names, swap, err, got)
+				t.Errorf("%s in %q, swap %d, second start: %v, %q", c.name, names, swap, err, got)
 			}
 			store.Close()
 		}
 	}
 }
 
-// What is kept of damaged files does not grow, however large and many they are.
+// The size of saved excerpts does not grow with the size or number of damaged files.
 func TestDamagedExcerptIsBounded(t *testing.T) {
 	const diskSize = 4 << 20
 	dir := t.TempDir()
 	excerptPath := filepath.Join(dir, excerptName)
 	for _, name := range []string{excerptName, legacyDamagedName} {
-		os.WriteFile(filepath.Join(dir, name), make([]byte, diskSize/4), 0o600) // as earlier releases left it
+		os.WriteFile(filepath.Join(dir, name), make([]byte, diskSize/4), 0o600) // earlier releases kept whole files
 	}
 	for round := range 4 {
 		store, state, err := Open(dir, diskSize, discardLog)
@@ -304,24 +307,24 @@
 		store.Close()
 		for _, name := range []string{excerptName, legacyDamagedName} {
 			if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() > diskSize/1024 {
-				t.Errorf("round %d: %d bytes of damaged files are kept: %v", round, info.Size(), err)
+				t.Errorf("round %d: excerpt of %d bytes: %v", round, info.Size(), err)
 			}
 		}
 		path := filepath.Join(dir, fileNames[0])
 		text, _ := os.ReadFile(path)
-		copy(text[(len(text)+int(headerCommandSize))/2:], "here") // where an entry begins
+		copy(text[(len(text)+int(headerCommandSize))/2:], "here") // damages the beginning of an entry
 		os.WriteFile(path, text, 0o600)
-		all, _ := os.ReadDir(dir)
-		if len(all) != 4 { // the file, the mark, and two pieces
-			t.Errorf("round %d: %v", round, all)
+		entries, _ := os.ReadDir(dir)
+		if len(entries) != 4 { // the file, the mark and two excerpts
+			t.Errorf("round %d: %v", round, entries)
 		}
 	}
-	if l, _, err := Open(dir, diskSize, discardLog); !errors.Is(err, ErrDamaged) {
+	if store, _, err := Open(dir, diskSize, discardLog); !errors.Is(err, ErrDamaged) {
 		t.Error(err)
 	} else {
-		l.Close()
+		store.Close()
 	}
 	if text, _ := os.ReadFile(excerptPath); !bytes.Contains(text, []byte("here")) {
-		t.Errorf("the damage is not in what is kept, %d bytes", len(text))
+		t.Errorf("the excerpt of %d bytes does not contain the damage", len(text))
 	}
 }
--- a/internal/storage/syncmark_test.go
+++ b/internal/storage/syncmark_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// A byte of what was synced is changed, anywhere, or the file ends before it: with
-// the mark written a start finds nothing and says so, never an earlier state.
+// Any byte of a synced file is changed, or the file is truncated there. If the sync mark
+// names the last batch, a start must report damage and return nothing, never an earlier
+// state.
 func TestDamageInLastSyncedBatch(t *testing.T) {
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 22))
@@ -32,33 +33,34 @@
 				t.Errorf("seed %d, %s: %v, %q", seed, what, err, found)
 			}
 		}
-		checkStart("whole", text)
+		checkStart("intact", text)
 		for at := range text {
 			with := bytes.Clone(text)
 			with[at] ^= 1 << rng.IntN(8)
 			checkStart(fmt.Sprintf("byte %d of %d", at, len(text)), with)
-			checkStart(fmt.Sprintf("cut at %d of %d", at, len(text)), text[:at])
+			checkStart(fmt.Sprintf("truncated at %d of %d", at, len(text)), text[:at])
 		}
 	}
 }
 
-// randomFile writes a few batches, some after a rewrite.
+// randomFile writes a few batches with rewrites in between, and returns the file and its
+// state.
 func randomFile(t *testing.T, rng *rand.Rand) (name string, text []byte, state map[string][]byte) {
-	f := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
-	f.open(0)
+	tracked := &trackedStore{t: t, dir: scratchDir(t), state: map[string][]byte{}}
+	tracked.open(0)
 	for range 1 + rng.IntN(4) {
-		f.change(Entry{fmt.Sprint(rng.IntN(3)), make([]byte, rng.IntN(9))}, Entry{"last", []byte{byte(rng.IntN(256))}})
+		tracked.change(Entry{fmt.Sprint(rng.IntN(3)), make([]byte, rng.IntN(9))}, Entry{"last", []byte{byte(rng.IntN(256))}})
 		if rng.IntN(3) == 0 {
-			f.rewrite()
+			tracked.rewrite()
 		}
 	}
-	f.store.Close()
-	path := storeFile(t, f.dir)
+	tracked.store.Close()
+	path := storeFile(t, tracked.dir)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return filepath.Base(path), text, f.state
+	return filepath.Base(path), text, tracked.state
 }
 
 // lastBatchOf returns the number of the last batch of a file.
@@ -70,7 +72,7 @@
 	return last
 }
 
-// encodeMark is a mark file that has had one mark.
+// encodeMark returns a mark file with a single mark.
 func encodeMark(number uint64) []byte {
 	record := make([]byte, markRecordSize)
 	for i := range 8 {
@@ -83,9 +85,9 @@
 	return record
 }
 
-// A batch that was not marked and is not whole was not synced, as far as anybody
-// can tell; the mark of an earlier batch does not make it damage. A mark that is
-// torn leaves the one before it, and one that can't be read claims nothing.
+// An incomplete last batch without a mark is taken for one that was not synced; the mark of
+// an earlier batch does not make it damage. A torn mark leaves the previous one valid, and
+// an unreadable mark file counts as no mark.
 func TestSyncMark(t *testing.T) {
 	dir := scratchDir(t)
 	store, _, err := Open(dir, 0, discardLog)
@@ -117,7 +119,7 @@
 	}
 	kill(store)
 	if m := (syncMark{}); m.load(osDirectory(dir)) != nil || m.batch != 5 {
-		t.Errorf("the mark says %d", m.batch)
+		t.Errorf("the mark has batch %d", m.batch)
 	}
 	whole := storeFile(t, dir)
 	text, _ := os.ReadFile(whole)
@@ -125,85 +127,86 @@
 		dir := scratchDir(t)
 		os.WriteFile(filepath.Join(dir, filepath.Base(whole)), text[:len(text)-1], 0o600)
 		os.WriteFile(filepath.Join(dir, markName), mark, 0o600)
-		l, state, err := Open(dir, 0, discardLog)
+		store, state, err := Open(dir, 0, discardLog)
 		if last := i == len(texts)-1; errors.Is(err, ErrDamaged) != last || (len(state) == 0) != last {
-			t.Errorf("mark of batch %d, and batch 5 is torn: %v, %q", i+2, err, state)
+			t.Errorf("mark of batch %d with batch 5 torn: %v, %q", i+2, err, state)
 		}
-		l.Close()
+		store.Close()
 	}
 }
 
-// unreliableDirectory is a disk that refuses syncs while it is told to, and after one that it
-// has refused claims success for the same file though nothing was written.
+// unreliableDirectory is a disk whose operations can fail. After a failed sync of a file,
+// later syncs of that file report success although nothing is written.
 type unreliableDirectory struct {
 	osDirectory
 	shouldFail    func() bool
 	durable       directoryContents // what a loss of power leaves
-	failedSyncs   map[uint64]bool   // inodes of which a sync has failed
-	unsyncedNames map[string]bool   // whose change isn't durable
+	failedSyncs   map[uint64]bool   // inodes of files with a failed sync
+	unsyncedNames map[string]bool   // names whose creation or removal is not durable
 }
 
-func (u *unreliableDirectory) create(name string) (*os.File, error) {
-	_, absent := u.size(name)
-	f, err := u.osDirectory.create(name)
-	u.unsyncedNames[name] = true
+func (d *unreliableDirectory) create(name string) (*os.File, error) {
+	_, absent := d.size(name)
+	f, err := d.osDirectory.create(name)
+	d.unsyncedNames[name] = true
 	if absent != nil {
-		delete(u.failedSyncs, inode(f)) // the number may have been another file's
+		delete(d.failedSyncs, inode(f)) // the inode number may have been used by another file before
 	}
 	return f, err
 }
 
-func (u *unreliableDirectory) remove(name string) error {
-	if u.shouldFail() {
+func (d *unreliableDirectory) remove(name string) error {
+	if d.shouldFail() {
 		return os.ErrInvalid
 	}
-	u.unsyncedNames[name] = true
-	return u.osDirectory.remove(name)
+	d.unsyncedNames[name] = true
+	return d.osDirectory.remove(name)
 }
 
-func (u *unreliableDirectory) syncFile(f *os.File) error {
+func (d *unreliableDirectory) syncFile(f *os.File) error {
 	id := inode(f)
-	if u.shouldFail() {
-		u.failedSyncs[id] = true
+	if d.shouldFail() {
+		d.failedSyncs[id] = true
 		return os.ErrInvalid
 	}
-	if u.failedSyncs[id] {
-		return nil // and nothing is written any more
+	if d.failedSyncs[id] {
+		return nil // reports success but writes nothing
 	}
 	name := filepath.Base(f.Name())
-	u.durable[name], _ = u.read(name)
+	d.durable[name], _ = d.read(name)
 	return nil
 }
 
-func (u *unreliableDirectory) syncDir() error {
-	if u.shouldFail() {
+func (d *unreliableDirectory) syncDir() error {
+	if d.shouldFail() {
 		return os.ErrInvalid
 	}
-	for name := range u.unsyncedNames {
-		if _, err := u.size(name); err != nil {
-			delete(u.durable, name)
+	for name := range d.unsyncedNames {
+		if _, err := d.size(name); err != nil {
+			delete(d.durable, name)
 		}
 	}
-	clear(u.unsyncedNames)
+	clear(d.unsyncedNames)
 	return nil
 }
 
-// Syncs are refused now and then, and claimed after; processes are killed at any
-// time, and power is lost. What was reported is there, whatever was refused before.
+// Syncs and removals fail at random, and a sync after a failed one reports success without
+// writing. Processes are killed and power is lost at any time. A start must always find
+// every acknowledged batch.
 func TestNoDataLossAfterFailedSync(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		failurePercent := 0
 		disk := &unreliableDirectory{shouldFail: func() bool { return rng.IntN(100) < failurePercent }, durable: directoryContents{}}
-		acknowledged := map[string][]byte{} // and the change after it, if one was put
-		var uncertain []map[string][]byte
-		boot := func(have directoryContents) {
+		acknowledged := map[string][]byte{} // state after the last successful write
+		var uncertain []map[string][]byte   // states after the failed writes since then
+		boot := func(files directoryContents) {
 			dir := scratchDir(t)
-			for name, text := range have {
+			for name, text := range files {
 				os.WriteFile(filepath.Join(dir, name), text, 0o600)
 			}
 			disk.osDirectory, disk.failedSyncs, disk.unsyncedNames = osDirectory(dir), map[uint64]bool{}, map[string]bool{}
-			disk.durable = maps.Clone(have)
+			disk.durable = maps.Clone(files)
 		}
 		powerLoss := func() {
 			for _, name := range slices.Sorted(maps.Keys(disk.unsyncedNames)) {
@@ -229,7 +232,7 @@
 					continue
 				}
 				if !sameState(state, acknowledged) && !slices.ContainsFunc(uncertain, func(m map[string][]byte) bool { return sameState(m, state) }) {
-					t.Fatalf("seed %d, step %d: %q, not %q or one of %q", seed, step, state, acknowledged, uncertain)
+					t.Fatalf("seed %d, step %d: got %q, want %q or one of %q", seed, step, state, acknowledged, uncertain)
 				}
 				store, acknowledged, uncertain = s, state, nil
 				continue
@@ -238,7 +241,7 @@
 			case 0: // a kill
 				kill(store)
 				store = nil
-			case 1: // a loss of power
+			case 1: // a power loss
 				kill(store)
 				powerLoss()
 				store = nil
@@ -264,7 +267,7 @@
 	}
 }
 
-// inMemoryState is the state in memory: the last change that was put.
+// inMemoryState returns the state in the replica's memory, which includes failed writes.
 func inMemoryState(acknowledged map[string][]byte, uncertain []map[string][]byte) map[string][]byte {
 	if len(uncertain) > 0 {
 		return uncertain[len(uncertain)-1]
