--- a/client/call_test.go
+++ b/client/call_test.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// The times that the tests of this package expect are those of pauses in the middle of their range.
+// Without randomness: the expected times in the tests assume that each pause is in the middle
+// of its random range.
 func init() {
 	randomBelow = func(limit time.Duration) time.Duration { return limit / 2 }
 }
 
-// A pause keeps at least a half of its length.
+// Jitter shortens a pause by at most half of its length.
 func TestJitter(t *testing.T) {
 	original := randomBelow
 	defer func() { randomBelow = original }()
 	for _, c := range []struct{ pause, drawn, want time.Duration }{{100, 0, 100}, {100, 50, 50}, {1, 0, 1}} {
 		randomBelow = func(limit time.Duration) time.Duration {
 			if c.drawn >= limit {
-				t.Errorf("%d is not below %d", c.drawn, limit)
+				t.Errorf("drawn duration %d is not below the limit %d", c.drawn, limit)
 			}
 			return c.drawn
 		}
 		if got := jitter(c.pause); got != c.want {
-			t.Errorf("%d of %d with %d drawn", got, c.pause, c.drawn)
+			t.Errorf("got a pause of %d from %d with %d drawn", got, c.pause, c.drawn)
 		}
 	}
 }
 
-// Each call goes on to another node where the answer allows it, and only there.
+// A call is retried on another node after failures that allow a retry, and only after these.
 func TestCallFailover(t *testing.T) {
 	draw := func(c *Client, ctx context.Context) error { _, err := c.Counter("n").Next(ctx); return err }
 	put := func(c *Client, ctx context.Context) error { _, err := c.Put(ctx, "g.k", "v"); return err }
@@ -43,37 +44,37 @@
 	always := func(f fault) []fault {
 		return []fault{f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f, f}
 	}
-	noResponse := fault{answerDelay: time.Hour}
+	noResponse := fault{responseDelay: time.Hour}
 	for name, c := range map[string]struct {
 		call   func(*Client, context.Context) error
 		faults []fault
-		hosts  string // those asked, in order; "*": not looked at
+		hosts  string // hosts of all attempts, in order; "*": not checked
 		ends   string
 		after  time.Duration
 	}{
-		"answered":                  {draw, nil, "n0", "<nil>", 0},
-		"503, 429":                  {draw, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
-		"refused":                   {draw, []fault{{refuseConnection: true}}, "n0 n1", "<nil>", 15 * time.Millisecond},
-		"silence":                   {draw, []fault{noResponse}, "n0 n1", "<nil>", 1015 * time.Millisecond},
-		"a draw is repeated":        {draw, []fault{{answerStatus: 502}, {answerStatus: 504}, {reset: true}}, "n0 n1 n2 n0", "<nil>", 100 * time.Millisecond},
-		"an acquire is repeated":    {acquire, []fault{{answerStatus: 500}, {reset: true}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
-		"a put is repeated":         {put, []fault{{reset: true}, noResponse}, "n0 n1 n2", "<nil>", 1045 * time.Millisecond},
-		"a body that can't be read": {draw, []fault{{body: `{"value":`}}, "n0 n1", "<nil>", 15 * time.Millisecond},
-		"redirected twice":          {draw, []fault{{location: "http://n7:1/v1/numbers/n"}, {location: "http://n8:1/v1/numbers/n"}}, "n0 n7 n8", "<nil>", 0},
+		"success":               {draw, nil, "n0", "<nil>", 0},
+		"503, 429":              {draw, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
+		"connection refused":    {draw, []fault{{refuseConnection: true}}, "n0 n1", "<nil>", 15 * time.Millisecond},
+		"no response":           {draw, []fault{noResponse}, "n0 n1", "<nil>", 1015 * time.Millisecond},
+		"draw is retried":       {draw, []fault{{responseStatus: 502}, {responseStatus: 504}, {resetConnection: true}}, "n0 n1 n2 n0", "<nil>", 100 * time.Millisecond},
+		"acquire is retried":    {acquire, []fault{{responseStatus: 500}, {resetConnection: true}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
+		"put is retried":        {put, []fault{{resetConnection: true}, noResponse}, "n0 n1 n2", "<nil>", 1045 * time.Millisecond},
+		"invalid response body": {draw, []fault{{responseBody: `{"value":`}}, "n0 n1", "<nil>", 15 * time.Millisecond},
+		"redirected twice":      {draw, []fault{{location: "http://n7:1/v1/numbers/n"}, {location: "http://n8:1/v1/numbers/n"}}, "n0 n7 n8", "<nil>", 0},
 		"redirected too often": {draw, []fault{{location: "http://n7:1/a"}, {location: "http://n8:1/a"}, {location: "http://n9:1/a"}},
 			"n0 n7 n8 n1", "<nil>", 15 * time.Millisecond},
-		"a put isn't repeated for long": {put, always(fault{answerStatus: 502}), "*", "unclear", 4600 * time.Millisecond},
-		"a put whose connection breaks": {put, always(fault{reset: true}), "*", "unclear", 4600 * time.Millisecond},
-		"a put that was never sent goes on": {put, append(always(fault{refuseConnection: true})[:10], fault{status: 503}), "*", "<nil>",
+		"put is retried for 5 s only": {put, always(fault{responseStatus: 502}), "*", "unclear", 4600 * time.Millisecond},
+		"put with connection resets":  {put, always(fault{resetConnection: true}), "*", "unclear", 4600 * time.Millisecond},
+		"put that was never sent is retried for longer": {put, append(always(fault{refuseConnection: true})[:10], fault{status: 503}), "*", "<nil>",
 			4695 * time.Millisecond},
-		"no node at all":      {draw, always(fault{status: 503}), "*", "unavailable", 8 * time.Second},
-		"no clear answer":     {draw, always(fault{answerStatus: 504}), "*", "unclear", 8 * time.Second},
-		"a read is never so":  {get, always(fault{answerStatus: 504}), "*", "unavailable", 8 * time.Second},
-		"not found":           {get, nil, "n0", "not found", 0},
-		"another revision":    {putIf, nil, "n0", "conflict", 0},
-		"refused for good":    {draw, []fault{{status: 400}}, "n0", "400", 0},
-		"too large":           {put, []fault{{status: 413}}, "n0", "413", 0},
-		"a conflict is final": {acquire, []fault{{status: 409}}, "n0", "held", 0},
+		"all nodes unavailable":             {draw, always(fault{status: 503}), "*", "unavailable", 8 * time.Second},
+		"result unclear":                    {draw, always(fault{responseStatus: 504}), "*", "unclear", 8 * time.Second},
+		"result of a read is never unclear": {get, always(fault{responseStatus: 504}), "*", "unavailable", 8 * time.Second},
+		"not found":                         {get, nil, "n0", "not found", 0},
+		"conflicting revision":              {putIf, nil, "n0", "conflict", 0},
+		"bad request":                       {draw, []fault{{status: 400}}, "n0", "400", 0},
+		"value too large":                   {put, []fault{{status: 413}}, "n0", "413", 0},
+		"conflict is not retried":           {acquire, []fault{{status: 409}}, "n0", "held", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulated(t, func(t *testing.T, s *fakeServer) {
@@ -84,24 +85,25 @@
 					t.Errorf("%s (%v), want %s", got, err, c.ends)
 				}
 				if got := s.hosts(); c.hosts != "*" && got != c.hosts {
-					t.Errorf("asked %s, want %s", got, c.hosts)
+					t.Errorf("tried hosts %s, want %s", got, c.hosts)
 				}
 				if slack := 5*time.Millisecond + c.after/50; took < c.after-slack || took > c.after+slack {
 					t.Errorf("took %v, want about %v", took, c.after)
 				}
 				if isDeadline := c.after == 8*time.Second; isDeadline != errors.Is(err, context.DeadlineExceeded) {
-					t.Errorf("%v: deadline %v", err, !isDeadline)
+					t.Errorf("%v: is a deadline error: %v", err, !isDeadline)
 				}
 			})
 		})
 	}
 }
 
-// A put is sent again with the same value and condition, and gets its first revision.
+// A put is retried with the same value and condition, and returns the revision of its first
+// execution.
 func TestPutRetrySendsSameBody(t *testing.T) {
 	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
-		s.failNext(fault{answerStatus: 502}, fault{answerDelay: time.Hour})
+		s.failNext(fault{responseStatus: 502}, fault{responseDelay: time.Hour})
 		revision, err := c.PutIf(t.Context(), "g.k", "v1", 0)
 		if err != nil || revision != 1 || len(s.attempts) != 3 {
 			t.Fatal(revision, err, s.attempts)
@@ -126,10 +128,10 @@
 func TestRetryAfterAppliesAfterAllEndpoints(t *testing.T) {
 	retries := backoff{endpoints: 2}
 	if first := retries.next(time.Second); first > initialBackoff {
-		t.Errorf("paused %v before the other node was asked", first)
+		t.Errorf("paused %v before the other endpoint was tried", first)
 	}
 	if second := retries.next(time.Second); second != time.Second {
-		t.Errorf("paused %v, not for Retry-After", second)
+		t.Errorf("paused %v, want the time in Retry-After", second)
 	}
 }
 
@@ -140,7 +142,7 @@
 		}
 	}
 	if _, err := New(nil, Options{}); err == nil {
-		t.Error("no endpoints are taken")
+		t.Error("a client without endpoints was created")
 	}
 	if name := ownerPrefix("a b/c" + strings.Repeat("x", 99)); len(name) > 60 || strings.ContainsAny(name, "/ ") {
 		t.Error(name)
--- a/client/election_test.go
+++ b/client/election_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A leader that resigns is followed at once, one that dies after the hold time, and an
-// observer sees them all.
+// A leader that resigns is succeeded at once, one that is cut off after the hold time, and an
+// observer sees all announcements.
 func TestElection(t *testing.T) {
 	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
@@ -53,7 +53,7 @@
 			t.Fatal(err, took)
 		}
 		time.Sleep(time.Second)
-		// The second leader is cut off: its renewals don't arrive.
+		// The second leader is cut off: its renewals do not arrive.
 		s.setFault(func(_ int, r *http.Request) fault {
 			return fault{refuseConnection: r.Method == http.MethodPut && r.URL.Path == "/v1/locks/election-e"}
 		})
@@ -61,9 +61,9 @@
 		if err != nil || second.lease.Remaining() > 0 || second.Token() >= third.Token() {
 			t.Fatal(err, second.lease.Remaining())
 		}
-		time.Sleep(time.Nanosecond) // timers of one moment come in any order
+		time.Sleep(time.Nanosecond) // timers due at the same moment fire in any order
 		if second.Context().Err() == nil {
-			t.Fatal("the lease has ended and its context has not")
+			t.Fatal("the lease has expired but its context has not ended")
 		}
 		time.Sleep(time.Second)
 		if err := second.Resign(ctx); err != nil {
--- a/client/fakeserver_test.go
+++ b/client/fakeserver_test.go
@@ -17,19 +17,19 @@
 	"time"
 )
 
-// fault is what goes wrong with one attempt.
+// fault describes what goes wrong with one attempt. The zero value is no fault.
 type fault struct {
 	refuseConnection bool
-	location         string        // redirect there
-	status           int           // answer this without carrying the call out
-	delay            time.Duration // before the call is carried out
-	answerStatus     int           // carry the call out, but answer this
-	answerDelay      time.Duration // carry the call out, and answer after that
-	reset            bool          // carry the call out, and break the connection
-	body             string        // answer with this body
+	location         string        // redirect to this URL
+	status           int           // respond with this status without executing the request
+	delay            time.Duration // before the request is executed
+	responseStatus   int           // execute the request, but respond with this status
+	responseDelay    time.Duration // execute the request, and respond after this delay
+	resetConnection  bool          // execute the request, and reset the connection
+	responseBody     string        // respond with this body
 }
 
-// recordedAttempt is one attempt that arrived, or could not.
+// recordedAttempt is one attempt, including those whose connection was refused.
 type recordedAttempt struct {
 	host, method, path string
 	body               string
@@ -43,8 +43,8 @@
 	until time.Time
 }
 
-// fakeServer is the interface in memory, in front of one state. It is an http.RoundTripper, so
-// that no socket stands in the way of synctest's clock.
+// fakeServer simulates the control nodes' API in memory, with one state for all nodes. It is an
+// http.RoundTripper, because synctest's fake clock does not work with real sockets.
 type fakeServer struct {
 	mu            sync.Mutex
 	startedAt     time.Time
@@ -53,21 +53,21 @@
 	numbers       map[string]uint64
 	cells         map[string]entryResponse
 	groups        map[string][]Event
-	puts          map[string]uint64 // revisions by key and value
-	compactedUpTo uint64            // a watch may ask for events after this and later
-	changed       chan struct{}     // closed with the next put
+	puts          map[string]uint64 // revision of each put, by "key=value"
+	compactedUpTo uint64            // events after this revision are kept
+	changed       chan struct{}     // closed by the next put
 	attempts      []recordedAttempt
-	// fault says what goes wrong with the attempt of a number.
-	fault func(number int, r *http.Request) fault
+	// chooseFault returns the fault of the attempt with the given number, from 0.
+	chooseFault func(number int, r *http.Request) fault
 }
 
 func newFakeServer() *fakeServer {
 	return &fakeServer{startedAt: time.Now(), locks: map[string]fakeLock{}, numbers: map[string]uint64{},
 		cells: map[string]entryResponse{}, groups: map[string][]Event{}, puts: map[string]uint64{},
-		changed: make(chan struct{}), fault: func(int, *http.Request) fault { return fault{} }}
+		changed: make(chan struct{}), chooseFault: func(int, *http.Request) fault { return fault{} }}
 }
 
-// failNext makes the first attempts fail, one after the other.
+// failNext assigns the given faults to the next attempts; later attempts have no fault.
 func (s *fakeServer) failNext(faults ...fault) {
 	s.mu.Lock()
 	first := len(s.attempts)
@@ -83,7 +83,7 @@
 func (s *fakeServer) setFault(choose func(number int, r *http.Request) fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = choose
+	s.chooseFault = choose
 }
 
 var errReset = errors.New("connection reset")
@@ -94,7 +94,7 @@
 		body, _ = io.ReadAll(r.Body)
 	}
 	s.mu.Lock()
-	f := s.fault(len(s.attempts), r)
+	f := s.chooseFault(len(s.attempts), r)
 	s.attempts = append(s.attempts, recordedAttempt{r.URL.Host, r.Method, r.URL.Path, string(body), time.Since(s.startedAt)})
 	s.mu.Unlock()
 	if f.refuseConnection {
@@ -114,7 +114,8 @@
 	}
 }
 
-// serve goes on after the caller has left, as a late packet does.
+// serve applies the fault and executes the request. It continues after the caller's context has
+// ended, like a request that arrives late.
 func (s *fakeServer) serve(r *http.Request, body []byte, f fault) *http.Response {
 	switch {
 	case f.location != "":
@@ -122,19 +123,19 @@
 		response.Header.Set("Location", f.location+"?"+r.URL.RawQuery)
 		return response
 	case f.status != 0:
-		return respond(r, f.status, f.body)
+		return respond(r, f.status, f.responseBody)
 	}
 	time.Sleep(f.delay)
 	status, result := s.execute(r, body)
-	time.Sleep(f.answerDelay)
+	time.Sleep(f.responseDelay)
 	text, _ := json.Marshal(result)
 	switch {
-	case f.reset:
+	case f.resetConnection:
 		return nil
-	case f.answerStatus != 0:
-		return respond(r, f.answerStatus, "")
-	case f.body != "":
-		text = []byte(f.body)
+	case f.responseStatus != 0:
+		return respond(r, f.responseStatus, "")
+	case f.responseBody != "":
+		text = []byte(f.responseBody)
 	}
 	return respond(r, status, string(text))
 }
@@ -144,6 +145,7 @@
 		Body: io.NopCloser(bytes.NewReader([]byte(body)))}
 }
 
+// execute handles a request and returns the status and the body of the response.
 func (s *fakeServer) execute(r *http.Request, body []byte) (int, any) {
 	resource, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v1/"), "/")
 	if resource == "watch" {
@@ -170,9 +172,9 @@
 			}
 			return http.StatusNotFound, nil
 		}
-		var asked putRequest
-		_ = json.Unmarshal(body, &asked)
-		return s.put(name, asked)
+		var request putRequest
+		_ = json.Unmarshal(body, &request)
+		return s.put(name, request)
 	}
 	return http.StatusBadRequest, nil
 }
@@ -200,7 +202,8 @@
 	return http.StatusOK, acquireResponse{held.fence}
 }
 
-// restartLeases gives every lease its whole time again, as a new owner does.
+// restartLeases restarts the hold time of every held lock, as a control node does when it takes
+// over the locks.
 func (s *fakeServer) restartLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +262,7 @@
 	}
 }
 
-// newTestClient makes a client of three nodes in front of a stand-in; n0 is asked first.
+// newTestClient returns a client of the fake server with three endpoints; n0 is tried first.
 func newTestClient(t *testing.T, s *fakeServer) *Client {
 	t.Helper()
 	c, err := New([]string{"n0:1", "n1:1", "n2:1"}, Options{Name: "test", Transport: s})
@@ -270,7 +273,7 @@
 	return c
 }
 
-// hosts lists the nodes that were asked, in order.
+// hosts returns the hosts of all attempts, in order.
 func (s *fakeServer) hosts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +291,7 @@
 	return ctx
 }
 
-// roughly says whether two times are the same but for the pauses' random part.
+// roughly reports whether two times are equal apart from jitter.
 func roughly(got, want time.Duration) bool {
 	return got > want-300*time.Millisecond && got < want+300*time.Millisecond
 }
@@ -307,7 +310,8 @@
 	return fmt.Sprint(err)
 }
 
-// runSimulated runs a test by synctest's clock. After it, leases are lost and late answers come.
+// runSimulated runs a test with synctest's fake clock. After the test every request gets a 409,
+// so that leases are lost, and two hours pass, so that delayed responses arrive.
 func runSimulated(t *testing.T, test func(t *testing.T, s *fakeServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/client/lease_test.go
+++ b/client/lease_test.go
@@ -10,30 +10,31 @@
 
 const testHold = 3 * time.Second
 
-// The lease counts from when the call was sent, and ends then unless it is renewed.
+// The hold time counts from when the acquire or renewal was sent. The lease expires then unless
+// it is renewed.
 func TestLeaseEnd(t *testing.T) {
-	noResponse := fault{answerDelay: time.Hour}
+	noResponse := fault{responseDelay: time.Hour}
 	for name, c := range map[string]struct {
-		acquired  fault               // of the acquire
-		renewals  func(nth int) fault // of the attempts to renew, from 0
-		meanwhile func(s *fakeServer) // done half a second after the acquire
-		ends      time.Duration       // after the acquire was sent; 0: not in a minute
+		acquired  fault               // of the acquire request
+		renewals  func(nth int) fault // of the nth renewal request, from 0
+		meanwhile func(s *fakeServer) // called half a second after the acquire
+		ends      time.Duration       // since the acquire was sent; 0: not within a minute
 		cause     error
 	}{
 		"renewed":                {renewals: func(int) fault { return fault{} }},
-		"acquired slowly":        {acquired: fault{answerDelay: 900 * time.Millisecond}, renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
-		"nodes silent":           {renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
+		"acquired slowly":        {acquired: fault{responseDelay: 900 * time.Millisecond}, renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
+		"no response":            {renewals: func(int) fault { return noResponse }, ends: testHold, cause: ErrLeaseExpired},
 		"nodes without a quorum": {renewals: func(int) fault { return fault{status: 503} }, ends: testHold, cause: ErrLeaseExpired},
-		"refused for good":       {renewals: func(int) fault { return fault{status: 400} }, ends: testHold, cause: ErrLeaseExpired},
-		"one answer lost": {renewals: func(nth int) fault {
+		"bad request":            {renewals: func(int) fault { return fault{status: 400} }, ends: testHold, cause: ErrLeaseExpired},
+		"every second response lost": {renewals: func(nth int) fault {
 			if nth%2 == 0 {
-				return fault{reset: true}
+				return fault{resetConnection: true}
 			}
 			return fault{}
 		}},
-		"answers slow": {renewals: func(int) fault { return fault{answerDelay: 500 * time.Millisecond} }},
+		"slow responses": {renewals: func(int) fault { return fault{responseDelay: 500 * time.Millisecond} }},
 		// The last renewal that succeeds is sent 1 s after the one before it.
-		"nodes silent after a while": {renewals: func(nth int) fault {
+		"no response after two renewals": {renewals: func(nth int) fault {
 			if nth < 2 {
 				return fault{}
 			}
@@ -85,26 +86,27 @@
 	}
 }
 
-// A 200 that comes after the grant's end counts for nothing.
+// A success response that arrives after the grant has expired is not used.
 func TestLateResponseGrantsNoLease(t *testing.T) {
 	const hold = 500 * time.Millisecond
-	late := fault{answerDelay: 700 * time.Millisecond}
+	slowResponse := fault{responseDelay: 700 * time.Millisecond}
 	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
-		s.failNext(late)
+		s.failNext(slowResponse)
 		grant, err := c.RequestGrant(t.Context(), "l", "me", hold)
 		if err != nil || len(s.attempts) != 2 || time.Until(grant.Until) != hold {
 			t.Error("acquire:", grant, err, s.hosts())
 		}
-		s.failNext(late)
+		s.failNext(slowResponse)
 		if _, err := c.RenewGrant(t.Context(), grant); !errors.Is(err, ErrLeaseExpired) {
 			t.Error("renewal:", err)
 		}
 	})
 }
 
-// A lock that is held is waited for; goroutines of one client exclude each other; tokens rise.
-func TestAcquireWaits(t *testing.T) {
+// Acquire waits for a held lock, goroutines of one client exclude each other, and tokens
+// increase.
+func TestAcquireWaitsForHeldLock(t *testing.T) {
 	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
 		first, err := c.Acquire(t.Context(), "l", "", testHold)
@@ -123,7 +125,7 @@
 			t.Fatal(second, err, time.Since(s.startedAt))
 		}
 		if err := first.Release(t.Context()); err != nil || second.Context().Err() != nil {
-			t.Error("a second release:", err, second.Context().Err())
+			t.Error("second release:", err, second.Context().Err())
 		}
 		if err := second.Release(t.Context()); err != nil || len(s.locks) != 0 {
 			t.Error(err, s.locks)
@@ -131,7 +133,8 @@
 	})
 }
 
-// What is granted after the caller has gone is given back, unless the caller chose the owner.
+// A grant that arrives after the context has ended is released, unless the caller chose the
+// owner name.
 func TestLateGrantIsReturned(t *testing.T) {
 	for owner, want := range map[string]int{"": 0, "mine": 1} {
 		runSimulated(t, func(t *testing.T, s *fakeServer) {
--- a/client/random_faults_test.go
+++ b/client/random_faults_test.go
@@ -11,44 +11,46 @@
 	"time"
 )
 
-// callerLog checks what the callers of a random run saw. Everything is by their own count.
+// callerLog records and checks what the callers of a random run saw, from their point of view.
 type callerLog struct {
 	t  *testing.T
 	mu sync.Mutex
-	// holder is the lease that counts itself as the lock's, token the highest that was held.
+	// holder is the last acquired lease, highestToken its token.
 	holder       *Lease
 	highestToken uint64
 	leases       int
-	// numbers holds the numbers, acknowledged the revisions and values of puts.
-	numbers      map[uint64]bool
+	// drawnNumbers holds the drawnNumbers, acknowledged the revisions and values of puts.
+	drawnNumbers map[uint64]bool
 	acknowledged map[uint64]string
 	watched      map[uint64]string
 }
 
-func (h *callerLog) recordLease(lease *Lease) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.holder != nil && h.holder.Remaining() > 0 {
-		h.t.Errorf("%s and %s hold the lock at once", h.holder.Owner(), lease.Owner())
+func (log *callerLog) recordLease(lease *Lease) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	if log.holder != nil && log.holder.Remaining() > 0 {
+		log.t.Errorf("%s and %s hold the lock at the same time", log.holder.Owner(), lease.Owner())
 	}
-	if lease.Token() <= h.highestToken {
-		h.t.Errorf("token %d after %d", lease.Token(), h.highestToken)
+	if lease.Token() <= log.highestToken {
+		log.t.Errorf("token %d after %d", lease.Token(), log.highestToken)
 	}
-	h.holder, h.highestToken = lease, lease.Token()
-	h.leases++
+	log.holder, log.highestToken = lease, lease.Token()
+	log.leases++
 }
 
-func (h *callerLog) recordNumber(before, number uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.numbers[number] || number <= before {
-		h.t.Errorf("number %d was given again, or after %d", number, before)
+func (log *callerLog) recordNumber(before, number uint64) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	if log.drawnNumbers[number] || number <= before {
+		log.t.Errorf("number %d was returned twice, or after %d", number, before)
 	}
-	h.numbers[number] = true
+	log.drawnNumbers[number] = true
 }
 
-// TestRandomFaults lets callers work through random faults: late and lost answers, late
-// calls, refusals, redirections, and owners that change with all leases given anew.
+// Several clients work while random faults occur: late and lost responses, delayed requests,
+// error responses, redirects, and takeovers that restart all hold times. Two leases must never
+// be held at once, tokens must increase, no number may be returned twice, acknowledged puts
+// must be in the state, and the watch must not miss an event.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,9 +61,9 @@
 
 func runRandomFaults(t *testing.T, s *fakeServer, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 23))
-	log := &callerLog{t: t, numbers: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
+	log := &callerLog{t: t, drawnNumbers: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
 	s.put("g.first", putRequest{Value: "first"})
-	unavailableUntil := time.Time{} // no node answers before
+	unavailableUntil := time.Time{} // until then every node responds with a 503
 	s.setFault(func(_ int, r *http.Request) fault {
 		if time.Now().Before(unavailableUntil) {
 			return fault{status: http.StatusServiceUnavailable}
@@ -71,11 +73,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	var callers sync.WaitGroup
-	for nth := range 4 {
+	for caller := range 4 {
 		c := newTestClient(t, s)
-		callers.Go(func() { lockRepeatedly(ctx, c, log, rand.New(rand.NewPCG(seed, uint64(nth)))) })
+		callers.Go(func() { lockRepeatedly(ctx, c, log, rand.New(rand.NewPCG(seed, uint64(caller)))) })
 		callers.Go(func() { drawRepeatedly(ctx, c, log) })
-		callers.Go(func() { putRepeatedly(ctx, c, log, nth) })
+		callers.Go(func() { putRepeatedly(ctx, c, log, caller) })
 	}
 	callers.Go(func() {
 		for event, err := range newTestClient(t, s).Watch(ctx, "g", 1) {
@@ -102,11 +104,11 @@
 	case 0:
 		return fault{delay: pause}
 	case 1:
-		return fault{answerDelay: pause}
+		return fault{responseDelay: pause}
 	case 2:
-		return fault{reset: true}
+		return fault{resetConnection: true}
 	case 3:
-		return fault{answerStatus: http.StatusBadGateway}
+		return fault{responseStatus: http.StatusBadGateway}
 	case 4:
 		return fault{status: http.StatusTooManyRequests}
 	case 5:
@@ -114,7 +116,7 @@
 	case 6:
 		return fault{refuseConnection: true}
 	}
-	return fault{answerDelay: pause / 50}
+	return fault{responseDelay: pause / 50}
 }
 
 func lockRepeatedly(ctx context.Context, c *Client, log *callerLog, random *rand.Rand) {
@@ -149,8 +151,8 @@
 
 func putRepeatedly(ctx context.Context, c *Client, log *callerLog, caller int) {
 	key := "g.shared"
-	for nth := 0; ctx.Err() == nil; nth++ {
-		value := fmt.Sprintf("%d.%d", caller, nth)
+	for count := 0; ctx.Err() == nil; count++ {
+		value := fmt.Sprintf("%d.%d", caller, count)
 		entry, err := c.Get(ctx, key)
 		if err != nil && !errors.Is(err, ErrNotFound) {
 			return
@@ -165,26 +167,26 @@
 	}
 }
 
-// check compares what was acknowledged and what was watched with what stands.
-func (h *callerLog) check(s *fakeServer) {
+// check compares the acknowledged puts and the watched events with the state of the server.
+func (log *callerLog) check(s *fakeServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.leases < 10 || len(h.numbers) < 300 || len(h.acknowledged) < 100 || len(h.watched) < 100 {
-		h.t.Errorf("too little was done: %d leases, %d numbers, %d puts, %d events", h.leases, len(h.numbers), len(h.acknowledged), len(h.watched))
+	if log.leases < 10 || len(log.drawnNumbers) < 300 || len(log.acknowledged) < 100 || len(log.watched) < 100 {
+		log.t.Errorf("too few operations: %d leases, %d numbers, %d puts, %d events", log.leases, len(log.drawnNumbers), len(log.acknowledged), len(log.watched))
 	}
 	last := uint64(0)
-	for revision := range h.watched {
+	for revision := range log.watched {
 		last = max(last, revision)
 	}
 	for _, event := range s.groups["g"][1:] {
-		if value, ok := h.acknowledged[event.Revision]; ok && value != event.Value {
-			h.t.Errorf("put %s was acknowledged at revision %d, which is %s", value, event.Revision, event.Value)
+		if value, ok := log.acknowledged[event.Revision]; ok && value != event.Value {
+			log.t.Errorf("put %s was acknowledged at revision %d, which has value %s", value, event.Revision, event.Value)
 		}
-		if event.Revision <= last && h.watched[event.Revision] != event.Value {
-			h.t.Errorf("the watch saw %q at revision %d, which is %s", h.watched[event.Revision], event.Revision, event.Value)
+		if event.Revision <= last && log.watched[event.Revision] != event.Value {
+			log.t.Errorf("the watch returned %q at revision %d, which has value %s", log.watched[event.Revision], event.Revision, event.Value)
 		}
 	}
 	if len(s.groups["g"]) < int(last) || int(last) < len(s.groups["g"])-60 {
-		h.t.Errorf("the watch came to revision %d of %d", last, len(s.groups["g"]))
+		log.t.Errorf("the watch reached revision %d of %d", last, len(s.groups["g"]))
 	}
 }
--- a/client/watch_test.go
+++ b/client/watch_test.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// collectWatch puts what a watch sees into a list of revisions, "end" and why it ended.
+// collectWatch starts a watch in the background. The returned function waits until it ends and
+// returns its events as "revision=value", followed by the kind of the error that ended it.
 func collectWatch(ctx context.Context, c *Client, after uint64) func() string {
 	var seen []string
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for event, err := range c.Watch(ctx, "g", after) {
 			if err != nil {
 				seen = append(seen, errorKind(err))
@@ -24,7 +25,7 @@
 		}
 	}()
 	return func() string {
-		<-ended
+		<-done
 		return strings.Join(seen, " ")
 	}
 }
@@ -36,18 +37,18 @@
 		faults []fault
 		want   string
 	}{
-		"from a revision":       {3, 1, nil, "2=v2 3=v3 4=v4 5=v5"},
-		"from now":              {3, 0, nil, "4=v4 5=v5"},
-		"a group that is empty": {0, 0, nil, "1= 2=v2"},
-		"over failures": {3, 1, []fault{{status: 503}, {}, {reset: true}, {answerDelay: time.Hour}, {}, {status: 502}, {refuseConnection: true}, {location: "http://n9:1/v1/watch/g."}},
+		"from a revision":           {3, 1, nil, "2=v2 3=v3 4=v4 5=v5"},
+		"from the current revision": {3, 0, nil, "4=v4 5=v5"},
+		"empty group":               {0, 0, nil, "1= 2=v2"},
+		"with failures": {3, 1, []fault{{status: 503}, {}, {resetConnection: true}, {responseDelay: time.Hour}, {}, {status: 502}, {refuseConnection: true}, {location: "http://n9:1/v1/watch/g."}},
 			"2=v2 3=v3 4=v4 5=v5"},
-		"a node that is behind":      {3, 3, []fault{{body: `{"events":[],"revision":2}`}}, "4=v4 5=v5"},
-		"events that fall":           {3, 1, []fault{{body: `{"events":[{"revision":3},{"revision":2}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
-		"an event that was seen":     {3, 1, []fault{{body: `{"events":[{"revision":1}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
-		"events above the revision":  {3, 1, []fault{{body: `{"events":[{"revision":4}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
-		"an answer that isn't there": {3, 1, []fault{{body: `null x`}}, "2=v2 3=v3 4=v4 5=v5"},
-		"refused":                    {3, 1, []fault{{status: 400}}, "400"},
-		"compacted":                  {3, 1, []fault{{status: 410}}, "compacted"},
+		"response behind the requested revision":   {3, 3, []fault{{responseBody: `{"events":[],"revision":2}`}}, "4=v4 5=v5"},
+		"events in decreasing order":               {3, 1, []fault{{responseBody: `{"events":[{"revision":3},{"revision":2}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
+		"event already seen":                       {3, 1, []fault{{responseBody: `{"events":[{"revision":1}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
+		"event above the revision of the response": {3, 1, []fault{{responseBody: `{"events":[{"revision":4}],"revision":3}`}}, "2=v2 3=v3 4=v4 5=v5"},
+		"invalid response body":                    {3, 1, []fault{{responseBody: `null x`}}, "2=v2 3=v3 4=v4 5=v5"},
+		"bad request":                              {3, 1, []fault{{status: 400}}, "400"},
+		"compacted":                                {3, 1, []fault{{status: 410}}, "compacted"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulated(t, func(t *testing.T, s *fakeServer) {
@@ -73,14 +74,15 @@
 	}
 }
 
-// A watch sees a put at once, asks once in two seconds, and leaves a node that doesn't wait.
+// A watch returns a put at once, sends a request only every two seconds while there are no
+// events, and moves to another node if a node responds without waiting.
 func TestWatchPolling(t *testing.T) {
 	runSimulated(t, func(t *testing.T, s *fakeServer) {
 		c := newTestClient(t, s)
 		s.put("g.k", putRequest{Value: "v1"})
 		s.setFault(func(_ int, r *http.Request) fault {
 			if r.URL.Host == "n0:1" {
-				return fault{status: http.StatusOK, body: `{"events":[],"revision":1}`}
+				return fault{status: http.StatusOK, responseBody: `{"events":[],"revision":1}`}
 			}
 			return fault{}
 		})
@@ -96,7 +98,7 @@
 			break
 		}
 		if n := len(s.attempts); n > 12 {
-			t.Errorf("asked %d times", n)
+			t.Errorf("%d requests, want at most 12", n)
 		}
 	})
 }
