--- a/client/lease_test.go
+++ b/client/lease_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A success response that arrives after the grant has expired is not used.
+// A 200 response that arrives after the grant has expired is not used.
 func TestLateResponseGrantsNoLease(t *testing.T) {
 	const hold = 500 * time.Millisecond
 	slowResponse := fault{responseDelay: 700 * time.Millisecond}
--- a/client/random_faults_test.go
+++ b/client/random_faults_test.go
@@ -19,10 +19,9 @@
 	holder       *Lease
 	highestToken uint64
 	leases       int
-	// drawnNumbers holds the drawnNumbers, acknowledged the revisions and values of puts.
 	drawnNumbers map[uint64]bool
-	acknowledged map[uint64]string
-	watched      map[uint64]string
+	acknowledged map[uint64]string // values of successful puts by revision
+	watched      map[uint64]string // values of watch events by revision
 }
 
 func (log *callerLog) recordLease(lease *Lease) {
--- a/internal/storage/disk_size_test.go
+++ b/internal/storage/disk_size_test.go
@@ -103,16 +103,16 @@
 	const diskSize = 1 << 20
 	const limit = diskSize * 12 / 64
 	for _, c := range []struct {
-		what       string
-		key, value int   // bytes
-		ranges     []int // sixteenths of the records that each change covers, cycled through; 0: one record
+		what       string // its length is part of the random seed
+		key, value int    // bytes
+		sixteenths []int  // sixteenths (1/16) of all records per change, used in turn; 0: one record
 		changes    int
 	}{
-		{"one record per change", 20, 200, []int{0}, 3000},
-		{"one range per change", 20, 200, []int{1}, 600},
-		{"records, ranges and all records", 20, 200, []int{0, 1, 0, 16}, 150},
-		{"names without values, twice the size that the catalogue counts", 200, 0, []int{0, 1, 4, 16}, 150},
-		{"names without values, one record per change", 200, 0, []int{0}, 900},
+		{"single record", 20, 200, []int{0}, 3000},
+		{"single range", 20, 200, []int{1}, 600},
+		{"mixed sizes", 20, 200, []int{0, 1, 0, 16}, 150},
+		{"names only, twice the size that is counted", 200, 0, []int{0, 1, 4, 16}, 150},
+		{"names only, single records", 200, 0, []int{0}, 900},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(len(c.what))))
@@ -126,7 +126,7 @@
 			}
 			for i := range c.changes {
 				var batch []Entry
-				count := max(1, n*c.ranges[i%len(c.ranges)]/16)
+				count := max(1, n*c.sixteenths[i%len(c.sixteenths)]/16)
 				for at := rng.IntN(n); len(batch) < count; at++ {
 					e := Entry{name(at % n), value()}
 					if 3*i/c.changes == 1 && rng.IntN(8) > 0 {
@@ -143,7 +143,7 @@
 			if tracked.maxBytes > diskSize {
 				t.Errorf("%d bytes used on a disk of %d", tracked.maxBytes, diskSize)
 			}
-			if c.ranges[0] == 0 && len(c.ranges) == 1 && tracked.refusedBatches > 0 {
+			if c.sixteenths[0] == 0 && len(c.sixteenths) == 1 && tracked.refusedBatches > 0 {
 				t.Errorf("%d changes of a record were refused for lack of space", tracked.refusedBatches)
 			}
 			t.Logf("at most %.2f of the disk used, %d rewrites", float64(tracked.maxBytes)/diskSize, tracked.rewrites)
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -69,37 +69,37 @@
 // are damage, because the last batch follows it.
 func TestScanAtEveryByte(t *testing.T) {
 	text, ends, states := writeHistory(t)
-	for at := ends[0]; at < len(text); at++ {
+	for offset := ends[0]; offset < len(text); offset++ {
 		batch, begin := 1, ends[0]
-		if at >= ends[1] {
+		if offset >= ends[1] {
 			batch, begin = 2, ends[1]
 		}
 		checkChanged := func(what string, from, to int, f func(byte) byte) {
-			torn := bytes.Clone(text)
+			changedText := bytes.Clone(text)
 			for i := from; i < to; i++ {
-				torn[i] = f(torn[i])
+				changedText[i] = f(changedText[i])
 			}
-			if bytes.Equal(torn, text) {
+			if bytes.Equal(changedText, text) {
 				return
 			}
-			state, validEnd, last, err := scan(torn)
+			state, validEnd, last, err := scan(changedText)
 			if batch == 1 {
 				if !errors.Is(err, ErrDamaged) {
-					t.Errorf("change to the batch before the last, %s at %d: %v, %q", what, at, err, state)
+					t.Errorf("change to the batch before the last, %s at %d: %v, %q", what, offset, err, state)
 				}
 			} else if err != nil || validEnd != int64(ends[1]) || last != 3 || !sameState(state, states[1]) {
-				t.Errorf("change to the last batch, %s at %d: %v, valid up to %d, %q", what, at, err, validEnd, state)
+				t.Errorf("change to the last batch, %s at %d: %v, valid up to %d, %q", what, offset, err, validEnd, state)
 			}
-			checkBuntdbLoads(t, torn[:validEnd])
+			checkBuntdbLoads(t, changedText[:validEnd])
 		}
 		for bit := range 8 {
-			checkChanged(fmt.Sprintf("bit %d flipped", bit), at, at+1, func(b byte) byte { return b ^ 1<<bit })
+			checkChanged(fmt.Sprintf("bit %d flipped", bit), offset, offset+1, func(b byte) byte { return b ^ 1<<bit })
 		}
-		checkChanged("zero", at, at+1, func(byte) byte { return 0 })
-		checkChanged("hole up to", begin, at+1, func(byte) byte { return 0 })
-		state, good, last, err := scan(text[:at])
-		if err != nil || good != int64(begin) || last != uint64(batch+1) || !sameState(state, states[batch-1]) {
-			t.Errorf("truncated at %d: %v, valid up to %d, %q", at, err, good, state)
+		checkChanged("zero", offset, offset+1, func(byte) byte { return 0 })
+		checkChanged("hole up to", begin, offset+1, func(byte) byte { return 0 })
+		state, validEnd, last, err := scan(text[:offset])
+		if err != nil || validEnd != int64(begin) || last != uint64(batch+1) || !sameState(state, states[batch-1]) {
+			t.Errorf("truncated at %d: %v, valid up to %d, %q", offset, err, validEnd, state)
 		}
 	}
 }
@@ -136,18 +136,18 @@
 // parseCommand accepts only exactly what buntdb writes. buntdb can't open a file with
 // anything else in it, so such text must be cut off as a torn write.
 func TestCommandIsStrict(t *testing.T) {
-	const good = setPrefix + "$2\r\nkk\r\n$1\r\nv\r\n"
-	if key, value, n := parseCommand([]byte(good)); key != "kk" || string(value) != "v" || n != len(good) {
+	const valid = setPrefix + "$2\r\nkk\r\n$1\r\nv\r\n"
+	if key, value, n := parseCommand([]byte(valid)); key != "kk" || string(value) != "v" || n != len(valid) {
 		t.Fatalf("%q, %q, %d", key, value, n)
 	}
-	for i := range good {
-		if _, _, n := parseCommand([]byte(good[:i])); n != 0 {
+	for i := range valid {
+		if _, _, n := parseCommand([]byte(valid[:i])); n != 0 {
 			t.Errorf("truncated at %d: %d", i, n)
 		}
-		if good[i] == 'k' || good[i] == 'v' {
+		if valid[i] == 'k' || valid[i] == 'v' {
 			continue
 		}
-		if _, _, n := parseCommand([]byte(good[:i] + "\x00" + good[i+1:])); n != 0 {
+		if _, _, n := parseCommand([]byte(valid[:i] + "\x00" + valid[i+1:])); n != 0 {
 			t.Errorf("zero at %d: %d", i, n)
 		}
 	}
@@ -178,11 +178,11 @@
 	f.Add(append(bytes.Clone(text), text...))
 	f.Add([]byte("*3\r\n$3\r\nset\r\n$9223372036854775807\r\nk\r\n$1\r\nv\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		state, good, last, _ := scan(text)
-		again, end, number, damage := scan(text[:good])
-		if damage != nil || end != good || number != last || !sameState(again, state) {
-			t.Fatalf("%q up to %d: %v, %d, %d", text, good, damage, end, number)
+		state, validEnd, lastBatch, _ := scan(text)
+		secondState, secondEnd, secondLastBatch, damage := scan(text[:validEnd])
+		if damage != nil || secondEnd != validEnd || secondLastBatch != lastBatch || !sameState(secondState, state) {
+			t.Fatalf("%q up to %d: %v, %d, %d", text, validEnd, damage, secondEnd, secondLastBatch)
 		}
-		checkBuntdbLoads(t, text[:good])
+		checkBuntdbLoads(t, text[:validEnd])
 	})
 }
--- a/internal/storage/power_loss_test.go
+++ b/internal/storage/power_loss_test.go
@@ -338,8 +338,8 @@
 			t.Fatal(err)
 		}
 		defer store.Close()
-		for _, b := range batches {
-			if err := store.Write(b); err != nil {
+		for _, batch := range batches {
+			if err := store.Write(batch); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -61,11 +61,11 @@
 	kill(store)
 	mark, _ := os.ReadFile(filepath.Join(dir, markName))
 	after, _ := os.ReadFile(path)
-	for cut := len(before); cut <= len(after); cut++ {
+	for size := len(before); size <= len(after); size++ {
 		for _, hole := range []bool{false, true} {
-			text := append([]byte{}, after[:cut]...)
+			text := append([]byte{}, after[:size]...)
 			if hole {
-				for i := len(before); i < min(len(before)+20, cut); i++ {
+				for i := len(before); i < min(len(before)+20, size); i++ {
 					text[i] = 0
 				}
 			}
@@ -74,14 +74,14 @@
 			os.WriteFile(filepath.Join(dir, markName), mark, 0o600)
 			store, state, err := Open(dir, 0, discardLog)
 			if err != nil {
-				t.Fatalf("truncated at %d: %v", cut, err)
+				t.Fatalf("truncated at %d: %v", size, err)
 			}
-			whole := cut == len(after) && !hole
-			if got := string(state["a"]) == "new" && state["b"] == nil; got != whole {
-				t.Fatalf("truncated at %d, hole %v: a=%q b=%q", cut, hole, state["a"], state["b"])
+			complete := size == len(after) && !hole
+			if got := string(state["a"]) == "new" && state["b"] == nil; got != complete {
+				t.Fatalf("truncated at %d, hole %v: a=%q b=%q", size, hole, state["a"], state["b"])
 			}
 			if string(state["c"]) != "value-1" {
-				t.Fatalf("truncated at %d: lost c=%q", cut, state["c"])
+				t.Fatalf("truncated at %d: lost c=%q", size, state["c"])
 			}
 			if err := store.Write([]Entry{{"d", []byte("x")}}); err != nil {
 				t.Fatal(err)
@@ -89,7 +89,7 @@
 			store.Close()
 			store, state, err = Open(dir, 0, discardLog)
 			if err != nil || string(state["d"]) != "x" {
-				t.Fatalf("truncated at %d: batch written after the start is lost: %v", cut, err)
+				t.Fatalf("truncated at %d: batch written after the start is lost: %v", size, err)
 			}
 			store.Close()
 		}
--- a/internal/storage/syncmark_test.go
+++ b/internal/storage/syncmark_test.go
@@ -29,16 +29,16 @@
 				t.Fatalf("seed %d, %s: %v", seed, what, err)
 			}
 			defer store.Close()
-			if whole := bytes.Equal(damaged, text); whole && (err != nil || !sameState(found, state)) || !whole && (err == nil || len(found) > 0) {
+			if intact := bytes.Equal(damaged, text); intact && (err != nil || !sameState(found, state)) || !intact && (err == nil || len(found) > 0) {
 				t.Errorf("seed %d, %s: %v, %q", seed, what, err, found)
 			}
 		}
 		checkStart("intact", text)
-		for at := range text {
-			with := bytes.Clone(text)
-			with[at] ^= 1 << rng.IntN(8)
-			checkStart(fmt.Sprintf("byte %d of %d", at, len(text)), with)
-			checkStart(fmt.Sprintf("truncated at %d of %d", at, len(text)), text[:at])
+		for offset := range text {
+			damagedText := bytes.Clone(text)
+			damagedText[offset] ^= 1 << rng.IntN(8)
+			checkStart(fmt.Sprintf("byte %d of %d", offset, len(text)), damagedText)
+			checkStart(fmt.Sprintf("truncated at %d of %d", offset, len(text)), text[:offset])
 		}
 	}
 }
@@ -65,18 +65,18 @@
 
 // lastBatchOf returns the number of the last batch of a file.
 func lastBatchOf(t *testing.T, text []byte) uint64 {
-	_, end, last, err := scan(text)
+	_, end, lastBatch, err := scan(text)
 	if err != nil || end != int64(len(text)) {
 		t.Fatal(err)
 	}
-	return last
+	return lastBatch
 }
 
 // encodeMark returns a mark file with a single mark.
-func encodeMark(number uint64) []byte {
+func encodeMark(batch uint64) []byte {
 	record := make([]byte, markRecordSize)
 	for i := range 8 {
-		record[4+i] = byte(number >> (56 - 8*i))
+		record[4+i] = byte(batch >> (56 - 8*i))
 	}
 	sum := markChecksum(record)
 	for i := range 4 {
@@ -105,14 +105,14 @@
 		}
 		text, _ := os.ReadFile(path)
 		texts = append(texts, text)
-		for cut := range markRecordSize {
+		for offset := range markRecordSize {
 			torn := bytes.Clone(text)
-			at := int(i) % markSlots * markSlotStride
-			torn[at+cut] ^= 0x10
+			slotStart := int(i) % markSlots * markSlotStride
+			torn[slotStart+offset] ^= 0x10
 			m := syncMark{}
 			os.WriteFile(path, torn, 0o600)
 			if err := m.load(osDirectory(dir)); err != nil || m.batch != uint64(i)+1 && i > 0 || i == 0 && m.batch != 0 {
-				t.Errorf("mark %d torn at %d: %d, %v", i+2, cut, m.batch, err)
+				t.Errorf("mark %d torn at %d: %d, %v", i+2, offset, m.batch, err)
 			}
 			os.WriteFile(path, text, 0o600)
 		}
@@ -121,11 +121,11 @@
 	if m := (syncMark{}); m.load(osDirectory(dir)) != nil || m.batch != 5 {
 		t.Errorf("the mark has batch %d", m.batch)
 	}
-	whole := storeFile(t, dir)
-	text, _ := os.ReadFile(whole)
+	storePath := storeFile(t, dir)
+	text, _ := os.ReadFile(storePath)
 	for i, mark := range append(texts, nil) {
 		dir := scratchDir(t)
-		os.WriteFile(filepath.Join(dir, filepath.Base(whole)), text[:len(text)-1], 0o600)
+		os.WriteFile(filepath.Join(dir, filepath.Base(storePath)), text[:len(text)-1], 0o600)
 		os.WriteFile(filepath.Join(dir, markName), mark, 0o600)
 		store, state, err := Open(dir, 0, discardLog)
 		if last := i == len(texts)-1; errors.Is(err, ErrDamaged) != last || (len(state) == 0) != last {
