--- a/client/call.go
+++ b/client/call.go
@@ -58,7 +58,7 @@
 	sentAt time.Time // start of the attempt that got the response
 }
 
-func (a *callResult) succeeded() bool { return a.status >= 200 && a.status < 300 }
+func (r *callResult) succeeded() bool { return r.status >= 200 && r.status < 300 }
 
 // attemptError is the failure of one attempt, after which the request may be retried.
 type attemptError struct {
--- a/client/call_test.go
+++ b/client/call_test.go
@@ -48,9 +48,9 @@
 	for name, c := range map[string]struct {
 		call   func(*Client, context.Context) error
 		faults []fault
-		hosts  string // hosts of all attempts, in order; "*": not checked
-		ends   string
-		after  time.Duration
+		hosts  string        // hosts of all attempts, in order; "*": not checked
+		ends   string        // expected error kind
+		after  time.Duration // expected duration of the call
 	}{
 		"success":               {draw, nil, "n0", "<nil>", 0},
 		"503, 429":              {draw, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
