--- a/client/lease.go
+++ b/client/lease.go
@@ -9,7 +9,7 @@
 
 const (
 	// A lease is renewed every hold time / renewalsPerHoldTime; after a failed renewal the next
-	// one follows after a renewalsPerHoldTime-th of that interval. Each attempt waits for
+	// one follows after 1/renewalsPerHoldTime of that interval. Each attempt waits for
 	// a response for hold time / attemptsPerHoldTime, but at most responseTimeout.
 	renewalsPerHoldTime = 3
 	attemptsPerHoldTime = 5
