--- a/client/grant.go
+++ b/client/grant.go
@@ -9,23 +9,22 @@
 	"time"
 )
 
-// Grant is one span of holding a lock, as one acquire or renewal gave it. Nothing renews it:
-// it is for programs that keep the time themselves. All others use Acquire.
+// Grant is a lock granted for a limited time by one acquire or renewal. It is not renewed
+// automatically: it is for programs that manage renewals themselves. All others use Acquire.
 type Grant struct {
 	// Name is the lock's name.
 	Name string
-	// Owner is who holds it.
+	// Owner is the name of the lock's holder.
 	Owner string
-	// Token is the fencing token: higher than that of each holder before.
+	// Token is the fencing token: higher than that of every earlier holder.
 	Token uint64
-	// Hold is how long the grant lasts.
+	// Hold is how long the grant lasts (the hold time).
 	Hold time.Duration
-	// Until is when the grant ends by this process's steady clock: Hold after the call that
-	// gave it was sent. Zero means that it isn't known.
+	// Until is when the grant expires by the monotonic clock of this process: Hold after the
+	// successful request was sent. Zero means unknown.
 	Until time.Time
 }
 
-// expired says that the grant's time has run out.
 func (g *Grant) expired() bool { return !g.Until.IsZero() && !time.Now().Before(g.Until) }
 
 type acquireRequest struct {
@@ -33,7 +32,7 @@
 	HoldS float64 `json:"holdS"`
 }
 
-type acquireAnswer struct {
+type acquireResponse struct {
 	Fence uint64 `json:"fence"`
 }
 
@@ -48,138 +47,140 @@
 	Fence uint64 `json:"fence"`
 }
 
-// RequestGrant asks once for a lock; ErrHeld says that another owner has it. An owner that
-// holds it already gets its token again, and the whole time. Where owner is empty, a name is
-// made up.
+// RequestGrant tries once to acquire a lock; it returns ErrHeld if another owner holds it. An
+// owner that already holds the lock gets the same token and the full hold time again. If owner
+// is empty, the client generates a name.
 //
-// If the call is given up without a clear answer, the lock may stand at the owner's name for
-// the hold time. For an owner that was made up it is given back if the answer still comes.
+// If the call fails with ErrUnclear, the lock may be held under the owner's name for the hold
+// time. With a generated owner name, the lock is released if a successful response arrives
+// after the context has ended.
 func (c *Client) RequestGrant(ctx context.Context, name, owner string, hold time.Duration) (Grant, error) {
-	return c.requestInTime(ctx, c.wanted(name, owner, hold))
+	return c.requestUnexpired(ctx, c.newGrantRequest(name, owner, hold))
 }
 
-// wantedGrant is a grant that is asked for.
-type wantedGrant struct {
+// grantRequest describes the grant to acquire: the lock's name, owner and hold time.
+type grantRequest struct {
 	Grant
-	ownerIsMadeUp bool
+	ownerGenerated bool
 }
 
-func (c *Client) wanted(name, owner string, hold time.Duration) wantedGrant {
+func (c *Client) newGrantRequest(name, owner string, hold time.Duration) grantRequest {
 	if owner == "" {
-		return wantedGrant{Grant{Name: name, Owner: c.newOwner(), Hold: hold}, true}
+		return grantRequest{Grant{Name: name, Owner: c.newOwner(), Hold: hold}, true}
 	}
-	return wantedGrant{Grant{Name: name, Owner: owner, Hold: hold}, false}
+	return grantRequest{Grant{Name: name, Owner: owner, Hold: hold}, false}
 }
 
-// requestInTime asks until an answer comes in time. One that comes after the grant's end is
-// worth nothing, and the same owner asks again.
-func (c *Client) requestInTime(ctx context.Context, wanted wantedGrant) (Grant, error) {
-	if wanted.Hold <= 0 {
-		return Grant{}, fmt.Errorf("lock %s: the hold time must be above 0", wanted.Name)
+// requestUnexpired requests a grant and repeats the request, with the same owner, if the
+// response arrives after the grant has already expired.
+func (c *Client) requestUnexpired(ctx context.Context, requested grantRequest) (Grant, error) {
+	if requested.Hold <= 0 {
+		return Grant{}, fmt.Errorf("lock %s: the hold time must be greater than 0", requested.Name)
 	}
 	for {
-		grant, err := c.requestGrant(ctx, wanted)
+		grant, err := c.requestGrant(ctx, requested)
 		if err != nil || !grant.expired() {
 			return grant, err
 		}
 	}
 }
 
-// requestGrant asks until there is an answer. One that comes after the caller has gone is
-// given back if the owner's name was made up: one that the caller chose may be in use again.
-func (c *Client) requestGrant(ctx context.Context, wanted wantedGrant) (Grant, error) {
-	request := call{
-		method:       http.MethodPost,
-		path:         lockPath(wanted.Name),
-		body:         acquireRequest{Owner: wanted.Owner, HoldS: wanted.Hold.Seconds()},
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
-		accept:       decodeInto(new(acquireAnswer)),
+// requestGrant requests a grant, with retries. A grant that arrives after the context has
+// ended is released if the owner name was generated; a name that the caller chose may already
+// be in use again.
+func (c *Client) requestGrant(ctx context.Context, requested grantRequest) (Grant, error) {
+	request := apiRequest{
+		method:      http.MethodPost,
+		path:        lockPath(requested.Name),
+		body:        acquireRequest{Owner: requested.Owner, HoldS: requested.Hold.Seconds()},
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetryWindow,
+		decodeBody:  decodeInto(new(acquireResponse)),
 	}
-	if wanted.ownerIsMadeUp {
-		request.abandoned = func(reply *answer) { c.returnAbandoned(wanted.Grant, reply) }
+	if requested.ownerGenerated {
+		request.onLateResult = func(result *callResult) { c.returnLateGrant(requested.Grant, result) }
 	}
-	reply, err := c.do(ctx, request)
+	result, err := c.do(ctx, request)
 	if err != nil {
 		return Grant{}, err
 	}
-	return grantOf(wanted.Grant, reply)
+	return grantFromResult(requested.Grant, result)
 }
 
-// grantOf reads the answer to an acquire.
-func grantOf(wanted Grant, reply *answer) (Grant, error) {
+// grantFromResult completes the requested grant with the result of an acquire request.
+func grantFromResult(requested Grant, result *callResult) (Grant, error) {
 	switch {
-	case reply.status == http.StatusConflict:
+	case result.status == http.StatusConflict:
 		return Grant{}, ErrHeld
-	case !reply.succeeded():
-		return Grant{}, refusal(reply)
+	case !result.succeeded():
+		return Grant{}, newStatusError(result)
 	}
-	var given acquireAnswer
-	if err := json.Unmarshal(reply.body, &given); err != nil {
+	var response acquireResponse
+	if err := json.Unmarshal(result.body, &response); err != nil {
 		return Grant{}, err
 	}
-	wanted.Token = given.Fence
-	wanted.Until = reply.sentAt.Add(wanted.Hold)
-	return wanted, nil
+	requested.Token = response.Fence
+	requested.Until = result.sentAt.Add(requested.Hold)
+	return requested, nil
 }
 
-// returnAbandoned gives back what was granted after the caller had gone.
-func (c *Client) returnAbandoned(wanted Grant, reply *answer) {
-	grant, err := grantOf(wanted, reply)
+// returnLateGrant releases a grant that arrived after the context had ended.
+func (c *Client) returnLateGrant(requested Grant, result *callResult) {
+	grant, err := grantFromResult(requested, result)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), grant.Until)
 	defer cancel()
-	_ = c.ReturnGrant(ctx, grant) // else it ends by itself
+	_ = c.ReturnGrant(ctx, grant) // on failure it expires by itself
 }
 
-// RenewGrant asks for the whole hold time once more. ErrLeaseLost says that the system
-// doesn't count the owner as holder, ErrLeaseExpired that the grant's end had come before
-// the answer.
+// RenewGrant renews a grant for its full hold time. ErrLeaseLost means that the control nodes
+// no longer regard the owner as the holder, ErrLeaseExpired that the grant expired before the
+// response arrived.
 func (c *Client) RenewGrant(ctx context.Context, grant Grant) (Grant, error) {
-	return c.renewGrant(ctx, grant, answerTimeout)
+	return c.renewGrant(ctx, grant, responseTimeout)
 }
 
 func (c *Client) renewGrant(ctx context.Context, grant Grant, timeout time.Duration) (Grant, error) {
-	reply, err := c.do(ctx, call{
-		method:       http.MethodPut,
-		path:         lockPath(grant.Name),
-		body:         renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
-		timeout:      timeout,
-		repeatWindow: noLimit,
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodPut,
+		path:        lockPath(grant.Name),
+		body:        renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
+		timeout:     timeout,
+		retryWindow: unlimitedRetryWindow,
 	})
 	switch {
 	case err != nil:
 		return grant, err
-	case reply.status == http.StatusConflict:
+	case result.status == http.StatusConflict:
 		return grant, ErrLeaseLost
-	case !reply.succeeded():
-		return grant, refusal(reply)
+	case !result.succeeded():
+		return grant, newStatusError(result)
 	case grant.expired():
 		return grant, ErrLeaseExpired
 	}
-	grant.Until = reply.sentAt.Add(grant.Hold)
+	grant.Until = result.sentAt.Add(grant.Hold)
 	return grant, nil
 }
 
-// ReturnGrant gives the lock back. It succeeds too if the owner doesn't hold it any more.
+// ReturnGrant releases the lock. It also succeeds if the owner no longer holds it.
 //
-// If it fails, the call may still arrive later. The same owner name must then not be used
-// for this lock again until the grant's end.
+// If it fails, a node may still receive the request later. The same owner name must then not
+// be used for this lock again until the grant has expired.
 func (c *Client) ReturnGrant(ctx context.Context, grant Grant) error {
-	reply, err := c.do(ctx, call{
-		method:       http.MethodDelete,
-		path:         lockPath(grant.Name),
-		body:         releaseRequest{Owner: grant.Owner, Fence: grant.Token},
-		timeout:      answerTimeout,
-		repeatWindow: noLimit,
+	result, err := c.do(ctx, apiRequest{
+		method:      http.MethodDelete,
+		path:        lockPath(grant.Name),
+		body:        releaseRequest{Owner: grant.Owner, Fence: grant.Token},
+		timeout:     responseTimeout,
+		retryWindow: unlimitedRetryWindow,
 	})
 	switch {
 	case err != nil:
 		return err
-	case !reply.succeeded():
-		return refusal(reply)
+	case !result.succeeded():
+		return newStatusError(result)
 	}
 	return nil
 }
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// BenchmarkBatch is what one acknowledged change costs: a record and the mark of
-// how far its partition is committed, written and synced. syncs/op are those that
-// an acknowledgement waits for.
+// BenchmarkBatch measures the cost of one acknowledged change: a batch of a record and
+// the commit index of its partition, written and synced. syncs/op counts the syncs that
+// the acknowledgement waits for.
 func BenchmarkBatch(b *testing.B) {
-	counter := counting{osFolder(scratch(b)), new(int)}
-	l, _, err := open(counter, 0, quiet)
+	counter := countingDirectory{osDirectory(scratchDir(b)), new(int)}
+	store, _, err := openDirectory(counter, 0, discardLog)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer store.Close()
 	record, meta := make([]byte, 280), make([]byte, 80)
 	*counter.syncs = 0
 	began := processorTime(b)
 	for b.Loop() {
 		batch := []Entry{{"record/config/route/00000001", record}, {"meta/config", meta}}
-		err := l.Write(batch)
-		if err == nil && l.Full() {
-			err = l.Rewrite(batch)
+		err := store.Write(batch)
+		if err == nil && store.Full() {
+			err = store.Rewrite(batch)
 		}
 		if err != nil {
 			b.Fatal(err)
@@ -34,18 +34,18 @@
 	b.ReportMetric(float64(*counter.syncs)/float64(b.N), "syncs/op")
 }
 
-// counting counts syncs.
-type counting struct {
-	osFolder
+// countingDirectory counts syncs.
+type countingDirectory struct {
+	osDirectory
 	syncs *int
 }
 
-func (c counting) sync(f *os.File) error {
+func (c countingDirectory) syncFile(f *os.File) error {
 	*c.syncs++
-	return c.osFolder.sync(f)
+	return c.osDirectory.syncFile(f)
 }
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
