--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	requestPause = 60 * time.Millisecond
-	// answerWait is for how long a client waits on a connection that stays open.
-	answerWait = 8 * time.Second
-	// leavingPart is the part of the requests whose client goes away before the answer.
-	leavingPart = 0.02
-	// confirmBytes is how long the body of a request is that may run once.
-	confirmBytes = 2000
+	requestInterval = 60 * time.Millisecond
+	// responseTimeout is for how long a client waits on a connection that stays open.
+	responseTimeout = 8 * time.Second
+	// abandonedShare is the part of the requests whose client goes away before the answer.
+	abandonedShare = 0.02
+	// confirmBodyBytes is how long the body of a request is that may run once.
+	confirmBodyBytes = 2000
 )
 
-// client sends requests to one machine on a connection that it keeps until that ends.
-func (w *world) client(ctx context.Context, m *machine, number int) {
+// runClient sends requests to one machine on a connection that it keeps until that ends.
+func (env *environment) runClient(ctx context.Context, m *machine, index int) {
 	var conn net.Conn
-	var in *bufio.Reader
+	var reader *bufio.Reader
 	defer func() {
 		if conn != nil {
 			conn.Close()
@@ -36,59 +36,59 @@
 			var err error
 			if conn, err = net.DialTimeout("tcp4", m.frontAddress(), time.Second); err != nil {
 				conn = nil
-				pause(ctx, 2*requestPause)
+				sleep(ctx, 2*requestInterval)
 				continue
 			}
-			in = bufio.NewReader(conn)
+			reader = bufio.NewReader(conn)
 		}
-		r := drawRequest(m.index, fmt.Sprintf("m%d-c%d-%d", m.index, number, n))
-		r.left = rand.Float64() < leavingPart
-		if !w.ask(conn, in, r) {
+		req := randomRequest(m.index, fmt.Sprintf("m%d-c%d-%d", m.index, index, n))
+		req.abandoned = rand.Float64() < abandonedShare
+		if !env.sendRequest(conn, reader, req) {
 			conn.Close()
 			conn = nil
 		}
-		pause(ctx, requestPause)
+		sleep(ctx, requestInterval)
 	}
 }
 
-// drawRequest draws what a client asks for.
-func drawRequest(machine int, attempt string) *request {
-	r := &request{attempt: attempt, machine: machine, method: http.MethodGet, path: "/lookup/" + attempt}
-	switch p := rand.Float64(); {
-	case p < 0.3:
-		r.method, r.path = http.MethodPost, "/confirm/"+attempt
-	case p < 0.5:
-		r.path = changedPrefix + attempt
+// randomRequest draws what a client asks for.
+func randomRequest(machine int, attempt string) *request {
+	req := &request{attempt: attempt, machine: machine, method: http.MethodGet, path: "/lookup/" + attempt}
+	switch draw := rand.Float64(); {
+	case draw < 0.3:
+		req.method, req.path = http.MethodPost, "/confirm/"+attempt
+	case draw < 0.5:
+		req.path = changedPrefix + attempt
 	}
-	return r
+	return req
 }
 
-// ask sends one request, and says whether the connection can be used on.
-func (w *world) ask(conn net.Conn, in *bufio.Reader, r *request) (open bool) {
+// sendRequest sends one request, and says whether the connection can be used on.
+func (env *environment) sendRequest(conn net.Conn, reader *bufio.Reader, req *request) (reusable bool) {
 	body := ""
-	if !r.repeatable() {
-		body = strings.Repeat("b", confirmBytes)
+	if !req.idempotent() {
+		body = strings.Repeat("b", confirmBodyBytes)
 	}
-	w.begin(r)
-	_ = conn.SetDeadline(time.Now().Add(answerWait))
+	env.recordSent(req)
+	_ = conn.SetDeadline(time.Now().Add(responseTimeout))
 	_, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: booking.example\r\nAttempt-Id: %s\r\nDeadline-Left: 1000\r\nContent-Length: %d\r\n\r\n%s",
-		r.method, r.path, r.attempt, len(body), body)
-	if err != nil || r.left {
-		w.history.end(r, func(r *request) {})
+		req.method, req.path, req.attempt, len(body), body)
+	if err != nil || req.abandoned {
+		env.history.recordEnd(req, func(r *request) {})
 		return false
 	}
-	res, text, err := readAnswer(in)
-	w.history.end(r, func(r *request) {
+	res, text, err := readResponse(reader)
+	env.history.recordEnd(req, func(r *request) {
 		if err == nil {
 			r.status, r.body = res.StatusCode, text
-			r.seal, r.about = res.Header.Get("Server-Seal"), res.Header.Get("Attempt-Id")
+			r.seal, r.responseAttempt = res.Header.Get("Server-Seal"), res.Header.Get("Attempt-Id")
 		}
 	})
 	return err == nil && !res.Close
 }
 
-func readAnswer(in *bufio.Reader) (*http.Response, string, error) {
-	res, err := http.ReadResponse(in, nil)
+func readResponse(reader *bufio.Reader) (*http.Response, string, error) {
+	res, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return nil, "", err
 	}
@@ -97,10 +97,10 @@
 	return res, string(text), err
 }
 
-// pause waits, no longer than ctx.
-func pause(ctx context.Context, span time.Duration) {
+// sleep waits, no longer than ctx.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
--- a/internal/soak/judge_serving_test.go
+++ b/internal/soak/judge_serving_test.go
@@ -7,121 +7,121 @@
 )
 
 // tally counts requests, and those of them that were served.
-type tally struct{ asked, served int }
+type tally struct{ total, served int }
 
 func (t *tally) add(r *request) {
-	t.asked++
-	t.served += served(r)
+	t.total++
+	t.served += servedCount(r)
 }
 
-// share is the part that was served.
-func (t tally) share() float64 { return float64(t.served) / float64(max(1, t.asked)) }
+// servedShare is the part that was served.
+func (t tally) servedShare() float64 { return float64(t.served) / float64(max(1, t.total)) }
 
 // maxTries is that of all routes.
 const maxTries = 2
 
-// findTries: "More than three requests of clients run, in one try, on more upstreams than their route's maxTries".
-func findTries(h *history) []string {
-	var beyond []string
-	for attempt, runs := range h.runsOf() {
+// findExcessAttempts: "More than three requests of clients run, in one try, on more upstreams than their route's maxTries".
+func findExcessAttempts(h *history) []string {
+	var exceeding []string
+	for attempt, runs := range h.runsByAttempt() {
 		upstreams := map[string]bool{}
 		for _, a := range runs {
-			upstreams[a.id] = true
+			upstreams[a.upstreamID] = true
 		}
 		if len(upstreams) > maxTries {
-			beyond = append(beyond, attempt)
+			exceeding = append(exceeding, attempt)
 		}
 	}
-	if len(beyond) <= 3 {
+	if len(exceeding) <= 3 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d requests ran on more than %d upstreams: %v", len(beyond), maxTries, beyond)}
+	return []string{fmt.Sprintf("%d requests ran on more than %d upstreams: %v", len(exceeding), maxTries, exceeding)}
 }
 
-// findUnanswered: "Some requests last longer than their route's deadlineS. Eight or more of them, and over a quarter, have no
+// findMissedDeadlines: "Some requests last longer than their route's deadlineS. Eight or more of them, and over a quarter, have no
 // final answer from machines in touch 0.5 s after it."
-func findUnanswered(h *history) []string {
-	long, late := 0, 0
+func findMissedDeadlines(h *history) []string {
+	overdue, late := 0, 0
 	for _, r := range h.requests {
-		if r.left || r.ended.IsZero() || r.ended.Sub(r.sent) <= routeDeadline || !h.inTouch(r.machine, r.ended) {
+		if r.abandoned || r.ended.IsZero() || r.ended.Sub(r.sent) <= routeDeadline || !h.inContact(r.machine, r.ended) {
 			continue
 		}
-		long++
+		overdue++
 		if r.ended.Sub(r.sent) > routeDeadline+time.Second/2 {
 			late++
 		}
 	}
-	if late < 8 || 4*late <= long {
+	if late < 8 || 4*late <= overdue {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d of %d requests that lasted longer than their deadline had no answer half a second later", late, long)}
+	return []string{fmt.Sprintf("%d of %d requests that lasted longer than their deadline had no answer half a second later", late, overdue)}
 }
 
-// kind is what a request asks for, by its route.
-func (r *request) kind() string {
+// routePrefix is what a request asks for, by its route.
+func (r *request) routePrefix() string {
 	prefix, _, _ := strings.Cut(strings.TrimPrefix(r.path, "/"), "/")
 	return prefix
 }
 
-// byKind counts the requests of each kind and all that the caller picks.
-func (h *history) byKind(pick func(r *request) bool) (kinds map[string]*tally, all tally) {
-	kinds = map[string]*tally{}
+// tallyByRoute counts the requests of each kind and all that the caller picks.
+func (h *history) tallyByRoute(include func(r *request) bool) (byRoute map[string]*tally, all tally) {
+	byRoute = map[string]*tally{}
 	for _, r := range h.requests {
-		if r.left || r.ended.IsZero() || !pick(r) {
+		if r.abandoned || r.ended.IsZero() || !include(r) {
 			continue
 		}
-		if kinds[r.kind()] == nil {
-			kinds[r.kind()] = &tally{}
+		if byRoute[r.routePrefix()] == nil {
+			byRoute[r.routePrefix()] = &tally{}
 		}
-		kinds[r.kind()].add(r)
+		byRoute[r.routePrefix()].add(r)
 		all.add(r)
 	}
-	return kinds, all
+	return byRoute, all
 }
 
-// findNeglected: "In calm times, machines in touch get 20 or more requests on routes that were added later, and serve them
+// findUnservedLaterRoutes: "In calm times, machines in touch get 20 or more requests on routes that were added later, and serve them
 // less than a quarter as often as those on the first routes." The changed route is asked for from the beginning: those
 // count that were sent when its first version had been acknowledged for configApplyS.
-func findNeglected(h *history) []string {
-	calm := func(r *request) bool {
-		return h.newestAcked(r.sent.Add(-configApplyS)) != nil && h.inTouch(r.machine, r.sent) && h.calm(r.sent.Add(-contactS), r.ended)
+func findUnservedLaterRoutes(h *history) []string {
+	include := func(r *request) bool {
+		return h.newestAcked(r.sent.Add(-configApplyS)) != nil && h.inContact(r.machine, r.sent) && h.noUnplannedFaults(r.sent.Add(-contactS), r.ended)
 	}
-	kinds, all := h.byKind(calm)
-	later := kinds[changedRoute]
-	if later == nil || later.asked < 20 {
+	byRoute, all := h.tallyByRoute(include)
+	later := byRoute[changedRoute]
+	if later == nil || later.total < 20 {
 		return nil
 	}
-	first := tally{all.asked - later.asked, all.served - later.served}
-	if 4*later.share() >= first.share() {
+	first := tally{all.total - later.total, all.served - later.served}
+	if 4*later.servedShare() >= first.servedShare() {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d of %d requests on the route that was added later were served, %d of %d on the first ones", later.served, later.asked, first.served, first.asked)}
+	return []string{fmt.Sprintf("%d of %d requests on the route that was added later were served, %d of %d on the first ones", later.served, later.total, first.served, first.total)}
 }
 
-// findStarved: "It also fails if a kind of request is served less than a quarter as often as all requests."
-func findStarved(h *history) (found []string) {
-	kinds, all := h.byKind(func(r *request) bool { return r.kind() != changedRoute })
-	for kind, t := range kinds {
-		if 4*t.share() < all.share() {
-			found = append(found, fmt.Sprintf("%d of %d requests of %s were served, %d of %d in all", t.served, t.asked, kind, all.served, all.asked))
+// findStarvedRoutes: "It also fails if a kind of request is served less than a quarter as often as all requests."
+func findStarvedRoutes(h *history) (found []string) {
+	byRoute, all := h.tallyByRoute(func(r *request) bool { return r.routePrefix() != changedRoute })
+	for route, routeTally := range byRoute {
+		if 4*routeTally.servedShare() < all.servedShare() {
+			found = append(found, fmt.Sprintf("%d of %d requests of %s were served, %d of %d in all", routeTally.served, routeTally.total, route, all.served, all.total))
 		}
 	}
 	return found
 }
 
-// findCutByConfiguration: LOST "a configuration that may be in force, from its sending until configApplyS + 1 s after its
+// findRequestsCutByChanges: LOST "a configuration that may be in force, from its sending until configApplyS + 1 s after its
 // acknowledgement ... counts only if the machine cuts requests over three times as often then as at other times, and
 // not for a request that has used seven tenths of its time."
-func findCutByConfiguration(h *history) (found []string) {
-	runs := h.runsOf()
+func findRequestsCutByChanges(h *history) (found []string) {
+	runs := h.runsByAttempt()
 	for _, m := range h.machines {
-		var during, otherwise struct{ asked, cut int }
+		var during, elsewhere struct{ asked, cut int }
 		for attempt, r := range h.requests {
-			if r.machine != m.index || r.left || r.ended.IsZero() || r.ended.Sub(r.sent) >= routeDeadline*7/10 || !h.calm(r.sent.Add(-contactS), r.ended) {
+			if r.machine != m.index || r.abandoned || r.ended.IsZero() || r.ended.Sub(r.sent) >= routeDeadline*7/10 || !h.noUnplannedFaults(r.sent.Add(-contactS), r.ended) {
 				continue
 			}
-			count := &otherwise
-			if h.besideConfiguration(r) {
+			count := &elsewhere
+			if h.duringConfigChange(r) {
 				count = &during
 			}
 			count.asked++
@@ -129,14 +129,14 @@
 				count.cut++
 			}
 		}
-		if during.cut > 0 && during.cut*max(1, otherwise.asked) > 3*otherwise.cut*during.asked {
-			found = append(found, fmt.Sprintf("machine %d cut %d of %d requests beside configurations, %d of %d else", m.index, during.cut, during.asked, otherwise.cut, otherwise.asked))
+		if during.cut > 0 && during.cut*max(1, elsewhere.asked) > 3*elsewhere.cut*during.asked {
+			found = append(found, fmt.Sprintf("machine %d cut %d of %d requests beside configurations, %d of %d else", m.index, during.cut, during.asked, elsewhere.cut, elsewhere.asked))
 		}
 	}
 	return found
 }
 
-func (h *history) besideConfiguration(r *request) bool {
+func (h *history) duringConfigChange(r *request) bool {
 	for _, v := range h.versions {
 		if r.ended.After(v.sent) && (v.acked.IsZero() || r.ended.Before(v.acked.Add(configApplyS+time.Second))) {
 			return true
--- a/internal/soak/judges_red_test.go
+++ b/internal/soak/judges_selftest_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// soundHistory is one of four machines without trouble, of which no judge finds anything: each request got the answer of
+// validHistory is one of four machines without trouble, of which no judge finds anything: each request got the answer of
 // the upstream that ran it.
-func soundHistory(began time.Time) *history {
+func validHistory(began time.Time) *history {
 	h := newHistory(nil)
 	for i, zone := range zones {
-		m := &machine{index: i, zone: zone, core: true, platform: &path{}}
-		m.control, m.gateway = &process{machine: m, role: control}, &process{machine: m, role: gateway}
+		m := &machine{index: i, zone: zone, core: true, platformProxy: &platformProxy{}}
+		m.control, m.gateway = &process{machine: m, role: roleControl}, &process{machine: m, role: roleGateway}
 		h.machines = append(h.machines, m)
 	}
 	for i := range 400 {
-		h.exchange(i%4, began.Add(time.Duration(i)*100*time.Millisecond), [...]string{"/lookup/", "/confirm/", changedPrefix}[i%3])
+		h.addExchange(i%4, began.Add(time.Duration(i)*100*time.Millisecond), [...]string{"/lookup/", "/confirm/", changedPrefix}[i%3])
 	}
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	h.versions = []*version{{1, "records", at(0), at(0.1)}}
+	h.versions = []*routeVersion{{1, "records", at(0), at(0.1)}}
 	for _, attempt := range []string{"r-2", "r-5"} {
 		if h.requests[attempt].path != changedPrefix+attempt {
 			panic("another request")
 		}
 	}
 	h.reads = []configRead{{at(5), "a", 1}}
-	h.holds = []*hold{{"l", "a", at(1), at(1.1), at(3), 7}, {"l", "b", at(3), at(3.1), at(5), 8}}
-	h.numbers = []drawnNumber{{"n", at(1), at(1.1), 5}, {"n", at(2), at(2.1), 6}}
-	h.orders = []*orderRecord{{operator: 1, zone: "nowhere", evacuate: true, sent: at(1), acked: at(1.5)}}
-	h.draining = []*shown{{id: "gone", from: at(1)}}
+	h.lockHoldings = []*lockHolding{{"l", "a", at(1), at(1.1), at(3), 7}, {"l", "b", at(3), at(3.1), at(5), 8}}
+	h.issuedNumbers = []issuedNumber{{"n", at(1), at(1.1), 5}, {"n", at(2), at(2.1), 6}}
+	h.orders = []*evacuationOrder{{operator: 1, zone: "nowhere", evacuate: true, sent: at(1), acked: at(1.5)}}
+	h.drainingPeriods = []*drainingPeriod{{upstreamID: "gone", from: at(1)}}
 	return h
 }
 
-// exchange adds a request that an upstream has run and answered.
-func (h *history) exchange(machine int, sent time.Time, prefix string) *request {
+// addExchange adds a request that an upstream has run and answered.
+func (h *history) addExchange(machine int, sent time.Time, prefix string) *request {
 	attempt := fmt.Sprintf("r-%d", len(h.requests))
 	r := &request{attempt: attempt, machine: machine, method: "GET", path: prefix + attempt, sent: sent, ended: sent.Add(10 * time.Millisecond), status: 200}
 	service := "booking"
@@ -45,9 +45,9 @@
 	case changedPrefix:
 		service = "records"
 	}
-	r.seal, r.about, r.body = "seal."+attempt, attempt, fmt.Sprintf("i-1 ran %s %s\n", r.method, r.path)
+	r.seal, r.responseAttempt, r.body = "seal."+attempt, attempt, fmt.Sprintf("i-1 ran %s %s\n", r.method, r.path)
 	h.requests[attempt] = r
-	h.arrivals = append(h.arrivals, arrival{at: sent.Add(time.Millisecond), service: service, zone: zones[machine], id: "i-1", machine: machine,
+	h.arrivals = append(h.arrivals, arrival{at: sent.Add(time.Millisecond), service: service, zone: zones[machine], upstreamID: "i-1", machine: machine,
 		attempt: attempt, method: r.method, path: r.path})
 	return r
 }
@@ -58,7 +58,7 @@
 	began := time.Now().Add(-time.Hour)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
 	for _, j := range judges {
-		if found := j.find(soundHistory(began)); len(found) > 0 {
+		if found := j.find(validHistory(began)); len(found) > 0 {
 			t.Errorf("%s finds fault with a sound history: %s", j.rule, found)
 		}
 	}
@@ -68,79 +68,79 @@
 		fault func(h *history)
 	}{
 		"an evacuated zone is used":       {"EVAC", func(h *history) { h.orders[0].zone = zones[0] }},
-		"an upstream is used that leaves": {"DRAIN", func(h *history) { h.draining[0].id = "i-1" }},
+		"an upstream is used that leaves": {"DRAIN", func(h *history) { h.drainingPeriods[0].upstreamID = "i-1" }},
 		"the old service runs a request":  {"CONFIG", func(h *history) { h.arrivals[len(h.arrivals)-2].service = "booking" }},
 		"an older version is read":        {"CONFIG, read", func(h *history) { h.reads[0].generation = 0 }},
 		"404 for a route that is there": {"DENIED", func(h *history) {
 			for i := range 30 {
-				r := h.exchange(i%4, at(20), "/lookup/")
-				r.status, r.seal, r.about, r.body = 404, "", "", ""
+				r := h.addExchange(i%4, at(20), "/lookup/")
+				r.status, r.seal, r.responseAttempt, r.body = 404, "", "", ""
 			}
 		}},
 		"runs twice": {"TWICE", func(h *history) { h.arrivals = append(h.arrivals, h.arrivals[1]) }},
 		"503 for a request that ran": {"REFUSED", func(h *history) {
 			r := h.requests["r-1"]
-			r.status, r.seal, r.about, r.body = 503, "", "", ""
+			r.status, r.seal, r.responseAttempt, r.body = 503, "", "", ""
 		}},
 		"a request that nobody sent":        {"UNASKED", func(h *history) { lastArrival(h).attempt = "other" }},
 		"another path":                      {"UNASKED", func(h *history) { lastArrival(h).path += "x" }},
-		"another's answer":                  {"MIXED", func(h *history) { h.requests["r-1"].about = "r-2" }},
+		"another's answer":                  {"MIXED", func(h *history) { h.requests["r-1"].responseAttempt = "r-2" }},
 		"another's body":                    {"MIXED", func(h *history) { h.requests["r-1"].body = h.requests["r-2"].body }},
 		"half a body":                       {"MIXED", func(h *history) { h.requests["r-1"].body = h.requests["r-1"].body[1:8] }},
 		"no seal":                           {"MIXED", func(h *history) { h.requests["r-1"].seal = "" }},
 		"success where the upstream failed": {"MIXED", func(h *history) { h.arrivals[1].failed = true }},
 		"a failure with another status":     {"MIXED", func(h *history) { h.requests["r-1"].status = 502 }},
 		"a request is cut after a SIGTERM": {"LOST", func(h *history) {
-			r := h.exchange(2, at(20), "/confirm/")
+			r := h.addExchange(2, at(20), "/confirm/")
 			r.status, r.ended = 0, at(20.5)
-			h.machines[2].gateway.terms = []time.Time{at(19)}
+			h.machines[2].gateway.sigterms = []time.Time{at(19)}
 		}},
 		"a request is cut after a SIGHUP": {"LOST", func(h *history) {
-			r := h.exchange(2, at(20), "/lookup/")
+			r := h.addExchange(2, at(20), "/lookup/")
 			r.status, r.ended = 0, at(20.5)
-			h.machines[2].gateway.reloads = []time.Time{at(20.2)}
+			h.machines[2].gateway.sighups = []time.Time{at(20.2)}
 		}},
 		"nothing is served after the fault": {"RECOVER", func(h *history) {
-			h.closing = closing{at(41), at(42)}
-			h.exchange(0, at(60), "/lookup/").status = 503
+			h.finalKill = finalKill{at(41), at(42)}
+			h.addExchange(0, at(60), "/lookup/").status = 503
 		}},
-		"two holders at once": {"ONE", func(h *history) { h.holds[1].from = at(2.9) }},
-		"a fence goes down":   {"ONE", func(h *history) { h.holds[1].fence = 6 }},
-		"a fence goes to two": {"ONE", func(h *history) { h.holds[1].fence = 7 }},
+		"two holders at once": {"ONE", func(h *history) { h.lockHoldings[1].heldFrom = at(2.9) }},
+		"a fence goes down":   {"ONE", func(h *history) { h.lockHoldings[1].fence = 6 }},
+		"a fence goes to two": {"ONE", func(h *history) { h.lockHoldings[1].fence = 7 }},
 		"more upstreams than tries": {"BUDGET, tries", func(h *history) {
 			for i := range 4 {
 				for _, id := range []string{"i-2", "i-3"} {
 					again := h.arrivals[3*i]
-					again.id = id
+					again.upstreamID = id
 					h.arrivals = append(h.arrivals, again)
 				}
 			}
 		}},
 		"no answer at the deadline": {"CONFIG, deadline", func(h *history) {
 			for range 8 {
-				r := h.exchange(0, at(20), "/lookup/")
+				r := h.addExchange(0, at(20), "/lookup/")
 				r.status, r.ended = 504, at(21.6)
 			}
 		}},
 		"a later route is not served": {"CONFIG, later routes", func(h *history) {
 			for _, r := range h.requests {
-				if r.kind() == changedRoute {
+				if r.routePrefix() == changedRoute {
 					r.status = 404
 				}
 			}
 		}},
 		"a kind starves": {"Starved", func(h *history) {
 			for _, r := range h.requests {
-				if r.kind() == "confirm" {
+				if r.routePrefix() == "confirm" {
 					r.status = 503
 				}
 			}
 		}},
 		"a configuration cuts":          {"LOST, configuration", func(h *history) { h.requests["r-1"].status = 0 }},
-		"a number twice":                {"ORDER", func(h *history) { h.numbers[1].value = 5 }},
-		"a number below an earlier one": {"ORDER", func(h *history) { h.numbers[1].value = 4 }},
+		"a number twice":                {"ORDER", func(h *history) { h.issuedNumbers[1].value = 5 }},
+		"a number below an earlier one": {"ORDER", func(h *history) { h.issuedNumbers[1].value = 4 }},
 	} {
-		h := soundHistory(began)
+		h := validHistory(began)
 		c.fault(h)
 		i := slices.IndexFunc(judges, func(j judge) bool { return j.rule == c.rule })
 		if found := judges[i].find(h); len(found) == 0 {
@@ -153,47 +153,47 @@
 func TestJudgesAllowWhatTheRulesAllow(t *testing.T) {
 	began := time.Now().Add(-time.Hour)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	trouble := func(p *process, from, to float64) {
-		p.troubles.all = append(p.troubles.all, span{from: at(from), to: at(to)})
+	addFault := func(p *process, from, to float64) {
+		p.faults.periods = append(p.faults.periods, faultPeriod{from: at(from), to: at(to)})
 	}
 	for name, c := range map[string]struct {
 		find  func(h *history) []string
 		allow func(h *history)
 	}{
-		"DRAIN at machines out of touch": {findDrain, func(h *history) {
-			h.draining[0].id = "i-1"
+		"DRAIN at machines out of touch": {findDrainViolations, func(h *history) {
+			h.drainingPeriods[0].upstreamID = "i-1"
 			for _, m := range h.machines {
-				trouble(m.gateway, 0, 60)
+				addFault(m.gateway, 0, 60)
 			}
 		}},
-		"DRAIN while the core is not settled": {findDrain, func(h *history) {
-			h.draining[0].id = "i-1"
-			trouble(h.machines[0].control, 0, 60)
+		"DRAIN while the core is not settled": {findDrainViolations, func(h *history) {
+			h.drainingPeriods[0].upstreamID = "i-1"
+			addFault(h.machines[0].control, 0, 60)
 		}},
-		"DRAIN once it is ready again": {findDrain, func(h *history) { h.draining[0].id, h.draining[0].to = "i-1", at(2) }},
-		"EVAC after the withdrawal was sent": {findEvac, func(h *history) {
+		"DRAIN once it is ready again": {findDrainViolations, func(h *history) { h.drainingPeriods[0].upstreamID, h.drainingPeriods[0].to = "i-1", at(2) }},
+		"EVAC after the withdrawal was sent": {findEvacuationViolations, func(h *history) {
 			h.orders[0].zone = zones[0]
-			h.orders = append(h.orders, &orderRecord{operator: 1, zone: zones[0], sent: at(2)})
+			h.orders = append(h.orders, &evacuationOrder{operator: 1, zone: zones[0], sent: at(2)})
 		}},
-		"CONFIG within configApplyS": {findConfig, func(h *history) { h.versions = append(h.versions, &version{2, "booking", at(38), at(39)}) }},
-		"CONFIG of a later version without a clear answer": {findConfig, func(h *history) {
-			h.versions = append(h.versions, &version{2, "booking", at(10), time.Time{}})
+		"CONFIG within configApplyS": {findOutdatedRouting, func(h *history) { h.versions = append(h.versions, &routeVersion{2, "booking", at(38), at(39)}) }},
+		"CONFIG of a later version without a clear answer": {findOutdatedRouting, func(h *history) {
+			h.versions = append(h.versions, &routeVersion{2, "booking", at(10), time.Time{}})
 			h.arrivals[len(h.arrivals)-2].service = "booking"
 		}},
-		"LOST where the upstream broke off": {findLost, func(h *history) {
-			r := h.exchange(2, at(20), "/confirm/")
+		"LOST where the upstream broke off": {findLostRequests, func(h *history) {
+			r := h.addExchange(2, at(20), "/confirm/")
 			r.status, r.ended = 0, at(20.5)
 			h.arrivals[len(h.arrivals)-1].failed = true
-			h.machines[2].gateway.terms = []time.Time{at(19)}
+			h.machines[2].gateway.sigterms = []time.Time{at(19)}
 		}},
-		"LOST beside unplanned trouble": {findLost, func(h *history) {
-			r := h.exchange(2, at(20), "/confirm/")
+		"LOST beside unplanned trouble": {findLostRequests, func(h *history) {
+			r := h.addExchange(2, at(20), "/confirm/")
 			r.status, r.ended = 0, at(20.5)
-			h.machines[2].gateway.terms = []time.Time{at(19)}
-			trouble(h.machines[0].control, 18, 19)
+			h.machines[2].gateway.sigterms = []time.Time{at(19)}
+			addFault(h.machines[0].control, 18, 19)
 		}},
 	} {
-		h := soundHistory(began)
+		h := validHistory(began)
 		c.allow(h)
 		if found := c.find(h); len(found) > 0 {
 			t.Errorf("%s: %s", name, found[0])
--- a/internal/soak/operators_test.go
+++ b/internal/soak/operators_test.go
@@ -16,29 +16,29 @@
 	"time"
 )
 
-// fate is what becomes of one call of an operator's on its way.
-type fate int
+// callFault is what becomes of one call of an operator's on its way.
+type callFault int
 
 const (
-	passes     fate = iota
-	endUnseen       // the node never sees the end of the connection
-	answerLost      // the call is carried out, its answer is lost and the connection ends
-	silent          // no answer comes through, and the node never sees the end
-	brokenOff       // the operator sees a failure at once; the node never sees the end
+	noCallFault          callFault = iota
+	closeLost                      // the node never sees the end of the connection
+	responseLost                   // the call is carried out, its answer is lost and the connection ends
+	responseAndCloseLost           // no answer comes through, and the node never sees the end
+	callAborted                    // the operator sees a failure at once; the node never sees the end
 )
 
-func (f fate) String() string {
+func (f callFault) String() string {
 	return [...]string{"passes", "end unseen", "answer lost", "silent", "broken off"}[f]
 }
 
 const (
-	callPatience = time.Second // after which an operator goes on to another node
-	firstPause   = 100 * time.Millisecond
-	longestPause = time.Second
+	callTimeout     = time.Second // after which an operator goes on to another node
+	firstRetryDelay = 100 * time.Millisecond
+	maxRetryDelay   = time.Second
 )
 
-// orderRecord is one order of an operator's, with all its tries.
-type orderRecord struct {
+// evacuationOrder is one order of an operator's, with all its tries.
+type evacuationOrder struct {
 	operator int
 	zone     string
 	evacuate bool
@@ -50,55 +50,55 @@
 // operators are those of a run.
 type operators struct {
 	*history
-	fleet  *fleet
-	kept   []net.Conn // whose end the nodes never see
-	waking sync.WaitGroup
+	cluster   *testCluster
+	openConns []net.Conn // whose end the nodes never see
+	resuming  sync.WaitGroup
 }
 
 // close ends the connections that were kept.
-func (o *operators) close() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, c := range o.kept {
+func (ops *operators) close() {
+	ops.mu.Lock()
+	defer ops.mu.Unlock()
+	for _, c := range ops.openConns {
 		c.Close()
 	}
 }
 
 // call sends one call to a node and follows redirects as the protocol says. Status 0: no answer
 // came through.
-func (o *operators) call(method, address, path, body string, f fate) (status int) {
+func (ops *operators) call(method, address, path, body string, fault callFault) (status int) {
 	for range 3 {
 		var location string
-		status, location = o.exchange(method, address, path, body, f)
+		status, location = ops.exchange(method, address, path, body, fault)
 		if status != http.StatusTemporaryRedirect {
 			return status
 		}
-		to, err := url.Parse(location)
+		target, err := url.Parse(location)
 		if err != nil {
 			return 0
 		}
-		address = to.Host
+		address = target.Host
 	}
 	return status
 }
 
-func (o *operators) exchange(method, address, path, body string, f fate) (status int, location string) {
-	conn, err := net.DialTimeout("tcp4", address, callPatience)
+func (ops *operators) exchange(method, address, path, body string, fault callFault) (status int, location string) {
+	conn, err := net.DialTimeout("tcp4", address, callTimeout)
 	if err != nil {
 		return 0, ""
 	}
-	if f == endUnseen || f == silent || f == brokenOff {
-		o.mu.Lock()
-		o.kept = append(o.kept, conn)
-		o.mu.Unlock()
+	if fault == closeLost || fault == responseAndCloseLost || fault == callAborted {
+		ops.mu.Lock()
+		ops.openConns = append(ops.openConns, conn)
+		ops.mu.Unlock()
 	} else {
 		defer conn.Close()
 	}
-	_ = conn.SetDeadline(time.Now().Add(callPatience))
+	_ = conn.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, address, len(body), body); err != nil {
 		return 0, ""
 	}
-	if f == brokenOff {
+	if fault == callAborted {
 		return 0, ""
 	}
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -112,150 +112,150 @@
 	if res.StatusCode == http.StatusTemporaryRedirect {
 		return res.StatusCode, res.Header.Get("Location")
 	}
-	switch f {
-	case answerLost:
+	switch fault {
+	case responseLost:
 		return 0, ""
-	case silent:
-		time.Sleep(callPatience)
+	case responseAndCloseLost:
+		time.Sleep(callTimeout)
 		return 0, ""
 	}
 	return res.StatusCode, ""
 }
 
-// drawFate draws what becomes of a call.
-func drawFate(random *rand.Rand) fate {
-	switch p := random.Float64(); {
-	case p < 0.15:
-		return answerLost
-	case p < 0.22:
-		return silent
-	case p < 0.28:
-		return brokenOff
-	case p < 0.6:
-		return endUnseen
+// randomCallFault draws what becomes of a call.
+func randomCallFault(random *rand.Rand) callFault {
+	switch draw := random.Float64(); {
+	case draw < 0.15:
+		return responseLost
+	case draw < 0.22:
+		return responseAndCloseLost
+	case draw < 0.28:
+		return callAborted
+	case draw < 0.6:
+		return closeLost
 	}
-	return passes
+	return noCallFault
 }
 
-// aimedStops is the part of the calls before which the node that they go to is stopped.
-const aimedStops = 0.15
+// suspendBeforeCallShare is the part of the calls before which the node that they go to is stopped.
+const suspendBeforeCallShare = 0.15
 
-// stopFirst has the node at an address stand still, and wake after a while.
-func (o *operators) stopFirst(address string, span time.Duration) {
-	for _, m := range o.fleet.machines {
+// suspendNodeAt has the node at an address stand still, and wake after a while.
+func (ops *operators) suspendNodeAt(address string, duration time.Duration) {
+	for _, m := range ops.cluster.machines {
 		if m.control != nil && m.controlAddress() == address {
-			end := m.control.troubles.begin(unplanned)
+			endFault := m.control.faults.begin(unplanned)
 			m.control.signal(syscall.SIGSTOP)
-			o.waking.Go(func() {
-				time.Sleep(span)
+			ops.resuming.Go(func() {
+				time.Sleep(duration)
 				m.control.signal(syscall.SIGCONT)
-				end()
+				endFault()
 			})
 		}
 	}
 }
 
-// give sends an order to one node after the other until it is acknowledged or ackS is over.
-func (o *operators) give(ctx context.Context, random *rand.Rand, operator int, zone string, evacuate bool) *orderRecord {
+// sendOrder sends an order to one node after the other until it is acknowledged or ackS is over.
+func (ops *operators) sendOrder(ctx context.Context, random *rand.Rand, operator int, zone string, evacuate bool) *evacuationOrder {
 	method := http.MethodDelete
 	if evacuate {
 		method = http.MethodPost
 	}
-	r := &orderRecord{operator: operator, zone: zone, evacuate: evacuate, sent: time.Now()}
-	o.mu.Lock()
-	o.orders = append(o.orders, r)
-	o.mu.Unlock()
-	addresses := o.fleet.controlAddresses()
+	order := &evacuationOrder{operator: operator, zone: zone, evacuate: evacuate, sent: time.Now()}
+	ops.mu.Lock()
+	ops.orders = append(ops.orders, order)
+	ops.mu.Unlock()
+	addresses := ops.cluster.controlAddresses()
 	random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	wait := firstPause
-	for try := 0; time.Since(r.sent) < ackS && ctx.Err() == nil; try++ {
-		to, f, begin := addresses[try%len(addresses)], drawFate(random), time.Now()
-		if random.Float64() < aimedStops && o.fleet.troubled() {
-			o.stopFirst(to, between(random, callPatience, 4*time.Second))
+	retryDelay := firstRetryDelay
+	for try := 0; time.Since(order.sent) < ackS && ctx.Err() == nil; try++ {
+		address, fault, started := addresses[try%len(addresses)], randomCallFault(random), time.Now()
+		if random.Float64() < suspendBeforeCallShare && ops.cluster.inFaultWindow() {
+			ops.suspendNodeAt(address, randomDuration(random, callTimeout, 4*time.Second))
 		}
-		status := o.call(method, to, "/v1/evacuation/"+zone, "", f)
+		status := ops.call(method, address, "/v1/evacuation/"+zone, "", fault)
 		now := time.Now()
-		o.mu.Lock()
-		r.tries = append(r.tries, fmt.Sprintf("%s-%s %s (%v) %d", o.fleet.logTime(begin), o.fleet.logTime(now), to, f, status))
+		ops.mu.Lock()
+		order.tries = append(order.tries, fmt.Sprintf("%s-%s %s (%v) %d", ops.cluster.logTime(started), ops.cluster.logTime(now), address, fault, status))
 		if status == http.StatusOK {
-			r.acked = now
+			order.acked = now
 		}
-		o.mu.Unlock()
+		ops.mu.Unlock()
 		if status == http.StatusOK || status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
 			break
 		}
-		pause(ctx, wait)
-		wait = min(2*wait, longestPause)
+		sleep(ctx, retryDelay)
+		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
-	return r
+	return order
 }
 
-// operate has one operator evacuate zones, withdraw and evacuate again, half of the time the same one.
-func (o *operators) operate(ctx context.Context, random *rand.Rand, operator int, among []string) {
-	zone := among[0]
+// evacuateZones has one operator evacuate zones, withdraw and evacuate again, half of the time the same one.
+func (ops *operators) evacuateZones(ctx context.Context, random *rand.Rand, operator int, zoneChoices []string) {
+	zone := zoneChoices[0]
 	for ctx.Err() == nil {
 		if random.Float64() < 0.5 {
-			zone = among[random.IntN(len(among))]
+			zone = zoneChoices[random.IntN(len(zoneChoices))]
 		}
-		taken := !o.give(ctx, random, operator, zone, true).acked.IsZero()
-		hold := between(random, 0, 3*time.Second)
+		acked := !ops.sendOrder(ctx, random, operator, zone, true).acked.IsZero()
+		hold := randomDuration(random, 0, 3*time.Second)
 		if random.Float64() < 0.6 {
-			hold = between(random, evacuateS, 3*evacuateS)
+			hold = randomDuration(random, evacuateS, 3*evacuateS)
 		}
-		pause(ctx, hold)
-		if len(among) > 1 && !taken {
+		sleep(ctx, hold)
+		if len(zoneChoices) > 1 && !acked {
 			continue // a withdrawal might be that of another operator's evacuation
 		}
-		o.give(context.WithoutCancel(ctx), random, operator, zone, false)
-		pause(ctx, between(random, 0, 800*time.Millisecond))
+		ops.sendOrder(context.WithoutCancel(ctx), random, operator, zone, false)
+		sleep(ctx, randomDuration(random, 0, 800*time.Millisecond))
 	}
 }
 
-// changedServices are those to which the changed route goes, version by version.
-var changedServices = [...]string{"booking", "records"}
+// changedRouteServices are those to which the changed route goes, version by version.
+var changedRouteServices = [...]string{"booking", "records"}
 
-// change has an operator change the configuration again and again: a route that goes to one service and the other in turn.
-func (o *operators) change(ctx context.Context, random *rand.Rand) {
+// changeRoute has an operator changeRoute the configuration again and again: a route that goes to one service and the other in turn.
+func (ops *operators) changeRoute(ctx context.Context, random *rand.Rand) {
 	for generation := 1; ctx.Err() == nil; generation++ {
-		o.bringIn(ctx, random, generation, drawFate)
-		pause(ctx, between(random, 0, 10*time.Second))
+		ops.sendVersion(ctx, random, generation, randomCallFault)
+		sleep(ctx, randomDuration(random, 0, 10*time.Second))
 	}
 }
 
-// bringIn sends a version of the changed route until it is acknowledged or ackS is over.
-func (o *operators) bringIn(ctx context.Context, random *rand.Rand, generation int, fateOf func(*rand.Rand) fate) (taken bool) {
-	v := &version{generation: generation, service: changedServices[generation%len(changedServices)], sent: time.Now()}
-	o.mu.Lock()
-	o.versions = append(o.versions, v)
-	o.mu.Unlock()
+// sendVersion sends a version of the changed route until it is acknowledged or ackS is over.
+func (ops *operators) sendVersion(ctx context.Context, random *rand.Rand, generation int, chooseFault func(*rand.Rand) callFault) (acked bool) {
+	version := &routeVersion{generation: generation, service: changedRouteServices[generation%len(changedRouteServices)], sent: time.Now()}
+	ops.mu.Lock()
+	ops.versions = append(ops.versions, version)
+	ops.mu.Unlock()
 	body := fmt.Sprintf(`{"upsert":{"domains":[{"authority":"booking.example","hostRoutes":[{"name":%q,"pathPrefix":%q,"routeKind":"idempotent","deadlineS":1,"targetLatencyS":0.4,"priority":2,"target":%q,"maxTries":2,"generation":%d}]}]},"remove":{"routes":[]}}`,
-		changedRoute, changedPrefix, v.service, generation)
-	addresses := o.fleet.controlAddresses()
-	for time.Since(v.sent) < ackS && ctx.Err() == nil {
-		if o.call(http.MethodPatch, addresses[random.IntN(len(addresses))], "/v1/config", body, fateOf(random)) == http.StatusOK {
-			o.mu.Lock()
-			v.acked = time.Now()
-			o.mu.Unlock()
+		changedRoute, changedPrefix, version.service, generation)
+	addresses := ops.cluster.controlAddresses()
+	for time.Since(version.sent) < ackS && ctx.Err() == nil {
+		if ops.call(http.MethodPatch, addresses[random.IntN(len(addresses))], "/v1/config", body, chooseFault(random)) == http.StatusOK {
+			ops.mu.Lock()
+			version.acked = time.Now()
+			ops.mu.Unlock()
 			return true
 		}
-		pause(ctx, firstPause)
+		sleep(ctx, firstRetryDelay)
 	}
 	return false
 }
 
-// readBack reads the configuration at one node after the other.
-func (o *operators) readBack(ctx context.Context, random *rand.Rand) {
-	addresses := o.fleet.controlAddresses()
+// readConfigs reads the configuration at one node after the other.
+func (ops *operators) readConfigs(ctx context.Context, random *rand.Rand) {
+	addresses := ops.cluster.controlAddresses()
 	for ctx.Err() == nil {
-		pause(ctx, between(random, 100*time.Millisecond, time.Second))
-		o.readAt(addresses[random.IntN(len(addresses))])
+		sleep(ctx, randomDuration(random, 100*time.Millisecond, time.Second))
+		ops.readConfig(addresses[random.IntN(len(addresses))])
 	}
 }
 
-// readAt reads the configuration at one node, and says whether that answered.
-func (o *operators) readAt(address string) bool {
+// readConfig reads the configuration at one node, and says whether that answered.
+func (ops *operators) readConfig(address string) bool {
 	read := configRead{sent: time.Now(), node: address}
-	status, text := o.get(address, "/v1/config")
+	status, text := ops.get(address, "/v1/config")
 	if status != http.StatusOK {
 		return false
 	}
@@ -268,7 +268,7 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(text), &configuration); err != nil {
-		o.fleet.t.Errorf("%s: %v: %s", address, err, text)
+		ops.cluster.t.Errorf("%s: %v: %s", address, err, text)
 	}
 	for _, domain := range configuration.Domains {
 		for _, route := range domain.HostRoutes {
@@ -277,15 +277,15 @@
 			}
 		}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.reads = append(o.reads, read)
+	ops.mu.Lock()
+	defer ops.mu.Unlock()
+	ops.reads = append(ops.reads, read)
 	return true
 }
 
 // get sends one read and follows redirects. Status 0: no answer came.
-func (o *operators) get(address, path string) (status int, text string) {
-	client := http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true}}
+func (ops *operators) get(address, path string) (status int, text string) {
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Get("http://" + address + path)
 	if err != nil {
 		return 0, ""
@@ -298,20 +298,20 @@
 	return res.StatusCode, string(body)
 }
 
-// first brings in the first configuration.
-func (o *operators) first(ctx context.Context) bool {
+// sendInitialConfig brings in the sendInitialConfig configuration.
+func (ops *operators) sendInitialConfig(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		for _, address := range o.fleet.controlAddresses() {
-			if o.call(http.MethodPatch, address, "/v1/config", firstConfiguration, passes) == http.StatusOK {
+		for _, address := range ops.cluster.controlAddresses() {
+			if ops.call(http.MethodPatch, address, "/v1/config", initialConfig, noCallFault) == http.StatusOK {
 				return true
 			}
 		}
-		pause(ctx, firstPause)
+		sleep(ctx, firstRetryDelay)
 	}
 	return false
 }
 
-func (r *orderRecord) String() string {
+func (r *evacuationOrder) String() string {
 	verb := "withdraws"
 	if r.evacuate {
 		verb = "evacuates"
--- a/internal/soak/platform_test.go
+++ b/internal/soak/platform_test.go
@@ -16,9 +16,9 @@
 
 // platform is the stand-in for the operators' platform: the list of upstreams, in pages.
 type platform struct {
-	mu       sync.Mutex
-	list     []map[string]any
-	pageSize int // 0: the whole list is one page
+	mu        sync.Mutex
+	upstreams []map[string]any
+	pageSize  int // 0: the whole list is one page
 }
 
 // ServeHTTP answers a call for a page of the list.
@@ -27,40 +27,40 @@
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
-	text, _ := json.Marshal(p.page(from))
+	start, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
+	text, _ := json.Marshal(p.page(start))
 	rw.Header().Set("Content-Type", "application/json")
 	_, _ = rw.Write(text)
 }
 
 // page is the page of the list that begins at an entry.
-func (p *platform) page(from int) map[string]any {
+func (p *platform) page(start int) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to := len(p.list)
+	end := len(p.upstreams)
 	var next any
-	if p.pageSize > 0 && from+p.pageSize < to {
-		to = from + p.pageSize
-		next = strconv.Itoa(to)
+	if p.pageSize > 0 && start+p.pageSize < end {
+		end = start + p.pageSize
+		next = strconv.Itoa(end)
 	}
-	return map[string]any{"instances": p.list[min(from, to):to], "nextToken": next}
+	return map[string]any{"instances": p.upstreams[min(start, end):end], "nextToken": next}
 }
 
 // add lists an upstream.
 func (p *platform) add(id, target, address, zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = append(p.list, map[string]any{"id": id, "target": target, "address": address, "zone": zone,
+	p.upstreams = append(p.upstreams, map[string]any{"id": id, "target": target, "address": address, "zone": zone,
 		"generation": "v1", "capacity": 6, "state": "ready", "warmupLeftS": 0})
 }
 
-// draw draws an upstream of the service that most requests go to.
-func (p *platform) draw(random *rand.Rand) string {
+// randomUpstream draws an upstream of the service that most requests go to.
+func (p *platform) randomUpstream(random *rand.Rand) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		if u := anyOf(random, p.list); u["target"] == "booking" {
-			return u["id"].(string)
+		if entry := randomElement(random, p.upstreams); entry["target"] == "booking" {
+			return entry["id"].(string)
 		}
 	}
 }
@@ -69,160 +69,160 @@
 func (p *platform) setState(id, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, u := range p.list {
-		if u["id"] == id {
-			u = maps.Clone(u) // an answer may be under way
-			u["state"] = state
-			p.list[i] = u
+	for i, entry := range p.upstreams {
+		if entry["id"] == id {
+			entry = maps.Clone(entry) // an answer may be under way
+			entry["state"] = state
+			p.upstreams[i] = entry
 		}
 	}
 }
 
-// condition is how a path carries what is sent on it.
-type condition int
+// pathFault is how a path carries what is sent on it.
+type pathFault int
 
 const (
-	sound        condition = iota
-	allLost                // nothing comes through either way, and no end of a connection
-	requestsLost           // nothing comes through to the platform
-	answersLost            // nothing comes back
-	resetting              // connections are reset
-	slowByCall             // each answer is late
-	slowByByte             // each answer comes a few bytes at a time
-	conditions
+	noPathFault       pathFault = iota
+	allLost                     // nothing comes through either way, and no end of a connection
+	requestsLost                // nothing comes through to the platform
+	responsesLost               // nothing comes back
+	connectionsReset            // connections are reset
+	responsesDelayed            // each answer is late
+	responsesTrickled           // each answer comes a few bytes at a time
+	pathFaultCount
 )
 
-func (c condition) String() string {
+func (c pathFault) String() string {
 	return [...]string{"sound", "all lost", "requests lost", "answers lost", "resetting", "slow by call", "slow by byte"}[c]
 }
 
 const (
-	// callDelay is how late each answer is on a path that is slow by call.
-	callDelay = 700 * time.Millisecond
+	// responseDelay is how late each answer is on a path that is slow by call.
+	responseDelay = 700 * time.Millisecond
 	// trickleBytes come each tricklePause on a path that is slow by byte.
-	trickleBytes = 64
-	tricklePause = 100 * time.Millisecond
+	trickleBytes    = 64
+	trickleInterval = 100 * time.Millisecond
 )
 
-// path is a machine's way to the platform: a proxy in a condition that may change at any time.
-type path struct {
+// platformProxy is a machine's way to the platform: a proxy in a condition that may change at any time.
+type platformProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
-	mu    sync.Mutex
-	state condition
-	open  map[net.Conn]bool
-	calls int       // that have come through to the platform since the last look
-	last  time.Time // when one did
+	mu         sync.Mutex
+	fault      pathFault
+	conns      map[net.Conn]bool
+	newCalls   int       // that have come through to the platform since the last look
+	lastCallAt time.Time // when one did
 
-	troubles troubles
+	faults faultLog
 }
 
-func newPath(t *testing.T, listen, to string) *path {
-	l, err := net.Listen("tcp4", listen)
+func newPlatformProxy(t *testing.T, listen, target string) *platformProxy {
+	listener, err := net.Listen("tcp4", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &path{listener: l, to: to, open: map[net.Conn]bool{}}
+	proxy := &platformProxy{listener: listener, target: target, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.carry(c)
+			go proxy.serve(conn)
 		}
 	}()
-	t.Cleanup(p.end)
-	return p
+	t.Cleanup(proxy.close)
+	return proxy
 }
 
-func (p *path) address() string { return p.listener.Addr().String() }
+func (p *platformProxy) address() string { return p.listener.Addr().String() }
 
-func (p *path) end() {
+func (p *platformProxy) close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-// set brings the path into a condition.
-func (p *path) set(c condition) {
+// setFault brings the path into a condition.
+func (p *platformProxy) setFault(fault pathFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = c
-	if c == resetting {
-		for conn := range p.open {
-			reset(conn)
+	p.fault = fault
+	if fault == connectionsReset {
+		for conn := range p.conns {
+			resetConn(conn)
 		}
 	}
 }
 
-// trouble keeps the path in a condition for a while.
-func (p *path) trouble(ctx context.Context, c condition, span time.Duration) {
-	end := p.troubles.begin(unplanned)
-	p.set(c)
-	pause(ctx, span)
-	p.set(sound)
-	end()
+// injectFault keeps the path in a condition for a while.
+func (p *platformProxy) injectFault(ctx context.Context, fault pathFault, duration time.Duration) {
+	endFault := p.faults.begin(unplanned)
+	p.setFault(fault)
+	sleep(ctx, duration)
+	p.setFault(noPathFault)
+	endFault()
 }
 
 // lastCall is when a call last came through to the platform.
-func (p *path) lastCall() time.Time {
+func (p *platformProxy) lastCall() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last
+	return p.lastCallAt
 }
 
-func (p *path) condition() condition {
+func (p *platformProxy) currentFault() pathFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state
+	return p.fault
 }
 
-// takeCalls is how many calls have come through since it was asked last.
-func (p *path) takeCalls() int {
+// takeNewCalls is how many calls have come through since it was asked last.
+func (p *platformProxy) takeNewCalls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := p.calls
-	p.calls = 0
+	n := p.newCalls
+	p.newCalls = 0
 	return n
 }
 
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 }
 
-// hold keeps a connection to close it at the end, and says whether the path takes it.
-func (p *path) hold(c net.Conn) bool {
+// track keeps a connection to close it at the end, and says whether the path takes it.
+func (p *platformProxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open[c] = true
-	return p.state != resetting
+	p.conns[conn] = true
+	return p.fault != connectionsReset
 }
 
-func (p *path) carry(c net.Conn) {
-	if !p.hold(c) {
-		reset(c)
+func (p *platformProxy) serve(client net.Conn) {
+	if !p.track(client) {
+		resetConn(client)
 		return
 	}
-	d, err := net.Dial("tcp4", p.to)
+	server, err := net.Dial("tcp4", p.target)
 	if err != nil {
-		reset(c)
+		resetConn(client)
 		return
 	}
-	p.hold(d)
-	go p.copy(c, d, p.answer)
-	p.copy(d, c, p.request)
+	p.track(server)
+	go p.forward(client, server, p.forwardResponse)
+	p.forward(server, client, p.forwardRequest)
 }
 
-// copy passes on what is read. What the path loses is lost for that connection for good, its end too.
-func (p *path) copy(to, from net.Conn, pass func(to net.Conn, part []byte) bool) {
+// forward passes on what is read. What the path loses is lost for that connection for good, its end too.
+func (p *platformProxy) forward(to, from net.Conn, forward func(to net.Conn, buffer []byte) bool) {
 	part := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(part)
@@ -230,48 +230,48 @@
 			_ = to.Close()
 			return
 		}
-		if !pass(to, part[:n]) {
+		if !forward(to, part[:n]) {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
 	}
 }
 
-// request passes on a part of what the machine sends, and says whether the direction is open.
-func (p *path) request(to net.Conn, part []byte) bool {
-	if c := p.condition(); c == allLost || c == requestsLost {
+// forwardRequest passes on a part of what the machine sends, and says whether the direction is open.
+func (p *platformProxy) forwardRequest(to net.Conn, data []byte) bool {
+	if fault := p.currentFault(); fault == allLost || fault == requestsLost {
 		return false
 	}
 	p.mu.Lock()
-	p.calls++
-	p.last = time.Now()
+	p.newCalls++
+	p.lastCallAt = time.Now()
 	p.mu.Unlock()
-	_, err := to.Write(part)
+	_, err := to.Write(data)
 	return err == nil
 }
 
-// answer passes on a part of what the platform sends.
-func (p *path) answer(to net.Conn, part []byte) bool {
-	switch p.condition() {
-	case allLost, answersLost:
+// forwardResponse passes on a part of what the platform sends.
+func (p *platformProxy) forwardResponse(to net.Conn, data []byte) bool {
+	switch p.currentFault() {
+	case allLost, responsesLost:
 		return false
-	case slowByCall:
-		time.Sleep(callDelay)
-	case slowByByte:
-		return trickle(to, part)
+	case responsesDelayed:
+		time.Sleep(responseDelay)
+	case responsesTrickled:
+		return trickle(to, data)
 	}
-	_, err := to.Write(part)
+	_, err := to.Write(data)
 	return err == nil
 }
 
-func trickle(to net.Conn, part []byte) bool {
-	for len(part) > 0 {
-		n := min(trickleBytes, len(part))
-		if _, err := to.Write(part[:n]); err != nil {
+func trickle(to net.Conn, data []byte) bool {
+	for len(data) > 0 {
+		n := min(trickleBytes, len(data))
+		if _, err := to.Write(data[:n]); err != nil {
 			return false
 		}
-		part = part[n:]
-		time.Sleep(tricklePause)
+		data = data[n:]
+		time.Sleep(trickleInterval)
 	}
 	return true
 }
--- a/internal/soak/stale_order_test.go
+++ b/internal/soak/stale_order_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// evacuated are the zones that a control node shows as evacuated.
-func evacuated(t *testing.T, m *machine) (out []string) {
-	client := &http.Client{Timeout: callPatience}
+// evacuatedZones are the zones that a control node shows as evacuatedZones.
+func evacuatedZones(t *testing.T, m *machine) (out []string) {
+	client := &http.Client{Timeout: callTimeout}
 	res, err := client.Get("http://" + m.controlAddress() + "/v1/admin/evacuations")
 	if err != nil {
 		t.Fatal(err)
@@ -30,58 +30,58 @@
 	return out
 }
 
-// until gives an order to some nodes in turn until one acknowledges it.
-func (o *operators) until(ctx context.Context, method, zone string, among []*machine) {
+// sendUntilAcked gives an order to some nodes in turn sendUntilAcked one acknowledges it.
+func (ops *operators) sendUntilAcked(ctx context.Context, method, zone string, nodes []*machine) {
 	for try := 0; ctx.Err() == nil; try++ {
-		if o.call(method, among[try%len(among)].controlAddress(), "/v1/evacuation/"+zone, "", passes) == http.StatusOK {
+		if ops.call(method, nodes[try%len(nodes)].controlAddress(), "/v1/evacuation/"+zone, "", noCallFault) == http.StatusOK {
 			return
 		}
-		pause(ctx, firstPause)
+		sleep(ctx, firstRetryDelay)
 	}
-	o.fleet.t.Errorf("%s of %s is not acknowledged", method, zone)
+	ops.cluster.t.Errorf("%s of %s is not acknowledged", method, zone)
 }
 
-// newControlPlane starts the control nodes of four machines, and none of the gateways.
-func newControlPlane(t *testing.T) (*fleet, *operators) {
-	f := newFleet(t, build(t), t.TempDir(), rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)), len(zones))
-	t.Cleanup(f.end)
-	w := newWorld(t, f)
-	t.Cleanup(w.end)
-	for _, m := range f.machines {
-		f.start(m.control, true)
+// startControlPlane starts the control nodes of four machines, and none of the gateways.
+func startControlPlane(t *testing.T) (*testCluster, *operators) {
+	cluster := newTestCluster(t, build(t), t.TempDir(), rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)), len(zones))
+	t.Cleanup(cluster.kill)
+	env := newEnvironment(t, cluster)
+	t.Cleanup(env.close)
+	for _, m := range cluster.machines {
+		cluster.start(m.control, true)
 	}
-	o := &operators{history: w.history, fleet: f}
-	t.Cleanup(o.close)
-	starting, cancel := context.WithTimeout(t.Context(), 2*recoveryS)
+	ops := &operators{history: env.history, cluster: cluster}
+	t.Cleanup(ops.close)
+	startCtx, cancel := context.WithTimeout(t.Context(), 2*recoveryS)
 	defer cancel()
-	if !o.first(starting) {
+	if !ops.sendInitialConfig(startCtx) {
 		t.Fatal("the first configuration is not taken")
 	}
-	pause(t.Context(), contactS)
-	return f, o
+	sleep(t.Context(), contactS)
+	return cluster, ops
 }
 
 // A withdrawal waits in a node that stands still; it is acknowledged elsewhere, and so is a new evacuation.
-func TestAStoppedNodeUndoesALaterEvacuation(t *testing.T) {
-	f, o := newControlPlane(t)
+func TestResumedNodeKeepsLaterEvacuation(t *testing.T) {
+	cluster, ops := startControlPlane(t)
 	const zone = "winnipeg"
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	for _, stopped := range f.core() {
-		others := slices.DeleteFunc(f.core(), func(m *machine) bool { return m == stopped })
-		o.until(ctx, http.MethodPost, zone, others)
+	for _, stopped := range cluster.coreMachines() {
+		others := slices.DeleteFunc(cluster.coreMachines(), func(m *machine) bool { return m == stopped })
+		ops.sendUntilAcked(ctx, http.MethodPost, zone, others)
 		stopped.control.signal(syscall.SIGSTOP)
-		o.call(http.MethodDelete, stopped.controlAddress(), "/v1/evacuation/"+zone, "", endUnseen)
-		o.until(ctx, http.MethodDelete, zone, others)
-		o.until(ctx, http.MethodPost, zone, others)
+		ops.call(http.MethodDelete, stopped.controlAddress(), "/v1/evacuation/"+zone, "", closeLost)
+		ops.sendUntilAcked(ctx, http.MethodDelete, zone, others)
+		ops.sendUntilAcked(ctx, http.MethodPost, zone, others)
 		stopped.control.signal(syscall.SIGCONT)
-		pause(ctx, contactS)
-		for _, m := range f.core() {
-			if !slices.Contains(evacuated(t, m), zone) {
+		sleep(ctx, contactS)
+		for _, m := range cluster.coreMachines() {
+			if !slices.Contains(evacuatedZones(t, m), zone) {
 				t.Errorf("%s woke; at %s the zone isn't evacuated any more", stopped.name, m.name)
 			}
 		}
-		o.until(ctx, http.MethodDelete, zone, others)
-		pause(ctx, ackS) // the next round's orders aren't repeats of this one's
+		ops.sendUntilAcked(ctx, http.MethodDelete, zone, others)
+		sleep(ctx, ackS) // the next round's orders aren't repeats of this one's
 	}
 }
