--- a/internal/soak/applications_test.go
+++ b/internal/soak/applications_test.go
@@ -70,13 +70,13 @@
 
 // acquireLock asks for a lock once. It returns nil if the lock was not acquired or the holding time is already over.
 func (a *application) acquireLock(random *rand.Rand) *lockHolding {
-	acquired := &lockHolding{lock: fmt.Sprintf("l%d", random.IntN(lockCount)), owner: a.owner, firstSent: time.Now()}
+	acquired := &lockHolding{lock: fmt.Sprintf("l%d", random.IntN(lockCount)), owner: a.owner, acquireSent: time.Now()}
 	var response lockResponse
 	body := fmt.Sprintf(`{"owner":%q,"holdS":%g}`, a.owner, lockHoldTime.Seconds())
 	if a.call(random, http.MethodPost, "/v1/locks/"+acquired.lock, body, &response) != http.StatusOK {
 		return nil
 	}
-	acquired.heldFrom, acquired.heldUntil, acquired.fence = time.Now(), acquired.firstSent.Add(lockHoldTime), response.Fence
+	acquired.heldFrom, acquired.heldUntil, acquired.fence = time.Now(), acquired.acquireSent.Add(lockHoldTime), response.Fence
 	if !acquired.heldFrom.Before(acquired.heldUntil) {
 		return nil
 	}
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The bounds of the site psd-booking, as settingsText sets them.
+// The bounds of the site psd-booking, with the names and values that settingsText has.
 const (
 	contactS    = 3 * time.Second
 	ackS        = 5 * time.Second
@@ -100,7 +100,7 @@
 	roleGateway = "gateway"
 )
 
-// cause tells faults from planned work.
+// cause distinguishes unplanned faults from planned work.
 type cause int
 
 const (
@@ -158,7 +158,7 @@
 	return !slices.ContainsFunc(l.periods, func(p faultPeriod) bool { return counts(p.cause) && p.overlaps(from, to) })
 }
 
-func countAll(cause) bool { return true }
+func anyCause(cause) bool { return true }
 
 // machine is an edge machine. It runs a gateway and may run a control node.
 type machine struct {
@@ -172,7 +172,7 @@
 }
 
 // faultFree reports whether the machine's processes and its path to the platform had no fault in a period.
-func (m *machine) faultFree(from, to time.Time) bool { return m.noFaults(from, to, countAll) }
+func (m *machine) faultFree(from, to time.Time) bool { return m.noFaults(from, to, anyCause) }
 
 // faultFreeExcept is like faultFree but ignores faults of one cause.
 func (m *machine) faultFreeExcept(except cause, from, to time.Time) bool {
@@ -343,7 +343,7 @@
 }
 
 // faultFree reports whether the process had no fault in a period.
-func (p *process) faultFree(from, to time.Time) bool { return p.faults.noneIn(from, to, countAll) }
+func (p *process) faultFree(from, to time.Time) bool { return p.faults.noneIn(from, to, anyCause) }
 
 // suspend stops a process by SIGSTOP and continues it after a while.
 func (p *process) suspend(duration time.Duration) {
--- a/internal/soak/drain_test.go
+++ b/internal/soak/drain_test.go
@@ -68,8 +68,8 @@
 		allLost.String() + ", a long list":          {longList, pathFaultCase(allLost)},
 		responsesDelayed.String() + ", a long list": {longList, pathFaultCase(responsesDelayed)},
 	}
-	for state := allLost; state < pathFaultCount; state++ {
-		cases[state.String()] = listReaderScenario{multiPageList, pathFaultCase(state)}
+	for fault := allLost; fault < pathFaultCount; fault++ {
+		cases[fault.String()] = listReaderScenario{multiPageList, pathFaultCase(fault)}
 	}
 	for name, scenario := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	inject func(reader *machine) (end func())
 }
 
-// listShape is the size of the platform's list. With fewer upstreams than the test has, the list is not extended.
+// listShape is the size of the platform's list. A shorter list is extended to the number of upstreams.
 type listShape struct {
 	upstreams, pageSize int
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -34,8 +34,8 @@
 	return ctx.Err() == nil
 }
 
-// waitForFaultFreeTime waits until contactS and 2 s after the end of a fault window, when the processes' faults
-// have ended long enough for the rules to bind. It returns false if the context has ended.
+// waitForFaultFreeTime waits until contactS + 2 s after the end of a fault window, when most faults of processes have
+// been over for contactS. It returns false if the context has ended.
 func (tc *testCluster) waitForFaultFreeTime(ctx context.Context) bool {
 	const faultFreeAt = faultWindow + contactS + 2*time.Second
 	elapsed := time.Since(tc.startedAt) % (faultWindow + faultFreeWindow)
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -66,14 +66,14 @@
 // configRead is a successful read of the configuration.
 type configRead struct {
 	sent       time.Time
-	address    string // its address
+	address    string // of the node
 	generation int    // of the changed route; 0: the route does not exist
 }
 
 // lockHolding is a period in which an application considers itself the holder of a lock.
 type lockHolding struct {
 	lock, owner         string
-	firstSent           time.Time // when the call that acquired the lock was sent
+	acquireSent         time.Time // when the call that acquired the lock was sent
 	heldFrom, heldUntil time.Time
 	fence               uint64
 }
--- a/internal/soak/judge_locks_test.go
+++ b/internal/soak/judge_locks_test.go
@@ -17,7 +17,7 @@
 			switch {
 			case second.heldFrom.Before(first.heldUntil):
 				found = append(found, fmt.Sprintf("%s and %s hold %s, fences %d and %d", first.owner, second.owner, a.lock, first.fence, second.fence))
-			case first.fence == second.fence, first.heldFrom.Before(second.firstSent) && second.fence <= first.fence:
+			case first.fence == second.fence, first.heldFrom.Before(second.acquireSent) && second.fence <= first.fence:
 				found = append(found, fmt.Sprintf("%s got fence %d of %s after %s got %d", second.owner, second.fence, a.lock, first.owner, first.fence))
 			}
 		}
--- a/internal/soak/judge_serving_test.go
+++ b/internal/soak/judge_serving_test.go
@@ -117,7 +117,7 @@
 func findRequestsCutByChanges(h *history) (found []string) {
 	runs := h.runsByAttempt()
 	for _, m := range h.machines {
-		var during, atOtherTimes struct{ asked, cut int }
+		var during, atOtherTimes struct{ total, cut int }
 		for attempt, r := range h.requests {
 			if r.machine != m.index || r.abandoned || r.ended.IsZero() || r.ended.Sub(r.sent) >= routeDeadline*7/10 || !h.noUnplannedFaults(r.sent.Add(-contactS), r.ended) {
 				continue
@@ -126,13 +126,13 @@
 			if h.duringConfigChange(r) {
 				count = &during
 			}
-			count.asked++
+			count.total++
 			if r.status == 0 && len(runs[attempt]) > 0 && !anyFailed(runs[attempt]) {
 				count.cut++
 			}
 		}
-		if during.cut > 0 && during.cut*max(1, atOtherTimes.asked) > 3*atOtherTimes.cut*during.asked {
-			found = append(found, fmt.Sprintf("machine %d cut %d of %d requests during configuration changes, %d of %d at other times", m.index, during.cut, during.asked, atOtherTimes.cut, atOtherTimes.asked))
+		if during.cut > 0 && during.cut*max(1, atOtherTimes.total) > 3*atOtherTimes.cut*during.total {
+			found = append(found, fmt.Sprintf("machine %d cut %d of %d requests during configuration changes, %d of %d at other times", m.index, during.cut, during.total, atOtherTimes.cut, atOtherTimes.total))
 		}
 	}
 	return found
--- a/internal/soak/judges_test.go
+++ b/internal/soak/judges_test.go
@@ -9,7 +9,7 @@
 
 // judge finds the violations of one rule in the history of a run.
 type judge struct {
-	rule string
+	rule string // name of the rule in the output of the test
 	find func(h *history) []string
 }
 
@@ -114,7 +114,7 @@
 			continue
 		}
 		if !anyFailed(runs[attempt]) && (len(runs[attempt]) > 0 || r.ended.Sub(r.sent) > lossSlackS) {
-			found = append(found, fmt.Sprintf("%s, sent to machine %d, ended without an answer after %v, ran %d times", attempt, r.machine, r.ended.Sub(r.sent), len(runs[attempt])))
+			found = append(found, fmt.Sprintf("%s, sent to machine %d, ended without a response after %v, ran %d times", attempt, r.machine, r.ended.Sub(r.sent), len(runs[attempt])))
 		}
 	}
 	return found
--- a/internal/soak/operators_test.go
+++ b/internal/soak/operators_test.go
@@ -44,7 +44,7 @@
 	evacuate bool      // false: withdraw the evacuation
 	sent     time.Time // the first time
 	acked    time.Time // zero: not acknowledged, and may be in force or not
-	tries    []string
+	tries    []string  // each with its times, address, fault and status
 }
 
 // operators are the stand-ins for the operators of a run.
