--- a/internal/config/binding.go
+++ b/internal/config/binding.go
@@ -18,7 +18,7 @@
 func Bind(records map[string]Record, binding RouteBinding, seenRev uint64) ([]Record, error) {
 	routeRecord, ok := records[routePrefix+binding.Route]
 	if !ok || routeRecord.Dropped {
-		return nil, apierror.New(apierror.Conflict, "route %s does not exist", binding.Route)
+		return nil, apierror.New(apierror.Conflict, "route %s is gone", binding.Route)
 	}
 	item := decodeItem(routeRecord)
 	scheduled := Status{PhaseScheduled, binding.Shard}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if firstErr == nil && totalBytes > MaxBytes {
-		return apierror.New(apierror.BodyTooLarge, "the configuration would take %d bytes, the limit is %d", totalBytes, MaxBytes)
+		return apierror.New(apierror.BodyTooLarge, "the configuration would hold %d bytes, more than %d", totalBytes, MaxBytes)
 	}
 	return firstErr
 }
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -158,6 +158,6 @@
 	if matches {
 		return nil
 	}
-	return apierror.New(apierror.Conflict, "%s: generation %d was already used for different content",
+	return apierror.New(apierror.Conflict, "%s: generation %d has been taken with another content",
 		strings.Replace(sent.Name, "/", " ", 1), sent.Gen)
 }
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -72,7 +72,7 @@
 		return nil, nil
 	}
 	if order.Basis != nil && *order.Basis != old.Gen {
-		return nil, apierror.New(apierror.Outdated, "zone %s is at generation %d, the order is based on generation %d", order.Zone, old.Gen, *order.Basis)
+		return nil, apierror.New(apierror.Outdated, "zone %s is at generation %d, the order rests on %d", order.Zone, old.Gen, *order.Basis)
 	}
 	e.count(order.Evacuate, order.mayRepeat(e))
 	e.orders = append(e.orders, order.ID)
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -106,7 +106,7 @@
 			name += header.Name
 		}
 		if seen[name] {
-			return invalid("%s: appears twice in the request", name)
+			return invalid("%s: named twice", name)
 		}
 		seen[name] = true
 		var compact bytes.Buffer
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -113,7 +113,7 @@
 		return true, nil
 	}
 	return true, apierror.New(apierror.Conflict,
-		"%s: unknown, and generation %d may be older than its removal: removals up to generation %d are no longer recorded; a new item needs a higher generation",
+		"%s: unknown, and generation %d may be older than its removal: removals up to generation %d are forgotten; a new item needs a higher one",
 		strings.Replace(sent.Name, "/", " ", 1), sent.Gen, highest)
 }
 
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -295,7 +295,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			n.log.replication.Warn("leaving although too few other members hold this member's data")
+			n.log.replication.Warn("this member goes although too few others hold what it holds")
 			return
 		}
 	}
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -65,7 +65,7 @@
 func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, arrived arrival, call coordination.Call) int {
 	defer c.activeCalls.Add(-1)
 	if c.activeCalls.Add(1) > maxWaitingCalls {
-		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "%d calls are in progress here", maxWaitingCalls))
+		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "%d calls wait here", maxWaitingCalls))
 	}
 	if c.stalls.stalled() || arrived.age() > stallLimit {
 		return writeFault(w, apierror.Later(apierror.NoQuorum, c.retryAfter, "this process stood still"))
@@ -281,7 +281,7 @@
 	}
 	defer c.activeWatches.Add(-1)
 	if c.activeWatches.Add(1) > maxWatches {
-		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retryAfter, "%d watches are open here", maxWatches)
+		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retryAfter, "%d watches wait here", maxWatches)
 	}
 	return c.watchGroup(r.Context(), group, after, wait)
 }
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -46,7 +46,7 @@
 			return nil, nil, err
 		}
 		if err.Error() != lastError {
-			logger.Warn("state on disk not opened, trying again", "error", err)
+			logger.Warn("state not durable yet, trying again", "error", err)
 			lastError = err.Error()
 		}
 		if !pauseFor(ctx, cfg.Beat()/2) {
@@ -155,7 +155,7 @@
 		done := w.write(jobs)
 		n.diskRoom.update(open)
 		if done.err != nil {
-			n.log.storage.Warn("disk write failed", "error", done.err)
+			n.log.storage.Warn("write refused", "error", done.err)
 		}
 		n.reportWritten(done)
 	}
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -101,7 +101,7 @@
 		n.endpoint.Send(e.To, electionKind, e.Msg)
 	}
 	for _, handOn := range n.election.TakeHandOns() {
-		n.log.election.Warn("duty moved: the result of its holder is too old", "duty", handOn.Duty, "from", handOn.From, "to", handOn.To,
+		n.log.election.Warn("duty handed on, its holder's result is too old", "duty", handOn.Duty, "from", handOn.From, "to", handOn.To,
 			"resultAgeS", logSeconds(handOn.ResultAge))
 	}
 	for _, d := range duties {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -149,7 +149,7 @@
 	state := <-states
 	if age := arrived.age(); age > maxOrderWait || e.stalls.stalled() {
 		e.log.control.Warn("order refused: it waited too long on this machine", "ageMs", age.Milliseconds())
-		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "the order waited for %v on this machine", age)
+		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "it has waited for %v", age)
 	}
 	return &state, nil
 }
@@ -188,7 +188,7 @@
 	case err == nil:
 		return orderReply{}
 	case errors.Is(err, replication.ErrUnknown):
-		return failedReply(apierror.New(apierror.UnknownNode, "the node is not in the roster"))
+		return failedReply(apierror.New(apierror.UnknownNode, "it has no seat"))
 	case errors.Is(err, replication.ErrAlive), errors.Is(err, replication.ErrTooFew):
 		return failedReply(apierror.New(apierror.NotNow, "%v", err))
 	}
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -125,7 +125,7 @@
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
 		r.refused.Add(1)
-		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this node is a relay without a data directory"))
+		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this one has no disk"))
 		return
 	}
 	r.redirected.Add(1)
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -142,7 +142,7 @@
 // time if that is soon, otherwise at once with the advice to retry.
 func (c *orderController) answerLater(left time.Duration, answer func(orderReply)) {
 	if left > c.settings.Beat()*2/3 {
-		answer(orderReply{true, apierror.NotYet, "revoked keys may remain in use for " + left.String(), nil})
+		answer(orderReply{true, apierror.NotYet, "keys that were taken away may be in use for " + left.String(), nil})
 		return
 	}
 	time.AfterFunc(left, func() { answer(orderReply{}) })
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -132,13 +132,13 @@
 	case name == "":
 		return fmt.Errorf("%s: empty", what)
 	case len(name) > MaxName:
-		return fmt.Errorf("%s: longer than %d bytes", what, MaxName)
+		return fmt.Errorf("%s: more than %d bytes", what, MaxName)
 	case !utf8.ValidString(name):
 		return fmt.Errorf("%s: not UTF-8", what)
 	case strings.ContainsRune(name, '/'):
 		return fmt.Errorf("%s: contains a slash", what)
 	case strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsPrint(r) }):
-		return fmt.Errorf("%s: contains a non-printable character", what)
+		return fmt.Errorf("%s: contains a character that cannot be printed", what)
 	}
 	return nil
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -60,7 +60,7 @@
 				return lastErr
 			}
 			if lease.Refused == upstream.Unlisted {
-				return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has received no list of upstreams yet")
+				return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no upstreams yet")
 			}
 			if lease.Refused == upstream.NoneLeft {
 				return h.retryLater(x, apierror.NoUpstream)
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -110,7 +110,7 @@
 	case connectionBroken(err):
 		return h.disconnectedBeforeSend(x)
 	}
-	return apierror.New(apierror.BadRequest, "reading the request body: %v", err)
+	return apierror.New(apierror.BadRequest, "body not read: %v", err)
 }
 
 // setStratum sets the request's stratum for rollouts: each arm of a rollout gets its share of the requests
--- a/internal/proxy/responsereader.go
+++ b/internal/proxy/responsereader.go
@@ -40,12 +40,12 @@
 
 // Errors for input that is no valid response to the request.
 var (
-	errHeadTooLarge   = errors.New("response head too large")
-	errInvalidStatus  = errors.New("response with an invalid status")
-	errNoAttemptID    = errors.New("error response without an Attempt-Id on a reused connection")
-	errWrongAttemptID = errors.New("response does not carry the Attempt-Id of the request")
-	errNoBodyLength   = errors.New("response without a body length")
-	errProtocolSwitch = errors.New("unrequested protocol switch")
+	errHeadTooLarge   = errors.New("answer whose head is too large")
+	errInvalidStatus  = errors.New("answer without a status")
+	errNoAttemptID    = errors.New("answer that names no request")
+	errWrongAttemptID = errors.New("answer of another request")
+	errNoBodyLength   = errors.New("answer without an end")
+	errProtocolSwitch = errors.New("unasked switch of protocol")
 )
 
 // readHeadFor reads the head of the response to the request with the given method and Attempt-Id, and
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -18,7 +18,7 @@
 	if h.tableComplete.Load() {
 		return permanent
 	}
-	return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has not received its whole configuration yet")
+	return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node does not know all items yet")
 }
 
 // DrawQuota charges one request to its tenant's quota, within timeout or until ctx ends. refusal is
@@ -42,17 +42,17 @@
 func (h *Handler) authenticate(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
 		if !x.table.Known {
-			return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node has received no configuration yet")
+			return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no items yet")
 		}
 		path, _, _ := strings.Cut(x.requestTarget(), "?")
 		x.route = x.table.Lookup(x.r.Host, path)
 		if x.table.Tenants || h.keysValidUntil != nil {
 			if !h.Confirmed() {
-				return apierror.Later(apierror.KeysUnconfirmed, h.dispatcher.peerTimeout, "API keys not confirmed recently")
+				return apierror.Later(apierror.KeysUnconfirmed, h.dispatcher.peerTimeout, "out of touch")
 			}
 			x.tenant = x.table.Readers[quota.Key(x.r.Header)]
 			if x.tenant == nil && x.table.Tenants && (x.route == nil || !x.route.Public) {
-				return h.missingFromTable(apierror.New(apierror.UnknownKey, "an API key is required"))
+				return h.missingFromTable(apierror.New(apierror.UnknownKey, "a tenant's key is needed"))
 			}
 		}
 		if x.route == nil {
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -58,10 +58,10 @@
 	}
 	current := d.view.Load()
 	if len(current.gateways) == 0 {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no gateway is known yet")
+		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no node known yet")
 	}
 	if d.InContact != nil && !d.InContact() {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact with a majority of the control nodes")
+		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact")
 	}
 	client := Asker{Zone: zone, Region: region, Residency: d.residency(name)}
 	key := strings.Join(append([]string{zone, region}, client.Residency...), "\x00")
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -251,6 +251,6 @@
 	ErrNotOwner = errors.New("not the owner of the key")
 	ErrNoQuorum = errors.New("no quorum")
 	ErrUnknown  = errors.New("the roster has no such member")
-	ErrTooFew   = errors.New("too few members would remain in the roster")
-	ErrAlive    = errors.New("the member is still running; stop it first")
+	ErrTooFew   = errors.New("too few members would be left")
+	ErrAlive    = errors.New("the member is at work; stop it first")
 )
--- a/internal/replication/roster_status.go
+++ b/internal/replication/roster_status.go
@@ -87,10 +87,10 @@
 	}
 	text := fmt.Sprintf("%d seats: %s", len(seats), strings.Join(seats, " "))
 	if s.Joint {
-		text += "; a change is in progress"
+		text += "; a change is under way"
 	}
 	if n := len(s.Seats); n > 0 && n-ackQuorum(n) < s.Wanted {
-		text += fmt.Sprintf("; too few: the loss of %d is tolerated, of %d required", n-ackQuorum(n), s.Wanted)
+		text += fmt.Sprintf("; too few: %d may be lost, %d are to be borne", n-ackQuorum(n), s.Wanted)
 	}
 	return text
 }
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -42,7 +42,7 @@
 	if call.Basis == nil || *call.Basis == p.Order {
 		return nil
 	}
-	return apierror.New(apierror.Outdated, "the newest rollout is number %d, the call is based on number %d", p.Order, *call.Basis)
+	return apierror.New(apierror.Outdated, "the newest rollout is number %d, the order rests on %d", p.Order, *call.Basis)
 }
 
 // Reversal is an order to reverse a rollout.
@@ -104,7 +104,7 @@
 		case current.Candidate == ask.Version && (current.Final() || current.Within == next.Within), current.hasTaken(call.ID), resent:
 			return nil, nil
 		case !current.Final():
-			return nil, apierror.New(apierror.UnderWay, "a rollout of %s to %s is active", ask.Service, current.Candidate)
+			return nil, apierror.New(apierror.UnderWay, "%s is on its way to %s", ask.Service, current.Candidate)
 		}
 		if err := current.checkBasis(call); err != nil {
 			return nil, err
@@ -146,7 +146,7 @@
 	case current.Final():
 		return nil, apierror.New(apierror.UnderWay, "the rollout of %s is complete", service)
 	case !reversal.Named && current.hasRecent(call, earlierReversal):
-		return nil, apierror.New(apierror.MaybeRepeated, "the previous rollout of %s was reversed only recently; name the version to reverse", service)
+		return nil, apierror.New(apierror.MaybeRepeated, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
 	}
 	if err := current.checkBasis(call); err != nil {
 		return nil, err
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -131,7 +131,7 @@
 	}
 	// A single gateway may misjudge a candidate. Two are believed, or one if it is the only one.
 	if view.Braked >= min(2, view.Live) && view.Braked > 0 {
-		return fmt.Sprintf("%d gateways have stopped the candidate: %s", view.Braked, view.Brake)
+		return fmt.Sprintf("%d nodes have stopped it: %s", view.Braked, view.Brake)
 	}
 	return ""
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -141,7 +141,7 @@
 	oldRecord := records[Key(next.Service)]
 	current, ok := Read(oldRecord)
 	if !ok || oldRecord.Gen != expectedGeneration || current.Final() || next.Stage < current.Stage || next.Order != current.Order {
-		return nil, apierror.New(apierror.Conflict, "the rollout of %s has changed in the meantime", next.Service)
+		return nil, apierror.New(apierror.Conflict, "the rollout of %s has gone on", next.Service)
 	}
 	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -216,7 +216,7 @@
 	}
 	for bucket, pair := range sums {
 		if reason := c.judgePair(pair, baseline[bucket]); reason != "" {
-			return fmt.Sprintf("%s (bucket %d of the strata)", reason, bucket)
+			return fmt.Sprintf("%s (stratum %d)", reason, bucket)
 		}
 	}
 	return ""
@@ -262,7 +262,7 @@
 	// The mean of the latency scores.
 	if scoreDrop := prior.Sum/float64(prior.N) - candidate.Sum/float64(candidate.N); scoreDrop >= minEffect && !usesBaseline {
 		if welchPValue(candidate, prior) < c.Alpha {
-			return fmt.Sprintf("answers take longer: mean latency score lower by %.2f over %d answers", scoreDrop, candidate.N)
+			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", scoreDrop, candidate.N)
 		}
 	}
 	// The tail of the latencies.
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -80,7 +80,7 @@
 			return nil, err
 		}
 		if version, _, _, length := parseHeader(text); length > 0 && version > formatVersion {
-			return nil, fmt.Errorf("%s: %w: its format is %d, this release reads formats up to %d", name, ErrNewerFormat, version, formatVersion)
+			return nil, fmt.Errorf("%s: %w: its format is %d, this release reads up to %d", name, ErrNewerFormat, version, formatVersion)
 		}
 		c := candidate{name: name, size: int64(len(text))}
 		c.state, c.validEnd, c.lastBatch, c.damage = scan(text)
@@ -118,7 +118,7 @@
 		return s.reuse(chosen, found)
 	}
 	if chosen.validEnd < chosen.size {
-		s.log.Warn("incomplete last batch ignored", "bytes", chosen.size-chosen.validEnd)
+		s.log.Warn("torn batch left out", "bytes", chosen.size-chosen.validEnd)
 	}
 	preserved := fallbackFile(found, chosen)
 	target := fileNames[0]
@@ -190,7 +190,7 @@
 // removes all other files, so that no later start takes an earlier state of the replica
 // from them.
 func (s *Store) discardDamaged(chosen candidate, damage error) error {
-	s.log.Error("discarding the damaged state on disk", "error", damage)
+	s.log.Error("damaged state set aside", "error", damage)
 	all := slices.Concat(fileNames[:], legacyFileNames[:])
 	others := slices.DeleteFunc(all, func(name string) bool { return name == chosen.name })
 	if err := s.removeFiles(others...); err != nil {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -29,7 +29,7 @@
 	ErrNewerFormat = errors.New("the file was written by a later release")
 	// ErrRoom means that the batch would leave too little disk space to rewrite the
 	// file. The batch was not written; Rewrite frees space.
-	ErrRoom = errors.New("the file must be rewritten to free disk space")
+	ErrRoom = errors.New("the file has to be rewritten to make room")
 	// ErrTooLarge means that a rewrite would not fit on the disk beside the current file.
 	ErrTooLarge = errors.New("the state is too large for the disk")
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -23,7 +23,7 @@
 )
 
 // ErrUnreachable means that a peer did not reply, or that the call could not be queued.
-var ErrUnreachable = errors.New("no reply from peer")
+var ErrUnreachable = errors.New("peer unreachable")
 
 // Handler handles a message. Its result is sent to the peer if the message is a call.
 type Handler func(from string, body []byte) (any, error)
