--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -34,14 +34,14 @@
 	var lastErr error
 	usePrior := false // the request was already assigned to the candidate of a rollout once
 	for {
-		arm := h.arms.Begin(x.service, x.stratum, x.targetLatency, usePrior)
+		arm := h.arms.Begin(x.service, x.stratum, x.latencyTarget, usePrior)
 		usePrior = usePrior || arm.Candidate()
-		queueTimeout := min(x.targetLatency/5, time.Until(x.deadline)/2)
+		queueTimeout := min(x.latencyTarget/5, time.Until(x.deadline)/2)
 		if failedDials > 0 {
 			queueTimeout /= 2
 		}
 		request := &upstream.AcquireRequest{Service: x.service, Version: arm.Version(), Priority: x.priority(), Avoid: tried, Retry: sent > 0,
-			Regions: x.regions, Bound: x.regionBound, Aim: x.targetLatency}
+			Regions: x.regions, Bound: x.regionBound, Aim: x.latencyTarget}
 		// The balancer may interrupt the wait for a response only if the request can be retried.
 		if x.route.Repeatable() && x.bodyPrefix == nil && sent+1 < maxAttempts {
 			request.Hold = &upstream.WaitHandle{}
@@ -101,7 +101,7 @@
 			}
 			lastErr = mergeErrors(lastErr, h.retryLater(x, apierror.NoUpstream))
 			failedDials++
-			if res.deadlinePassed || time.Until(x.deadline) <= 0 || !mayDialAgain(failedDials, time.Since(x.arrived), x.targetLatency) {
+			if res.deadlinePassed || time.Until(x.deadline) <= 0 || !mayDialAgain(failedDials, time.Since(x.arrived), x.latencyTarget) {
 				return lastErr
 			}
 			continue
@@ -112,7 +112,7 @@
 			return nil
 		}
 		lastErr = mergeErrors(lastErr, err)
-		if !retry || sent >= maxAttempts || x.bodyPrefix != nil || time.Until(x.deadline) < x.targetLatency/16 {
+		if !retry || sent >= maxAttempts || x.bodyPrefix != nil || time.Until(x.deadline) < x.latencyTarget/16 {
 			return lastErr
 		}
 	}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -13,57 +13,57 @@
 	"time"
 )
 
-// What is still unanswered at its route's deadline is answered at once, or its connection ends,
-// wherever it is: an answer that came in time cannot be had any more.
-func TestAnAnswerAtTheDeadline(t *testing.T) {
+// A request that has no complete response at its deadline ends at once, at any stage: the client gets
+// an error, or its connection is closed if the response has already started.
+func TestResponseAtDeadline(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	}
-	said := func(text string) answerFn {
+	sends := func(text string) respondFunc {
 		return func(c net.Conn, r *http.Request, n int) bool {
 			_, _ = io.WriteString(c, text)
 			return silent(c, r, n)
 		}
 	}
 	head := "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"
-	short := func(text string) string { return strings.Replace(text, "300000", "400", 1) }
-	long := strings.Repeat("y", 400<<10)
+	withShortDeadline := func(text string) string { return strings.Replace(text, "300000", "400", 1) }
+	longBody := strings.Repeat("y", 400<<10)
 	for _, c := range []struct {
 		name, request string
-		answer        answerFn
+		answer        respondFunc
 		pace          *Pace
-		full          bool // the upstream has no slot free
-		undialled     bool // the upstream takes no connection
-		status        int  // 0: the answer is cut
+		noFreeSlot    bool // all slots of the upstream are taken
+		noConnection  bool // the upstream does not accept connections
+		status        int  // 0: the response is truncated
 	}{
-		{name: "silent upstream", request: request("GET", "/get/x", "one", ""), answer: silent, status: 504},
-		{name: "half an answer", request: request("GET", "/get/x", "one", ""), answer: said(head + "Content-Length: 9\r\n\r\nhalf"), status: 504},
-		{name: "interim answers only", request: request("GET", "/put/x", "one", ""), answer: said("HTTP/1.1 103 Early\r\n\r\n"), status: 504},
-		{name: "queue", request: request("GET", "/put/x", "one", ""), answer: silent, full: true, status: 503},
-		{name: "dial", request: request("GET", "/put/x", "one", ""), answer: silent, undialled: true, status: 503},
-		{name: "small body that trickles", request: request("POST", "/put/x", "one", "body")[:len(request("POST", "/put/x", "one", "body"))-2], answer: silent, status: 503},
-		{name: "chunk that trickles", request: "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 300000\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", answer: silent, status: 503},
-		{name: "large body that trickles", request: request("POST", "/put/x", "one", long)[:300<<10], answer: silent, status: 504},
-		{name: "long answer that stops", request: request("GET", "/get/x", "one", ""), answer: said(head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10))},
-		{name: "pace that is full", request: request("GET", "/get/x", "one", ""), answer: said(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPace(1)},
-		{name: "pace that is full, chunked", request: request("GET", "/put/x", "one", ""), answer: said(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPace(1)},
+		{name: "unresponsive upstream", request: longRequest("GET", "/get/x", "one", ""), answer: silent, status: 504},
+		{name: "truncated response", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 9\r\n\r\nhalf"), status: 504},
+		{name: "1xx responses only", request: longRequest("GET", "/put/x", "one", ""), answer: sends("HTTP/1.1 103 Early\r\n\r\n"), status: 504},
+		{name: "queue", request: longRequest("GET", "/put/x", "one", ""), answer: silent, noFreeSlot: true, status: 503},
+		{name: "dial", request: longRequest("GET", "/put/x", "one", ""), answer: silent, noConnection: true, status: 503},
+		{name: "incomplete small request body", request: longRequest("POST", "/put/x", "one", "body")[:len(longRequest("POST", "/put/x", "one", "body"))-2], answer: silent, status: 503},
+		{name: "incomplete chunk of a request body", request: "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 300000\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", answer: silent, status: 503},
+		{name: "incomplete large request body", request: longRequest("POST", "/put/x", "one", longBody)[:300<<10], answer: silent, status: 504},
+		{name: "large response that stops", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10))},
+		{name: "no pace left", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPace(1)},
+		{name: "no pace left, chunked", request: longRequest("GET", "/put/x", "one", ""), answer: sends(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPace(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			u := newUpstream(t, "u", c.answer)
-			r := newLeaveRig(t, u)
-			r.handler.Pace = c.pace
-			if c.full {
+			u := newFakeUpstream(t, "u", c.answer)
+			h := newDisconnectHarness(t, u)
+			h.handler.Pace = c.pace
+			if c.noFreeSlot {
 				for n := range 4 {
-					holder := dialRig(t, r.rig)
+					holder := dialGateway(t, h.harness)
 					defer holder.Close()
-					send(t, holder, request("GET", "/put/x", fmt.Sprint(n), ""))
+					writeText(t, holder, longRequest("GET", "/put/x", fmt.Sprint(n), ""))
 				}
-				until(t, "all slots taken", func() bool { return len(u.requests()) == 4 })
+				waitFor(t, "all slots are taken", func() bool { return len(u.requests()) == 4 })
 			}
-			if c.undialled {
-				r.dispatcher.connect = func(ctx context.Context, _ string, limit time.Duration) (net.Conn, error) {
+			if c.noConnection {
+				h.dispatcher.connect = func(ctx context.Context, _ string, limit time.Duration) (net.Conn, error) {
 					select {
 					case <-time.After(limit):
 					case <-ctx.Done():
@@ -71,10 +71,10 @@
 					return nil, os.ErrDeadlineExceeded
 				}
 			}
-			client := dialRig(t, r.rig)
+			client := dialGateway(t, h.harness)
 			defer client.Close()
-			send(t, client, short(c.request))
-			_ = client.SetReadDeadline(time.Now().Add(farAway))
+			writeText(t, client, withShortDeadline(c.request))
+			_ = client.SetReadDeadline(time.Now().Add(eventTimeout))
 			res, err := http.ReadResponse(bufio.NewReader(client), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -90,12 +90,13 @@
 	}
 }
 
-// A table that has not been complete yet is no reason to say that there is no such route or key.
-func TestATableThatIsNotComplete(t *testing.T) {
-	r := newRig(t, newUpstream(t, "u", steady))
-	withTenants(t, r)
-	ask := func(path, key string) int {
-		res, _, err := r.say(t, "GET", "GET "+path+" HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nAuthorization: Bearer "+key+"\r\n\r\n")
+// While the configuration table is incomplete, a missing route or key gets a temporary error, since it may
+// still arrive.
+func TestIncompleteTable(t *testing.T) {
+	h := newHarness(t, newFakeUpstream(t, "u", respondOK))
+	setTenantTable(t, h)
+	status := func(path, key string) int {
+		res, _, err := h.roundTrip(t, "GET", "GET "+path+" HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nAuthorization: Bearer "+key+"\r\n\r\n")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,13 +106,13 @@
 		path, key       string
 		before, afterIt int
 	}{{"/get/x", "k2", 200, 200}, {"/nowhere/", "k2", 503, 404}, {"/get/x", "k9", 503, 401}} {
-		r.handler.tableComplete.Store(false)
-		if got := ask(c.path, c.key); got != c.before {
-			t.Errorf("%s %s, not complete: %d", c.path, c.key, got)
+		h.handler.tableComplete.Store(false)
+		if got := status(c.path, c.key); got != c.before {
+			t.Errorf("%s %s, table incomplete: status %d", c.path, c.key, got)
 		}
-		r.handler.SetComplete()
-		if got := ask(c.path, c.key); got != c.afterIt {
-			t.Errorf("%s %s, complete: %d", c.path, c.key, got)
+		h.handler.SetComplete()
+		if got := status(c.path, c.key); got != c.afterIt {
+			t.Errorf("%s %s, table complete: status %d", c.path, c.key, got)
 		}
 	}
 }
--- a/internal/proxy/dialing.go
+++ b/internal/proxy/dialing.go
@@ -19,12 +19,12 @@
 
 // dialTimeout returns how long a request with the given target latency waits for a connection. With
 // less than a quarter of the peer time-out, a distant upstream would be taken for an unresponsive one.
-func dialTimeout(targetLatency, peerTimeout time.Duration) time.Duration {
-	return min(peerTimeout/2, max(time.Duration(float64(targetLatency)*dialTimeoutShare), peerTimeout/4))
+func dialTimeout(latencyTarget, peerTimeout time.Duration) time.Duration {
+	return min(peerTimeout/2, max(time.Duration(float64(latencyTarget)*dialTimeoutShare), peerTimeout/4))
 }
 
 // mayDialAgain reports whether another upstream is dialed after so many failed dials, for a request that
 // arrived the elapsed time ago.
-func mayDialAgain(failedDials int, elapsed, targetLatency time.Duration) bool {
-	return failedDials < minDials || failedDials < maxDials && elapsed < time.Duration(float64(targetLatency)*extraDialShare)
+func mayDialAgain(failedDials int, elapsed, latencyTarget time.Duration) bool {
+	return failedDials < minDials || failedDials < maxDials && elapsed < time.Duration(float64(latencyTarget)*extraDialShare)
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -17,7 +17,7 @@
 	r              *http.Request
 	arrived        time.Time
 	deadline       time.Time
-	targetLatency  time.Duration
+	latencyTarget  time.Duration
 	table          *config.Table
 	route          *config.Route
 	tenant         *config.Tenant
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -60,9 +60,9 @@
 			limit = min(limit, time.Duration(ms*float64(time.Millisecond)))
 		}
 		x.deadline = x.arrived.Add(limit)
-		x.targetLatency = time.Duration(x.route.TargetLatencyS * float64(time.Second))
-		if x.targetLatency <= 0 || x.targetLatency > limit {
-			x.targetLatency = limit
+		x.latencyTarget = time.Duration(x.route.TargetLatencyS * float64(time.Second))
+		if x.latencyTarget <= 0 || x.latencyTarget > limit {
+			x.latencyTarget = limit
 		}
 		return next(x)
 	}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -128,7 +128,7 @@
 // retryLater returns an error of the given kind with a Retry-After of 1/8 to 3/8 of the target latency.
 // It is randomized so that requests refused together do not return together.
 func (h *Handler) retryLater(x *Exchange, kind apierror.Kind) error {
-	after := x.targetLatency/8 + time.Duration(rand.Float64()*float64(x.targetLatency/4))
+	after := x.latencyTarget/8 + time.Duration(rand.Float64()*float64(x.latencyTarget/4))
 	return apierror.Later(kind, after, "%s", x.service)
 }
 
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -12,104 +12,104 @@
 	"time"
 )
 
-// linkModel is a link that all answers under way share fairly, and the gateway at its near end.
+// linkModel simulates a gateway and its outgoing link, which all started responses share fairly.
 type linkModel struct {
 	*rand.Rand
-	budget *LinkBudget
-	rate   float64 // bytes a second
-	buffer int     // bytes of an answer that may be written ahead of the link
+	budget     *LinkBudget
+	rate       float64 // bytes a second
+	bufferSize int     // bytes of a response that may be written before the link has transferred them
 
-	leaving bool // the gateway has been told to leave
-	now     time.Duration
+	shuttingDown bool // the gateway has received a SIGTERM
+	now          time.Duration
 
-	sharesInbound bool          // answers come in from upstreams over a link of the same rate, in order
-	inboundFree   time.Duration // when all that upstreams have sent will have come in
+	sharesInbound bool          // responses arrive from the upstreams over a link of the same rate, one after the other
+	inboundFreeAt time.Duration // when all responses sent by upstreams so far will have arrived
 
-	active                             []*modelAnswer
-	refused, finished, cut, turnedAway int
-	admittedLeaving                    int
+	active                                     []*modelResponse
+	refused, finished, truncated, rejectedLate int
+	admittedInShutdown                         int
 }
 
-// modelAnswer is an answer on its way: first its upstream works, then it is sent.
-type modelAnswer struct {
+// modelResponse is one response: first its upstream processes the request, then the response is transferred.
+type modelResponse struct {
 	reservation *Reservation
-	begins      time.Duration // when its upstream has worked, and then when its head comes in
+	startsAt    time.Duration // when its upstream has processed the request, later when its head arrives
 	inbound     bool
-	begun       bool
+	started     bool
 	size        int
 	unwritten   int
-	onLink      float64
+	buffered    float64
 }
 
 const (
-	modelStep  = 10 * time.Millisecond
-	modelGrace = 6 * time.Second
-	modelMean  = 90_000.
-	modelMost  = 540_000
-	// modelOther is the part of the link that everything short takes.
-	modelOther = 0.25
-	// modelShare is the part of the link that long answers are reckoned to get.
-	modelShare = 0.7
-	modelLimit = 8 * time.Second // the clients' deadline
+	modelStep     = 10 * time.Millisecond
+	modelGrace    = 6 * time.Second
+	modelMeanSize = 90_000.
+	modelMaxSize  = 540_000
+	// modelShortShare is the share of the link that short responses take.
+	modelShortShare = 0.25
+	// modelLongShare is the share of the link that the budget assumes for long responses.
+	modelLongShare = 0.7
+	modelDeadline  = 8 * time.Second // deadline of the requests
 )
 
-// draw gives the size of an answer and the time of its upstream's work.
-func (m *linkModel) draw() (size int, work time.Duration) {
+// drawResponse returns a random response size and processing time of the upstream.
+func (m *linkModel) drawResponse() (size int, work time.Duration) {
 	spread := func(mean, s float64) float64 { return mean * math.Exp(s*m.NormFloat64()-s*s/2) }
 	work = time.Duration(min(spread(.52, .5), 3.1) * float64(time.Second))
-	return int(min(spread(modelMean, .6), modelMost)), work
+	return int(min(spread(modelMeanSize, .6), modelMaxSize)), work
 }
 
-// request takes a request for a long answer.
-func (m *linkModel) request() (admitted bool) {
-	r, ok := m.budget.Admit(m.now, AnswerClass{"s", true}, m.now+modelLimit)
+// admitRequest takes a admitRequest for a long answer.
+func (m *linkModel) admitRequest() (admitted bool) {
+	r, ok := m.budget.Admit(m.now, AnswerClass{"s", true}, m.now+modelDeadline)
 	if !ok {
 		m.refused++
 		return false
 	}
-	size, work := m.draw()
-	m.active = append(m.active, &modelAnswer{reservation: r, begins: m.now + work, size: size, unwritten: size})
+	size, work := m.drawResponse()
+	m.active = append(m.active, &modelResponse{reservation: r, startsAt: m.now + work, size: size, unwritten: size})
 	return true
 }
 
-// step lets one step of time pass.
-func (m *linkModel) step() {
+// advance lets one advance of time pass.
+func (m *linkModel) advance() {
 	m.now += modelStep
-	var sending []*modelAnswer
+	var sending []*modelResponse
 	kept := m.active[:0]
 	for _, a := range m.active {
-		if m.sharesInbound && !a.inbound && m.now >= a.begins {
+		if m.sharesInbound && !a.inbound && m.now >= a.startsAt {
 			a.inbound = true
-			a.begins = max(m.now, m.inboundFree)
-			m.inboundFree = a.begins + time.Duration(float64(a.size)/m.rate*float64(time.Second))
+			a.startsAt = max(m.now, m.inboundFreeAt)
+			m.inboundFreeAt = a.startsAt + time.Duration(float64(a.size)/m.rate*float64(time.Second))
 		}
-		if !a.begun && m.now >= a.begins {
-			a.begun = true
+		if !a.started && m.now >= a.startsAt {
+			a.started = true
 			fits := a.reservation.Begin(m.now, int64(a.size))
-			if !fits && !m.leaving { // after a SIGTERM whatever is under way is passed on
+			if !fits && !m.shuttingDown { // after a SIGTERM every response in flight is passed on
 				a.reservation.Release()
-				m.turnedAway++
+				m.rejectedLate++
 				continue
 			}
 		}
-		if a.begun {
+		if a.started {
 			sending = append(sending, a)
 		}
 		kept = append(kept, a)
 	}
 	m.active = kept
-	share := m.rate * (1 - modelOther) * modelStep.Seconds() / float64(max(1, len(sending)))
+	share := m.rate * (1 - modelShortShare) * modelStep.Seconds() / float64(max(1, len(sending)))
 	for _, a := range sending {
-		if n := min(a.unwritten, m.buffer-int(a.onLink)); n > 0 {
+		if n := min(a.unwritten, m.bufferSize-int(a.buffered)); n > 0 {
 			a.unwritten -= n
-			a.onLink += float64(n)
+			a.buffered += float64(n)
 			a.reservation.Wrote(m.now, n)
 		}
-		a.onLink = max(0, a.onLink-share)
+		a.buffered = max(0, a.buffered-share)
 	}
 	kept = m.active[:0]
 	for _, a := range m.active {
-		if a.begun && a.unwritten == 0 && a.onLink == 0 {
+		if a.started && a.unwritten == 0 && a.buffered == 0 {
 			a.reservation.Release()
 			m.finished++
 			continue
@@ -119,152 +119,153 @@
 	m.active = kept
 }
 
-// playLeaving lets requests come at perS a second until some time after a SIGTERM, and counts
-// what has not left when the grace ends.
-func playLeaving(seed uint64, budget *LinkBudget, rate, perS float64) *linkModel {
-	m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 1)), budget: budget, rate: rate, buffer: 4096 << (seed % 5)}
-	term := time.Duration(5+m.Float64()*10) * time.Second
-	comesUntil := term + time.Duration(m.Float64()*acceptedFor*float64(modelGrace))
-	for m.now < term+modelGrace*95/100 {
-		if m.now == term {
+// simulateShutdown sends requests at a constant rate until some time after a SIGTERM, and counts the
+// responses that are not transferred completely at 95 % of the grace.
+func simulateShutdown(seed uint64, budget *LinkBudget, rate, requestsPerSecond float64) *linkModel {
+	m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 1)), budget: budget, rate: rate, bufferSize: 4096 << (seed % 5)}
+	sigterm := time.Duration(5+m.Float64()*10) * time.Second
+	acceptUntil := sigterm + time.Duration(m.Float64()*acceptShare*float64(modelGrace))
+	for m.now < sigterm+modelGrace*95/100 {
+		if m.now == sigterm {
 			m.budget.Leave(m.now)
-			m.leaving = true
+			m.shuttingDown = true
 		}
-		if m.now < comesUntil && m.Float64() < perS*modelStep.Seconds() && m.request() && m.now >= term {
-			m.admittedLeaving++
+		if m.now < acceptUntil && m.Float64() < requestsPerSecond*modelStep.Seconds() && m.admitRequest() && m.now >= sigterm {
+			m.admittedInShutdown++
 		}
-		m.step()
+		m.advance()
 	}
-	m.cut = len(m.active)
+	m.truncated = len(m.active)
 	return m
 }
 
-// acceptedFor is the part of the grace for which requests may come in after a SIGTERM.
-const acceptedFor = .45
+// acceptShare is the share of the grace in which requests may still arrive after a SIGTERM.
+const acceptShare = .45
 
-// Whatever was taken on is out when the grace ends, at any load and whenever the SIGTERM comes;
-// and the link is not left idle for it.
-func TestLongAnswersEndWithinTheGrace(t *testing.T) {
+// Every admitted response is transferred completely before the grace ends, at any load and whenever the
+// SIGTERM arrives, without leaving the link idle.
+func TestLongResponsesEndWithinGrace(t *testing.T) {
 	const rate = 287_500. // 2.3 Mbit/s
 	for _, load := range []float64{.3, .8, 1.3, 2.5} {
-		perS := load * rate * (1 - modelOther) / modelMean
-		var withBudget, without linkModel
+		requestsPerSecond := load * rate * (1 - modelShortShare) / modelMeanSize
+		var withBudget, withoutBudget linkModel
 		for seed := range uint64(100) {
-			m := playLeaving(seed, NewLinkBudget(modelShare*rate, modelGrace), rate, perS)
-			if m.cut > 0 {
-				t.Errorf("load %g, seed %d: %d answers were cut", load, seed, m.cut)
+			m := simulateShutdown(seed, NewLinkBudget(modelLongShare*rate, modelGrace), rate, requestsPerSecond)
+			if m.truncated > 0 {
+				t.Errorf("load %g, seed %d: %d responses truncated", load, seed, m.truncated)
 			}
 			withBudget.finished += m.finished
 			withBudget.refused += m.refused
-			withBudget.turnedAway += m.turnedAway
-			withBudget.admittedLeaving += m.admittedLeaving
-			m = playLeaving(seed, nil, rate, perS)
-			without.cut += m.cut
-			without.finished += m.finished
+			withBudget.rejectedLate += m.rejectedLate
+			withBudget.admittedInShutdown += m.admittedInShutdown
+			m = simulateShutdown(seed, nil, rate, requestsPerSecond)
+			withoutBudget.truncated += m.truncated
+			withoutBudget.finished += m.finished
 		}
-		t.Logf("load %g: %d finished, %d refused, %d turned away late, %d admitted while leaving; without a budget %d finished, %d cut",
-			load, withBudget.finished, withBudget.refused, withBudget.turnedAway, withBudget.admittedLeaving, without.finished, without.cut)
-		if load > 1 && without.cut == 0 {
-			t.Errorf("load %g: nothing is cut without a budget: the model shows nothing", load)
+		t.Logf("load %g: %d finished, %d refused, %d rejected after processing, %d admitted after the SIGTERM; without a budget %d finished, %d truncated",
+			load, withBudget.finished, withBudget.refused, withBudget.rejectedLate, withBudget.admittedInShutdown, withoutBudget.finished, withoutBudget.truncated)
+		if load > 1 && withoutBudget.truncated == 0 {
+			t.Errorf("load %g: no response is truncated without a budget, so the model does not test it", load)
 		}
-		if withBudget.finished < without.finished*8/10 {
-			t.Errorf("load %g: %d answers finished, %d without a budget", load, withBudget.finished, without.finished)
+		if withBudget.finished < withoutBudget.finished*8/10 {
+			t.Errorf("load %g: %d responses finished, %d without a budget", load, withBudget.finished, withoutBudget.finished)
 		}
-		if withBudget.admittedLeaving == 0 {
-			t.Errorf("load %g: nothing is taken after a SIGTERM, though there is time", load)
+		if withBudget.admittedInShutdown == 0 {
+			t.Errorf("load %g: no request admitted after a SIGTERM, though there is time", load)
 		}
-		if withBudget.turnedAway*20 > withBudget.finished {
-			t.Errorf("load %g: %d answers were turned away after their upstream's work, %d finished", load, withBudget.turnedAway, withBudget.finished)
+		if withBudget.rejectedLate*20 > withBudget.finished {
+			t.Errorf("load %g: %d responses rejected after their upstream had processed the request, %d finished", load, withBudget.rejectedLate, withBudget.finished)
 		}
 	}
 }
 
-// Many requests that come at once, before any of their answers begins, don't fill the link from
-// the upstreams: what is short would wait behind it until the grace of a process that leaves ends.
-func TestExpectedAnswersAreBounded(t *testing.T) {
+// A burst of requests that arrive before any of their responses starts must not fill the link from the
+// upstreams: short responses would queue behind the long ones until the grace of a shutdown ends.
+func TestExpectedResponsesAreBounded(t *testing.T) {
 	const (
-		rate      = 287_500.
-		burstPerS = 25
-		burst     = 2 * time.Second
-		calmPerS  = 1
-		// A request may come in at acceptedFor of the grace, and has to be answered by 0.95 of it.
-		bearable = modelGrace / 2
-		// pacedShare is the part of the link that paced long answers are reckoned to get.
+		rate       = 287_500.
+		burstPerS  = 25
+		burst      = 2 * time.Second
+		normalPerS = 1
+		// A request may arrive at acceptShare of the grace, and its response must be complete by 0.95 of it.
+		maxInboundDelay = modelGrace / 2
+		// pacedShare is the share of the link that the budget assumes for paced long responses.
 		pacedShare = 0.585
 	)
 	finished := 0
 	for seed := range uint64(100) {
 		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedShare*rate, modelGrace),
-			rate: rate, buffer: 4096, sharesInbound: true}
+			rate: rate, bufferSize: 4096, sharesInbound: true}
 		burstAt := time.Duration(8+m.Float64()*4) * time.Second
 		var longest time.Duration
 		for m.now < burstAt+2*burst {
-			perS := float64(calmPerS)
+			requestsPerSecond := float64(normalPerS)
 			if m.now >= burstAt && m.now < burstAt+burst {
-				perS = burstPerS
+				requestsPerSecond = burstPerS
 			}
-			if m.Float64() < perS*modelStep.Seconds() {
-				m.request()
+			if m.Float64() < requestsPerSecond*modelStep.Seconds() {
+				m.admitRequest()
 			}
-			m.step()
-			longest = max(longest, m.inboundFree-m.now)
+			m.advance()
+			longest = max(longest, m.inboundFreeAt-m.now)
 		}
-		if longest > bearable {
-			t.Errorf("seed %d: what comes in waits for %v", seed, longest)
+		if longest > maxInboundDelay {
+			t.Errorf("seed %d: a response from an upstream is delayed by %v", seed, longest)
 		}
 		finished += m.finished
 	}
-	if least := 100 * 10; finished < least {
-		t.Errorf("%d answers finished, fewer than %d", finished, least)
+	if minFinished := 100 * 10; finished < minFinished {
+		t.Errorf("%d responses finished, want at least %d", finished, minFinished)
 	}
 	t.Logf("%d finished", finished)
 }
 
-// A gateway that leaves refuses a long answer that could not be out in time, with a refusal that
-// sends the client elsewhere at once. It asks no upstream once it knows how long such answers
-// are. What has been sent on is passed on all the same, and so is what must not run again or is short.
-func TestLeavingRefusesWhatTheLinkCannotCarry(t *testing.T) {
+// A draining gateway refuses a request whose long response could not be transferred in time, with a short
+// Retry-After, since another gateway can serve it at once. Once it has an estimate of the size, it does
+// not send such a request to an upstream. Responses to requests already sent, to routes other than
+// downloads, and short ones are passed on.
+func TestDrainRefusesWhatLinkCannotTransfer(t *testing.T) {
 	long := strings.Repeat("x", 200<<10)
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		body := "fine"
 		if strings.Contains(r.URL.Path, "long") {
 			body = long
 		}
-		_, _ = io.WriteString(c, ok(r, body))
+		_, _ = io.WriteString(c, okResponse(r, body))
 		return true
 	})
-	r := newRig(t, u)
-	r.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // the answer takes over two seconds
-	if res, body, err := r.say(t, "GET", get("/down/long")); err != nil || res.StatusCode != 200 || body != long {
-		t.Fatalf("an unused link: %v %v", res, err)
+	h := newHarness(t, u)
+	h.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // the response takes over two seconds
+	if res, body, err := h.roundTrip(t, "GET", getRequest("/down/long")); err != nil || res.StatusCode != 200 || body != long {
+		t.Fatalf("unused link: %v %v", res, err)
 	}
-	r.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // as good as new, and nothing is known
-	r.handler.Drain()
+	h.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // a new budget, without estimates
+	h.handler.Drain()
 	for i, c := range []struct {
 		method, raw  string
 		status, runs int
 		body         string
 	}{
-		{"GET", get("/down/long"), 200, 2, long}, // only its answer tells how long it is, and that is under way
-		{"GET", get("/down/long"), 503, 2, ""},
-		{"GET", get("/get/long"), 200, 3, long},
-		{"POST", post("/put/long", "b"), 200, 4, long},
-		{"GET", get("/get/short"), 200, 5, "fine"},
-		{"POST", post("/put/short", "b"), 200, 6, "fine"},
+		{"GET", getRequest("/down/long"), 200, 2, long}, // the size is known only from the response, which is then passed on
+		{"GET", getRequest("/down/long"), 503, 2, ""},
+		{"GET", getRequest("/get/long"), 200, 3, long},
+		{"POST", postRequest("/put/long", "b"), 200, 4, long},
+		{"GET", getRequest("/get/short"), 200, 5, "fine"},
+		{"POST", postRequest("/put/short", "b"), 200, 6, "fine"},
 	} {
-		res, body, err := r.say(t, c.method, c.raw)
+		res, body, err := h.roundTrip(t, c.method, c.raw)
 		if err != nil || res.StatusCode != c.status || c.body != "" && body != c.body {
-			t.Fatalf("%d: %v %v, %d bytes", i, err, res, len(body))
+			t.Fatalf("request %d: %v %v, %d bytes", i, err, res, len(body))
 		}
 		after, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 		if refused := c.status == 503; refused != (after > 0 && after < 1) {
-			t.Errorf("%d: Retry-After %q", i, res.Header.Get("Retry-After"))
+			t.Errorf("request %d: Retry-After %q", i, res.Header.Get("Retry-After"))
 		}
 		if n := len(u.requests()); n != c.runs {
-			t.Errorf("%d: upstreams have had %d requests, want %d", i, n, c.runs)
+			t.Errorf("request %d: upstreams have received %d requests, want %d", i, n, c.runs)
 		}
 	}
-	// A download is taken to be long before any has been seen.
+	// Without an estimate, a download is assumed to be long.
 	for _, served := range []bool{true, false} {
 		b := NewLinkBudget(70<<10, 2*time.Second)
 		if !served {
@@ -272,7 +273,7 @@
 		}
 		_, ok := b.Admit(0, AnswerClass{"a", true}, time.Second/2)
 		if ok != served {
-			t.Errorf("a first download that takes 0.9 s, leaving %v: admitted %v", !served, ok)
+			t.Errorf("a first download that takes 0.9 s, draining %v: admitted %v", !served, ok)
 		}
 	}
 }
--- a/internal/proxy/pace_test.go
+++ b/internal/proxy/pace_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Large answers together keep to the pace and share it; a small one passes at once.
-func TestLargeAnswersShareOnePace(t *testing.T) {
+// Large responses share one rate; a small response is written at once.
+func TestLargeResponsesShareOnePace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPace(100 << 10)
 		begin := time.Now()
 		took := make([]time.Duration, 2)
-		var all sync.WaitGroup
+		var writes sync.WaitGroup
 		for i, size := range []int{200 << 10, 100 << 10} {
-			all.Go(func() {
+			writes.Go(func() {
 				if err := p.write(t.Context(), io.Discard, make([]byte, size), int64(size)); err != nil {
 					t.Error(err)
 				}
@@ -26,22 +26,22 @@
 		time.Sleep(100 * time.Millisecond)
 		small := time.Now()
 		if err := p.write(t.Context(), io.Discard, make([]byte, 4<<10), 4<<10); err != nil || time.Since(small) > 0 {
-			t.Errorf("a small answer waited %v, %v", time.Since(small), err)
+			t.Errorf("a small response waited %v, %v", time.Since(small), err)
 		}
-		all.Wait()
-		// 300 kB at 100 kB/s; the smaller one is done when 200 kB are through, but for a
-		// few parts, as either may begin.
+		writes.Wait()
+		// 300 kB at 100 kB/s; the smaller one is complete when 200 kB have been written, give or take a
+		// few chunks, as either may start.
 		const parts = 4 * 40 * time.Millisecond
 		for i, want := range []time.Duration{3 * time.Second, 2 * time.Second} {
 			if d := took[i] - want; d > parts || d < -parts {
-				t.Errorf("answer %d took %v, not %v", i, took[i], want)
+				t.Errorf("response %d took %v, want %v", i, took[i], want)
 			}
 		}
 	})
 }
 
-// A pace may be raised while answers are under way, as when short ones come no more.
-func TestPaceMayBeRaised(t *testing.T) {
+// The rate can be raised while a response is being written, as when no more short responses are expected.
+func TestPaceCanBeRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPace(50 << 10)
 		begin := time.Now()
@@ -49,7 +49,7 @@
 		if err := p.write(t.Context(), io.Discard, make([]byte, 150<<10), 150<<10); err != nil {
 			t.Error(err)
 		}
-		// 50 kB in the first second, 100 kB in the next, but for a part.
+		// 50 kB in the first second, 100 kB in the next, give or take a chunk.
 		if took, slack := time.Since(begin), 150*time.Millisecond; took < 2*time.Second-slack || took > 2*time.Second+slack {
 			t.Errorf("took %v", took)
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -17,10 +17,10 @@
 	"madderwing/internal/upstream"
 )
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
-	u := newUpstream(t, "u", steady)
-	r := newRig(t, u)
-	res, body, err := r.say(t, "GET", "GET /get//a/../%2e%2E/b%20c?x=1&&y=%zz;q HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\n"+
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	u := newFakeUpstream(t, "u", respondOK)
+	h := newHarness(t, u)
+	res, body, err := h.roundTrip(t, "GET", "GET /get//a/../%2e%2E/b%20c?x=1&&y=%zz;q HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\n"+
 		"Connection: X-Hop, keep-alive\r\nX-Hop: 1\r\nTE: trailers\r\nX-Kept: yes\r\nTarget-Instance: forged\r\n\r\n")
 	if err != nil || res.StatusCode != 200 || body != "fine" {
 		t.Fatalf("%v %v %q", err, res, body)
@@ -31,7 +31,7 @@
 	}
 	for _, not := range []string{"X-Hop", "User-Agent", "Accept-Encoding", "forged", "Te:", "Connection", "Content-Length", "Transfer-Encoding"} {
 		if strings.Contains(head, not) {
-			t.Errorf("%s was passed on or added: %q", not, head)
+			t.Errorf("%s was forwarded or added: %q", not, head)
 		}
 	}
 	for _, want := range []string{"X-Kept: yes\r\n", "Attempt-Id: one\r\n", "Target-Instance: u\r\n", "Deadline-Left: "} {
@@ -40,23 +40,23 @@
 		}
 	}
 	if res.Header.Get(headerServerSeal) != "s" || res.Header.Get("Content-Type") != "" || res.Header.Get("Content-Encoding") != "" {
-		t.Errorf("answer's headers: %v", res.Header)
+		t.Errorf("response headers: %v", res.Header)
 	}
 }
 
-func TestBodiesKeepTheirForm(t *testing.T) {
-	u := newUpstream(t, "u", steady)
-	r := newRig(t, u)
-	large := strings.Repeat("0123456789abcdef", 30<<10) // more than is held
+func TestRequestBodyFramingIsKept(t *testing.T) {
+	u := newFakeUpstream(t, "u", respondOK)
+	h := newHarness(t, u)
+	large := strings.Repeat("0123456789abcdef", 30<<10) // more than maxBufferedBody
 	for _, c := range []struct{ name, raw, want string }{
-		{"sized", post("/put/x", "hello"), "Content-Length: 5\r\n\r\nhello"},
+		{"sized", postRequest("/put/x", "hello"), "Content-Length: 5\r\n\r\nhello"},
 		{"chunked", "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
 			"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"},
-		{"empty", post("/put/x", ""), "Content-Length: 0\r\n\r\n"},
-		{"large", post("/put/x", large), fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(large), large)},
+		{"empty", postRequest("/put/x", ""), "Content-Length: 0\r\n\r\n"},
+		{"large", postRequest("/put/x", large), fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(large), large)},
 	} {
 		before := len(u.requests())
-		res, _, err := r.say(t, "POST", c.raw)
+		res, _, err := h.roundTrip(t, "POST", c.raw)
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("%s: %v %v", c.name, err, res)
 		}
@@ -67,48 +67,48 @@
 	}
 }
 
-// A GET on a mutating route over a connection that the upstream closes without
-// an answer must not run twice, as it would with http.Transport.
-func TestReusedConnectionThatClosesIsNoReasonToRepeat(t *testing.T) {
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
+// A GET on a mutating route, sent over a reused connection that the upstream closes without a response,
+// must not be retried. http.Transport would retry it.
+func TestClosedReusedConnectionIsNotRetried(t *testing.T) {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
 		if n == 2 {
 			return false // reads the request and closes
 		}
-		return steady(c, r, n)
+		return respondOK(c, r, n)
 	})
-	other := newUpstream(t, "v", steady)
-	r := newRig(t, u)
-	if res, _, err := r.say(t, "GET", get("/put/1")); err != nil || res.StatusCode != 200 {
+	other := newFakeUpstream(t, "v", respondOK)
+	h := newHarness(t, u)
+	if res, _, err := h.roundTrip(t, "GET", getRequest("/put/1")); err != nil || res.StatusCode != 200 {
 		t.Fatal(err, res)
 	}
-	r.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
+	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
 		s.SetList(now, []upstream.Instance{
-			{ID: "u", Service: "a", Address: u.l.Addr().String(), Zone: "z", Capacity: 4},
-			{ID: "v", Service: "a", Address: other.l.Addr().String(), Zone: "far", Capacity: 4}})
+			{ID: "u", Service: "a", Address: u.listener.Addr().String(), Zone: "z", Capacity: 4},
+			{ID: "v", Service: "a", Address: other.listener.Addr().String(), Zone: "far", Capacity: 4}})
 	})
-	res, _, err := r.say(t, "GET", get("/put/2"))
+	res, _, err := h.roundTrip(t, "GET", getRequest("/put/2"))
 	if err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v %v, want 502", err, res)
 	}
 	if n := len(u.requests()) + len(other.requests()); n != 2 {
-		t.Fatalf("%d requests arrived for 2 that were sent", n)
+		t.Fatalf("%d requests reached upstreams, 2 were made", n)
 	}
 	if res.Header.Get("Retry-After") != "" {
-		t.Error("an answer that promises nothing tells when to come back")
+		t.Error("Retry-After on an error that does not promise that the request was not executed")
 	}
 }
 
-func TestStrayBytesBelongToNoRequest(t *testing.T) {
+func TestBytesAfterResponseAreDiscarded(t *testing.T) {
 	stray := "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: forged\r\nContent-Length: 5\r\n\r\nwrong"
-	for name, tail := range map[string]string{"whole answer": stray, "junk": "xyz"} {
+	for name, tail := range map[string]string{"complete response": stray, "junk": "xyz"} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
-				_, _ = io.WriteString(c, ok(r, "right")+tail)
+			u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
+				_, _ = io.WriteString(c, okResponse(r, "right")+tail)
 				return true
 			})
-			r := newRig(t, u)
+			h := newHarness(t, u)
 			for i := 0; i < 3; i++ {
-				res, body, err := r.say(t, "GET", get("/get/x"))
+				res, body, err := h.roundTrip(t, "GET", getRequest("/get/x"))
 				if err != nil || res.StatusCode != 200 || body != "right" || res.Header.Get(headerServerSeal) != "s" {
 					t.Fatalf("%d: %v %v %q", i, err, res, body)
 				}
@@ -117,40 +117,40 @@
 	}
 }
 
-func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
-		_, _ = io.WriteString(c, strings.Replace(ok(r, "x"), "Attempt-Id: one", "Attempt-Id: two", 1))
+func TestResponseToAnotherRequestIsRejected(t *testing.T) {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+		_, _ = io.WriteString(c, strings.Replace(okResponse(r, "x"), "Attempt-Id: one", "Attempt-Id: two", 1))
 		return true
 	})
-	r := newRig(t, u)
-	if res, _, err := r.say(t, "GET", get("/put/x")); err != nil || res.StatusCode != http.StatusBadGateway {
+	h := newHarness(t, u)
+	if res, _, err := h.roundTrip(t, "GET", getRequest("/put/x")); err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Fatal(err, res)
 	}
 }
 
-func TestAnswersThatMayNotReachTheClient(t *testing.T) {
+func TestInvalidResponsesAreReplaced(t *testing.T) {
 	cases := map[string]struct{ answer, path, want string }{
-		"no seal":                {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
-		"503 that may have run":  {"HTTP/1.1 503 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
-		"429 that may have run":  {"HTTP/1.1 429 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
-		"503 that has not run":   {"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "/put/x", "503"},
-		"no answer at all":       {"\x00\x01garbage\r\n\r\n", "/put/x", "502"},
-		"cut short":              {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", "/put/x", "502"},
-		"without an end":         {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n\r\nhalf", "/put/x", "502"},
-		"its own failure":        {"HTTP/1.1 500 Oops\r\nAttempt-Id: one\r\nContent-Length: 2\r\n\r\nno", "/put/x", "500"},
-		"success, has not run":   {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
-		"failure, has not run":   {"HTTP/1.1 500 Oops\r\nNot-Executed: 1\r\nAttempt-Id: one\r\nContent-Length: 2\r\n\r\nno", "/put/x", "500"},
-		"a body for an answer":   {"HTTP/1.1 020 OK\r\nContent-Length: 99\r\n\r\nHTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
-		"interim answers before": {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "200"},
+		"no Server-Seal":                 {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
+		"503 without Not-Executed":       {"HTTP/1.1 503 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
+		"429 without Not-Executed":       {"HTTP/1.1 429 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
+		"503 with Not-Executed":          {"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "/put/x", "503"},
+		"not HTTP":                       {"\x00\x01garbage\r\n\r\n", "/put/x", "502"},
+		"truncated":                      {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", "/put/x", "502"},
+		"no body length":                 {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n\r\nhalf", "/put/x", "502"},
+		"upstream's own error":           {"HTTP/1.1 500 Oops\r\nAttempt-Id: one\r\nContent-Length: 2\r\n\r\nno", "/put/x", "500"},
+		"success with Not-Executed":      {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
+		"error with Not-Executed":        {"HTTP/1.1 500 Oops\r\nNot-Executed: 1\r\nAttempt-Id: one\r\nContent-Length: 2\r\n\r\nno", "/put/x", "500"},
+		"response within an invalid one": {"HTTP/1.1 020 OK\r\nContent-Length: 99\r\n\r\nHTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
+		"1xx response first":             {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", "/put/x", "200"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, "u", func(conn net.Conn, _ *http.Request, _ int) bool {
+			u := newFakeUpstream(t, "u", func(conn net.Conn, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(conn, c.answer)
 				return false
 			})
-			r := newRig(t, u)
-			res, body, err := r.say(t, "POST", post(c.path, "b"))
+			h := newHarness(t, u)
+			res, body, err := h.roundTrip(t, "POST", postRequest(c.path, "b"))
 			if err != nil || fmt.Sprint(res.StatusCode) != c.want {
 				t.Fatalf("%v %v, want %s", err, res, c.want)
 			}
@@ -167,28 +167,28 @@
 	}
 }
 
-func TestLargeAnswerCutShortDoesNotLookComplete(t *testing.T) {
+func TestTruncatedLargeResponseIsNotComplete(t *testing.T) {
 	for name, head := range map[string]string{
 		"sized":   "Content-Length: 200000\r\n\r\n" + strings.Repeat("x", 150000),
 		"chunked": "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+			u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"+head)
 				return false
 			})
-			r := newRig(t, u)
-			if _, body, err := r.say(t, "GET", get("/get/x")); err == nil {
+			h := newHarness(t, u)
+			if _, body, err := h.roundTrip(t, "GET", getRequest("/get/x")); err == nil {
 				t.Fatalf("%d bytes looked complete", len(body))
 			}
 		})
 	}
 }
 
-func TestWhatHasNotRunGoesToAnotherUpstream(t *testing.T) {
+func TestUnexecutedRequestIsRetried(t *testing.T) {
 	refusals := map[string]string{
-		"turned away":   "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
-		"other address": "HTTP/1.1 421 Misdirected\r\nInstance-Id: z\r\nContent-Length: 0\r\n\r\n",
+		"refused":     "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
+		"misdirected": "HTTP/1.1 421 Misdirected\r\nInstance-Id: z\r\nContent-Length: 0\r\n\r\n",
 	}
 	for name, answer := range refusals {
 		t.Run(name, func(t *testing.T) {
@@ -196,44 +196,44 @@
 				_, _ = io.WriteString(c, answer)
 				return true
 			}
-			first := newUpstream(t, "u", refuse)
-			good := newUpstream(t, "v", steady)
-			r := newRig(t, first, good)
+			first := newFakeUpstream(t, "u", refuse)
+			good := newFakeUpstream(t, "v", respondOK)
+			h := newHarness(t, first, good)
 			for i := 0; i < 4; i++ {
-				if res, _, err := r.say(t, "POST", post("/put/x", "body")); err != nil || res.StatusCode != 200 {
+				if res, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "body")); err != nil || res.StatusCode != 200 {
 					t.Fatalf("%d: %v %v", i, err, res)
 				}
 			}
 			if n := len(good.requests()); n != 4 {
-				t.Fatalf("%d of 4 ran", n)
+				t.Fatalf("%d of 4 requests executed", n)
 			}
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
-		dead := newUpstream(t, "u", steady)
-		dead.l.Close()
-		good := newUpstream(t, "v", steady)
-		r := newRig(t, dead, good)
+	t.Run("connection refused", func(t *testing.T) {
+		dead := newFakeUpstream(t, "u", respondOK)
+		dead.listener.Close()
+		good := newFakeUpstream(t, "v", respondOK)
+		h := newHarness(t, dead, good)
 		for i := 0; i < 4; i++ {
-			if res, _, err := r.say(t, "POST", post("/put/x", "body")); err != nil || res.StatusCode != 200 {
+			if res, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "body")); err != nil || res.StatusCode != 200 {
 				t.Fatalf("%v %v", err, res)
 			}
 		}
 	})
 }
 
-// An upstream may answer before it has read the body; the answer counts, and
-// the connection is not used again.
-func TestEarlyAnswerWhileTheBodyIsStillSent(t *testing.T) {
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+// A response that arrives while the request body is still being sent is passed on, and the request is
+// not retried.
+func TestEarlyResponseDuringBody(t *testing.T) {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
 		return false
 	})
-	r := newRig(t, u)
+	h := newHarness(t, u)
 	body := strings.Repeat("y", 900000)
-	raw := strings.Replace(post("/put/x", body), "Host:", "X-Early: 1\r\nHost:", 1)
-	res, _, err := r.say(t, "POST", raw)
+	raw := strings.Replace(postRequest("/put/x", body), "Host:", "X-Early: 1\r\nHost:", 1)
+	res, _, err := h.roundTrip(t, "POST", raw)
 	if err != nil || res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
 		t.Fatalf("%v %v", err, res)
 	}
@@ -242,64 +242,64 @@
 	}
 }
 
-func TestGivenUpAtOnceWithTheRightPromise(t *testing.T) {
-	hold := make(chan struct{})
-	t.Cleanup(func() { close(hold) })
-	u := newUpstream(t, "u", func(net.Conn, *http.Request, int) bool { <-hold; return false })
-	t.Run("sent and silent: 504", func(t *testing.T) {
-		res, _, err := newRig(t, u).say(t, "POST", post("/short/x", "b"))
+func TestTimeoutStatusSaysWhetherSent(t *testing.T) {
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	u := newFakeUpstream(t, "u", func(net.Conn, *http.Request, int) bool { <-release; return false })
+	t.Run("sent, no response: 504", func(t *testing.T) {
+		res, _, err := newHarness(t, u).roundTrip(t, "POST", postRequest("/short/x", "b"))
 		if err != nil || res.StatusCode != http.StatusGatewayTimeout {
 			t.Fatalf("%v %v", err, res)
 		}
 	})
 	t.Run("never sent: 503", func(t *testing.T) {
-		res, _, err := newRig(t).say(t, "POST", post("/put/x", "b"))
+		res, _, err := newHarness(t).roundTrip(t, "POST", postRequest("/put/x", "b"))
 		if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 			t.Fatalf("%v %v", err, res)
 		}
 	})
 	t.Run("no time left: 503", func(t *testing.T) {
-		raw := strings.Replace(post("/put/x", "b"), "4000", "0", 1)
-		res, _, err := newRig(t, u).say(t, "POST", raw)
+		raw := strings.Replace(postRequest("/put/x", "b"), "4000", "0", 1)
+		res, _, err := newHarness(t, u).roundTrip(t, "POST", raw)
 		if err != nil || res.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%v %v", err, res)
 		}
 	})
-	t.Run("no items yet: 503, not 404", func(t *testing.T) {
-		r := newRig(t, u)
-		r.handler.SetTable((&config.Builder{}).Build(nil))
-		res, _, err := r.say(t, "GET", get("/get/x"))
+	t.Run("no configuration yet: 503, not 404", func(t *testing.T) {
+		h := newHarness(t, u)
+		h.handler.SetTable((&config.Builder{}).Build(nil))
+		res, _, err := h.roundTrip(t, "GET", getRequest("/get/x"))
 		if err != nil || res.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%v %v", err, res)
 		}
 	})
 }
 
-func TestLimitsOnClients(t *testing.T) {
-	r := newRig(t, newUpstream(t, "u", steady))
+func TestClientLimits(t *testing.T) {
+	h := newHarness(t, newFakeUpstream(t, "u", respondOK))
 	long := strings.Repeat("h", 9000)
 	for name, c := range map[string]struct {
 		raw  string
 		want int
 	}{
-		"header too large":  {"GET /get/x HTTP/1.1\r\nHost: h.example\r\nX-Long: " + long + "\r\n\r\n", 431},
-		"body too large":    {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2000000\r\n\r\n", 413},
-		"chunks too large":  {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\nf4250\r\n" + strings.Repeat("z", 0xf4250) + "\r\n0\r\n\r\n", 413},
-		"slow header":       {"GET /get/x HTTP/1.1\r\nHost: h.exa", 408},
-		"no such route":     {get("/nowhere/"), 404},
-		"no such host":      {"GET /get/x HTTP/1.1\r\nHost: other\r\n\r\n", 404},
-		"expects to go on":  {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok", 200},
-		"two lengths":       {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", 400},
-		"length and chunks": {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200},
+		"header too large":     {"GET /get/x HTTP/1.1\r\nHost: h.example\r\nX-Long: " + long + "\r\n\r\n", 431},
+		"body too large":       {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2000000\r\n\r\n", 413},
+		"chunks too large":     {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\nf4250\r\n" + strings.Repeat("z", 0xf4250) + "\r\n0\r\n\r\n", 413},
+		"slow header":          {"GET /get/x HTTP/1.1\r\nHost: h.exa", 408},
+		"no such route":        {getRequest("/nowhere/"), 404},
+		"no such host":         {"GET /get/x HTTP/1.1\r\nHost: other\r\n\r\n", 404},
+		"expects 100-continue": {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok", 200},
+		"two lengths":          {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", 400},
+		"length and chunks":    {"POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c2, err := net.Dial("tcp4", r.listener.listener.Addr().String())
+			conn, err := net.Dial("tcp4", h.listener.listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c2.Close()
-			go func() { _, _ = io.WriteString(c2, c.raw) }()
-			br := bufio.NewReader(c2)
+			defer conn.Close()
+			go func() { _, _ = io.WriteString(conn, c.raw) }()
+			br := bufio.NewReader(conn)
 			res, err := http.ReadResponse(br, nil)
 			if err == nil && res.StatusCode == 100 {
 				res, err = http.ReadResponse(br, nil)
@@ -311,34 +311,34 @@
 	}
 }
 
-// A request that waits for an upstream is not sent on once its client has gone.
-func TestARequestWhoseClientHasGoneIsNotSentOn(t *testing.T) {
+// A queued request is not sent once its client has disconnected.
+func TestQueuedRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
 		<-release
-		return steady(c, r, n)
+		return respondOK(c, r, n)
 	})
-	r := newRig(t, u)
+	h := newHarness(t, u)
 	answered := make(chan error, 4)
-	for range 4 { // as many as the upstream works on at once
+	for range 4 { // the capacity of the upstream
 		go func() {
-			_, _, err := r.say(t, "POST", post("/put/x", "b"))
+			_, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "b"))
 			answered <- err
 		}()
 	}
 	for len(u.requests()) < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	c, err := net.Dial("tcp4", r.listener.listener.Addr().String())
+	c, err := net.Dial("tcp4", h.listener.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(c, post("/put/gone", "b"))
-	for r.handler.Stats.Requests.Load() < 5 {
+	_, _ = io.WriteString(c, postRequest("/put/gone", "b"))
+	for h.handler.Stats.Requests.Load() < 5 {
 		time.Sleep(time.Millisecond)
 	}
 	c.Close()
-	for r.handler.Counters()["gone"] == 0 {
+	for h.handler.Counters()["gone"] == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
@@ -349,76 +349,76 @@
 	}
 	for _, raw := range u.requests() {
 		if strings.Contains(raw, "/put/gone") {
-			t.Error("it was sent on")
+			t.Error("the request of the disconnected client was sent")
 		}
 	}
 }
 
-// A gateway that leaves waits for an upstream that is at work, and closes what is idle.
-func TestLeavingWaitsForUpstreamsAtWork(t *testing.T) {
+// A gateway that shuts down waits for requests in flight and closes idle connections.
+func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
-	u := newUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
 		<-release
-		return steady(c, r, n)
+		return respondOK(c, r, n)
 	})
-	r := newRig(t, u)
+	h := newHarness(t, u)
 	type answer struct {
 		res *http.Response
 		err error
 	}
 	got := make(chan answer, 1)
 	go func() {
-		res, _, err := r.say(t, "POST", post("/put/x", "b"))
+		res, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "b"))
 		got <- answer{res, err}
 	}()
 	for len(u.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	idle, err := net.Dial("tcp4", r.listener.listener.Addr().String())
+	idle, err := net.Dial("tcp4", h.listener.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(idle, get("/nowhere/"))
+	_, _ = io.WriteString(idle, getRequest("/nowhere/"))
 	br := bufio.NewReader(idle)
 	if res, err := http.ReadResponse(br, nil); err != nil || res.StatusCode != 404 || res.Close {
 		t.Fatal(res, err)
 	} else {
 		_, _ = io.Copy(io.Discard, res.Body)
 	}
-	r.handler.Drain()
-	down := make(chan struct{})
-	go func() { r.listener.Shutdown(context.Background()); close(down) }()
+	h.handler.Drain()
+	shutDown := make(chan struct{})
+	go func() { h.listener.Shutdown(context.Background()); close(shutDown) }()
 	if n, err := br.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("the idle connection: %d bytes, %v", n, err)
+		t.Errorf("idle connection: %d bytes, %v", n, err)
 	}
 	select {
 	case a := <-got:
-		t.Fatalf("ended while its upstream was at work: %v %v", a.res, a.err)
-	case <-down:
-		t.Fatal("left while an upstream was at work")
+		t.Fatalf("response before the upstream had responded: %v %v", a.res, a.err)
+	case <-shutDown:
+		t.Fatal("shut down while a request was in flight")
 	default:
 	}
 	close(release)
 	if a := <-got; a.err != nil || a.res.StatusCode != 200 || !a.res.Close {
 		t.Errorf("%v %v", a.res, a.err)
 	}
-	<-down
+	<-shutDown
 }
 
-// A request that is read while its gateway closes what lies idle is answered: whatever the
-// moment, a client gets an answer or finds the connection closed unread.
-func TestLeavingAnswersWhatItHasRead(t *testing.T) {
+// A gateway that retires idle connections still answers a request that has begun to be read: whatever the
+// timing, a client gets a response or its connection is closed before any of the request is read.
+func TestRetireDoesNotDropPartlyReadRequest(t *testing.T) {
 	for n := range 300 {
 		near, far := net.Pipe()
-		g := &clientConn{Conn: near}
-		g.markIdle(true)
+		conn := &clientConn{Conn: near}
+		conn.markIdle(true)
 		read := make(chan int, 1)
 		go func() {
 			b := make([]byte, 4)
-			n, _ := g.Read(b)
-			_ = g.SetReadDeadline(time.Time{}) // as the server does once it has something
+			n, _ := conn.Read(b)
+			_ = conn.SetReadDeadline(time.Time{}) // as net/http does once it has read something
 			if n > 0 {
-				_, err := io.ReadFull(g, make([]byte, 4)) // and goes on reading
+				_, err := io.ReadFull(conn, make([]byte, 4)) // continues reading the request
 				if err != nil {
 					n = -1
 				}
@@ -433,11 +433,11 @@
 		for range n % 7 {
 			runtime.Gosched()
 		}
-		g.retire(false)
+		conn.retire(false)
 		got := <-read
 		near.Close()
 		if err := <-wrote; got < 0 || got > 0 && err != nil {
-			t.Fatalf("round %d: a request was begun to be read and then dropped", n)
+			t.Fatalf("round %d: a request was partly read and then dropped", n)
 		}
 		far.Close()
 	}
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// BenchmarkRequest measures one client's requests over a kept connection, the upstream's and the
-// client's own work among them.
+// BenchmarkRequest measures successive requests over one connection. The figures include the work of the
+// client and of the fake upstream.
 func BenchmarkRequest(b *testing.B) {
 	for _, path := range []string{"/get/x", "/put/x"} {
 		b.Run(path, func(b *testing.B) {
 			t := &testing.T{}
-			r := newRig(t, newUpstream(t, "u", steady))
-			c, err := net.Dial("tcp4", r.listener.listener.Addr().String())
+			h := newHarness(t, newFakeUpstream(t, "u", respondOK))
+			c, err := net.Dial("tcp4", h.listener.listener.Addr().String())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -23,7 +23,7 @@
 			br := bufio.NewReader(c)
 			b.ReportAllocs()
 			for b.Loop() {
-				_, _ = io.WriteString(c, get(path))
+				_, _ = io.WriteString(c, getRequest(path))
 				res, err := http.ReadResponse(br, nil)
 				if err != nil || res.StatusCode != http.StatusOK {
 					b.Fatal(err, res)
--- a/internal/proxy/reserve.go
+++ b/internal/proxy/reserve.go
@@ -33,6 +33,6 @@
 		return h.retryLater(x, apierror.Overloaded)
 	}
 	// The delay is short: another gateway can serve the request at once.
-	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.targetLatency))
+	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.latencyTarget))
 	return apierror.Later(apierror.Overloaded, after, "%s", x.service)
 }
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/responsereader_test.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// An upstream's word on its warmth counts only if it is a time: no other may make a cold
-// one look warm.
+// An invalid Warmup-Left header is rejected: read as zero, it would make an upstream that is still
+// warming up look warm.
 func TestWarmupLeft(t *testing.T) {
-	for told, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond,
+	for header, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond,
 		"-1": -1, "NaN": -1, "1e300": -1, "Inf": -1, "soon": -1} {
-		left, ok := parseWarmupLeft(http.Header{headerWarmupLeft: {told}})
-		if ok != (want >= 0) || ok && left != want {
-			t.Errorf("%q: %v %v", told, left, ok)
+		remaining, ok := parseWarmupLeft(http.Header{headerWarmupLeft: {header}})
+		if ok != (want >= 0) || ok && remaining != want {
+			t.Errorf("%q: %v %v", header, remaining, ok)
 		}
 	}
 }
 
-// take reads one answer as send does: its head, what is held of the body, and the rest.
-// Of the bytes it says how many belong to the answer.
-func take(in []byte, method string, used bool) (r *http.Response, body []byte, took int, err error) {
-	a := newResponseReader(bytes.NewReader(in))
-	a.reused = used
-	r, err = a.readHeadFor(method, "one")
+// readResponse reads one response as Handler.send does: the head, the held part of the body, and the
+// rest of it. consumed is the number of input bytes that belong to the response.
+func readResponse(input []byte, method string, reused bool) (response *http.Response, body []byte, consumed int, err error) {
+	reader := newResponseReader(bytes.NewReader(input))
+	reader.reused = reused
+	response, err = reader.readHeadFor(method, "one")
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	body, whole, err := readBodyStart(r)
-	if err == nil && !whole {
+	body, complete, err := readBodyStart(response)
+	if err == nil && !complete {
 		var rest []byte
-		rest, err = io.ReadAll(r.Body)
+		rest, err = io.ReadAll(response.Body)
 		body = append(body, rest...)
 	}
-	left, _ := io.ReadAll(a)
-	return r, body, len(in) - len(left), err
+	unread, _ := io.ReadAll(reader)
+	return response, body, len(input) - len(unread), err
 }
 
-// FuzzAnswers: whatever an upstream sends, reading it ends and takes no more memory than
-// a head may have and the bytes that came are worth; an answer of another request is
-// refused; and what is taken for a whole answer is not one without its last bytes.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses checks that for any input, reading ends and allocates no more than the limit of a
+// head, the limit of a held body and a multiple of the input's size; that a response to another
+// request is rejected; and that a response accepted as complete is not complete without its last bytes.
+func FuzzResponses(f *testing.F) {
 	ok := "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"
 	for _, text := range []string{
 		ok + "Content-Length: 5\r\n\r\nhello",
@@ -70,33 +70,33 @@
 		f.Add([]byte(text), false, false)
 		f.Add([]byte(text), true, true)
 	}
-	f.Fuzz(func(t *testing.T, in []byte, head, used bool) {
+	f.Fuzz(func(t *testing.T, input []byte, head, reused bool) {
 		method := http.MethodGet
 		if head {
 			method = http.MethodHead
 		}
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		r, body, took, err := take(in, method, used)
+		r, body, consumed, err := readResponse(input, method, reused)
 		runtime.ReadMemStats(&after)
-		if n := after.TotalAlloc - before.TotalAlloc; n > uint64(maxResponseHead+maxHeldResponse+64*len(in)) {
-			t.Fatalf("%d bytes taken for %d", n, len(in))
+		if n := after.TotalAlloc - before.TotalAlloc; n > uint64(maxResponseHead+maxHeldResponse+64*len(input)) {
+			t.Fatalf("%d bytes allocated for an input of %d bytes", n, len(input))
 		}
 		if err != nil {
 			return
 		}
-		if id := r.Header.Get(headerAttemptID); id != "one" && (id != "" || used || r.StatusCode < 300) {
-			t.Fatalf("an answer to %q is taken", id)
+		if id := r.Header.Get(headerAttemptID); id != "one" && (id != "" || reused || r.StatusCode < 300) {
+			t.Fatalf("a response to %q was accepted", id)
 		}
 		if r.StatusCode < 200 || r.StatusCode > 999 {
 			t.Fatalf("status %d", r.StatusCode)
 		}
 		if !head && r.ContentLength >= 0 && r.StatusCode != http.StatusNotModified && r.StatusCode != http.StatusNoContent && int64(len(body)) != r.ContentLength {
-			t.Fatalf("%d bytes of %d", len(body), r.ContentLength)
+			t.Fatalf("body has %d bytes, Content-Length is %d", len(body), r.ContentLength)
 		}
-		for cut := took - 1; cut >= max(0, took-40); cut-- {
-			if _, short, _, err := take(in[:cut], method, used); err == nil {
-				t.Fatalf("whole without its last %d of %d bytes, with %d of its body's %d", took-cut, took, len(short), len(body))
+		for cut := consumed - 1; cut >= max(0, consumed-40); cut-- {
+			if _, shortBody, _, err := readResponse(input[:cut], method, reused); err == nil {
+				t.Fatalf("accepted as complete without its last %d of %d bytes, with %d of %d body bytes", consumed-cut, consumed, len(shortBody), len(body))
 			}
 		}
 	})
--- a/internal/proxy/retire_test.go
+++ b/internal/proxy/retire_test.go
@@ -13,34 +13,34 @@
 	"madderwing/internal/upstream"
 )
 
-// A connection that rests stays closed to what comes later, whatever deadline the server
-// sets; one whose request has begun does not.
+// A retired connection reads no further request, whatever deadline net/http sets. A connection of whose
+// request a byte has been read is not retired.
 func TestRetire(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		old, begun, also bool
-		retired          bool
+		name                    string
+		used, begun, includeNew bool
+		retired                 bool
 	}{
-		{"rests after an answer", true, false, false, true},
-		{"has begun to be read", true, true, true, false},
-		{"new, and young", false, false, false, false},
-		{"new, and nothing comes", false, false, true, true},
+		{"idle after a response", true, false, false, true},
+		{"request partly read", true, true, true, false},
+		{"new, not included", false, false, false, false},
+		{"new, included", false, false, true, true},
 	} {
 		near, far := net.Pipe()
-		g := &clientConn{Conn: near}
-		g.markIdle(c.old)
+		conn := &clientConn{Conn: near}
+		conn.markIdle(c.used)
 		if c.begun {
 			go func() { _, _ = io.WriteString(far, "1") }()
-			_, _ = g.Read(make([]byte, 1))
+			_, _ = conn.Read(make([]byte, 1))
 		}
-		g.retire(c.also)
-		if g.retired != c.retired {
-			t.Errorf("%s: retired %v", c.name, g.retired)
+		conn.retire(c.includeNew)
+		if conn.retired != c.retired {
+			t.Errorf("%s: retired %v", c.name, conn.retired)
 		}
 		if c.retired {
-			_ = g.SetReadDeadline(time.Now().Add(time.Hour))
-			if _, err := g.Read(make([]byte, 1)); err == nil {
-				t.Errorf("%s: read on", c.name)
+			_ = conn.SetReadDeadline(time.Now().Add(time.Hour))
+			if _, err := conn.Read(make([]byte, 1)); err == nil {
+				t.Errorf("%s: still readable", c.name)
 			}
 		}
 		near.Close()
@@ -48,34 +48,35 @@
 	}
 }
 
-// A node that knows no list yet, or no items, sends clients back no sooner than it will.
-func TestANodeThatStartsSendsClientsBackLater(t *testing.T) {
-	r := newRig(t)
-	listed := upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"})
-	bare := NewDispatcher(upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"}), 5*time.Second, time.Hour)
-	none := NewDispatcher(listed, 5*time.Second, time.Hour)
-	listed.SetList(0, nil)
-	go bare.Run()
-	go none.Run()
+// A starting node that has no list of upstreams or no configuration yet gives a Retry-After that lasts
+// until it should have received them.
+func TestRetryAfterOfStartingNode(t *testing.T) {
+	h := newHarness(t)
+	emptyBalancer := upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"})
+	unlisted := NewDispatcher(upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"}), 5*time.Second, time.Hour)
+	empty := NewDispatcher(emptyBalancer, 5*time.Second, time.Hour)
+	emptyBalancer.SetList(0, nil)
+	go unlisted.Run()
+	go empty.Run()
 	for _, c := range []struct {
 		name       string
 		dispatcher *Dispatcher
 		table      *config.Table
-		later      bool
+		startup    bool
 	}{
-		{"no list", bare, r.handler.Table(), true},
-		{"no items", none, (&config.Builder{}).Build(nil), true},
-		{"a list without upstreams", none, r.handler.Table(), false},
+		{"no list of upstreams", unlisted, h.handler.Table(), true},
+		{"no configuration", empty, (&config.Builder{}).Build(nil), true},
+		{"empty list of upstreams", empty, h.handler.Table(), false},
 	} {
-		f := NewHandler(c.dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
-		f.SetTable(c.table)
+		handler := NewHandler(c.dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
+		handler.SetTable(c.table)
 		req := httptest.NewRequest("GET", "/get/x", nil)
 		req.Host = "h.example"
 		w := httptest.NewRecorder()
-		f.ServeHTTP(w, req)
+		handler.ServeHTTP(w, req)
 		after, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-		if w.Code != 503 || err != nil || (after == 10) != c.later {
-			t.Errorf("%s: %d, Retry-After %q", c.name, w.Code, w.Header().Get("Retry-After"))
+		if w.Code != 503 || err != nil || (after == 10) != c.startup {
+			t.Errorf("%s: status %d, Retry-After %q", c.name, w.Code, w.Header().Get("Retry-After"))
 		}
 	}
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -77,7 +77,7 @@
 	if conn == nil {
 		x.stage = stageDial
 		var err error
-		timeout := min(dialTimeout(x.targetLatency, h.dispatcher.peerTimeout), time.Until(x.deadline))
+		timeout := min(dialTimeout(x.latencyTarget, h.dispatcher.peerTimeout), time.Until(x.deadline))
 		if conn, err = h.dispatcher.dial(x.r.Context(), lease.Address, timeout); err != nil {
 			return nil, &result{err: err, unsent: true, disconnected: x.clientDisconnected()}
 		}
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -70,7 +70,7 @@
 			return next(x)
 		}
 		x.stage = stageQuota
-		refund, refusal := h.drawQuota(x.r.Context(), x.tenant.Name, x.targetLatency/4)
+		refund, refusal := h.drawQuota(x.r.Context(), x.tenant.Name, x.latencyTarget/4)
 		if refusal != apierror.Internal {
 			return h.retryLater(x, refusal)
 		}
