--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -16,14 +16,14 @@
 // A request that has no complete response at its deadline ends at once, at any stage: the client gets
 // an error, or its connection is closed if the response has already started.
 func TestResponseAtDeadline(t *testing.T) {
-	silent := func(c net.Conn, _ *http.Request, _ int) bool {
+	unresponsive := func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	}
-	sends := func(text string) respondFunc {
+	respondWith := func(text string) respondFunc {
 		return func(c net.Conn, r *http.Request, n int) bool {
 			_, _ = io.WriteString(c, text)
-			return silent(c, r, n)
+			return unresponsive(c, r, n)
 		}
 	}
 	head := "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"
@@ -31,27 +31,27 @@
 	longBody := strings.Repeat("y", 400<<10)
 	for _, c := range []struct {
 		name, request string
-		answer        respondFunc
+		respond       respondFunc
 		pace          *Pace
 		noFreeSlot    bool // all slots of the upstream are taken
 		noConnection  bool // the upstream does not accept connections
 		status        int  // 0: the response is truncated
 	}{
-		{name: "unresponsive upstream", request: longRequest("GET", "/get/x", "one", ""), answer: silent, status: 504},
-		{name: "truncated response", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 9\r\n\r\nhalf"), status: 504},
-		{name: "1xx responses only", request: longRequest("GET", "/put/x", "one", ""), answer: sends("HTTP/1.1 103 Early\r\n\r\n"), status: 504},
-		{name: "queue", request: longRequest("GET", "/put/x", "one", ""), answer: silent, noFreeSlot: true, status: 503},
-		{name: "dial", request: longRequest("GET", "/put/x", "one", ""), answer: silent, noConnection: true, status: 503},
-		{name: "incomplete small request body", request: longRequest("POST", "/put/x", "one", "body")[:len(longRequest("POST", "/put/x", "one", "body"))-2], answer: silent, status: 503},
-		{name: "incomplete chunk of a request body", request: "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 300000\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", answer: silent, status: 503},
-		{name: "incomplete large request body", request: longRequest("POST", "/put/x", "one", longBody)[:300<<10], answer: silent, status: 504},
-		{name: "large response that stops", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10))},
-		{name: "no pace left", request: longRequest("GET", "/get/x", "one", ""), answer: sends(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPace(1)},
-		{name: "no pace left, chunked", request: longRequest("GET", "/put/x", "one", ""), answer: sends(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPace(1)},
+		{name: "unresponsive upstream", request: longRequest("GET", "/get/x", "one", ""), respond: unresponsive, status: 504},
+		{name: "truncated response", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 9\r\n\r\nhalf"), status: 504},
+		{name: "1xx responses only", request: longRequest("GET", "/put/x", "one", ""), respond: respondWith("HTTP/1.1 103 Early\r\n\r\n"), status: 504},
+		{name: "queue", request: longRequest("GET", "/put/x", "one", ""), respond: unresponsive, noFreeSlot: true, status: 503},
+		{name: "dial", request: longRequest("GET", "/put/x", "one", ""), respond: unresponsive, noConnection: true, status: 503},
+		{name: "incomplete small request body", request: longRequest("POST", "/put/x", "one", "body")[:len(longRequest("POST", "/put/x", "one", "body"))-2], respond: unresponsive, status: 503},
+		{name: "incomplete chunk of a request body", request: "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 300000\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", respond: unresponsive, status: 503},
+		{name: "incomplete large request body", request: longRequest("POST", "/put/x", "one", longBody)[:300<<10], respond: unresponsive, status: 504},
+		{name: "large response that stops", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10))},
+		{name: "no pace left", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPace(1)},
+		{name: "no pace left, chunked", request: longRequest("GET", "/put/x", "one", ""), respond: respondWith(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPace(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			u := newFakeUpstream(t, "u", c.answer)
+			u := newFakeUpstream(t, "u", c.respond)
 			h := newDisconnectHarness(t, u)
 			h.handler.Pace = c.pace
 			if c.noFreeSlot {
@@ -103,15 +103,15 @@
 		return res.StatusCode
 	}
 	for _, c := range []struct {
-		path, key       string
-		before, afterIt int
+		path, key                        string
+		statusIncomplete, statusComplete int
 	}{{"/get/x", "k2", 200, 200}, {"/nowhere/", "k2", 503, 404}, {"/get/x", "k9", 503, 401}} {
 		h.handler.tableComplete.Store(false)
-		if got := status(c.path, c.key); got != c.before {
+		if got := status(c.path, c.key); got != c.statusIncomplete {
 			t.Errorf("%s %s, table incomplete: status %d", c.path, c.key, got)
 		}
 		h.handler.SetComplete()
-		if got := status(c.path, c.key); got != c.afterIt {
+		if got := status(c.path, c.key); got != c.statusComplete {
 			t.Errorf("%s %s, table complete: status %d", c.path, c.key, got)
 		}
 	}
--- a/internal/proxy/dialing_test.go
+++ b/internal/proxy/dialing_test.go
@@ -70,7 +70,7 @@
 					t.Errorf("%d dials, want %d", dials, c.dials)
 				}
 				dispatcher.Close()
-				time.Sleep(peerTimeout) // until pending trial connections have ended
+				time.Sleep(peerTimeout) // until the trial connections that were started have ended
 			})
 		})
 	}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -165,8 +165,8 @@
 	responseStart := "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"
 	for _, c := range []struct {
 		name, request    string
-		prelude          string // what the upstream sends as soon as the request has arrived
-		more             string // what the client sends once the request is in flight
+		preamble         string // what the upstream sends as soon as the request has arrived
+		pipelined        string // what the client sends once the request is in flight
 		disconnect       func(*net.TCPConn)
 		beforeDisconnect func(*disconnectHarness) // called once the request is in flight
 		incomplete       bool                     // the upstream never receives the whole request
@@ -177,21 +177,21 @@
 		{name: "download", request: longRequest("GET", "/down/x", "one", ""), stage: stageSent},
 		{name: "small body", request: longRequest("POST", "/get/x", "one", "small"), stage: stageSent},
 		{name: "large body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10)), stage: stageSent},
-		{name: "pipelined request", request: longRequest("GET", "/get/x", "one", ""), more: longRequest("GET", "/get/y", "two", ""), stage: stageSent},
-		{name: "pipelined request, reset", request: longRequest("GET", "/get/x", "one", ""), more: longRequest("GET", "/get/y", "two", ""), disconnect: closeWithReset, stage: stageSent},
-		{name: "pipelined request, body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10)), more: longRequest("GET", "/get/y", "two", ""), stage: stageSent},
+		{name: "pipelined request", request: longRequest("GET", "/get/x", "one", ""), pipelined: longRequest("GET", "/get/y", "two", ""), stage: stageSent},
+		{name: "pipelined request, reset", request: longRequest("GET", "/get/x", "one", ""), pipelined: longRequest("GET", "/get/y", "two", ""), disconnect: closeWithReset, stage: stageSent},
+		{name: "pipelined request, body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10)), pipelined: longRequest("GET", "/get/y", "two", ""), stage: stageSent},
 		{name: "response with a length has started", request: longRequest("GET", "/get/x", "one", ""),
-			prelude: responseStart + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10), stage: stageResponse},
+			preamble: responseStart + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10), stage: stageResponse},
 		{name: "chunked response has started", request: longRequest("GET", "/get/x", "one", ""),
-			prelude: responseStart + "Transfer-Encoding: chunked\r\n\r\n14000\r\n" + strings.Repeat("z", 80<<10) + "\r\n", stage: stageResponse},
+			preamble: responseStart + "Transfer-Encoding: chunked\r\n\r\n14000\r\n" + strings.Repeat("z", 80<<10) + "\r\n", stage: stageResponse},
 		{name: "response has started, but is held back", request: longRequest("GET", "/get/x", "one", ""),
-			prelude: responseStart + "Content-Length: 100000\r\n\r\nz", stage: stageSent},
+			preamble: responseStart + "Content-Length: 100000\r\n\r\nz", stage: stageSent},
 		{name: "gateway is draining", request: longRequest("GET", "/get/x", "one", ""), beforeDisconnect: func(r *disconnectHarness) { r.handler.Drain() }, stage: stageSent},
 		{name: "half a body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10))[:300<<10], incomplete: true, stage: stageSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			blocking := newBlockingUpstream(t, "u", c.prelude)
+			blocking := newBlockingUpstream(t, "u", c.preamble)
 			h := newDisconnectHarness(t, blocking.fakeUpstream)
 			client := dialGateway(t, h.harness)
 			writeText(t, client, c.request)
@@ -208,7 +208,7 @@
 			if c.beforeDisconnect != nil {
 				c.beforeDisconnect(h)
 			}
-			writeText(t, client, c.more)
+			writeText(t, client, c.pipelined)
 			if c.disconnect == nil {
 				client.Close()
 			} else {
@@ -253,7 +253,7 @@
 // read, and the connection to the upstream serves the next request.
 func TestMutatingRequestCompletesAfterDisconnect(t *testing.T) {
 	large := strings.Repeat("z", 300<<10)
-	for _, c := range []struct{ name, body, answer string }{
+	for _, c := range []struct{ name, body, responseBody string }{
 		{"small response", "", "fine"}, {"small body", "b", "fine"}, {"large body", strings.Repeat("y", 400<<10), "fine"}, {"large response", "b", large},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -261,7 +261,7 @@
 			release := make(chan struct{})
 			u := newFakeUpstream(t, "u", func(conn net.Conn, r *http.Request, _ int) bool {
 				<-release
-				_, _ = io.WriteString(conn, okResponse(r, c.answer))
+				_, _ = io.WriteString(conn, okResponse(r, c.responseBody))
 				return true
 			})
 			h := newDisconnectHarness(t, u)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -89,6 +89,7 @@
 // harnessMaxConns is the limit on concurrent client connections.
 const harnessMaxConns = 4000
 
+// harness is a gateway whose upstreams are set by the test.
 type harness struct {
 	handler    *Handler
 	dispatcher *Dispatcher
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// linkModel simulates a gateway and its outgoing link, which all started responses share fairly.
+// linkModel simulates a gateway and its outgoing link, which all started responses share equally.
 type linkModel struct {
 	*rand.Rand
 	budget     *LinkBudget
-	rate       float64 // bytes a second
+	rate       float64 // bytes per second
 	bufferSize int     // bytes of a response that may be written before the link has transferred them
 
 	shuttingDown bool // the gateway has received a SIGTERM
@@ -34,11 +34,11 @@
 type modelResponse struct {
 	reservation *Reservation
 	startsAt    time.Duration // when its upstream has processed the request, later when its head arrives
-	inbound     bool
-	started     bool
+	inbound     bool          // it has been sent by its upstream; used with sharesInbound
+	started     bool          // its head has arrived
 	size        int
-	unwritten   int
-	buffered    float64
+	unwritten   int     // bytes
+	buffered    float64 // bytes written, but not transferred by the link yet
 }
 
 const (
@@ -60,7 +60,7 @@
 	return int(min(spread(modelMeanSize, .6), modelMaxSize)), work
 }
 
-// admitRequest takes a admitRequest for a long answer.
+// admitRequest asks the budget to admit a request for a long response.
 func (m *linkModel) admitRequest() (admitted bool) {
 	r, ok := m.budget.Admit(m.now, AnswerClass{"s", true}, m.now+modelDeadline)
 	if !ok {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// advance lets one advance of time pass.
+// advance simulates the next modelStep.
 func (m *linkModel) advance() {
 	m.now += modelStep
 	var sending []*modelResponse
@@ -184,9 +184,9 @@
 func TestExpectedResponsesAreBounded(t *testing.T) {
 	const (
 		rate       = 287_500.
-		burstPerS  = 25
+		burstRate  = 25
 		burst      = 2 * time.Second
-		normalPerS = 1
+		normalRate = 1
 		// A request may arrive at acceptShare of the grace, and its response must be complete by 0.95 of it.
 		maxInboundDelay = modelGrace / 2
 		// pacedShare is the share of the link that the budget assumes for paced long responses.
@@ -197,20 +197,20 @@
 		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedShare*rate, modelGrace),
 			rate: rate, bufferSize: 4096, sharesInbound: true}
 		burstAt := time.Duration(8+m.Float64()*4) * time.Second
-		var longest time.Duration
+		var maxDelay time.Duration
 		for m.now < burstAt+2*burst {
-			requestsPerSecond := float64(normalPerS)
+			requestsPerSecond := float64(normalRate)
 			if m.now >= burstAt && m.now < burstAt+burst {
-				requestsPerSecond = burstPerS
+				requestsPerSecond = burstRate
 			}
 			if m.Float64() < requestsPerSecond*modelStep.Seconds() {
 				m.admitRequest()
 			}
 			m.advance()
-			longest = max(longest, m.inboundFreeAt-m.now)
+			maxDelay = max(maxDelay, m.inboundFreeAt-m.now)
 		}
-		if longest > maxInboundDelay {
-			t.Errorf("seed %d: a response from an upstream is delayed by %v", seed, longest)
+		if maxDelay > maxInboundDelay {
+			t.Errorf("seed %d: a response from an upstream is delayed by %v", seed, maxDelay)
 		}
 		finished += m.finished
 	}
@@ -225,31 +225,31 @@
 // not send such a request to an upstream. Responses to requests already sent, to routes other than
 // downloads, and short ones are passed on.
 func TestDrainRefusesWhatLinkCannotTransfer(t *testing.T) {
-	long := strings.Repeat("x", 200<<10)
+	longBody := strings.Repeat("x", 200<<10)
 	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		body := "fine"
 		if strings.Contains(r.URL.Path, "long") {
-			body = long
+			body = longBody
 		}
 		_, _ = io.WriteString(c, okResponse(r, body))
 		return true
 	})
 	h := newHarness(t, u)
 	h.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // the response takes over two seconds
-	if res, body, err := h.roundTrip(t, "GET", getRequest("/down/long")); err != nil || res.StatusCode != 200 || body != long {
+	if res, body, err := h.roundTrip(t, "GET", getRequest("/down/long")); err != nil || res.StatusCode != 200 || body != longBody {
 		t.Fatalf("unused link: %v %v", res, err)
 	}
 	h.handler.Link = NewLinkBudget(70<<10, 2*time.Second) // a new budget, without estimates
 	h.handler.Drain()
 	for i, c := range []struct {
-		method, raw  string
-		status, runs int
-		body         string
+		method, raw      string
+		status, received int
+		body             string
 	}{
-		{"GET", getRequest("/down/long"), 200, 2, long}, // the size is known only from the response, which is then passed on
+		{"GET", getRequest("/down/long"), 200, 2, longBody}, // the size is known only from the response, which is then passed on
 		{"GET", getRequest("/down/long"), 503, 2, ""},
-		{"GET", getRequest("/get/long"), 200, 3, long},
-		{"POST", postRequest("/put/long", "b"), 200, 4, long},
+		{"GET", getRequest("/get/long"), 200, 3, longBody},
+		{"POST", postRequest("/put/long", "b"), 200, 4, longBody},
 		{"GET", getRequest("/get/short"), 200, 5, "fine"},
 		{"POST", postRequest("/put/short", "b"), 200, 6, "fine"},
 	} {
@@ -261,19 +261,19 @@
 		if refused := c.status == 503; refused != (after > 0 && after < 1) {
 			t.Errorf("request %d: Retry-After %q", i, res.Header.Get("Retry-After"))
 		}
-		if n := len(u.requests()); n != c.runs {
-			t.Errorf("request %d: upstreams have received %d requests, want %d", i, n, c.runs)
+		if n := len(u.requests()); n != c.received {
+			t.Errorf("request %d: upstreams have received %d requests, want %d", i, n, c.received)
 		}
 	}
 	// Without an estimate, a download is assumed to be long.
-	for _, served := range []bool{true, false} {
+	for _, serving := range []bool{true, false} {
 		b := NewLinkBudget(70<<10, 2*time.Second)
-		if !served {
+		if !serving {
 			b.Leave(0)
 		}
 		_, ok := b.Admit(0, AnswerClass{"a", true}, time.Second/2)
-		if ok != served {
-			t.Errorf("a first download that takes 0.9 s, draining %v: admitted %v", !served, ok)
+		if ok != serving {
+			t.Errorf("a first download that takes 0.9 s, draining %v: admitted %v", !serving, ok)
 		}
 	}
 }
--- a/internal/proxy/pace_test.go
+++ b/internal/proxy/pace_test.go
@@ -24,23 +24,24 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		small := time.Now()
-		if err := p.write(t.Context(), io.Discard, make([]byte, 4<<10), 4<<10); err != nil || time.Since(small) > 0 {
-			t.Errorf("a small response waited %v, %v", time.Since(small), err)
+		smallStart := time.Now()
+		if err := p.write(t.Context(), io.Discard, make([]byte, 4<<10), 4<<10); err != nil || time.Since(smallStart) > 0 {
+			t.Errorf("a small response waited %v, %v", time.Since(smallStart), err)
 		}
 		writes.Wait()
 		// 300 kB at 100 kB/s; the smaller one is complete when 200 kB have been written, give or take a
 		// few chunks, as either may start.
-		const parts = 4 * 40 * time.Millisecond
+		const tolerance = 4 * 40 * time.Millisecond
 		for i, want := range []time.Duration{3 * time.Second, 2 * time.Second} {
-			if d := took[i] - want; d > parts || d < -parts {
+			if d := took[i] - want; d > tolerance || d < -tolerance {
 				t.Errorf("response %d took %v, want %v", i, took[i], want)
 			}
 		}
 	})
 }
 
-// The rate can be raised while a response is being written, as when no more short responses are expected.
+// The rate can be raised while a response is being written, as is done when no more short responses are
+// expected.
 func TestPaceCanBeRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPace(50 << 10)
@@ -53,7 +54,7 @@
 		if took, slack := time.Since(begin), 150*time.Millisecond; took < 2*time.Second-slack || took > 2*time.Second+slack {
 			t.Errorf("took %v", took)
 		}
-		var none *Pace
-		none.SetRate(1)
+		var unlimited *Pace
+		unlimited.SetRate(1)
 	})
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -129,7 +129,7 @@
 }
 
 func TestInvalidResponsesAreReplaced(t *testing.T) {
-	cases := map[string]struct{ answer, path, want string }{
+	cases := map[string]struct{ response, path, want string }{
 		"no Server-Seal":                 {"HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nContent-Length: 1\r\n\r\nx", "/put/x", "502"},
 		"503 without Not-Executed":       {"HTTP/1.1 503 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
 		"429 without Not-Executed":       {"HTTP/1.1 429 Busy\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "/put/x", "502"},
@@ -146,7 +146,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			u := newFakeUpstream(t, "u", func(conn net.Conn, _ *http.Request, _ int) bool {
-				_, _ = io.WriteString(conn, c.answer)
+				_, _ = io.WriteString(conn, c.response)
 				return false
 			})
 			h := newHarness(t, u)
@@ -158,8 +158,8 @@
 				t.Errorf("Retry-After is %q", after)
 			}
 			if res.StatusCode > 500 {
-				var told map[string]string
-				if json.Unmarshal([]byte(body), &told) != nil || told["error"] == "" {
+				var errorBody map[string]string
+				if json.Unmarshal([]byte(body), &errorBody) != nil || errorBody["error"] == "" {
 					t.Errorf("body %q", body)
 				}
 			}
@@ -190,10 +190,10 @@
 		"refused":     "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 		"misdirected": "HTTP/1.1 421 Misdirected\r\nInstance-Id: z\r\nContent-Length: 0\r\n\r\n",
 	}
-	for name, answer := range refusals {
+	for name, refusal := range refusals {
 		t.Run(name, func(t *testing.T) {
 			refuse := func(c net.Conn, _ *http.Request, _ int) bool {
-				_, _ = io.WriteString(c, answer)
+				_, _ = io.WriteString(c, refusal)
 				return true
 			}
 			first := newFakeUpstream(t, "u", refuse)
@@ -222,8 +222,8 @@
 	})
 }
 
-// A response that arrives while the request body is still being sent is passed on, and the request is
-// not retried.
+// A refusal that arrives while the request body is still being sent counts: the client gets it, and the
+// request is not sent again. The connection is not reused.
 func TestEarlyResponseDuringBody(t *testing.T) {
 	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -299,10 +299,10 @@
 			}
 			defer conn.Close()
 			go func() { _, _ = io.WriteString(conn, c.raw) }()
-			br := bufio.NewReader(conn)
-			res, err := http.ReadResponse(br, nil)
+			reader := bufio.NewReader(conn)
+			res, err := http.ReadResponse(reader, nil)
 			if err == nil && res.StatusCode == 100 {
-				res, err = http.ReadResponse(br, nil)
+				res, err = http.ReadResponse(reader, nil)
 			}
 			if err != nil || res.StatusCode != c.want {
 				t.Fatalf("%v %v, want %d", err, res, c.want)
@@ -319,11 +319,11 @@
 		return respondOK(c, r, n)
 	})
 	h := newHarness(t, u)
-	answered := make(chan error, 4)
+	results := make(chan error, 4)
 	for range 4 { // the capacity of the upstream
 		go func() {
 			_, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "b"))
-			answered <- err
+			results <- err
 		}()
 	}
 	for len(u.requests()) < 4 {
@@ -343,7 +343,7 @@
 	}
 	close(release)
 	for range 4 {
-		if err := <-answered; err != nil {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
@@ -362,14 +362,14 @@
 		return respondOK(c, r, n)
 	})
 	h := newHarness(t, u)
-	type answer struct {
+	type outcome struct {
 		res *http.Response
 		err error
 	}
-	got := make(chan answer, 1)
+	got := make(chan outcome, 1)
 	go func() {
 		res, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "b"))
-		got <- answer{res, err}
+		got <- outcome{res, err}
 	}()
 	for len(u.requests()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -379,8 +379,8 @@
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(idle, getRequest("/nowhere/"))
-	br := bufio.NewReader(idle)
-	if res, err := http.ReadResponse(br, nil); err != nil || res.StatusCode != 404 || res.Close {
+	reader := bufio.NewReader(idle)
+	if res, err := http.ReadResponse(reader, nil); err != nil || res.StatusCode != 404 || res.Close {
 		t.Fatal(res, err)
 	} else {
 		_, _ = io.Copy(io.Discard, res.Body)
@@ -388,7 +388,7 @@
 	h.handler.Drain()
 	shutDown := make(chan struct{})
 	go func() { h.listener.Shutdown(context.Background()); close(shutDown) }()
-	if n, err := br.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	if n, err := reader.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("idle connection: %d bytes, %v", n, err)
 	}
 	select {
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -20,11 +20,11 @@
 				b.Fatal(err)
 			}
 			defer c.Close()
-			br := bufio.NewReader(c)
+			reader := bufio.NewReader(c)
 			b.ReportAllocs()
 			for b.Loop() {
 				_, _ = io.WriteString(c, getRequest(path))
-				res, err := http.ReadResponse(br, nil)
+				res, err := http.ReadResponse(reader, nil)
 				if err != nil || res.StatusCode != http.StatusOK {
 					b.Fatal(err, res)
 				}
--- a/internal/proxy/retire_test.go
+++ b/internal/proxy/retire_test.go
@@ -54,10 +54,10 @@
 	h := newHarness(t)
 	emptyBalancer := upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"})
 	unlisted := NewDispatcher(upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z"}), 5*time.Second, time.Hour)
-	empty := NewDispatcher(emptyBalancer, 5*time.Second, time.Hour)
+	noUpstreams := NewDispatcher(emptyBalancer, 5*time.Second, time.Hour)
 	emptyBalancer.SetList(0, nil)
 	go unlisted.Run()
-	go empty.Run()
+	go noUpstreams.Run()
 	for _, c := range []struct {
 		name       string
 		dispatcher *Dispatcher
@@ -65,8 +65,8 @@
 		startup    bool
 	}{
 		{"no list of upstreams", unlisted, h.handler.Table(), true},
-		{"no configuration", empty, (&config.Builder{}).Build(nil), true},
-		{"empty list of upstreams", empty, h.handler.Table(), false},
+		{"no configuration", noUpstreams, (&config.Builder{}).Build(nil), true},
+		{"empty list of upstreams", noUpstreams, h.handler.Table(), false},
 	} {
 		handler := NewHandler(c.dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
 		handler.SetTable(c.table)
--- a/internal/proxy/scenario_client_test.go
+++ b/internal/proxy/scenario_client_test.go
@@ -30,6 +30,7 @@
 	disconnectDelay time.Duration // time from the end of the request to the disconnect
 }
 
+// request returns the n-th request of a client.
 func (s *scenario) request(client, n int) clientRequest {
 	rng := newRand(s.seed, "ask", client, n)
 	req := clientRequest{id: fmt.Sprintf("%d.%d.%d", s.seed, client, n), deadlineLeft: 4000, mutating: rng.IntN(3) > 0, newConn: rng.IntN(5) == 0,
--- a/internal/proxy/scenario_test.go
+++ b/internal/proxy/scenario_test.go
@@ -152,7 +152,8 @@
 
 func okResponseLen(id string, chunked bool) int { return len(okResponseFor(id, chunked)) }
 
-// scenario is the scenario that a seed determines, and what its fake upstreams have seen.
+// scenario is a generated test of clients, a gateway and fake upstreams. The seed determines what clients
+// and upstreams do; the other fields record what happened.
 type scenario struct {
 	seed       int
 	mu         sync.Mutex
--- a/internal/proxy/send_test.go
+++ b/internal/proxy/send_test.go
@@ -51,7 +51,7 @@
 // it is not accepted. From then on each request to that upstream gets a new connection, until a refusal
 // of it carries the Attempt-Id.
 func TestRefusalsWithoutAttemptID(t *testing.T) {
-	full := func(head string) respondFunc {
+	refuseWith := func(head string) respondFunc {
 		return func(c net.Conn, r *http.Request, n int) bool {
 			if n == 1 || n == 7 {
 				return respondOK(c, r, n)
@@ -63,7 +63,7 @@
 			return true
 		}
 	}
-	h := newHarness(t, newFakeUpstream(t, "u", full("")))
+	h := newHarness(t, newFakeUpstream(t, "u", refuseWith("")))
 	for i, want := range []struct {
 		status int
 		dials  uint64
@@ -96,8 +96,8 @@
 // rest of the body only after it. So does the error for an upstream that closes the connection.
 func TestEarlyResponseDoesNotWaitForBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		status int
+		response string
+		status   int
 	}{
 		"refused":   {"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", 503},
 		"responded": {"HTTP/1.1 404 None\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", 404},
@@ -105,8 +105,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newFakeUpstream(t, "u", func(conn net.Conn, _ *http.Request, _ int) bool {
-				if c.answer != "" {
-					_, _ = io.WriteString(conn, c.answer)
+				if c.response != "" {
+					_, _ = io.WriteString(conn, c.response)
 					_, _ = io.Copy(io.Discard, conn) // closing with unread bytes would reset the connection
 				}
 				return false
--- a/internal/proxy/soak_rules_test.go
+++ b/internal/proxy/soak_rules_test.go
@@ -87,10 +87,10 @@
 // BUDGET: Deadline-Left tells each upstream the remaining time at the start of its attempt, by the
 // client's or the route's deadline, whichever is earlier.
 func TestDeadlineLeftSentToUpstreams(t *testing.T) {
-	const hold = 700 * time.Millisecond
+	const firstDelay = 700 * time.Millisecond
 	var mu sync.Mutex
 	var left []time.Duration
-	answer := func(c net.Conn, r *http.Request, _ int) bool {
+	respond := func(c net.Conn, r *http.Request, _ int) bool {
 		ms, err := strconv.Atoi(r.Header.Get(headerDeadlineLeft))
 		if err != nil {
 			t.Errorf("Deadline-Left: %v", err)
@@ -98,14 +98,14 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if left = append(left, time.Duration(ms)*time.Millisecond); len(left) == 1 {
-			time.Sleep(hold)
+			time.Sleep(firstDelay)
 			return false
 		}
 		return respondOK(c, r, 1)
 	}
 	for name, c := range map[string]struct {
-		header string
-		most   time.Duration
+		header  string
+		maxLeft time.Duration
 	}{
 		"client's deadline":         {"Deadline-Left: 4000\r\n", 4 * time.Second},
 		"route's deadline":          {"Deadline-Left: 40000\r\n", 20 * time.Second},
@@ -117,7 +117,7 @@
 		mu.Lock()
 		left = nil
 		mu.Unlock()
-		h := newHarness(t, newFakeUpstream(t, "u", answer), newFakeUpstream(t, "v", answer))
+		h := newHarness(t, newFakeUpstream(t, "u", respond), newFakeUpstream(t, "v", respond))
 		h.handler.SetTable(buildTable(t, attemptLimitTable()))
 		begin := time.Now()
 		res, _, err := h.roundTrip(t, "GET", "GET /idempotent/2/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\n"+c.header+"\r\n")
@@ -125,7 +125,7 @@
 		if err != nil || res.StatusCode != 200 || len(left) != 2 {
 			t.Fatalf("%s: %v %v, sent %d times", name, err, res, len(left))
 		}
-		if left[0] > c.most || left[0] < c.most-took || left[1] > c.most-hold || left[1] > left[0]-hold {
+		if left[0] > c.maxLeft || left[0] < c.maxLeft-took || left[1] > c.maxLeft-firstDelay || left[1] > left[0]-firstDelay {
 			t.Errorf("%s: upstreams got %v", name, left)
 		}
 	}
@@ -135,14 +135,14 @@
 func TestGatewayErrorsCarryNoUpstreamHeaders(t *testing.T) {
 	headers := "Attempt-Id: one\r\nServer-Seal: s\r\nX-Theirs: 1\r\n"
 	for name, text := range map[string]string{
-		"refusal with Server-Seal":             "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
-		"503 without Not-Executed":             "HTTP/1.1 503 Busy\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
-		"429 without Not-Executed":             "HTTP/1.1 429 Busy\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
-		"408, which only the gateway may send": "HTTP/1.1 408 Slow\r\n" + headers + "Content-Length: 4\r\n\r\nslow",
-		"421":                                  "HTTP/1.1 421 Misdirected\r\n" + headers + "Content-Length: 4\r\n\r\nelse",
-		"truncated response":                   "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: 9\r\n\r\nhalf",
-		"truncated error response":             "HTTP/1.1 500 Oops\r\n" + headers + "Content-Length: 9\r\n\r\nhalf",
-		"no body length":                       "HTTP/1.1 200 OK\r\n" + headers + "\r\nwhole",
+		"refusal with Server-Seal":                     "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
+		"503 without Not-Executed":                     "HTTP/1.1 503 Busy\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
+		"429 without Not-Executed":                     "HTTP/1.1 429 Busy\r\n" + headers + "Content-Length: 4\r\n\r\nbusy",
+		"408, which promises that it was not executed": "HTTP/1.1 408 Slow\r\n" + headers + "Content-Length: 4\r\n\r\nslow",
+		"421":                      "HTTP/1.1 421 Misdirected\r\n" + headers + "Content-Length: 4\r\n\r\nelse",
+		"truncated response":       "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: 9\r\n\r\nhalf",
+		"truncated error response": "HTTP/1.1 500 Oops\r\n" + headers + "Content-Length: 9\r\n\r\nhalf",
+		"no body length":           "HTTP/1.1 200 OK\r\n" + headers + "\r\nwhole",
 	} {
 		u := newFakeUpstream(t, "u", func(c net.Conn, _ *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, text)
@@ -179,16 +179,16 @@
 	})
 	h := newHarness(t, u)
 	var client net.Conn
-	var br *bufio.Reader
+	var reader *bufio.Reader
 	unanswered := 0
 	for i := range 60 {
 		if client == nil {
 			client = dialGateway(t, h)
-			br = bufio.NewReader(client)
+			reader = bufio.NewReader(client)
 		}
 		path := []string{"/get/x", "/put/x"}[i%2]
 		writeText(t, client, getRequest(path))
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			unanswered++
 			client = nil
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -26,18 +26,18 @@
 }
 
 func TestAuthenticationAndQuotas(t *testing.T) {
-	up := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = c.Write([]byte(okResponse(r, "x")))
 		return true
 	})
-	h := newHarness(t, up)
+	h := newHarness(t, u)
 	setTenantTable(t, h)
 	var lease atomic.Int64
 	drawResult := apierror.Internal
-	asked, returned := "", 0
+	chargedTenant, returned := "", 0
 	h.handler.LeaseKeys(&lease)
 	h.handler.DrawOn(func(_ context.Context, tenant string, _ time.Duration) (func(), apierror.Kind) {
-		asked = tenant
+		chargedTenant = tenant
 		return func() { returned++ }, drawResult
 	})
 	for _, c := range []struct {
@@ -64,8 +64,8 @@
 		if c.leased {
 			lease.Store(int64(time.Since(h.dispatcher.epoch) + time.Hour))
 		}
-		drawResult, asked, returned = c.draw, "", 0
-		before := len(up.requests())
+		drawResult, chargedTenant, returned = c.draw, "", 0
+		before := len(u.requests())
 		res, _, err := h.roundTrip(t, "GET", "GET "+c.path+"x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\nDeadline-Left: 1000\r\n"+c.headers+"Connection: close\r\n\r\n")
 		if err != nil || res.StatusCode != c.status {
 			t.Errorf("%s: %v %v", c.name, res, err)
@@ -74,10 +74,10 @@
 		if (c.status == 429 || c.status == 503) && res.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: no Retry-After", c.name)
 		}
-		if strings.HasPrefix(c.headers, "Authorization: Bearer k2") && asked != "" {
+		if strings.HasPrefix(c.headers, "Authorization: Bearer k2") && chargedTenant != "" {
 			t.Errorf("%s: quota drawn for a tenant without one", c.name)
 		}
-		sent := up.requests()[before:]
+		sent := u.requests()[before:]
 		if returned != 0 {
 			t.Errorf("%s: %d tokens returned", c.name, returned)
 		}
@@ -100,15 +100,15 @@
 	u := newFakeUpstream(t, "u", respondOK)
 	broken := newFakeUpstream(t, "b", func(net.Conn, *http.Request, int) bool { return false })
 	for name, c := range map[string]struct {
-		ups      []*fakeUpstream
-		status   int
-		returned int64
+		upstreams []*fakeUpstream
+		status    int
+		returned  int64
 	}{
 		"served":      {[]*fakeUpstream{u}, 200, 0},
 		"closed":      {[]*fakeUpstream{broken}, 502, 0},
 		"no upstream": {nil, 503, 1},
 	} {
-		h := newHarness(t, c.ups...)
+		h := newHarness(t, c.upstreams...)
 		setTenantTable(t, h)
 		var lease, returned atomic.Int64
 		lease.Store(int64(time.Hour))
@@ -146,16 +146,16 @@
 }
 
 func TestWithoutTenantsHeadersAreForwarded(t *testing.T) {
-	up := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
+	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = c.Write([]byte(okResponse(r, "x")))
 		return true
 	})
-	h := newHarness(t, up)
+	h := newHarness(t, u)
 	res, _, err := h.roundTrip(t, "GET", "GET /get/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\nDeadline-Left: 1000\r\nAuthorization: Bearer z\r\nTenant: q\r\nConnection: close\r\n\r\n")
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	if raw := up.requests()[0]; !strings.Contains(raw, "Authorization: Bearer z\r\n") || !strings.Contains(raw, "Tenant: q\r\n") {
+	if raw := u.requests()[0]; !strings.Contains(raw, "Authorization: Bearer z\r\n") || !strings.Contains(raw, "Tenant: q\r\n") {
 		t.Errorf("headers were not forwarded: %s", raw)
 	}
 }
