--- a/internal/proxy/disconnect_stages_test.go
+++ b/internal/proxy/disconnect_stages_test.go
@@ -17,15 +17,15 @@
 // dial is canceled and does not count as a failure of the upstream.
 func TestDisconnectDuringDial(t *testing.T) {
 	for _, path := range []string{"/get/x", "/put/x"} {
-		for _, opens := range []bool{false, true} {
-			t.Run(fmt.Sprint(path, opens), func(t *testing.T) {
+		for _, dialSucceeds := range []bool{false, true} {
+			t.Run(fmt.Sprint(path, dialSucceeds), func(t *testing.T) {
 				u := newFakeUpstream(t, "u", respondOK)
 				h := newDisconnectHarness(t, u)
 				dialing := make(chan struct{})
 				h.dispatcher.connect = func(ctx context.Context, address string, limit time.Duration) (net.Conn, error) {
 					close(dialing)
 					<-ctx.Done()
-					if opens { // the dial succeeds just as the client disconnects
+					if dialSucceeds { // the dial succeeds just as the client disconnects
 						return net.Dial("tcp4", address)
 					}
 					return nil, ctx.Err()
@@ -40,7 +40,7 @@
 					t.Errorf("%d requests reached the upstream", n)
 				}
 				h.dispatcher.connect = func(context.Context, string, time.Duration) (net.Conn, error) { return nil, io.EOF }
-				if res, _, err := h.roundTrip(t, "GET", longRequest("GET", path, "two", "")); opens && (err != nil || res.StatusCode != http.StatusOK) {
+				if res, _, err := h.roundTrip(t, "GET", longRequest("GET", path, "two", "")); dialSucceeds && (err != nil || res.StatusCode != http.StatusOK) {
 					t.Errorf("the opened connection was not kept: %v %v", err, res)
 				}
 			})
@@ -75,13 +75,13 @@
 	var h *disconnectHarness
 	var client *net.TCPConn
 	var arrivals atomic.Int64
-	fails := func(net.Conn, *http.Request, int) bool {
+	disconnectAndFail := func(net.Conn, *http.Request, int) bool {
 		arrivals.Add(1)
 		client.Close()
 		waitFor(t, "the disconnect is seen", h.sawDisconnect)
 		return false
 	}
-	h = newDisconnectHarness(t, newFakeUpstream(t, "u", fails), newFakeUpstream(t, "v", fails))
+	h = newDisconnectHarness(t, newFakeUpstream(t, "u", disconnectAndFail), newFakeUpstream(t, "v", disconnectAndFail))
 	client = dialGateway(t, h.harness)
 	writeText(t, client, longRequest("GET", "/get/x", "one", ""))
 	waitFor(t, "the disconnect is counted", func() bool { return h.handler.Counters()["gone"] == 1 })
@@ -112,8 +112,8 @@
 	waitFor(t, "its slot is free", func() bool { return h.busySlots() == 0 })
 	h.handler.Link.mu.Lock()
 	defer h.handler.Link.mu.Unlock()
-	if held := h.handler.Link.started + h.handler.Link.expected; held != 0 {
-		t.Errorf("%g bytes of the link budget are still reserved", held)
+	if reserved := h.handler.Link.started + h.handler.Link.expected; reserved != 0 {
+		t.Errorf("%g bytes of the link budget are still reserved", reserved)
 	}
 }
 
@@ -122,7 +122,7 @@
 	for _, path := range []string{"/down/x", "/put/x"} {
 		u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
 			_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n", 1<<40)
-			for part := make([]byte, 64<<10); err == nil; _, err = c.Write(part) {
+			for chunk := make([]byte, 64<<10); err == nil; _, err = c.Write(chunk) {
 			}
 			return false
 		})
@@ -138,17 +138,17 @@
 
 // A chunk that is not written because its client has disconnected does not count against the rate.
 func TestPaceIsReturnedOnDisconnect(t *testing.T) {
-	p := NewPace(1 << 10)
+	pace := NewPace(1 << 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		if err := p.acquire(ctx, 1<<10); err == nil {
+		if err := pace.acquire(ctx, 1<<10); err == nil {
 			t.Fatal("acquire succeeded with a canceled context")
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if ahead := time.Until(p.nextFree); ahead > 2*time.Second {
-		t.Errorf("the pace is reserved for the next %v", ahead)
+	pace.mu.Lock()
+	defer pace.mu.Unlock()
+	if ahead := time.Until(pace.nextFree); ahead > 2*time.Second {
+		t.Errorf("the rate is used up for the next %v", ahead)
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -151,9 +151,9 @@
 		"mutating":   {dropUnsent, dropUnsent, dropUnsent, dropUnsent, runToCompletion, runToCompletion},
 	}
 	for kind, want := range kinds {
-		for at := range stageCount {
-			if got := actionOnDisconnect(&config.Route{RouteKind: kind}, at); got != want[at] {
-				t.Errorf("%s, stage %s: action %v, want %v", kind, stageNames[at], got, want[at])
+		for reached := range stageCount {
+			if got := actionOnDisconnect(&config.Route{RouteKind: kind}, reached); got != want[reached] {
+				t.Errorf("%s, stage %s: action %v, want %v", kind, stageNames[reached], got, want[reached])
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 		{name: "response has started, but is held back", request: longRequest("GET", "/get/x", "one", ""),
 			preamble: responseStart + "Content-Length: 100000\r\n\r\nz", stage: stageSent},
 		{name: "gateway is draining", request: longRequest("GET", "/get/x", "one", ""), beforeDisconnect: func(r *disconnectHarness) { r.handler.Drain() }, stage: stageSent},
-		{name: "half a body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10))[:300<<10], incomplete: true, stage: stageSent},
+		{name: "incomplete request body", request: longRequest("POST", "/get/x", "one", strings.Repeat("y", 400<<10))[:300<<10], incomplete: true, stage: stageSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -409,16 +409,16 @@
 func TestUpstreamAndClientCloseTogether(t *testing.T) {
 	var client atomic.Pointer[net.TCPConn]
 	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
-		var both sync.WaitGroup
-		both.Go(func() { client.Load().Close() })
-		both.Go(func() {
+		var closes sync.WaitGroup
+		closes.Go(func() { client.Load().Close() })
+		closes.Go(func() {
 			if n%2 == 0 {
 				_, _ = io.WriteString(c, okResponse(r, "fine"))
 			} else {
 				closeWithReset(c.(*net.TCPConn))
 			}
 		})
-		both.Wait()
+		closes.Wait()
 		return n%2 == 0
 	})
 	h := newDisconnectHarness(t, u)
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -257,8 +257,8 @@
 		if err != nil || res.StatusCode != c.status || c.body != "" && body != c.body {
 			t.Fatalf("request %d: %v %v, %d bytes", i, err, res, len(body))
 		}
-		after, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-		if refused := c.status == 503; refused != (after > 0 && after < 1) {
+		retryAfter, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
+		if refused := c.status == 503; refused != (retryAfter > 0 && retryAfter < 1) {
 			t.Errorf("request %d: Retry-After %q", i, res.Header.Get("Retry-After"))
 		}
 		if n := len(u.requests()); n != c.received {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -25,18 +25,18 @@
 	if err != nil || res.StatusCode != 200 || body != "fine" {
 		t.Fatalf("%v %v %q", err, res, body)
 	}
-	head := u.requests()[0]
-	if !strings.HasPrefix(head, "GET /get//a/../%2e%2E/b%20c?x=1&&y=%zz;q HTTP/1.1\r\n") {
-		t.Errorf("request line changed: %q", head)
+	forwarded := u.requests()[0]
+	if !strings.HasPrefix(forwarded, "GET /get//a/../%2e%2E/b%20c?x=1&&y=%zz;q HTTP/1.1\r\n") {
+		t.Errorf("request line changed: %q", forwarded)
 	}
-	for _, not := range []string{"X-Hop", "User-Agent", "Accept-Encoding", "forged", "Te:", "Connection", "Content-Length", "Transfer-Encoding"} {
-		if strings.Contains(head, not) {
-			t.Errorf("%s was forwarded or added: %q", not, head)
+	for _, unwanted := range []string{"X-Hop", "User-Agent", "Accept-Encoding", "forged", "Te:", "Connection", "Content-Length", "Transfer-Encoding"} {
+		if strings.Contains(forwarded, unwanted) {
+			t.Errorf("%s was forwarded or added: %q", unwanted, forwarded)
 		}
 	}
 	for _, want := range []string{"X-Kept: yes\r\n", "Attempt-Id: one\r\n", "Target-Instance: u\r\n", "Deadline-Left: "} {
-		if !strings.Contains(head, want) {
-			t.Errorf("%s is missing: %q", want, head)
+		if !strings.Contains(forwarded, want) {
+			t.Errorf("%s is missing: %q", want, forwarded)
 		}
 	}
 	if res.Header.Get(headerServerSeal) != "s" || res.Header.Get("Content-Type") != "" || res.Header.Get("Content-Encoding") != "" {
@@ -154,8 +154,8 @@
 			if err != nil || fmt.Sprint(res.StatusCode) != c.want {
 				t.Fatalf("%v %v, want %s", err, res, c.want)
 			}
-			if after := res.Header.Get("Retry-After"); (after != "") != (c.want == "503") {
-				t.Errorf("Retry-After is %q", after)
+			if retryAfter := res.Header.Get("Retry-After"); (retryAfter != "") != (c.want == "503") {
+				t.Errorf("Retry-After is %q", retryAfter)
 			}
 			if res.StatusCode > 500 {
 				var errorBody map[string]string
@@ -168,13 +168,13 @@
 }
 
 func TestTruncatedLargeResponseIsNotComplete(t *testing.T) {
-	for name, head := range map[string]string{
+	for name, response := range map[string]string{
 		"sized":   "Content-Length: 200000\r\n\r\n" + strings.Repeat("x", 150000),
 		"chunked": "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 0x20000) + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, _ int) bool {
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"+head)
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\n"+response)
 				return false
 			})
 			h := newHarness(t, u)
@@ -210,10 +210,10 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		dead := newFakeUpstream(t, "u", respondOK)
-		dead.listener.Close()
+		unreachable := newFakeUpstream(t, "u", respondOK)
+		unreachable.listener.Close()
 		good := newFakeUpstream(t, "v", respondOK)
-		h := newHarness(t, dead, good)
+		h := newHarness(t, unreachable, good)
 		for i := 0; i < 4; i++ {
 			if res, _, err := h.roundTrip(t, "POST", postRequest("/put/x", "body")); err != nil || res.StatusCode != 200 {
 				t.Fatalf("%v %v", err, res)
@@ -242,6 +242,8 @@
 	}
 }
 
+// A request that cannot be served in time gets a 503 if it was not sent to an upstream. If it was sent, it
+// gets a 504, which does not promise that it was not executed.
 func TestTimeoutStatusSaysWhetherSent(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -409,8 +411,8 @@
 // timing, a client gets a response or its connection is closed before any of the request is read.
 func TestRetireDoesNotDropPartlyReadRequest(t *testing.T) {
 	for n := range 300 {
-		near, far := net.Pipe()
-		conn := &clientConn{Conn: near}
+		serverEnd, clientEnd := net.Pipe()
+		conn := &clientConn{Conn: serverEnd}
 		conn.markIdle(true)
 		read := make(chan int, 1)
 		go func() {
@@ -427,7 +429,7 @@
 		}()
 		wrote := make(chan error, 1)
 		go func() {
-			_, err := io.WriteString(far, "12345678")
+			_, err := io.WriteString(clientEnd, "12345678")
 			wrote <- err
 		}()
 		for range n % 7 {
@@ -435,10 +437,10 @@
 		}
 		conn.retire(false)
 		got := <-read
-		near.Close()
+		serverEnd.Close()
 		if err := <-wrote; got < 0 || got > 0 && err != nil {
 			t.Fatalf("round %d: a request was partly read and then dropped", n)
 		}
-		far.Close()
+		clientEnd.Close()
 	}
 }
--- a/internal/proxy/responsereader_test.go
+++ b/internal/proxy/responsereader_test.go
@@ -94,9 +94,9 @@
 		if !head && r.ContentLength >= 0 && r.StatusCode != http.StatusNotModified && r.StatusCode != http.StatusNoContent && int64(len(body)) != r.ContentLength {
 			t.Fatalf("body has %d bytes, Content-Length is %d", len(body), r.ContentLength)
 		}
-		for cut := consumed - 1; cut >= max(0, consumed-40); cut-- {
-			if _, shortBody, _, err := readResponse(input[:cut], method, reused); err == nil {
-				t.Fatalf("accepted as complete without its last %d of %d bytes, with %d of %d body bytes", consumed-cut, consumed, len(shortBody), len(body))
+		for length := consumed - 1; length >= max(0, consumed-40); length-- {
+			if _, shortBody, _, err := readResponse(input[:length], method, reused); err == nil {
+				t.Fatalf("accepted as complete without its last %d of %d bytes, with %d of %d body bytes", consumed-length, consumed, len(shortBody), len(body))
 			}
 		}
 	})
--- a/internal/proxy/retire_test.go
+++ b/internal/proxy/retire_test.go
@@ -26,11 +26,11 @@
 		{"new, not included", false, false, false, false},
 		{"new, included", false, false, true, true},
 	} {
-		near, far := net.Pipe()
-		conn := &clientConn{Conn: near}
+		serverEnd, clientEnd := net.Pipe()
+		conn := &clientConn{Conn: serverEnd}
 		conn.markIdle(c.used)
 		if c.begun {
-			go func() { _, _ = io.WriteString(far, "1") }()
+			go func() { _, _ = io.WriteString(clientEnd, "1") }()
 			_, _ = conn.Read(make([]byte, 1))
 		}
 		conn.retire(c.includeNew)
@@ -43,8 +43,8 @@
 				t.Errorf("%s: still readable", c.name)
 			}
 		}
-		near.Close()
-		far.Close()
+		serverEnd.Close()
+		clientEnd.Close()
 	}
 }
 
@@ -74,8 +74,8 @@
 		req.Host = "h.example"
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, req)
-		after, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-		if w.Code != 503 || err != nil || (after == 10) != c.startup {
+		retryAfter, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
+		if w.Code != 503 || err != nil || (retryAfter == 10) != c.startup {
 			t.Errorf("%s: status %d, Retry-After %q", c.name, w.Code, w.Header().Get("Retry-After"))
 		}
 	}
--- a/internal/proxy/send_test.go
+++ b/internal/proxy/send_test.go
@@ -176,7 +176,7 @@
 // depends only on the seed, the request's id and n, so it does not depend on how goroutines interleave.
 
 const (
-	scenarioCount      = 300 // in CI; CALLERS_SEEDS sets another number, CALLERS_SEED the first seed
+	scenarioCount      = 300 // as in CI; CALLERS_SEEDS sets another number, CALLERS_SEED the first seed and, alone, the only one
 	clientsPerScenario = 2
 	requestsPerClient  = 6
 )
@@ -185,14 +185,14 @@
 // gets the response to another request, a truncated response that looks complete, or a false promise
 // that its request was not executed.
 func TestTheRightCallerOnce(t *testing.T) {
-	first, count := 1, scenarioCount
+	firstSeed, count := 1, scenarioCount
 	if n, err := strconv.Atoi(os.Getenv("CALLERS_SEEDS")); err == nil {
 		count = n
 	}
 	if n, err := strconv.Atoi(os.Getenv("CALLERS_SEED")); err == nil {
-		first, count = n, cmp.Or(count%scenarioCount, 1)
+		firstSeed, count = n, cmp.Or(count%scenarioCount, 1)
 	}
-	for seed := first; seed < first+count; seed++ {
+	for seed := firstSeed; seed < firstSeed+count; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			(&scenario{seed: seed, arrivals: map[string]int{}, executions: map[string]int{}}).run(t)
--- a/internal/proxy/soak_rules_test.go
+++ b/internal/proxy/soak_rules_test.go
@@ -89,7 +89,7 @@
 func TestDeadlineLeftSentToUpstreams(t *testing.T) {
 	const firstDelay = 700 * time.Millisecond
 	var mu sync.Mutex
-	var left []time.Duration
+	var deadlinesLeft []time.Duration
 	respond := func(c net.Conn, r *http.Request, _ int) bool {
 		ms, err := strconv.Atoi(r.Header.Get(headerDeadlineLeft))
 		if err != nil {
@@ -97,7 +97,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if left = append(left, time.Duration(ms)*time.Millisecond); len(left) == 1 {
+		if deadlinesLeft = append(deadlinesLeft, time.Duration(ms)*time.Millisecond); len(deadlinesLeft) == 1 {
 			time.Sleep(firstDelay)
 			return false
 		}
@@ -115,18 +115,18 @@
 		"fraction of a millisecond": {"Deadline-Left: 4000.5\r\n", 4001 * time.Millisecond},
 	} {
 		mu.Lock()
-		left = nil
+		deadlinesLeft = nil
 		mu.Unlock()
 		h := newHarness(t, newFakeUpstream(t, "u", respond), newFakeUpstream(t, "v", respond))
 		h.handler.SetTable(buildTable(t, attemptLimitTable()))
 		begin := time.Now()
 		res, _, err := h.roundTrip(t, "GET", "GET /idempotent/2/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\n"+c.header+"\r\n")
 		took := time.Since(begin)
-		if err != nil || res.StatusCode != 200 || len(left) != 2 {
-			t.Fatalf("%s: %v %v, sent %d times", name, err, res, len(left))
+		if err != nil || res.StatusCode != 200 || len(deadlinesLeft) != 2 {
+			t.Fatalf("%s: %v %v, sent %d times", name, err, res, len(deadlinesLeft))
 		}
-		if left[0] > c.maxLeft || left[0] < c.maxLeft-took || left[1] > c.maxLeft-firstDelay || left[1] > left[0]-firstDelay {
-			t.Errorf("%s: upstreams got %v", name, left)
+		if deadlinesLeft[0] > c.maxLeft || deadlinesLeft[0] < c.maxLeft-took || deadlinesLeft[1] > c.maxLeft-firstDelay || deadlinesLeft[1] > deadlinesLeft[0]-firstDelay {
+			t.Errorf("%s: upstreams got %v", name, deadlinesLeft)
 		}
 	}
 }
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -32,10 +32,10 @@
 	})
 	h := newHarness(t, u)
 	setTenantTable(t, h)
-	var lease atomic.Int64
+	var keysValidUntil atomic.Int64
 	drawResult := apierror.Internal
 	chargedTenant, returned := "", 0
-	h.handler.LeaseKeys(&lease)
+	h.handler.LeaseKeys(&keysValidUntil)
 	h.handler.DrawOn(func(_ context.Context, tenant string, _ time.Duration) (func(), apierror.Kind) {
 		chargedTenant = tenant
 		return func() { returned++ }, drawResult
@@ -60,9 +60,9 @@
 		{"unconfirmed keys", "/get/", "Authorization: Bearer k1\r\n", false, apierror.Internal, 503, ""},
 		{"no upstream in its region", "/far/", "Authorization: Bearer k2\r\n", true, apierror.Internal, 503, ""},
 	} {
-		lease.Store(0)
+		keysValidUntil.Store(0)
 		if c.leased {
-			lease.Store(int64(time.Since(h.dispatcher.epoch) + time.Hour))
+			keysValidUntil.Store(int64(time.Since(h.dispatcher.epoch) + time.Hour))
 		}
 		drawResult, chargedTenant, returned = c.draw, "", 0
 		before := len(u.requests())
@@ -110,9 +110,9 @@
 	} {
 		h := newHarness(t, c.upstreams...)
 		setTenantTable(t, h)
-		var lease, returned atomic.Int64
-		lease.Store(int64(time.Hour))
-		h.handler.LeaseKeys(&lease)
+		var keysValidUntil, returned atomic.Int64
+		keysValidUntil.Store(int64(time.Hour))
+		h.handler.LeaseKeys(&keysValidUntil)
 		h.handler.DrawOn(func(context.Context, string, time.Duration) (func(), apierror.Kind) {
 			return func() { returned.Add(1) }, apierror.Internal
 		})
@@ -128,9 +128,9 @@
 	u := newFakeUpstream(t, "u", respondOK)
 	h := newHarness(t, u)
 	setTenantTable(t, h)
-	var lease atomic.Int64
-	lease.Store(int64(time.Hour))
-	h.handler.LeaseKeys(&lease)
+	var keysValidUntil atomic.Int64
+	keysValidUntil.Store(int64(time.Hour))
+	h.handler.LeaseKeys(&keysValidUntil)
 	h.handler.DrawOn(func(ctx context.Context, _ string, _ time.Duration) (func(), apierror.Kind) {
 		<-ctx.Done()
 		return nil, apierror.ClientGone
