--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -15,12 +15,12 @@
 // mayBootstrap reports whether this member may propose the initial roster or be appointed its
 // only member.
 func (m *Replica) mayBootstrap() bool {
-	return !m.bootstrapped && len(m.firstSeeds) > 0 && len(m.keys[RosterKey].Records) == 0
+	return !m.bootstrapped && len(m.firstSeeds) > 0 && len(m.partitions[RosterKey].Records) == 0
 }
 
 // bootstrapping reports whether this member takes part in the bootstrap of a system.
 func (m *Replica) bootstrapping() bool {
-	return m.mayBootstrap() || !m.bootstrapped && len(m.bootstrapSeeds()) > 0 && len(m.keys[RosterKey].Records) > 0
+	return m.mayBootstrap() || !m.bootstrapped && len(m.bootstrapSeeds()) > 0 && len(m.partitions[RosterKey].Records) > 0
 }
 
 // bootstrapSeeds returns the seeds of the system's first start if this member has stored them,
@@ -61,7 +61,7 @@
 		return
 	}
 	m.nextBootstrapAt = m.now + m.cfg.Beat/2
-	k := m.keys[RosterKey]
+	part := m.partitions[RosterKey]
 	m.seedIDs[m.cfg.Self] = m.self
 	seeds := m.bootstrapSeeds()
 	for _, seed := range seeds {
@@ -69,85 +69,85 @@
 			m.send(seed, Message{Body: &Found{}})
 		}
 	}
-	m.bootstrapRoster(k)
+	m.bootstrapVoterSet(part)
 }
 
-// bootstrapRoster proposes the initial roster, once all its members are known to be there, and
+// bootstrapVoterSet proposes the initial roster, once all its members are known to be there, and
 // sends it to those that have not acknowledged it.
-func (m *Replica) bootstrapRoster(k *replicatedKey) {
+func (m *Replica) bootstrapVoterSet(part *partition) {
 	switch {
-	case len(k.Records) == 0:
-		if !m.proposeInitialRoster(k) {
+	case len(part.Records) == 0:
+		if !m.proposeInitialVoterSet(part) {
 			return
 		}
-	case k.position.Epoch.N != 1 || k.position.Seq != 1 || k.position.Epoch.Owner != m.cfg.Self:
+	case part.position.Epoch.N != 1 || part.position.Seq != 1 || part.position.Epoch.Owner != m.cfg.Self:
 		return
 	}
 	m.whenDurable(func() {
 		m.bootstrapAcks[m.cfg.Self] = true
 		for _, to := range m.Roster() {
 			if !m.bootstrapAcks[to] {
-				m.send(to, Message{Body: &Found{k.position, k.Pick(allRanges)}})
+				m.send(to, Message{Body: &Found{part.position, part.Pick(allRanges)}})
 			}
 		}
 		m.finishBootstrap()
 	})
 }
 
-// proposeInitialRoster creates the initial roster if it is up to this member and all the
+// proposeInitialVoterSet creates the initial roster if it is up to this member and all the
 // roster's members are there. It reports whether it did.
-func (m *Replica) proposeInitialRoster(k *replicatedKey) bool {
+func (m *Replica) proposeInitialVoterSet(part *partition) bool {
 	members := m.initialMembers()
 	if len(members) == 0 || !m.mayBootstrap() || slices.ContainsFunc(members, func(seed string) bool { return m.seedIDs[seed] == "" }) {
 		return false
 	}
-	k.promised = Epoch{1, m.cfg.Self, m.cfg.Life}
+	part.promised = Epoch{1, m.cfg.Self, m.cfg.Life}
 	var records []Record
 	for _, seed := range members {
-		records = append(records, seatRecord(m.seedIDs[seed], 1, seatStable))
+		records = append(records, voterRecord(m.seedIDs[seed], 1, voterStable))
 	}
-	entries := m.replace(k, allRanges, records)
-	k.position = Position{k.promised, 1}
-	m.write(append(entries, k.meta()), nil)
+	entries := m.replace(part, allRanges, records)
+	part.position = Position{part.promised, 1}
+	m.write(append(entries, part.meta()), nil)
 	return true
 }
 
-func (m *Replica) onFound(from string, f *Found) {
-	k := m.keys[RosterKey]
+func (m *Replica) onBootstrapRequest(from string, f *Found) {
+	part := m.partitions[RosterKey]
 	switch {
 	case len(f.Records) == 0:
-		if len(k.Records) == 0 && !m.bootstrapped {
+		if len(part.Records) == 0 && !m.bootstrapped {
 			m.whenDurable(func() { m.send(from, Message{Body: &Founded{Passive: !m.mayBootstrap()}}) })
 		}
 		return
-	case len(k.Records) == 0:
+	case len(part.Records) == 0:
 		if m.bootstrapped || !slices.ContainsFunc(f.Records, func(r Record) bool { return r.Name == m.self }) {
 			return
 		}
-		entries := m.replace(k, allRanges, f.Records)
-		k.promised, k.position = f.At.Epoch, f.At
-		k.lastContact, k.hadContact = m.now, true
-		m.write(append(entries, k.meta()), nil)
-	case k.position.Less(f.At):
+		entries := m.replace(part, allRanges, f.Records)
+		part.promised, part.position = f.At.Epoch, f.At
+		part.lastContact, part.hadContact = m.now, true
+		m.write(append(entries, part.meta()), nil)
+	case part.position.Less(f.At):
 		return
 	}
 	m.whenDurable(func() { m.send(from, Message{Body: &Founded{At: f.At}}) })
 }
 
-func (m *Replica) onFounded(from, id string, f *Founded) {
+func (m *Replica) onBootstrapReply(from, id string, f *Founded) {
 	switch {
 	case !m.bootstrapping():
 	case f.Relay:
 		m.relays[from] = f.Appointed
 	case f.At.Seq == 0:
 		m.seedIDs[from], m.passive[from] = id, f.Passive
-	case f.At == m.keys[RosterKey].position:
+	case f.At == m.partitions[RosterKey].position:
 		m.bootstrapAcks[from] = true
 		m.finishBootstrap()
 		return
 	}
 	if m.mayBootstrap() {
-		m.bootstrapRoster(m.keys[RosterKey])
+		m.bootstrapVoterSet(m.partitions[RosterKey])
 	}
 }
 
@@ -162,5 +162,5 @@
 	}
 	m.bootstrapped = true
 	m.write([]storageEntry{m.nodeEntry()}, nil)
-	m.startElection(m.keys[RosterKey], true)
+	m.startElection(m.partitions[RosterKey], true)
 }
--- /dev/null
+++ b/internal/replication/bootstrap_test.go
@@ -0,0 +1,181 @@
+package replication
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"madderwing/internal/replication/replicationtest"
+)
+
+// mayBootstrapFrom says whether a disk tells of a system's first start, or of its roster.
+func mayBootstrapFrom(disk replicationtest.Disk) bool {
+	var v nodeValue
+	return cbor.Unmarshal(disk[nodeEntryKey], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+RosterKey] != nil)
+}
+
+// bootstrapRun starts four machines, three of which are seeds, and kills some of them at
+// one step of the founding. They start again with the settings of that moment.
+type bootstrapRun struct {
+	step      int // messages that have been sent before
+	killed    int // which machines, as bits
+	bootstrap bool
+	seed      int64
+}
+
+func (r bootstrapRun) String() string {
+	return fmt.Sprintf("machines %03b killed at step %d, started again with bootstrap %v, seed %d", r.killed, r.step, r.bootstrap, r.seed)
+}
+
+// run returns what is broken, and whether the founding had that many steps.
+func (r bootstrapRun) run(t *testing.T) (broken string, reached bool) {
+	sim := newEmptyCluster(r.seed, 1)
+	sim.fatal = t.Fatalf
+	steps, proposedEpochs := 0, map[Epoch]bool{}
+	cannotBootstrap := false
+	sim.drop = func(from string, e Envelope) bool {
+		if f := bodyAs[*Found](e.Msg); f != nil && len(f.Records) > 0 {
+			proposedEpochs[f.At.Epoch] = true
+		}
+		if steps == r.step {
+			reached = true
+			sim.after(0, func() { cannotBootstrap = r.kill(sim) })
+		}
+		steps++
+		return false
+	}
+	sim.bootstrap(4, 4)
+	end := 15 * time.Second
+	for sim.now < end && sim.ownerOf(testPartition) == nil && !cannotBootstrap {
+		sim.runUntil(sim.now + 100*time.Millisecond)
+	}
+	switch {
+	case cannotBootstrap || !reached:
+	case sim.ownerOf(testPartition) == nil:
+		return "the system isn't founded", reached
+	case len(proposedEpochs) > 1:
+		return fmt.Sprintf("%d founding rosters were proposed", len(proposedEpochs)), reached
+	default:
+		sim.runUntil(sim.now + 6*time.Second)
+		if at := sim.voterSetProblem(); at != "" {
+			return "founded, but " + at, reached
+		}
+	}
+	return "", reached
+}
+
+// kill kills the machines of a run. It is hopeless if no disk of a seed tells that the system
+// starts for the first time, and no setting does.
+func (r bootstrapRun) kill(sim *cluster) (cannotBootstrap bool) {
+	cannotBootstrap = !r.bootstrap
+	for i, id := range sim.ids {
+		if r.killed>>i&1 == 1 {
+			sim.crash(id, false)
+			sim.nodes[id].bootstrap = r.bootstrap
+			sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, func() { sim.restartMachine(sim.nodes[id]) })
+		}
+		if n := sim.nodes[id]; slices.Contains(sim.seeds, id) && (n.up || mayBootstrapFrom(n.disk)) {
+			cannotBootstrap = false
+		}
+	}
+	return cannotBootstrap
+}
+
+func TestBootstrapContinuesAfterKillsAtAnyStep(t *testing.T) {
+	for killed := 1; killed < 16; killed++ {
+		for _, bootstrap := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%04b, %v", killed, bootstrap), func(t *testing.T) {
+				t.Parallel()
+				for step, reached := 0, true; reached && step < 60; step++ {
+					for seed := int64(1); seed <= 3; seed++ {
+						r := bootstrapRun{step, killed, bootstrap, seed}
+						var broken string
+						if broken, reached = r.run(t); broken != "" {
+							t.Fatalf("%s: %s", r, broken)
+						}
+					}
+				}
+			})
+		}
+	}
+}
+
+// A seed that has lost its disk, or was killed before its first write, takes part in the founding
+// that another seed proposes, and proposes none.
+func TestPassiveSeedDoesNotProposeBootstrap(t *testing.T) {
+	for passive := range 3 {
+		sim := newEmptyCluster(int64(passive)+1, 1)
+		sim.fatal = t.Fatalf
+		for i := range 4 {
+			sim.addMachine(i+1, 4, i != passive)
+		}
+		sim.seeds = append([]string(nil), sim.ids[:3]...)
+		proposers := map[string]bool{}
+		sim.drop = func(from string, e Envelope) bool {
+			if f := bodyAs[*Found](e.Msg); f != nil && len(f.Records) > 0 {
+				proposers[from] = true
+			}
+			return false
+		}
+		for _, id := range sim.ids {
+			sim.start(id)
+		}
+		sim.waitForOwner(t)
+		if proposers[sim.ids[passive]] || len(proposers) != 1 {
+			t.Errorf("seed %d is passive, %v propose", passive, proposers)
+		}
+	}
+}
+
+// TestBootstrapWithRelaySeeds has some or all seeds be processes without a disk.
+// The first of them appoints whoever asks it first, if all are such.
+func TestBootstrapWithRelaySeeds(t *testing.T) {
+	for _, relays := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 2}, {1, 2}, {0, 1, 2}} {
+		for seed := int64(1); seed <= 5; seed++ {
+			sim := newEmptyCluster(seed, 1)
+			sim.fatal = t.Fatalf
+			appointed := map[string]string{}
+			for i := 0; i < 6; i++ {
+				sim.addMachine(i+1, 3, true)
+			}
+			sim.seeds = slices.Clone(sim.ids[:3])
+			for _, i := range relays {
+				appointed[sim.seeds[i]] = ""
+				delete(sim.nodes, sim.seeds[i])
+			}
+			sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { _, ok := appointed[id]; return ok })
+			sim.drop = func(from string, e Envelope) bool {
+				if _, ok := appointed[e.To]; !ok {
+					return false
+				}
+				if bodyAs[*Found](e.Msg) != nil {
+					if appointed[e.To] == "" && e.To == sim.seeds[0] {
+						appointed[e.To] = from
+					}
+					sim.after(time.Millisecond, func() {
+						if n := sim.nodes[from]; n.up {
+							sim.runOn(from, n.runID, func() {
+								n.replica.Handle(sim.clock(n), e.To, Message{Body: &Founded{Relay: true, Appointed: appointed[e.To]}})
+							})
+						}
+					})
+				}
+				return true
+			}
+			for _, id := range sim.ids {
+				// All start within 0.3 s of each other.
+				sim.after(time.Duration(sim.rng.Intn(300))*time.Millisecond, func() { sim.start(id) })
+			}
+			sim.runUntil(400 * time.Millisecond)
+			sim.waitFor(fmt.Sprintf("relays %v, seed %d: all have their seats", relays, seed), 8*time.Second, sim.voterSetProblem)
+			sim.mustPut(t, "x", 1)
+			sim.runUntil(sim.now + 2*time.Second)
+			if got := sim.machinesWithCopy("x", 1); len(got) != len(sim.ids) {
+				t.Fatalf("copies at %v", got)
+			}
+		}
+	}
+}
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -95,60 +95,60 @@
 
 // catchUp sends a lagging member what it is missing up to the owner's position. theirs are the
 // digests of its copy.
-func (m *Replica) catchUp(k *replicatedKey, to, id string, base Position, theirs antientropy.Sums) {
-	if snapshot := k.outgoing[id]; snapshot != nil && !base.Less(snapshot.position) {
-		delete(k.outgoing, id) // the member has received the whole snapshot
+func (m *Replica) catchUp(part *partition, to, id string, base Position, theirs antientropy.Sums) {
+	if snapshot := part.outgoing[id]; snapshot != nil && !base.Less(snapshot.position) {
+		delete(part.outgoing, id) // the member has received the whole snapshot
 	} else if snapshot != nil {
 		if m.now-snapshot.sentAt > snapshot.resendAfter {
 			snapshot.resendAfter *= 2
-			m.sendSnapshotChunk(k, to, snapshot)
+			m.sendSnapshotChunk(part, to, snapshot)
 		}
 		return
 	}
-	if sent := k.lastCatchUp[id]; sent.base == base && m.now < sent.until {
+	if sent := part.lastCatchUp[id]; sent.base == base && m.now < sent.until {
 		return
 	}
 	noteSent := func(bytes int) {
-		k.lastCatchUp[id] = catchUpSent{base, m.now + m.cfg.Beat*time.Duration(bytes)/maxChunkBytes}
+		part.lastCatchUp[id] = catchUpSent{base, m.now + m.cfg.Beat*time.Duration(bytes)/maxChunkBytes}
 	}
-	if base != k.position {
+	if base != part.position {
 		// Send the committed part first, in a message of its own, so that the member can show
 		// it to readers.
-		if k.undo != nil && k.commit.Epoch == k.ownEpoch && base.Less(k.commit) && k.commit != k.position {
-			changes, ok := k.log.between(base, k.commit)
-			rest, restOK := k.log.between(k.commit, k.position)
+		if part.undo != nil && part.commit.Epoch == part.ownEpoch && base.Less(part.commit) && part.commit != part.position {
+			changes, ok := part.log.between(base, part.commit)
+			rest, restOK := part.log.between(part.commit, part.position)
 			if ok && restOK && recordBytes(changes)+recordBytes(rest) <= maxChunkBytes {
-				msg := m.newAppend(k, base)
-				msg.Seq, msg.Changes = k.commit.Seq, changes
+				msg := m.newAppend(part, base)
+				msg.Seq, msg.Changes = part.commit.Seq, changes
 				// The digest has to be that of the committed position, which the member reaches
 				// first.
-				msg.setDigest(k.committedSums(), m.olderVersions())
+				msg.setDigest(part.committedSums(), m.olderVersions())
 				m.send(to, Message{Body: msg})
-				msg = m.newAppend(k, k.commit)
+				msg = m.newAppend(part, part.commit)
 				msg.Changes = rest
 				m.send(to, Message{Body: msg})
 				noteSent(recordBytes(changes) + recordBytes(rest))
 				return
 			}
 		}
-		if changes, ok := k.log.between(base, k.position); ok && recordBytes(changes) <= maxChunkBytes {
-			msg := m.newAppend(k, base)
+		if changes, ok := part.log.between(base, part.position); ok && recordBytes(changes) <= maxChunkBytes {
+			msg := m.newAppend(part, base)
 			msg.Changes = changes
 			m.send(to, Message{Body: msg})
 			noteSent(recordBytes(changes))
 			return
 		}
 	}
-	ranges := antientropy.Diff(k.Sums, theirs)
-	records := k.Pick(ranges)
+	ranges := antientropy.Diff(part.Sums, theirs)
+	records := part.Pick(ranges)
 	if recordBytes(records) <= maxChunkBytes {
-		msg := m.newAppend(k, base)
+		msg := m.newAppend(part, base)
 		msg.Mend, msg.Changes = ranges, records
 		m.send(to, Message{Body: msg})
 		noteSent(recordBytes(records))
 		return
 	}
-	snapshot := &outgoingSnapshot{position: k.position, sums: k.Sums, ranges: ranges, resendAfter: m.cfg.Beat}
+	snapshot := &outgoingSnapshot{position: part.position, sums: part.Sums, ranges: ranges, resendAfter: m.cfg.Beat}
 	for begin, i, bytes := 0, 0, 0; i < len(records); i++ {
 		bytes += recordBytes(records[i : i+1])
 		if last := i == len(records)-1; last || bytes+recordBytes(records[i+1:i+2]) > maxChunkBytes {
@@ -156,16 +156,16 @@
 			begin, bytes = i+1, 0
 		}
 	}
-	k.outgoing[id] = snapshot
-	m.sendSnapshotChunk(k, to, snapshot)
+	part.outgoing[id] = snapshot
+	m.sendSnapshotChunk(part, to, snapshot)
 }
 
 // committedSums returns the digests of the key's records at the last committed position.
-func (k *replicatedKey) committedSums() antientropy.Sums {
-	sums := k.Sums
-	for name, old := range k.undo {
+func (part *partition) committedSums() antientropy.Sums {
+	sums := part.Sums
+	for name, old := range part.undo {
 		i := antientropy.RangeOf(name)
-		if r, ok := k.Records[name]; ok {
+		if r, ok := part.Records[name]; ok {
 			sums[i] ^= r.Sum()
 		}
 		if old != nil {
@@ -175,9 +175,9 @@
 	return sums
 }
 
-func (m *Replica) sendSnapshotChunk(k *replicatedKey, to string, s *outgoingSnapshot) {
+func (m *Replica) sendSnapshotChunk(part *partition, to string, s *outgoingSnapshot) {
 	s.sentAt = m.now
-	m.send(to, Message{Body: &SnapshotChunk{Key: k.name, Epoch: k.ownEpoch, Roster: m.keys[RosterKey].position, At: s.position, Sums: s.sums,
+	m.send(to, Message{Body: &SnapshotChunk{Key: part.name, Epoch: part.ownEpoch, Roster: m.partitions[RosterKey].position, At: s.position, Sums: s.sums,
 		Index: s.nextChunk, Count: len(s.chunks), Ranges: s.ranges, Records: s.chunks[s.nextChunk]}})
 }
 
@@ -189,16 +189,16 @@
 }
 
 func (m *Replica) onSnapshotChunk(from string, chunk *SnapshotChunk) {
-	k := m.key(chunk.Key)
-	if reply := m.rejection(k, chunk.Epoch, chunk.Roster); reply != nil {
+	part := m.partition(chunk.Key)
+	if reply := m.rejection(part, chunk.Epoch, chunk.Roster); reply != nil {
 		m.send(from, Message{Body: reply})
 		return
 	}
-	m.followOwner(k, chunk.Epoch)
-	if k.incoming == nil || k.incoming.position != chunk.At {
-		k.incoming = &incomingSnapshot{position: chunk.At}
+	m.followOwner(part, chunk.Epoch)
+	if part.incoming == nil || part.incoming.position != chunk.At {
+		part.incoming = &incomingSnapshot{position: chunk.At}
 	}
-	snapshot := k.incoming
+	snapshot := part.incoming
 	if chunk.Index == snapshot.nextChunk {
 		snapshot.nextChunk++
 		snapshot.records = append(snapshot.records, chunk.Records...)
@@ -207,10 +207,10 @@
 		m.send(from, Message{Body: &SnapshotAck{chunk.Key, chunk.Epoch, chunk.At, snapshot.nextChunk}})
 		return
 	}
-	k.incoming = nil
+	part.incoming = nil
 	// The ranges outside the snapshot must have the digests that the owner expects; otherwise
 	// the result would not be the state at the snapshot's position.
-	sums := k.Sums
+	sums := part.Sums
 	for _, i := range chunk.Ranges {
 		sums[i] = 0
 	}
@@ -218,28 +218,28 @@
 		sums[antientropy.RangeOf(r.Name)] ^= r.Sum()
 	}
 	reply := &AppendAck{Key: chunk.Key, Epoch: chunk.Epoch}
-	if sums == chunk.Sums && !chunk.At.Less(k.position) {
-		entries := m.replace(k, chunk.Ranges, snapshot.records)
-		k.position = chunk.At
-		m.write(append(entries, k.meta()), nil)
+	if sums == chunk.Sums && !chunk.At.Less(part.position) {
+		entries := m.replace(part, chunk.Ranges, snapshot.records)
+		part.position = chunk.At
+		m.write(append(entries, part.meta()), nil)
 		reply.OK = true
 	}
-	sums = k.Sums
+	sums = part.Sums
 	reply.Sums = &sums
-	m.replyWhenDurable(k, from, reply)
+	m.replyWhenDurable(part, from, reply)
 }
 
 func (m *Replica) onSnapshotAck(from, id string, ack *SnapshotAck) {
-	k := m.key(ack.Key)
-	s := k.outgoing[id]
-	if k.role != roleOwner || ack.Epoch != k.ownEpoch || s == nil || s.position != ack.At {
+	part := m.partition(ack.Key)
+	s := part.outgoing[id]
+	if part.role != roleOwner || ack.Epoch != part.ownEpoch || s == nil || s.position != ack.At {
 		return
 	}
-	k.ackedAt[id] = m.now
+	part.ackedAt[id] = m.now
 	if ack.Next > s.nextChunk && ack.Next < len(s.chunks) {
 		s.nextChunk = ack.Next
-		m.sendSnapshotChunk(k, from, s)
+		m.sendSnapshotChunk(part, from, s)
 	} else if ack.Next < s.nextChunk {
-		delete(k.outgoing, id) // the member has restarted and needs the snapshot from the beginning
+		delete(part.outgoing, id) // the member has restarted and needs the snapshot from the beginning
 	}
 }
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -12,171 +12,171 @@
 	"madderwing/internal/antientropy"
 )
 
-// TestAFollowerShowsWhatIsCommittedUnderAStream loses a part of all copies under an
+// TestFollowerShowsCommittedChangesUnderLoad loses a part of all copies under an
 // unbroken stream of changes: a follower still shows what was committed a short while ago.
-func TestAFollowerShowsWhatIsCommittedUnderAStream(t *testing.T) {
+func TestFollowerShowsCommittedChangesUnderLoad(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
-		w := newWorldWithVoters(t, seed, 4, 1, 4)
-		w.mustPut(t, "x", 1)
-		o := w.settle(t)
-		w.drop = func(from string, e Envelope) bool {
-			return (as[*Append](e.Msg) != nil || as[*Heartbeat](e.Msg) != nil) && w.rng.Intn(10) == 0
+		sim := newClusterWithVoters(t, seed, 4, 1, 4)
+		sim.mustPut(t, "x", 1)
+		owner := sim.waitForOwner(t)
+		sim.drop = func(from string, e Envelope) bool {
+			return (bodyAs[*Append](e.Msg) != nil || bodyAs[*Heartbeat](e.Msg) != nil) && sim.rng.Intn(10) == 0
 		}
-		w.inject(failure{kind: storm, hold: 20 * time.Second})
-		w.run(w.now + time.Second)
-		type at struct {
+		sim.injectFailure(failure{kind: changeStream, duration: 20 * time.Second})
+		sim.runUntil(sim.now + time.Second)
+		type observation struct {
 			when time.Duration
 			pos  Position
 		}
-		var history []at
+		var history []observation
 		behind := map[string]time.Duration{}
-		for end := w.now + 18*time.Second; w.now < end; w.run(w.now + 10*time.Millisecond) {
-			history = append(history, at{w.now, w.truthAt[testKey]})
-			for _, id := range w.ids {
-				_, pos, ok := w.nodes[id].m.Committed(testKey)
+		for end := sim.now + 18*time.Second; sim.now < end; sim.runUntil(sim.now + 10*time.Millisecond) {
+			history = append(history, observation{sim.now, sim.committedAt[testPartition]})
+			for _, id := range sim.ids {
+				_, pos, ok := sim.nodes[id].replica.Committed(testPartition)
 				if !ok {
-					pos = w.nodes[id].lastPos[testKey] // what it showed last
+					pos = sim.nodes[id].lastPosition[testPartition] // what it showed last
 				}
-				i := slices.IndexFunc(history, func(h at) bool { return pos.Less(h.pos) })
+				i := slices.IndexFunc(history, func(h observation) bool { return pos.Less(h.pos) })
 				if i >= 0 {
-					behind[id] = max(behind[id], w.now-history[i].when)
+					behind[id] = max(behind[id], sim.now-history[i].when)
 				}
 			}
 		}
 		for id, lag := range behind {
-			if lag > 3*testBeat {
-				t.Errorf("seed %d: %s (owner %s) was %v behind", seed, id, o.id, lag)
+			if lag > 3*testHeartbeat {
+				t.Errorf("seed %d: %s (owner %s) was %v behind", seed, id, owner.id, lag)
 			}
 		}
-		t.Logf("seed %d: %v after %d changes", seed, behind, w.answer)
+		t.Logf("seed %d: %v after %d changes", seed, behind, sim.answeredChanges)
 	}
 }
 
-// TestASnapshotIsTakenOnlyIfItsDigestsAgree hands a follower chunks that don't make up
+// TestSnapshotIsAppliedOnlyIfDigestsMatch hands a follower chunks that don't make up
 // what the owner had.
-func TestASnapshotIsTakenOnlyIfItsDigestsAgree(t *testing.T) {
-	whole := []Record{{Name: "x", Gen: 7}, {Name: "y", Gen: 8}, {Name: "z", Gen: 9}}
+func TestSnapshotIsAppliedOnlyIfDigestsMatch(t *testing.T) {
+	all := []Record{{Name: "x", Gen: 7}, {Name: "y", Gen: 8}, {Name: "z", Gen: 9}}
 	for _, c := range []struct {
 		name    string
 		records [][]Record // by chunk
 		index   []int
 		ok      bool
 	}{
-		{"whole", [][]Record{whole[:2], whole[2:]}, []int{0, 1}, true},
-		{"one twice", [][]Record{whole[:2], whole[:2], whole[2:]}, []int{0, 0, 1}, true},
-		{"one missing", [][]Record{whole[:2], nil}, []int{0, 1}, false},
-		{"another one", [][]Record{whole[:2], {{Name: "z", Gen: 1}}}, []int{0, 1}, false},
+		{"whole", [][]Record{all[:2], all[2:]}, []int{0, 1}, true},
+		{"one twice", [][]Record{all[:2], all[:2], all[2:]}, []int{0, 0, 1}, true},
+		{"one missing", [][]Record{all[:2], nil}, []int{0, 1}, false},
+		{"another one", [][]Record{all[:2], {{Name: "z", Gen: 1}}}, []int{0, 1}, false},
 	} {
-		w := newWorldWithVoters(t, 3, 4, 1, 4)
-		w.mustPut(t, "x", 1)
-		w.run(w.now + 2*time.Second)
-		o := w.settle(t)
-		n := w.lastOther(o)
-		k := n.m.keys[testKey]
-		before := k.position
+		sim := newClusterWithVoters(t, 3, 4, 1, 4)
+		sim.mustPut(t, "x", 1)
+		sim.runUntil(sim.now + 2*time.Second)
+		owner := sim.waitForOwner(t)
+		follower := sim.lastMachineExcept(owner)
+		part := follower.replica.partitions[testPartition]
+		before := part.position
 		set := antientropy.NewSet()
-		for _, r := range whole {
+		for _, r := range all {
 			set.Put(r)
 		}
-		at := Position{k.promised, k.position.Seq + 5}
-		n.m.Take()
+		at := Position{part.promised, part.position.Seq + 5}
+		follower.replica.Take()
 		for i, records := range c.records {
-			n.m.Handle(w.clock(n), o.id, Message{Identity: o.m.identity, Body: &SnapshotChunk{Key: testKey, Epoch: k.promised,
-				Roster: n.m.keys[RosterKey].position, At: at, Sums: set.Sums, Index: c.index[i], Count: 2, Ranges: allRanges, Records: records}})
+			follower.replica.Handle(sim.clock(follower), owner.id, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Key: testPartition, Epoch: part.promised,
+				Roster: follower.replica.partitions[RosterKey].position, At: at, Sums: set.Sums, Index: c.index[i], Count: 2, Ranges: allRanges, Records: records}})
 		}
-		n.m.Durable(w.clock(n), n.m.lastWrite)
-		took := false
-		for _, e := range n.m.Take().Send {
-			took = took || as[*AppendAck](e.Msg) != nil && as[*AppendAck](e.Msg).OK && as[*AppendAck](e.Msg).At == at
+		follower.replica.Durable(sim.clock(follower), follower.replica.lastWrite)
+		applied := false
+		for _, e := range follower.replica.Take().Send {
+			applied = applied || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).OK && bodyAs[*AppendAck](e.Msg).At == at
 		}
-		if took != c.ok || (k.position == at) != c.ok || !c.ok && k.position != before {
-			t.Errorf("%s: answered as held: %v, at %v", c.name, took, k.position)
+		if applied != c.ok || (part.position == at) != c.ok || !c.ok && part.position != before {
+			t.Errorf("%s: answered as held: %v, at %v", c.name, applied, part.position)
 		}
 	}
 }
 
-// TestCatchingUpWithALargeCatalogue changes a catalogue near its limit 3,000 times while
+// TestCatchUpWithLargeCatalogue changes a catalogue near its limit 3,000 times while
 // members restart, lose their disks, are replaced and cut off, over links on which a
 // chunk takes longer than a beat. Each catches up within a stated time and bytes.
-func TestCatchingUpWithALargeCatalogue(t *testing.T) {
+func TestCatchUpWithLargeCatalogue(t *testing.T) {
 	const records, size = 300, 8 << 10
-	for _, k := range []kind{restart, cutOff, freeze, wipe, replace} {
-		t.Run(kindNames[k], func(t *testing.T) {
+	for _, kind := range []failureKind{restart, cutOff, freeze, wipe, replace} {
+		t.Run(kindNames[kind], func(t *testing.T) {
 			t.Parallel()
-			w := newWorldWithVoters(t, int64(k)+1, 4, 1, 4)
-			w.calm, w.large = true, true
+			sim := newClusterWithVoters(t, int64(kind)+1, 4, 1, 4)
+			sim.lossless, sim.skipContents = true, true
 			change := func(name string, v uint64, data string) {
-				if o := w.holder(testKey); o != nil {
-					w.ask(o.id, testKey, name, v, data, func(uint64, error) {})
+				if o := sim.ownerOf(testPartition); o != nil {
+					sim.proposeVersion(o.id, testPartition, name, v, data, func(uint64, error) {})
 				}
 			}
 			filler := strings.Repeat("f", size)
 			for i := 0; i < records; i++ {
 				change(fmt.Sprint("item", i), 1, filler)
 				if i%10 == 9 {
-					w.run(w.now + 100*time.Millisecond)
+					sim.runUntil(sim.now + 100*time.Millisecond)
 				}
 			}
-			w.run(w.now + 3*time.Second)
-			if n := len(w.truthOf(testKey)); n < records {
+			sim.runUntil(sim.now + 3*time.Second)
+			if n := len(sim.ownersRecords(testPartition)); n < records {
 				t.Fatalf("%d records", n)
 			}
-			w.rate = float64(maxChunkBytes) / (1.2 * testBeat.Seconds())
-			whole := float64(records * size)
-			copying := time.Duration(whole / w.rate * float64(time.Second))
-			begin, answered := w.now, w.answer
+			sim.linkRate = float64(maxChunkBytes) / (1.2 * testHeartbeat.Seconds())
+			catalogueBytes := float64(records * size)
+			copyTime := time.Duration(catalogueBytes / sim.linkRate * float64(time.Second))
+			begin, answered := sim.now, sim.answeredChanges
 			for i := 0; i < 3000; i++ {
-				w.at(time.Duration(i)*20*time.Millisecond, func() {
+				sim.after(time.Duration(i)*20*time.Millisecond, func() {
 					change(fmt.Sprint("small", i%100), uint64(1+i), fmt.Sprint("change ", i))
 				})
 			}
-			w.run(w.now + 5*time.Second)
+			sim.runUntil(sim.now + 5*time.Second)
 			var n *node
-			for _, id := range w.ids {
-				if o := w.nodes[id]; o.m.keys[testKey].role != roleOwner && o.m.keys[RosterKey].role != roleOwner {
+			for _, id := range sim.ids {
+				if o := sim.nodes[id]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[RosterKey].role != roleOwner {
 					n = o
 				}
 			}
-			who := slices.IndexFunc(w.sound(), func(o *node) bool { return o == n })
-			w.inject(failure{kind: k, who: who, count: 1, hold: 15 * time.Second, more: 5 * time.Second})
-			if k == replace {
-				w.run(w.now + 5100*time.Millisecond)
-				n = w.nodes[w.ids[len(w.ids)-1]]
+			index := slices.IndexFunc(sim.healthy(), func(o *node) bool { return o == n })
+			sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 15 * time.Second, replaceAfter: 5 * time.Second})
+			if kind == replace {
+				sim.runUntil(sim.now + 5100*time.Millisecond)
+				n = sim.nodes[sim.ids[len(sim.ids)-1]]
 			} else {
-				w.run(w.now + 15100*time.Millisecond)
+				sim.runUntil(sim.now + 15100*time.Millisecond)
 			}
-			back, got := w.now, w.bytesTo[n.id]
+			backAt, bytesBefore := sim.now, sim.bytesSentTo[n.id]
 			limit := testCatchUp
-			if k == wipe || k == replace {
-				limit = copying*3/2 + 2*testVacant
+			if kind == wipe || kind == replace {
+				limit = copyTime*3/2 + 2*testElectionTimeout
 			}
-			w.until("the member holds everything", limit, func() string {
-				o := w.holder(testKey)
+			sim.waitFor("the member holds everything", limit, func() string {
+				o := sim.ownerOf(testPartition)
 				if o == nil {
 					return "the key has no owner"
 				}
-				_, at, ok := n.m.Committed(testKey)
-				_, newest, _ := o.m.Committed(testKey)
-				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !n.m.mayOwn() {
-					return fmt.Sprintf("it shows %v of %v, with a seat: %v", at, newest, n.m.mayOwn())
+				_, at, ok := n.replica.Committed(testPartition)
+				_, newest, _ := o.replica.Committed(testPartition)
+				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !n.replica.mayOwn() {
+					return fmt.Sprintf("it shows %v of %v, with a seat: %v", at, newest, n.replica.mayOwn())
 				}
 				return ""
 			})
-			bytes := float64(w.bytesTo[n.id] - got)
-			t.Logf("caught up after %v with %.2f of the whole in bytes", w.now-back, bytes/whole)
-			if bytes > 1.25*whole {
-				t.Fatalf("%.2f times the whole were sent", bytes/whole)
+			bytes := float64(sim.bytesSentTo[n.id] - bytesBefore)
+			t.Logf("caught up after %v with %.2f of the whole in bytes", sim.now-backAt, bytes/catalogueBytes)
+			if bytes > 1.25*catalogueBytes {
+				t.Fatalf("%.2f times the whole were sent", bytes/catalogueBytes)
 			}
-			w.run(begin + 62*time.Second)
-			if w.answer-answered < 2900 {
-				t.Fatalf("%d of 3000 changes were answered", w.answer-answered)
+			sim.runUntil(begin + 62*time.Second)
+			if sim.answeredChanges-answered < 2900 {
+				t.Fatalf("%d of 3000 changes were answered", sim.answeredChanges-answered)
 			}
-			w.rate = 0
-			w.run(w.now + 3*time.Second)
-			want := w.truthOf(testKey)
-			for _, id := range w.ids {
-				have, _, _ := w.nodes[id].m.Committed(testKey)
-				w.holds(id, testKey, have, want)
+			sim.linkRate = 0
+			sim.runUntil(sim.now + 3*time.Second)
+			want := sim.ownersRecords(testPartition)
+			for _, id := range sim.ids {
+				have, _, _ := sim.nodes[id].replica.Committed(testPartition)
+				sim.checkHolds(id, testPartition, have, want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/replication/cluster_network_test.go
@@ -0,0 +1,87 @@
+package replication
+
+// This file holds the simulated network.
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+func (sim *cluster) deliver(from string, envelope Envelope) {
+	if sim.drop != nil && sim.drop(from, envelope) {
+		return
+	}
+	noisy := sim.now < sim.noisyUntil
+	if sim.rng.Intn(50) == 0 && !sim.lossless || noisy && sim.rng.Intn(4) == 0 {
+		return
+	}
+	delay := time.Duration(200+sim.rng.Intn(1500)) * time.Microsecond
+	if sim.rng.Intn(40) == 0 && !sim.noDelays {
+		delay += time.Duration(sim.rng.Intn(600)) * time.Millisecond
+	}
+	if noisy && sim.rng.Intn(4) == 0 {
+		delay += time.Duration(sim.rng.Intn(4000)) * time.Millisecond
+	}
+	if sim.linkRate > 0 {
+		b, err := cbor.Marshal(envelope.Msg)
+		if err != nil {
+			sim.fatal("%v", err)
+		}
+		link := [2]string{from, envelope.To}
+		sim.bytesSentTo[envelope.To] += len(b)
+		sim.linkBusyUntil[link] = max(sim.linkBusyUntil[link], sim.now) + time.Duration(float64(len(b))/sim.linkRate*float64(time.Second))
+		delay += sim.linkBusyUntil[link] - sim.now
+	}
+	if sender, to := sim.nodes[from], sim.nodes[envelope.To]; sender != nil && to != nil && (sender.withoutHeartbeats || to.withoutHeartbeats) {
+		// One of them knows neither heartbeats nor the field that offers them.
+		if envelope.Msg.Protocol = 0; to.withoutHeartbeats && (bodyAs[*Heartbeat](envelope.Msg) != nil || bodyAs[*HeartbeatAck](envelope.Msg) != nil) {
+			envelope.Msg.Body = nil
+		}
+	}
+	arrive := func() {
+		if to := sim.nodes[envelope.To]; to != nil && sim.cutLinks[[2]string{from, envelope.To}] == 0 && to.up {
+			sim.runOn(envelope.To, to.runID, func() { to.replica.Handle(sim.clock(to), from, envelope.Msg) })
+		}
+	}
+	sim.after(delay, arrive)
+	if sim.duplicates && sim.rng.Intn(40) == 0 {
+		sim.after(delay+time.Duration(sim.rng.Intn(5000))*time.Millisecond, arrive)
+	}
+}
+
+// changeCuts cuts the ways from some machines to all others, the ways back, or both.
+func (sim *cluster) changeCuts(from []*node, out, in bool, by int) {
+	sim.changeCutsTo(slices.Collect(maps.Keys(sim.nodes)), from, out, in, by)
+}
+
+// changeCutsTo does the same with some of the others only.
+func (sim *cluster) changeCutsTo(others []string, from []*node, out, in bool, by int) {
+	for _, n := range from {
+		for _, id := range others {
+			if slices.Contains(from, sim.nodes[id]) {
+				continue
+			}
+			if out {
+				sim.cutLinks[[2]string{n.id, id}] += by
+			}
+			if in {
+				sim.cutLinks[[2]string{id, n.id}] += by
+			}
+		}
+	}
+}
+
+// crossesCut says that a message goes from one side to the other.
+func crossesCut(side []*node, from, to string) bool {
+	in := func(id string) bool { return slices.ContainsFunc(side, func(n *node) bool { return n.id == id }) }
+	return in(from) != in(to)
+}
+
+// bodyAs is the body of a message, if it is of that type; else nil.
+func bodyAs[B Body](m Message) B {
+	b, _ := m.Body.(B)
+	return b
+}
--- /dev/null
+++ b/internal/replication/cluster_operators_test.go
@@ -0,0 +1,185 @@
+package replication
+
+// This file holds those who change and read records.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// recordNames are those of all records that are changed.
+var recordNames = []string{"x", "y", "z", "s0", "s1", "s2", "s3"}
+
+var errConflict = fmt.Errorf("another version stands")
+
+type ack struct {
+	name  string
+	value uint64
+	at    time.Duration
+}
+
+// proposeVersion runs a proposal at a node that compares versions as the catalogue does. told
+// hears what the node answered and which version stands.
+func (sim *cluster) proposeVersion(id, key, name string, version uint64, data string, done func(current uint64, err error)) {
+	n := sim.nodes[id]
+	minVersion := sim.minVersions[key+"/"+name]
+	var stands Record
+	answered := sim.history.recordChange(key, name, version, data)
+	sim.runOn(id, n.runID, func() {
+		n.replica.Propose(sim.clock(n), key, func(have map[string]Record) ([]Record, error) {
+			stands = have[name]
+			switch {
+			case stands.Gen == version && string(stands.Data) == data:
+				return nil, nil
+			case stands.Gen >= version:
+				return nil, errConflict
+			}
+			// Versions may be skipped, as the catalogue lets them be.
+			stands = Record{Name: name, Gen: version, Data: []byte(data)}
+			return []Record{stands}, nil
+		}, func(err error) {
+			answered(stands, err)
+			if err == nil || err == errConflict {
+				sim.checkVersion(id, key, name, minVersion, stands)
+			}
+			if err == nil {
+				sim.answeredChanges++
+				if key == testPartition {
+					sim.acks = append(sim.acks, ack{name, version, sim.now})
+				}
+				for _, fn := range sim.onAck {
+					// The fault strikes once the answer is out.
+					sim.after(0, fn)
+				}
+				sim.onAck = nil
+			}
+			done(stands.Gen, err)
+		})
+	})
+}
+
+// readPartition reads a key at a node.
+func (sim *cluster) readPartition(id, key string, done func(error)) {
+	n := sim.nodes[id]
+	minVersions := map[string]uint64{}
+	for _, name := range recordNames {
+		if f := sim.minVersions[key+"/"+name]; f > 0 {
+			minVersions[name] = f
+		}
+	}
+	read := sim.history.recordRead(key)
+	sim.runOn(id, n.runID, func() {
+		n.replica.Read(sim.clock(n), key, func(err error) {
+			if err == nil {
+				sim.answeredReads++
+				got, _, ok := n.replica.Committed(key)
+				if !ok {
+					sim.fatal("at %v %s read %s with nothing committed to show", sim.now, id, key)
+				}
+				read(got)
+				for _, name := range recordNames {
+					sim.checkVersion(id, key, name, minVersions[name], got[name])
+				}
+			}
+			done(err)
+		})
+	})
+}
+
+// put proposes a value at a node and runs until it is answered.
+func (sim *cluster) put(n *node, name string, v uint64) (err error) {
+	answered := false
+	sim.runOn(n.id, n.runID, func() {
+		n.replica.Propose(sim.now, testPartition, func(map[string]Record) ([]Record, error) {
+			return []Record{{Name: name, Gen: v}}, nil
+		}, func(e error) { err, answered = e, true })
+	})
+	for end := sim.now + 3*time.Second; !answered && sim.now < end; {
+		sim.runUntil(sim.now + time.Millisecond)
+	}
+	if !answered {
+		return ErrNoQuorum
+	}
+	return err
+}
+
+func (sim *cluster) mustPut(t *testing.T, name string, v uint64) *node {
+	t.Helper()
+	for i := 0; i < 20; i++ {
+		n := sim.waitForOwner(t)
+		if sim.put(n, name, v) == nil {
+			return n
+		}
+	}
+	t.Fatalf("%s=%d was never acknowledged", name, v)
+	return nil
+}
+
+// runOperator sends changes of a key, each with the version after the one it knows, and
+// sends each again until it has a clear answer.
+func (sim *cluster) runOperator(name, key string) {
+	known := map[string]uint64{}
+	count := 0
+	var next func()
+	var send func(record string, version uint64, data string)
+	send = func(rec string, version uint64, data string) {
+		answered := false
+		sendAgain := func(d time.Duration) {
+			if answered {
+				return
+			}
+			answered = true
+			sim.after(d, func() { send(rec, version, data) })
+		}
+		n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+		to := ""
+		if n.up && n.frozenUntil <= sim.now {
+			if to = n.replica.Owner(sim.clock(n), key); to == "" {
+				to = n.replica.Founder(sim.clock(n), key)
+			}
+		}
+		if sim.operatorsStopped {
+			return
+		}
+		if to == "" || sim.nodes[to] == nil {
+			sendAgain(200 * time.Millisecond)
+			return
+		}
+		answerLost := sim.rng.Intn(10) == 0
+		sim.proposeVersion(to, key, rec, version, data, func(stands uint64, err error) {
+			switch {
+			case answerLost || answered:
+			case err == nil || err == errConflict:
+				answered = true
+				known[rec] = stands
+				if err == nil && sim.rng.Intn(5) == 0 {
+					sim.after(time.Millisecond, func() { send(rec, version, data) }) // once more
+					return
+				}
+				sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, next)
+			default:
+				sendAgain(150 * time.Millisecond)
+			}
+		})
+		sim.after(1200*time.Millisecond, func() { sendAgain(0) })
+	}
+	next = func() {
+		if sim.operatorsStopped {
+			return
+		}
+		if sim.rng.Intn(3) == 0 {
+			n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+			if n.up {
+				sim.readPartition(n.id, key, func(error) {})
+				if o := n.replica.Owner(sim.clock(n), key); o != "" && sim.nodes[o] != nil {
+					sim.readPartition(o, key, func(error) {})
+				}
+			}
+		}
+		count++
+		rec := []string{"x", "y", "z"}[sim.rng.Intn(3)]
+		send(rec, known[rec]+1, fmt.Sprintf("%s.%d", name, count))
+	}
+	next()
+}
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -14,185 +14,185 @@
 // with a pre-vote unless the key was transferred to this member, by its owner or by the
 // bootstrap: a member that the others don't need as owner, because it is cut off in one
 // direction or has only just restarted, then doesn't raise the epoch.
-func (m *Replica) startElection(k *replicatedKey, transferred bool) {
-	if !m.mayOwn() || m.leaving || k.role == roleOwner || k.role == roleCandidate && !(k.preVote && transferred) || m.now < k.noElectionUntil && !transferred {
+func (m *Replica) startElection(part *partition, transferred bool) {
+	if !m.mayOwn() || m.leaving || part.role == roleOwner || part.role == roleCandidate && !(part.preVote && transferred) || m.now < part.noElectionUntil && !transferred {
 		return
 	}
-	k.role, k.roleSince, k.preVote = roleCandidate, m.now, !transferred
-	k.ownEpoch = Epoch{max(k.promised.N, k.position.Epoch.N, k.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.Life}
-	k.votes, k.quietSince = map[string]*Vote{}, map[string]time.Duration{}
-	if k.preVote {
-		k.votes[m.self] = &Vote{At: k.position}
-		m.requestVotes(k)
+	part.role, part.roleSince, part.preVote = roleCandidate, m.now, !transferred
+	part.ownEpoch = Epoch{max(part.promised.N, part.position.Epoch.N, part.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.Life}
+	part.votes, part.quietSince = map[string]*Vote{}, map[string]time.Duration{}
+	if part.preVote {
+		part.votes[m.self] = &Vote{At: part.position}
+		m.requestVotes(part)
 		return
 	}
-	m.campaign(k)
+	m.campaign(part)
 }
 
 // campaign requests binding votes, after the pre-vote or a transfer. The new epoch is made
 // durable first.
-func (m *Replica) campaign(k *replicatedKey) {
-	k.preVote, k.roleSince = false, m.now
-	k.promised = k.ownEpoch
-	epoch := k.ownEpoch
-	k.votes = map[string]*Vote{}
-	m.write([]storageEntry{k.meta()}, func() {
-		if k.role != roleCandidate || k.ownEpoch != epoch {
+func (m *Replica) campaign(part *partition) {
+	part.preVote, part.roleSince = false, m.now
+	part.promised = part.ownEpoch
+	epoch := part.ownEpoch
+	part.votes = map[string]*Vote{}
+	m.write([]storageEntry{part.meta()}, func() {
+		if part.role != roleCandidate || part.ownEpoch != epoch {
 			return
 		}
-		k.votes[m.self] = &Vote{At: k.position}
-		m.requestVotes(k)
+		part.votes[m.self] = &Vote{At: part.position}
+		m.requestVotes(part)
 	})
 }
 
 // requestVotes sends a vote request to every seat that has not granted its vote yet. Tick
 // repeats it every quarter of a heartbeat interval.
-func (m *Replica) requestVotes(k *replicatedKey) {
-	k.votesRequestedAt = m.now
-	for _, to := range m.seatedOthers() {
-		if k.votes[m.lastIdentity[to]] != nil {
+func (m *Replica) requestVotes(part *partition) {
+	part.votesRequestedAt = m.now
+	for _, to := range m.otherVoters() {
+		if part.votes[m.lastIdentity[to]] != nil {
 			continue
 		}
-		m.send(to, Message{Body: &VoteRequest{Key: k.name, Epoch: k.ownEpoch, Roster: m.keys[RosterKey].position, At: k.position, PreVote: k.preVote}})
+		m.send(to, Message{Body: &VoteRequest{Key: part.name, Epoch: part.ownEpoch, Roster: m.partitions[RosterKey].position, At: part.position, PreVote: part.preVote}})
 	}
-	m.tallyVotes(k)
+	m.tallyVotes(part)
 }
 
 // hasLiveOwner reports whether, as far as this member knows, the key has an owner in contact
 // with a quorum (if it is this member) or with this member.
-func (m *Replica) hasLiveOwner(k *replicatedKey) bool {
+func (m *Replica) hasLiveOwner(part *partition) bool {
 	limit := m.cfg.Vacant * 3 / 4
-	return k.role == roleOwner && m.now-k.quorumAt <= limit || k.role != roleOwner && k.hasOwner && m.now-k.ownerContact <= limit
+	return part.role == roleOwner && m.now-part.quorumAt <= limit || part.role != roleOwner && part.hasOwner && m.now-part.ownerContact <= limit
 }
 
 func (m *Replica) onVoteRequest(from string, req *VoteRequest) {
-	k := m.key(req.Key)
-	k.maxSeenEpoch = max(k.maxSeenEpoch, req.Epoch.N)
-	older := m.olderRoster(req.Roster)
-	behind := req.At.Less(k.position)
-	granted := !req.Epoch.Less(k.promised) && !older && !behind
-	if req.PreVote && granted && m.hasLiveOwner(k) && k.promised.Owner != from {
+	part := m.partition(req.Key)
+	part.maxSeenEpoch = max(part.maxSeenEpoch, req.Epoch.N)
+	older := m.olderVoterSet(req.Roster)
+	behind := req.At.Less(part.position)
+	granted := !req.Epoch.Less(part.promised) && !older && !behind
+	if req.PreVote && granted && m.hasLiveOwner(part) && part.promised.Owner != from {
 		granted = false
 	}
-	if granted && !req.PreVote && k.promised != req.Epoch {
-		m.stepDown(k, req.Epoch)
-		k.lastContact, k.hadContact, k.hasOwner = m.now, true, false
-		m.write([]storageEntry{k.meta()}, nil)
+	if granted && !req.PreVote && part.promised != req.Epoch {
+		m.stepDown(part, req.Epoch)
+		part.lastContact, part.hadContact, part.hasOwner = m.now, true, false
+		m.write([]storageEntry{part.meta()}, nil)
 	}
-	vote := &Vote{Key: req.Key, Epoch: req.Epoch, OK: granted, Promised: k.promised, At: k.position, PreVote: req.PreVote, Sums: k.Sums}
+	vote := &Vote{Key: req.Key, Epoch: req.Epoch, OK: granted, Promised: part.promised, At: part.position, PreVote: req.PreVote, Sums: part.Sums}
 	if older {
-		vote.Outdated = m.rosterCopy()
+		vote.Outdated = m.voterSetCopy()
 	}
 	if behind && (m.leaving || !m.mayOwn()) {
 		vote.At = req.At // this member can't become owner, so the candidate must not withdraw in its favor
 	}
 	m.whenDurable(func() {
-		vote.OK = vote.OK && (req.PreVote || k.promised == req.Epoch)
-		if vote.OK && !req.PreVote && k.trackFreshness {
-			vote.Quiet = m.now - k.lastConfirmSent
+		vote.OK = vote.OK && (req.PreVote || part.promised == req.Epoch)
+		if vote.OK && !req.PreVote && part.trackFreshness {
+			vote.Quiet = m.now - part.lastConfirmSent
 		}
 		m.send(from, Message{Body: vote})
 	})
-	if behind && !older && !m.hasLiveOwner(k) {
+	if behind && !older && !m.hasLiveOwner(part) {
 		// The candidate lacks changes that this member has, so this member is the better
 		// candidate.
-		m.startElection(k, false)
+		m.startElection(part, false)
 	}
 }
 
 func (m *Replica) onVote(from, id string, vote *Vote) {
-	k := m.key(vote.Key)
-	rosterBefore := m.keys[RosterKey].position
+	part := m.partition(vote.Key)
+	voterSetBefore := m.partitions[RosterKey].position
 	if vote.Outdated != nil {
-		m.adoptRoster(vote.Outdated)
+		m.adoptVoterSet(vote.Outdated)
 	}
-	if k.role != roleCandidate || k.ownEpoch != vote.Epoch || k.preVote != vote.PreVote {
+	if part.role != roleCandidate || part.ownEpoch != vote.Epoch || part.preVote != vote.PreVote {
 		return
 	}
-	if !vote.OK || k.position.Less(vote.At) {
-		k.maxSeenEpoch = max(k.maxSeenEpoch, vote.Promised.N)
+	if !vote.OK || part.position.Less(vote.At) {
+		part.maxSeenEpoch = max(part.maxSeenEpoch, vote.Promised.N)
 		switch {
-		case !vote.PreVote && k.ownEpoch.Less(vote.Promised):
-			m.stepDown(k, vote.Promised)
-			m.write([]storageEntry{k.meta()}, nil)
+		case !vote.PreVote && part.ownEpoch.Less(vote.Promised):
+			m.stepDown(part, vote.Promised)
+			m.write([]storageEntry{part.meta()}, nil)
 		case vote.Outdated != nil:
-			if rosterBefore != m.keys[RosterKey].position {
-				m.requestVotes(k) // under the newer roster
+			if voterSetBefore != m.partitions[RosterKey].position {
+				m.requestVotes(part) // under the newer roster
 			}
-		case vote.PreVote && k.position.Less(vote.At):
+		case vote.PreVote && part.position.Less(vote.At):
 			// Only a pre-vote ends here: in a binding vote a majority decides, whatever the
 			// other members hold.
-			m.becomeFollower(k, ErrNoQuorum)
-			k.noElectionUntil = m.now + m.cfg.Beat
+			m.becomeFollower(part, ErrNoQuorum)
+			part.noElectionUntil = m.now + m.cfg.Beat
 		}
 		return
 	}
-	k.votes[id] = vote
-	k.quietSince[id] = m.now - vote.Quiet
-	m.tallyVotes(k)
+	part.votes[id] = vote
+	part.quietSince[id] = m.now - vote.Quiet
+	m.tallyVotes(part)
 }
 
 // tallyVotes makes this member the owner once a majority has granted its votes. None of these
 // voters held anything newer than this member does.
-func (m *Replica) tallyVotes(k *replicatedKey) {
-	if !m.hasQuorum(false, func(id string) bool { return k.votes[id] != nil }) {
+func (m *Replica) tallyVotes(part *partition) {
+	if !m.hasQuorum(false, func(id string) bool { return part.votes[id] != nil }) {
 		return
 	}
 	if !m.mayOwn() {
-		m.becomeFollower(k, ErrNotOwner) // this member has lost its seat in the meantime
+		m.becomeFollower(part, ErrNotOwner) // this member has lost its seat in the meantime
 		return
 	}
-	if k.preVote {
-		m.campaign(k)
+	if part.preVote {
+		m.campaign(part)
 		return
 	}
 	// An earlier owner's ownership was confirmed by majorities, and each majority includes at
 	// least one of the present voters. So it was not confirmed later than the last confirmation
 	// that any of them sent.
-	k.predecessorUntil = k.lastConfirmSent
-	for id := range k.votes {
-		k.predecessorUntil = max(k.predecessorUntil, k.quietSince[id])
+	part.predecessorUntil = part.lastConfirmSent
+	for id := range part.votes {
+		part.predecessorUntil = max(part.predecessorUntil, part.quietSince[id])
 	}
 	// The ownership still has to be confirmed. A vote doesn't count as a confirmation: later
 	// owners have to wait for the confirmations that a member sent (see replyWhenDurable).
-	k.confirmedAt, k.ownerSince, k.inherited = neverConfirmed, m.now, len(k.Records) > 0
-	k.role, k.roleSince, k.quorumAt = roleOwner, m.now, m.now
-	k.acks, k.ackedAt = map[string]Position{}, map[string]time.Duration{}
-	k.confirmedRounds, k.firstRound = map[string]uint64{}, m.heartbeats.round+1
-	k.outgoing, k.lastCatchUp = map[string]*outgoingSnapshot{}, map[string]catchUpSent{}
-	base := k.position
-	k.position = Position{k.ownEpoch, base.Seq + 1}
-	k.log.add(base, k.position, nil)
-	at, votes := k.position, k.votes
-	k.votes, k.quietSince, k.incoming = nil, nil, nil
-	m.write(append(m.apply(k, nil), k.meta()), func() { m.noteAck(k, m.self, at) })
+	part.confirmedAt, part.ownerSince, part.inherited = neverConfirmed, m.now, len(part.Records) > 0
+	part.role, part.roleSince, part.quorumAt = roleOwner, m.now, m.now
+	part.acks, part.ackedAt = map[string]Position{}, map[string]time.Duration{}
+	part.confirmedRounds, part.firstRound = map[string]uint64{}, m.heartbeats.round+1
+	part.outgoing, part.lastCatchUp = map[string]*outgoingSnapshot{}, map[string]catchUpSent{}
+	base := part.position
+	part.position = Position{part.ownEpoch, base.Seq + 1}
+	part.log.add(base, part.position, nil)
+	at, votes := part.position, part.votes
+	part.votes, part.quietSince, part.incoming = nil, nil, nil
+	m.write(append(m.apply(part, nil), part.meta()), func() { m.noteAck(part, m.self, at) })
 	for _, id := range slices.Sorted(maps.Keys(votes)) {
 		if vote := votes[id]; id != m.self {
-			m.catchUp(k, addressOf(id), id, vote.At, vote.Sums)
+			m.catchUp(part, addressOf(id), id, vote.At, vote.Sums)
 		}
 	}
-	m.scheduleConfirm(k)
-	m.advanceCommit(k)
+	m.scheduleConfirm(part)
+	m.advanceCommit(part)
 }
 
 // stepDown moves to a newer epoch as a follower.
-func (m *Replica) stepDown(k *replicatedKey, e Epoch) {
-	if k.promised.Less(e) {
-		k.promised = e
+func (m *Replica) stepDown(part *partition, e Epoch) {
+	if part.promised.Less(e) {
+		part.promised = e
 	}
-	m.becomeFollower(k, ErrNoQuorum)
+	m.becomeFollower(part, ErrNoQuorum)
 }
 
 // becomeFollower gives up the ownership or candidacy of a key, and fails all waiting proposals
 // with err.
-func (m *Replica) becomeFollower(k *replicatedKey, err error) {
-	if k.role != roleFollower {
-		k.role, k.preVote = roleFollower, false
-		k.votes, k.acks, k.outgoing = nil, nil, nil
-		k.lastContact, k.hadContact, k.hasOwner = m.now, true, false
-	}
-	waiters, queue := k.waiters, k.queue
-	k.waiters, k.queue = nil, nil
+func (m *Replica) becomeFollower(part *partition, err error) {
+	if part.role != roleFollower {
+		part.role, part.preVote = roleFollower, false
+		part.votes, part.acks, part.outgoing = nil, nil, nil
+		part.lastContact, part.hadContact, part.hasOwner = m.now, true, false
+	}
+	waiters, queue := part.waiters, part.queue
+	part.waiters, part.queue = nil, nil
 	for _, w := range waiters {
 		w.done(err)
 	}
@@ -202,25 +202,25 @@
 }
 
 // Heirs returns the addresses of the roster in the order in which they take over a key.
-func (m *Replica) Heirs(name string) []string { return slices.Clone(m.successors(m.key(name))) }
+func (m *Replica) Heirs(name string) []string { return slices.Clone(m.successors(m.partition(name))) }
 
 // successors is Heirs without the copy; the order is computed once per roster.
-func (m *Replica) successors(k *replicatedKey) []string {
-	if s := m.seats(); k.successorsFor != s {
-		k.successorsFor, k.successorList = s, rendezvous.Order(k.name, m.Roster())
+func (m *Replica) successors(part *partition) []string {
+	if s := m.voterSet(); part.successorsFor != s {
+		part.successorsFor, part.successorList = s, rendezvous.Order(part.name, m.Roster())
 	}
-	return k.successorList
+	return part.successorList
 }
 
 // rankAmongLive is the number of live members, other than the present owner, that come before
 // this one in the key's order of successors.
-func (m *Replica) rankAmongLive(k *replicatedKey) int {
+func (m *Replica) rankAmongLive(part *partition) int {
 	n := 0
-	for _, id := range m.successors(k) {
+	for _, id := range m.successors(part) {
 		if id == m.cfg.Self {
 			return n
 		}
-		if id != k.promised.Owner && m.cfg.Alive(id) && !m.diskReplaced(id) {
+		if id != part.promised.Owner && m.cfg.Alive(id) && !m.diskReplaced(id) {
 			n++
 		}
 	}
@@ -230,12 +230,12 @@
 // diskReplaced reports whether the machine at a seat's address has come back with another disk.
 func (m *Replica) diskReplaced(address string) bool {
 	id, known := m.lastIdentity[address]
-	return known && id != address && !slices.Contains(m.seats().all(), id) && !slices.Contains(m.seats().all(), address)
+	return known && id != address && !slices.Contains(m.voterSet().all(), id) && !slices.Contains(m.voterSet().all(), address)
 }
 
 // rankAmongAll is this member's index in the key's order of successors.
 func (m *Replica) rankAmongAll(name string) int {
-	for i, id := range m.successors(m.key(name)) {
+	for i, id := range m.successors(m.partition(name)) {
 		if id == m.cfg.Self {
 			return i
 		}
@@ -249,7 +249,7 @@
 	}
 	ack := &ProbeAck{}
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role != roleFollower || m.Owner(m.now, name) != "" {
+		if part := m.partitions[name]; part.role != roleFollower || m.Owner(m.now, name) != "" {
 			ack.Owned = append(ack.Owned, name)
 		}
 	}
@@ -288,48 +288,48 @@
 
 // transfer asks a successor to take over a key: the first live one whose copy is up to date, or
 // else the first live one.
-func (m *Replica) transfer(k *replicatedKey) {
+func (m *Replica) transfer(part *partition) {
 	var successor string
-	for _, id := range m.Heirs(k.name) {
+	for _, id := range m.Heirs(part.name) {
 		if id == m.cfg.Self || !m.cfg.Alive(id) {
 			continue
 		}
 		if successor == "" {
 			successor = id
 		}
-		if at, ok := k.ackedPosition(id); ok && at == k.position {
+		if at, ok := part.ackedPosition(id); ok && at == part.position {
 			successor = id
 			break
 		}
 	}
 	if successor != "" {
-		m.send(successor, Message{Body: &Transfer{k.name}})
+		m.send(successor, Message{Body: &Transfer{part.name}})
 	}
 }
 
-// handBack returns a key to the first member in its order of successors once that member has
+// transferBack returns a key to the first member in its order of successors once that member has
 // been alive and up to date, and the key idle, for the period HandBack. Keys that were gathered
 // at one member by a failure are thus spread out again.
-func (m *Replica) handBack(k *replicatedKey) {
-	preferred := m.successors(k)[0]
-	at, _ := k.ackedPosition(preferred)
-	stable := preferred != m.cfg.Self && m.cfg.HandBack > 0 && m.cfg.Alive(preferred) && k.commit == k.position && len(k.waiters)+len(k.queue) == 0 &&
-		at == k.position && m.now-k.ackedAt[m.lastIdentity[preferred]] <= m.cfg.Vacant && m.now-k.roleSince > m.cfg.HandBack &&
-		(k.name != RosterKey || m.allSeatsAnswering())
+func (m *Replica) transferBack(part *partition) {
+	preferred := m.successors(part)[0]
+	at, _ := part.ackedPosition(preferred)
+	stable := preferred != m.cfg.Self && m.cfg.HandBack > 0 && m.cfg.Alive(preferred) && part.commit == part.position && len(part.waiters)+len(part.queue) == 0 &&
+		at == part.position && m.now-part.ackedAt[m.lastIdentity[preferred]] <= m.cfg.Vacant && m.now-part.roleSince > m.cfg.HandBack &&
+		(part.name != RosterKey || m.allVotersAnswering())
 	if !stable {
-		k.stableSince = m.now
+		part.stableSince = m.now
 		return
 	}
-	if m.now-k.stableSince >= m.cfg.HandBack {
-		m.becomeFollower(k, ErrNotOwner)
-		k.noElectionUntil = m.now + m.cfg.Vacant
-		m.send(preferred, Message{Body: &Transfer{k.name}})
+	if m.now-part.stableSince >= m.cfg.HandBack {
+		m.becomeFollower(part, ErrNotOwner)
+		part.noElectionUntil = m.now + m.cfg.Vacant
+		m.send(preferred, Message{Body: &Transfer{part.name}})
 	}
 }
 
 // ackedPosition is the newest position that the member at an address has acknowledged.
-func (k *replicatedKey) ackedPosition(address string) (at Position, ok bool) {
-	for id, p := range k.acks {
+func (part *partition) ackedPosition(address string) (at Position, ok bool) {
+	for id, p := range part.acks {
 		if addressOf(id) == address && (!ok || at.Less(p)) {
 			at, ok = p, true
 		}
@@ -344,9 +344,9 @@
 	m.leaving = true
 	m.survey = nil
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role == roleOwner {
-			m.transfer(k)
-			m.becomeFollower(k, ErrNotOwner)
+		if part := m.partitions[name]; part.role == roleOwner {
+			m.transfer(part)
+			m.becomeFollower(part, ErrNotOwner)
 		}
 	}
 	m.tickLeaving()
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -31,20 +31,20 @@
 // peer is what an owner knows of the process at another member's address.
 type peer struct {
 	id                string
-	incarnation       uint64
+	runID             uint64
 	supportsHeartbeat bool
 	listVersion       uint64 // version of the list that it acknowledged last; 0: none
 }
 
 // sentRound is a round that has begun. keys are the keys of its partial heartbeat.
 type sentRound struct {
-	at   time.Duration
-	keys []sentKey
+	at         time.Duration
+	partitions []sentPartition
 }
 
-// sentKey is a key with its position when the round began.
-type sentKey struct {
-	*replicatedKey
+// sentPartition is a key with its position when the round began.
+type sentPartition struct {
+	*partition
 	position Position
 }
 
@@ -75,55 +75,55 @@
 	listed          map[string]listEntry
 	removed         map[string]uint64 // keys removed from the list, with the list version that removed them
 
-	dueAll  bool                 // a full heartbeat to all members is due
-	dueTo   map[string]bool      // addresses to be sent a full heartbeat at once, ahead of the interval
-	dueKeys map[string]dueReason // keys for the next partial heartbeat
+	dueAll        bool                 // a full heartbeat to all members is due
+	dueTo         map[string]bool      // addresses to be sent a full heartbeat at once, ahead of the interval
+	duePartitions map[string]dueReason // keys for the next partial heartbeat
 }
 
 func newHeartbeatState() heartbeatState {
 	return heartbeatState{sent: map[uint64]sentRound{}, oldest: 1, confirmedRounds: map[string]uint64{}, listed: map[string]listEntry{},
-		removed: map[string]uint64{}, dueTo: map[string]bool{}, dueKeys: map[string]dueReason{}}
+		removed: map[string]uint64{}, dueTo: map[string]bool{}, duePartitions: map[string]dueReason{}}
 }
 
 // notePeer records which process is at an address and whether it understands heartbeats.
 func (m *Replica) notePeer(from, id string, msg Message) {
 	p := m.peers[from]
-	if p == nil || p.id != id || p.incarnation != msg.Life {
-		p = &peer{id: id, incarnation: msg.Life}
+	if p == nil || p.id != id || p.runID != msg.Life {
+		p = &peer{id: id, runID: msg.Life}
 		m.peers[from] = p
 		m.heartbeats.dueTo[from] = true
 	}
 	p.supportsHeartbeat = msg.Protocol >= protocolHeartbeat
 }
 
-// noteClockMark records a member's clock reading, which the next heartbeat returns to it. A new
+// noteClockReading records a member's clock reading, which the next heartbeat returns to it. A new
 // process is sent one at once.
-func (m *Replica) noteClockMark(from, id string, clock time.Duration) {
-	previous, ok := m.clockMarks[id]
-	m.clockMarks[id] = clockMark{m.incarnations[id], clock, m.now}
-	if !ok || previous.incarnation != m.incarnations[id] {
+func (m *Replica) noteClockReading(from, id string, clock time.Duration) {
+	previous, ok := m.clockEchoes[id]
+	m.clockEchoes[id] = clockEcho{m.runIDs[id], clock, m.now}
+	if !ok || previous.runID != m.runIDs[id] {
 		m.heartbeats.dueTo[from] = true
 	}
 }
 
 // scheduleConfirm schedules a round in which a quorum has to confirm the key's epoch, and
 // returns its number.
-func (m *Replica) scheduleConfirm(k *replicatedKey) (round uint64) {
-	m.heartbeats.dueKeys[k.name] = dueConfirm
+func (m *Replica) scheduleConfirm(part *partition) (round uint64) {
+	m.heartbeats.duePartitions[part.name] = dueConfirm
 	return m.heartbeats.round + 1
 }
 
 // scheduleCommitNotice schedules a partial heartbeat that tells the others the key's commit
 // position.
-func (m *Replica) scheduleCommitNotice(k *replicatedKey) {
-	m.heartbeats.dueKeys[k.name] = max(m.heartbeats.dueKeys[k.name], dueCommit)
+func (m *Replica) scheduleCommitNotice(part *partition) {
+	m.heartbeats.duePartitions[part.name] = max(m.heartbeats.duePartitions[part.name], dueCommit)
 }
 
-// ownedKeys returns the keys that this member owns, sorted by name.
-func (m *Replica) ownedKeys() (out []*replicatedKey) {
+// ownedPartitions returns the keys that this member owns, sorted by name.
+func (m *Replica) ownedPartitions() (out []*partition) {
 	for _, name := range m.names {
-		if k := m.keys[name]; k.role == roleOwner {
-			out = append(out, k)
+		if part := m.partitions[name]; part.role == roleOwner {
+			out = append(out, part)
 		}
 	}
 	return out
@@ -132,95 +132,95 @@
 // flushHeartbeats sends the heartbeats that are due. It runs once the driver has passed on
 // everything that it had for this member, so that many keys share one heartbeat.
 func (m *Replica) flushHeartbeats() {
-	b := &m.heartbeats
-	if !b.dueAll && len(b.dueTo) == 0 && len(b.dueKeys) == 0 {
+	state := &m.heartbeats
+	if !state.dueAll && len(state.dueTo) == 0 && len(state.duePartitions) == 0 {
 		return
 	}
-	all, to, names := b.dueAll, b.dueTo, b.dueKeys
-	b.dueAll, b.dueTo, b.dueKeys = false, map[string]bool{}, map[string]dueReason{}
-	owned := m.ownedKeys()
+	all, to, names := state.dueAll, state.dueTo, state.duePartitions
+	state.dueAll, state.dueTo, state.duePartitions = false, map[string]bool{}, map[string]dueReason{}
+	owned := m.ownedPartitions()
 	if len(owned) == 0 {
 		return
 	}
-	var keys []*replicatedKey
+	var partitions []*partition
 	confirm := all || len(to) > 0
 	if !all {
 		for _, name := range slices.Sorted(maps.Keys(names)) {
-			if k := m.keys[name]; k.role == roleOwner {
-				keys = append(keys, k)
+			if part := m.partitions[name]; part.role == roleOwner {
+				partitions = append(partitions, part)
 				confirm = confirm || names[name] == dueConfirm
 			}
 		}
 	}
 	round := uint64(0)
 	if confirm {
-		round = m.beginRound(keys)
+		round = m.beginRound(partitions)
 	}
 	if all {
-		b.lastFullAt = m.now
+		state.lastFullAt = m.now
 	}
 	if all || len(to) > 0 {
 		m.updateList(owned)
 	}
 	full := m.fullHeartbeats(round, owned)
-	partial := m.partialHeartbeat(round, keys)
+	partial := m.partialHeartbeat(round, partitions)
 	for _, a := range m.others() {
 		switch {
 		case all || to[a]:
 			m.sendFull(a, owned, full)
-		case len(keys) > 0:
-			m.sendPartial(a, keys, partial)
+		case len(partitions) > 0:
+			m.sendPartial(a, partitions, partial)
 		}
 	}
 }
 
 // beginRound begins a round and forgets rounds that are too old to be of use.
-func (m *Replica) beginRound(keys []*replicatedKey) uint64 {
-	b := &m.heartbeats
-	b.round++
+func (m *Replica) beginRound(partitions []*partition) uint64 {
+	state := &m.heartbeats
+	state.round++
 	s := sentRound{at: m.now}
-	for _, k := range keys {
-		s.keys = append(s.keys, sentKey{k, k.position})
+	for _, part := range partitions {
+		s.partitions = append(s.partitions, sentPartition{part, part.position})
 	}
-	b.sent[b.round] = s
-	for ; b.oldest < b.round && m.now-b.sent[b.oldest].at > roundRetention*m.cfg.Vacant; b.oldest++ {
-		delete(b.sent, b.oldest)
+	state.sent[state.round] = s
+	for ; state.oldest < state.round && m.now-state.sent[state.oldest].at > roundRetention*m.cfg.Vacant; state.oldest++ {
+		delete(state.sent, state.oldest)
 	}
-	return b.round
+	return state.round
 }
 
 // status is the entry of an owned key in a heartbeat.
-func (m *Replica) status(k *replicatedKey) KeyStatus {
-	s := KeyStatus{Key: k.name, Epoch: k.ownEpoch.N, Seq: k.position.Seq, Sum: k.Sums.Fold()}
-	if k.commit.Epoch == k.ownEpoch {
-		s.Commit = k.commit.Seq
+func (m *Replica) status(part *partition) KeyStatus {
+	s := KeyStatus{Key: part.name, Epoch: part.ownEpoch.N, Seq: part.position.Seq, Sum: part.Sums.Fold()}
+	if part.commit.Epoch == part.ownEpoch {
+		s.Commit = part.commit.Seq
 	}
 	return s
 }
 
 // updateList brings the list up to date with the keys that this member owns now.
-func (m *Replica) updateList(owned []*replicatedKey) {
-	b := &m.heartbeats
-	next := b.version + 1
-	for _, k := range owned {
-		previous, ok := b.listed[k.name]
-		s := m.status(k)
+func (m *Replica) updateList(owned []*partition) {
+	state := &m.heartbeats
+	next := state.version + 1
+	for _, part := range owned {
+		previous, ok := state.listed[part.name]
+		s := m.status(part)
 		if ok && previous.KeyStatus == s {
 			continue
 		}
 		if ok {
-			b.digest ^= previous.digest()
+			state.digest ^= previous.digest()
 		}
-		b.digest ^= s.digest()
-		b.listed[k.name], b.version = listEntry{s, next}, next
-		delete(b.removed, k.name)
+		state.digest ^= s.digest()
+		state.listed[part.name], state.version = listEntry{s, next}, next
+		delete(state.removed, part.name)
 	}
-	if len(b.listed) > len(owned) {
-		for name, l := range b.listed {
-			if m.keys[name].role != roleOwner {
-				b.digest ^= l.digest()
-				b.version, b.removed[name] = next, next
-				delete(b.listed, name)
+	if len(state.listed) > len(owned) {
+		for name, l := range state.listed {
+			if m.partitions[name].role != roleOwner {
+				state.digest ^= l.digest()
+				state.version, state.removed[name] = next, next
+				delete(state.listed, name)
 			}
 		}
 	}
@@ -240,21 +240,21 @@
 
 // fullHeartbeats returns a function that builds the heartbeat for a member that holds the list
 // at version base. Members with the same base share one message.
-func (m *Replica) fullHeartbeats(round uint64, owned []*replicatedKey) func(base uint64) *Heartbeat {
+func (m *Replica) fullHeartbeats(round uint64, owned []*partition) func(base uint64) *Heartbeat {
 	made := map[uint64]*Heartbeat{}
 	return func(base uint64) *Heartbeat {
 		if h := made[base]; h != nil {
 			return h
 		}
-		b := &m.heartbeats
-		h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].position, Base: base, Version: b.version, Digest: b.digest}
-		for _, k := range owned {
-			if l := b.listed[k.name]; l.version > base {
+		state := &m.heartbeats
+		h := &Heartbeat{Round: round, Roster: m.partitions[RosterKey].position, Base: base, Version: state.version, Digest: state.digest}
+		for _, part := range owned {
+			if l := state.listed[part.name]; l.version > base {
 				h.Keys = append(h.Keys, l.KeyStatus)
 			}
 		}
 		if base > 0 {
-			for name, version := range b.removed {
+			for name, version := range state.removed {
 				if version > base {
 					h.Gone = append(h.Gone, name)
 				}
@@ -267,22 +267,22 @@
 	}
 }
 
-func (m *Replica) partialHeartbeat(round uint64, keys []*replicatedKey) *Heartbeat {
-	h := &Heartbeat{Round: round, Roster: m.keys[RosterKey].position, Partial: true}
-	for _, k := range keys {
-		h.Keys = append(h.Keys, m.status(k))
+func (m *Replica) partialHeartbeat(round uint64, partitions []*partition) *Heartbeat {
+	h := &Heartbeat{Round: round, Roster: m.partitions[RosterKey].position, Partial: true}
+	for _, part := range partitions {
+		h.Keys = append(h.Keys, m.status(part))
 	}
-	m.setAges(h, keys)
+	m.setAges(h, partitions)
 	return h
 }
 
 // setAges sets how long ago this member's ownership of the keys was last confirmed: one age for
 // most of them, and separate ages for keys that were confirmed earlier or never.
-func (m *Replica) setAges(h *Heartbeat, keys []*replicatedKey) {
+func (m *Replica) setAges(h *Heartbeat, partitions []*partition) {
 	confirmedAt := neverConfirmed
-	for _, k := range keys {
-		if k.confirmedAt != neverConfirmed && (confirmedAt == neverConfirmed || k.confirmedAt < confirmedAt) {
-			confirmedAt = k.confirmedAt
+	for _, part := range partitions {
+		if part.confirmedAt != neverConfirmed && (confirmedAt == neverConfirmed || part.confirmedAt < confirmedAt) {
+			confirmedAt = part.confirmedAt
 		}
 	}
 	if s, ok := m.heartbeats.sent[m.heartbeats.confirmedRound]; ok && !h.Partial {
@@ -292,35 +292,35 @@
 		return
 	}
 	h.Sure = &Sure{Age: m.now - confirmedAt}
-	for _, k := range keys {
+	for _, part := range partitions {
 		switch {
-		case k.confirmedAt == neverConfirmed:
-			h.Ages = append(h.Ages, KeyAge{k.name, -1})
-		case k.confirmedAt < confirmedAt:
-			h.Ages = append(h.Ages, KeyAge{k.name, m.now - k.confirmedAt})
+		case part.confirmedAt == neverConfirmed:
+			h.Ages = append(h.Ages, KeyAge{part.name, -1})
+		case part.confirmedAt < confirmedAt:
+			h.Ages = append(h.Ages, KeyAge{part.name, m.now - part.confirmedAt})
 		}
 	}
 }
 
-// withClockMark returns the heartbeat with the clock mark of its receiver. Without a mark the
+// withClockEcho returns the heartbeat with the clock mark of its receiver. Without a mark the
 // ages mean nothing to the receiver and are left out.
-func (m *Replica) withClockMark(h *Heartbeat, to string) *Heartbeat {
+func (m *Replica) withClockEcho(h *Heartbeat, to string) *Heartbeat {
 	if h.Sure == nil {
 		return h
 	}
-	marked := *h
-	if mark, ok := m.clockMarks[m.lastIdentity[to]]; ok {
-		marked.Sure = &Sure{mark.incarnation, mark.clock, m.now - mark.receivedAt, h.Sure.Age}
+	echoed := *h
+	if echo, ok := m.clockEchoes[m.lastIdentity[to]]; ok {
+		echoed.Sure = &Sure{echo.runID, echo.clock, m.now - echo.receivedAt, h.Sure.Age}
 	} else {
-		marked.Sure, marked.Ages = nil, nil
+		echoed.Sure, echoed.Ages = nil, nil
 	}
-	return &marked
+	return &echoed
 }
 
 // sendFull sends a member its full heartbeat. A member of an older protocol version is sent an
 // Append for each key instead, and one that has not been heard from yet an Append for one key,
 // which every version answers.
-func (m *Replica) sendFull(to string, owned []*replicatedKey, full func(base uint64) *Heartbeat) {
+func (m *Replica) sendFull(to string, owned []*partition, full func(base uint64) *Heartbeat) {
 	p := m.peers[to]
 	switch {
 	case p == nil:
@@ -328,24 +328,24 @@
 	case !p.supportsHeartbeat:
 		m.sendAppends(to, owned)
 	default:
-		m.send(to, Message{Body: m.withClockMark(full(p.listVersion), to)})
+		m.send(to, Message{Body: m.withClockEcho(full(p.listVersion), to)})
 	}
 }
 
-func (m *Replica) sendPartial(to string, keys []*replicatedKey, h *Heartbeat) {
+func (m *Replica) sendPartial(to string, partitions []*partition, h *Heartbeat) {
 	switch p := m.peers[to]; {
 	case p == nil:
 	case !p.supportsHeartbeat:
-		m.sendAppends(to, keys)
+		m.sendAppends(to, partitions)
 	default:
-		m.send(to, Message{Body: m.withClockMark(h, to)})
+		m.send(to, Message{Body: m.withClockEcho(h, to)})
 	}
 }
 
 // sendAppends sends a member an Append without changes for each key, as older protocol versions
 // expect.
-func (m *Replica) sendAppends(to string, keys []*replicatedKey) {
-	for _, k := range keys {
-		m.send(to, Message{Body: m.withFreshness(k, m.lastIdentity[to], m.newAppend(k, k.position))})
+func (m *Replica) sendAppends(to string, partitions []*partition) {
+	for _, part := range partitions {
+		m.send(to, Message{Body: m.withFreshness(part, m.lastIdentity[to], m.newAppend(part, part.position))})
 	}
 }
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -16,23 +16,23 @@
 		return
 	}
 	if ack.Outdated != nil {
-		m.adoptRoster(ack.Outdated)
+		m.adoptVoterSet(ack.Outdated)
 		m.handleDeviations(from, id, ack)
 		m.heartbeats.dueAll = m.heartbeats.dueAll || m.mayOwn() // again, under the newer roster
 		return
 	}
 	if ack.Mark > 0 {
-		m.noteClockMark(from, id, ack.Mark)
+		m.noteClockReading(from, id, ack.Mark)
 	}
 	deviating := m.handleDeviations(from, id, ack)
 	s, ok := m.heartbeats.sent[ack.Round]
 	switch {
 	case !ok:
 	case ack.Partial:
-		for _, sent := range s.keys {
+		for _, sent := range s.partitions {
 			if !deviating[sent.name] {
-				m.noteConfirmedBy(sent.replicatedKey, id, ack.Round, sent.position)
-				m.advanceCommit(sent.replicatedKey)
+				m.noteConfirmedBy(sent.partition, id, ack.Round, sent.position)
+				m.advanceCommit(sent.partition)
 			}
 		}
 	default:
@@ -44,31 +44,31 @@
 // handleDeviations handles the answers about individual keys and returns the names of those
 // keys.
 func (m *Replica) handleDeviations(from, id string, ack *HeartbeatAck) map[string]bool {
-	keys := map[string]bool{}
+	deviating := map[string]bool{}
 	for _, d := range ack.Deviate {
-		keys[d.Key] = true
+		deviating[d.Key] = true
 		deviation := *d
 		deviation.Round = ack.Round
 		m.onAppendAck(from, id, &deviation)
 	}
-	return keys
+	return deviating
 }
 
 // noteConfirmedBy records that a member has confirmed a key's epoch in a round and holds the
 // key at a position.
-func (m *Replica) noteConfirmedBy(k *replicatedKey, id string, round uint64, at Position) {
-	if k.role != roleOwner || round < k.firstRound {
+func (m *Replica) noteConfirmedBy(part *partition, id string, round uint64, at Position) {
+	if part.role != roleOwner || round < part.firstRound {
 		return
 	}
-	k.ackedAt[id] = m.now
-	k.confirmedRounds[id] = max(k.confirmedRounds[id], round)
-	if s, ok := m.heartbeats.sent[round]; ok && k.name == RosterKey {
+	part.ackedAt[id] = m.now
+	part.confirmedRounds[id] = max(part.confirmedRounds[id], round)
+	if s, ok := m.heartbeats.sent[round]; ok && part.name == RosterKey {
 		// The time when the round was sent counts: a delayed answer is no evidence that the
 		// member is still there.
-		m.rosterAnsweredAt[id] = max(m.rosterAnsweredAt[id], s.at)
+		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
 	}
-	if at.Epoch == k.ownEpoch && k.acks[id].Less(at) {
-		k.acks[id] = at
+	if at.Epoch == part.ownEpoch && part.acks[id].Less(at) {
+		part.acks[id] = at
 	}
 }
 
@@ -76,29 +76,29 @@
 // confirmed is computed once for all keys. Keys with waiting callers or uncommitted changes are
 // also advanced one by one, as are all keys while the protocols are mixed.
 func (m *Replica) noteListConfirmed(id string, ack *HeartbeatAck, deviating map[string]bool) {
-	b := &m.heartbeats
-	b.confirmedRounds[id] = max(b.confirmedRounds[id], ack.Round)
-	for _, r := range b.confirmedRounds {
-		if _, ok := b.sent[r]; ok && r > b.confirmedRound && m.hasQuorum(false, func(id string) bool { return id == m.self || b.confirmedRounds[id] >= r }) {
-			b.confirmedRound = r
+	state := &m.heartbeats
+	state.confirmedRounds[id] = max(state.confirmedRounds[id], ack.Round)
+	for _, r := range state.confirmedRounds {
+		if _, ok := state.sent[r]; ok && r > state.confirmedRound && m.hasQuorum(false, func(id string) bool { return id == m.self || state.confirmedRounds[id] >= r }) {
+			state.confirmedRound = r
 		}
 	}
-	newestRound, known := b.sent[b.confirmedRound]
+	newestRound, known := state.sent[state.confirmedRound]
 	mixed := m.mixedProtocols()
-	for _, k := range m.ownedKeys() {
-		if k.role != roleOwner || k.firstRound > ack.Round || deviating[k.name] {
+	for _, part := range m.ownedPartitions() {
+		if part.role != roleOwner || part.firstRound > ack.Round || deviating[part.name] {
 			continue
 		}
 		at := Position{}
-		if l := b.listed[k.name]; l.version <= ack.Version {
+		if l := state.listed[part.name]; l.version <= ack.Version {
 			at = Position{Epoch{l.Epoch, m.cfg.Self, m.cfg.Life}, l.Seq}
 		}
-		m.noteConfirmedBy(k, id, ack.Round, at)
-		if known && k.firstRound <= b.confirmedRound {
-			m.noteOwnershipConfirmed(k, newestRound.at)
+		m.noteConfirmedBy(part, id, ack.Round, at)
+		if known && part.firstRound <= state.confirmedRound {
+			m.noteOwnershipConfirmed(part, newestRound.at)
 		}
-		if mixed || len(k.waiters) > 0 || k.commit != k.position {
-			m.advanceCommit(k)
+		if mixed || len(part.waiters) > 0 || part.commit != part.position {
+			m.advanceCommit(part)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 // mixedProtocols reports whether some seat's member confirms keys one by one because it doesn't
 // understand heartbeats.
 func (m *Replica) mixedProtocols() bool {
-	for _, seat := range m.seats().all() {
-		if p := m.peers[addressOf(seat)]; p != nil && !p.supportsHeartbeat {
+	for _, voter := range m.voterSet().all() {
+		if p := m.peers[addressOf(voter)]; p != nil && !p.supportsHeartbeat {
 			return true
 		}
 	}
@@ -116,24 +116,24 @@
 
 // noteOwnershipConfirmed records that a quorum has confirmed the key's epoch in a round that
 // began at the given time.
-func (m *Replica) noteOwnershipConfirmed(k *replicatedKey, began time.Duration) {
-	first := k.confirmedAt == neverConfirmed
-	k.quorumAt, k.confirmedAt = max(k.quorumAt, began), max(k.confirmedAt, began)
-	k.lastConfirmSent = m.now
+func (m *Replica) noteOwnershipConfirmed(part *partition, began time.Duration) {
+	first := part.confirmedAt == neverConfirmed
+	part.quorumAt, part.confirmedAt = max(part.quorumAt, began), max(part.confirmedAt, began)
+	part.lastConfirmSent = m.now
 	if first {
-		m.scheduleCommitNotice(k) // the others can now date their copies
+		m.scheduleCommitNotice(part) // the others can now date their copies
 	}
 }
 
 // confirmedRound returns the newest round in which a quorum has confirmed the key's epoch, and
 // when it began; 0 if there is none.
-func (m *Replica) confirmedRound(k *replicatedKey) (round uint64, began time.Duration) {
+func (m *Replica) confirmedRound(part *partition) (round uint64, began time.Duration) {
 	if m.decidesAlone() {
 		return m.heartbeats.round + 1, m.now
 	}
-	for _, r := range k.confirmedRounds {
+	for _, r := range part.confirmedRounds {
 		s, ok := m.heartbeats.sent[r]
-		if ok && r > round && r >= k.firstRound && m.hasQuorum(false, func(id string) bool { return id == m.self || k.confirmedRounds[id] >= r }) {
+		if ok && r > round && r >= part.firstRound && m.hasQuorum(false, func(id string) bool { return id == m.self || part.confirmedRounds[id] >= r }) {
 			round, began = r, s.at
 		}
 	}
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -10,32 +10,32 @@
 
 // ownerList is a member's copy of an owner's key list, sorted by name.
 type ownerList struct {
-	incarnation uint64
-	version     uint64
-	digest      uint64
-	keys        []KeyStatus
-	lastHeard   time.Duration
+	runID     uint64
+	version   uint64
+	digest    uint64
+	statuses  []KeyStatus
+	lastHeard time.Duration
 }
 
 func (l *ownerList) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(l.keys, name, func(s KeyStatus, name string) int { return cmp.Compare(s.Key, name) })
+	return slices.BinarySearchFunc(l.statuses, name, func(s KeyStatus, name string) int { return cmp.Compare(s.Key, name) })
 }
 
 func (l *ownerList) put(s KeyStatus) {
 	i, ok := l.find(s.Key)
 	if ok {
-		l.digest ^= l.keys[i].digest()
-		l.keys[i] = s
+		l.digest ^= l.statuses[i].digest()
+		l.statuses[i] = s
 	} else {
-		l.keys = slices.Insert(l.keys, i, s)
+		l.statuses = slices.Insert(l.statuses, i, s)
 	}
 	l.digest ^= s.digest()
 }
 
 func (l *ownerList) remove(name string) {
 	if i, ok := l.find(name); ok {
-		l.digest ^= l.keys[i].digest()
-		l.keys = slices.Delete(l.keys, i, i+1)
+		l.digest ^= l.statuses[i].digest()
+		l.statuses = slices.Delete(l.statuses, i, i+1)
 	}
 }
 
@@ -49,15 +49,15 @@
 )
 
 // applyList brings the copy of an owner's list to the heartbeat's version.
-func (m *Replica) applyList(from string, incarnation uint64, h *Heartbeat) (*ownerList, listState) {
+func (m *Replica) applyList(from string, runID uint64, h *Heartbeat) (*ownerList, listState) {
 	l := m.ownerLists[from]
 	switch {
-	case l != nil && l.incarnation == incarnation && h.Version < l.version:
+	case l != nil && l.runID == runID && h.Version < l.version:
 		return nil, listStale
 	case h.Base == 0:
-		l = &ownerList{incarnation: incarnation}
+		l = &ownerList{runID: runID}
 		m.ownerLists[from] = l
-	case l == nil || l.incarnation != incarnation || l.version < h.Base:
+	case l == nil || l.runID != runID || l.version < h.Base:
 		return nil, listMissing
 	}
 	l.lastHeard, l.version = m.now, h.Version
@@ -84,17 +84,17 @@
 	}
 }
 
-// heardKey is a key covered by a heartbeat, with the epoch that the heartbeat gave.
-type heardKey struct {
-	*replicatedKey
+// heardPartition is a key covered by a heartbeat, with the epoch that the heartbeat gave.
+type heardPartition struct {
+	*partition
 	epoch Epoch
 }
 
-func (m *Replica) onHeartbeat(from string, incarnation uint64, h *Heartbeat) {
-	ack := &HeartbeatAck{Life: incarnation, Round: h.Round, Partial: h.Partial}
+func (m *Replica) onHeartbeat(from string, runID uint64, h *Heartbeat) {
+	ack := &HeartbeatAck{Life: runID, Round: h.Round, Partial: h.Partial}
 	statuses := h.Keys
 	if !h.Partial {
-		l, state := m.applyList(from, incarnation, h)
+		l, state := m.applyList(from, runID, h)
 		switch state {
 		case listStale:
 			return
@@ -103,30 +103,30 @@
 			m.send(from, Message{Body: ack})
 			return
 		}
-		statuses, ack.Version = l.keys, l.version
+		statuses, ack.Version = l.statuses, l.version
 	}
-	older := m.olderRoster(h.Roster)
+	older := m.olderVoterSet(h.Roster)
 	ages := map[string]time.Duration{}
 	for _, a := range h.Ages {
 		ages[a.Key] = a.Age
 	}
-	heard := make([]heardKey, 0, len(statuses))
+	heard := make([]heardPartition, 0, len(statuses))
 	for _, s := range statuses {
-		k, e := m.key(s.Key), Epoch{s.Epoch, from, incarnation}
+		part, e := m.partition(s.Key), Epoch{s.Epoch, from, runID}
 		switch {
-		case e.Less(k.promised):
-			ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: k.promised})
+		case e.Less(part.promised):
+			ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: part.promised})
 		case !older:
-			heard = append(heard, heardKey{k, e})
-			if !m.applyKeyStatus(k, e, s) {
-				sums := k.Sums
-				ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: e, At: k.position, Sums: &sums})
+			heard = append(heard, heardPartition{part, e})
+			if !m.applyPartitionStatus(part, e, s) {
+				sums := part.Sums
+				ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: e, At: part.position, Sums: &sums})
 			}
-			m.updateFreshness(k, e, s, h.Sure, ages)
+			m.updateFreshness(part, e, s, h.Sure, ages)
 		}
 	}
 	if older {
-		ack.Outdated = m.rosterCopy()
+		ack.Outdated = m.voterSetCopy()
 	}
 	if h.Round == 0 && len(ack.Deviate) == 0 && !older {
 		return
@@ -134,19 +134,19 @@
 	m.whenDurable(func() { m.replyHeartbeat(from, ack, heard) })
 }
 
-// applyKeyStatus applies an owner's status of one key and reports whether this member holds
+// applyPartitionStatus applies an owner's status of one key and reports whether this member holds
 // what the owner does.
-func (m *Replica) applyKeyStatus(k *replicatedKey, e Epoch, s KeyStatus) bool {
-	m.followOwner(k, e)
+func (m *Replica) applyPartitionStatus(part *partition, e Epoch, s KeyStatus) bool {
+	m.followOwner(part, e)
 	to := Position{e, s.Seq}
-	m.noteCommitted(k, Position{e, s.Commit})
-	return !k.position.Less(to) && (k.position != to || k.Sums.Fold() == s.Sum)
+	m.noteCommitted(part, Position{e, s.Commit})
+	return !part.position.Less(to) && (part.position != to || part.Sums.Fold() == s.Sum)
 }
 
 // updateFreshness updates the time as of which the copy of a key is known to be the newest.
 // When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
-func (m *Replica) updateFreshness(k *replicatedKey, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
-	if sure == nil || sure.Life != m.cfg.Life || s.Commit == 0 || k.commit.Epoch != e || k.commit.Seq < s.Commit {
+func (m *Replica) updateFreshness(part *partition, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
+	if sure == nil || sure.Life != m.cfg.Life || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
 		return
 	}
 	age, differs := ages[s.Key]
@@ -154,15 +154,15 @@
 		age = sure.Age
 	}
 	if age >= 0 {
-		k.freshAsOf = max(k.freshAsOf, sure.Mark+sure.Held-age)
+		part.freshAsOf = max(part.freshAsOf, sure.Mark+sure.Held-age)
 	}
 }
 
 // replyHeartbeat answers once all that this member holds is durable. Keys for which it has
 // promised another epoch in the meantime are no longer confirmed.
-func (m *Replica) replyHeartbeat(from string, ack *HeartbeatAck, heard []heardKey) {
+func (m *Replica) replyHeartbeat(from string, ack *HeartbeatAck, heard []heardPartition) {
 	for _, d := range ack.Deviate {
-		d.Promised = m.key(d.Key).promised
+		d.Promised = m.partition(d.Key).promised
 	}
 	for _, h := range heard {
 		if h.promised != h.epoch {
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -8,9 +8,9 @@
 // leaves.
 func (m *Replica) tickLeaving() {
 	if m.survey == nil {
-		m.survey = &survey{roster: m.keys[RosterKey].position, replies: map[string]*StateReport{}}
+		m.survey = &survey{voterSet: m.partitions[RosterKey].position, replies: map[string]*StateReport{}}
 	}
-	m.sendSurvey(m.seatedOthers())
+	m.sendSurvey(m.otherVoters())
 }
 
 // MayGo reports whether a leaving member is no longer needed. That is so if it has no seat, or
@@ -18,33 +18,33 @@
 // majority without this member holds everything that this member holds.
 func (m *Replica) MayGo(now time.Duration) bool {
 	m.now = now
-	if !m.leaving || !m.hasSeat() {
+	if !m.leaving || !m.isVoter() {
 		return true
 	}
-	if s := m.seats(); s.joint || m.mustLoseSeatFirst(len(s.newSeats)) {
+	if s := m.voterSet(); s.joint || m.mustBeRemovedFirst(len(s.newVoters)) {
 		return false // wait until the roster's owner has taken the seat away
 	}
 	for _, name := range m.names {
-		k := m.keys[name]
-		if k.position.Seq == 0 {
+		part := m.partitions[name]
+		if part.position.Seq == 0 {
 			continue
 		}
-		if k.role != roleFollower || k.promised.Owner == m.cfg.Self || !k.hasOwner {
+		if part.role != roleFollower || part.promised.Owner == m.cfg.Self || !part.hasOwner {
 			return false
 		}
-		holds := func(seat string) bool {
-			id := m.holder(seat)
+		holds := func(voter string) bool {
+			id := m.voterIdentity(voter)
 			if id == m.self || m.survey == nil || m.survey.replies[id] == nil {
 				return false
 			}
 			for _, s := range m.survey.replies[id].Keys {
 				if s.Key == name {
-					return !s.At.Less(k.position)
+					return !s.At.Less(part.position)
 				}
 			}
 			return false
 		}
-		if !hasQuorumOf(m.seats().newSeats, false, holds) {
+		if !hasQuorumOf(m.voterSet().newVoters, false, holds) {
 			return false
 		}
 	}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -29,69 +29,69 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// seatState is the state of a seat in its record.
-type seatState uint8
+// voterState is the state of a seat in its record.
+type voterState uint8
 
 const (
-	seatStable  seatState = iota
-	seatJoining           // counts among the new seats only
-	seatLeaving           // counts among the old seats only
+	voterStable  voterState = iota
+	voterJoining            // counts among the new seats only
+	voterLeaving            // counts among the old seats only
 )
 
-type seatValue struct {
-	State seatState `cbor:"1,keyasint,omitempty"`
+type voterValue struct {
+	State voterState `cbor:"1,keyasint,omitempty"`
 }
 
-// seats is the current roster. oldSeats and newSeats are the same unless the roster is joint.
-type seats struct {
-	oldSeats, newSeats []string
-	joint              bool
+// voterSet is the current roster. oldSeats and newSeats are the same unless the roster is joint.
+type voterSet struct {
+	oldVoters, newVoters []string
+	joint                bool
 }
 
-func seatRecord(id string, gen uint64, s seatState) Record {
+func voterRecord(id string, gen uint64, s voterState) Record {
 	r := Record{Name: id, Gen: gen}
-	if s != seatStable {
-		r.Data = marshal(seatValue{s})
+	if s != voterStable {
+		r.Data = marshal(voterValue{s})
 	}
 	return r
 }
 
-func seatStateOf(r Record) seatState {
-	var v seatValue
+func voterStateOf(r Record) voterState {
+	var v voterValue
 	if len(r.Data) > 0 && cbor.Unmarshal(r.Data, &v) != nil {
-		return seatStable
+		return voterStable
 	}
 	return v.State
 }
 
-func (m *Replica) seats() *seats {
-	if m.cachedSeats != nil {
-		return m.cachedSeats
+func (m *Replica) voterSet() *voterSet {
+	if m.cachedVoterSet != nil {
+		return m.cachedVoterSet
 	}
-	s := &seats{}
-	for name, r := range m.keys[RosterKey].Records {
+	s := &voterSet{}
+	for name, r := range m.partitions[RosterKey].Records {
 		if r.Dropped {
 			continue
 		}
-		switch seatStateOf(r) {
-		case seatJoining:
-			s.newSeats, s.joint = append(s.newSeats, name), true
-		case seatLeaving:
-			s.oldSeats, s.joint = append(s.oldSeats, name), true
+		switch voterStateOf(r) {
+		case voterJoining:
+			s.newVoters, s.joint = append(s.newVoters, name), true
+		case voterLeaving:
+			s.oldVoters, s.joint = append(s.oldVoters, name), true
 		default:
-			s.oldSeats, s.newSeats = append(s.oldSeats, name), append(s.newSeats, name)
+			s.oldVoters, s.newVoters = append(s.oldVoters, name), append(s.newVoters, name)
 		}
 	}
-	sort.Strings(s.oldSeats)
-	sort.Strings(s.newSeats)
-	m.cachedSeats = s
+	sort.Strings(s.oldVoters)
+	sort.Strings(s.newVoters)
+	m.cachedVoterSet = s
 	return s
 }
 
 // all returns the old and new seats, sorted.
-func (s *seats) all() []string {
-	out := append([]string(nil), s.newSeats...)
-	for _, id := range s.oldSeats {
+func (s *voterSet) all() []string {
+	out := append([]string(nil), s.newVoters...)
+	for _, id := range s.oldVoters {
 		if !slices.Contains(out, id) {
 			out = append(out, id)
 		}
@@ -108,26 +108,26 @@
 	return id
 }
 
-// holder returns the identity that counts for a seat. A seat without an identity was given by a
+// voterIdentity returns the identity that counts for a seat. A seat without an identity was given by a
 // version without identities; it belongs to whichever member answers at its address until the
 // seat is renewed.
-func (m *Replica) holder(seat string) string {
-	if strings.IndexByte(seat, '/') >= 0 {
-		return seat
+func (m *Replica) voterIdentity(voter string) string {
+	if strings.IndexByte(voter, '/') >= 0 {
+		return voter
 	}
-	if seat == m.cfg.Self {
+	if voter == m.cfg.Self {
 		return m.self
 	}
-	if id, ok := m.lastIdentity[seat]; ok {
+	if id, ok := m.lastIdentity[voter]; ok {
 		return id
 	}
-	return seat
+	return voter
 }
 
 // olderVersions reports whether the holder of some seat runs a version without identities.
 func (m *Replica) olderVersions() bool {
-	for _, seat := range m.seats().all() {
-		if a := addressOf(seat); m.lastIdentity[a] == a {
+	for _, voter := range m.voterSet().all() {
+		if a := addressOf(voter); m.lastIdentity[a] == a {
 			return true
 		}
 	}
@@ -137,7 +137,7 @@
 // Roster returns the addresses of all seats, old and new.
 func (m *Replica) Roster() []string {
 	var out []string
-	for _, id := range m.seats().all() {
+	for _, id := range m.voterSet().all() {
 		if a := addressOf(id); !slices.Contains(out, a) {
 			out = append(out, a)
 		}
@@ -145,8 +145,8 @@
 	return out
 }
 
-// seatedOthers returns the addresses of the other members with a seat.
-func (m *Replica) seatedOthers() []string {
+// otherVoters returns the addresses of the other members with a seat.
+func (m *Replica) otherVoters() []string {
 	var out []string
 	for _, a := range m.Roster() {
 		if a != m.cfg.Self {
@@ -159,7 +159,7 @@
 // others returns the addresses that changes are replicated to: those of the other seats and of
 // the learners.
 func (m *Replica) others() []string {
-	out := m.seatedOthers()
+	out := m.otherVoters()
 	for _, id := range m.activeLearners() {
 		if a := addressOf(id); !slices.Contains(out, a) {
 			out = append(out, a)
@@ -196,68 +196,68 @@
 
 // hasQuorumOf reports whether the seats for which has is true suffice: for an acknowledgement
 // of a change if forAck is set, or else for a vote or confirmation, which need a majority.
-func hasQuorumOf(seats []string, forAck bool, has func(string) bool) bool {
+func hasQuorumOf(voters []string, forAck bool, has func(string) bool) bool {
 	n := 0
-	for _, id := range seats {
+	for _, id := range voters {
 		if has(id) {
 			n++
 		}
 	}
 	if forAck {
-		return len(seats) > 0 && n >= ackQuorum(len(seats))
+		return len(voters) > 0 && n >= ackQuorum(len(voters))
 	}
-	return len(seats) > 0 && n >= majority(len(seats))
+	return len(voters) > 0 && n >= majority(len(voters))
 }
 
 // hasQuorum reports whether the members for which has is true hold enough seats, in a joint
 // roster enough of the old and of the new ones.
 func (m *Replica) hasQuorum(forAck bool, has func(string) bool) bool {
-	s := m.seats()
-	holds := func(seat string) bool { return has(m.holder(seat)) }
-	return hasQuorumOf(s.newSeats, forAck, holds) && (!s.joint || hasQuorumOf(s.oldSeats, forAck, holds))
+	s := m.voterSet()
+	holds := func(voter string) bool { return has(m.voterIdentity(voter)) }
+	return hasQuorumOf(s.newVoters, forAck, holds) && (!s.joint || hasQuorumOf(s.oldVoters, forAck, holds))
 }
 
-func (m *Replica) holdsAny(seats []string) bool {
-	for _, seat := range seats {
-		if m.holder(seat) == m.self {
+func (m *Replica) isAnyOf(voters []string) bool {
+	for _, voter := range voters {
+		if m.voterIdentity(voter) == m.self {
 			return true
 		}
 	}
 	return false
 }
 
-// hasSeat reports whether this member counts in a quorum.
-func (m *Replica) hasSeat() bool {
-	s := m.seats()
-	return m.holdsAny(s.newSeats) || s.joint && m.holdsAny(s.oldSeats)
+// isVoter reports whether this member counts in a quorum.
+func (m *Replica) isVoter() bool {
+	s := m.voterSet()
+	return m.isAnyOf(s.newVoters) || s.joint && m.isAnyOf(s.oldVoters)
 }
 
 // mayOwn reports whether this member may own keys. A member whose seat is being taken away may
 // not.
-func (m *Replica) mayOwn() bool { return m.holdsAny(m.seats().newSeats) }
+func (m *Replica) mayOwn() bool { return m.isAnyOf(m.voterSet().newVoters) }
 
-// olderRoster reports whether p is older than this member's roster.
-func (m *Replica) olderRoster(p Position) bool { return p.Less(m.keys[RosterKey].position) }
+// olderVoterSet reports whether p is older than this member's roster.
+func (m *Replica) olderVoterSet(p Position) bool { return p.Less(m.partitions[RosterKey].position) }
 
-func (m *Replica) rosterCopy() *Holding {
-	k := m.keys[RosterKey]
-	return &Holding{At: k.position, Records: k.Pick(allRanges)}
+func (m *Replica) voterSetCopy() *Holding {
+	part := m.partitions[RosterKey]
+	return &Holding{At: part.position, Records: part.Pick(allRanges)}
 }
 
-// adoptRoster takes over a newer roster, sent by a member that rejected a message because this
+// adoptVoterSet takes over a newer roster, sent by a member that rejected a message because this
 // member's roster is outdated.
-func (m *Replica) adoptRoster(h *Holding) {
-	k := m.keys[RosterKey]
-	if !k.position.Less(h.At) {
+func (m *Replica) adoptVoterSet(h *Holding) {
+	part := m.partitions[RosterKey]
+	if !part.position.Less(h.At) {
 		return
 	}
-	m.becomeFollower(k, ErrNoQuorum)
-	entries := m.replace(k, allRanges, h.Records)
-	k.position = h.At
-	if k.promised.Less(h.At.Epoch) {
-		k.promised = h.At.Epoch
+	m.becomeFollower(part, ErrNoQuorum)
+	entries := m.replace(part, allRanges, h.Records)
+	part.position = h.At
+	if part.promised.Less(h.At.Epoch) {
+		part.promised = h.At.Epoch
 	}
-	m.write(append(entries, k.meta()), nil)
+	m.write(append(entries, part.meta()), nil)
 	if !m.mayOwn() {
 		m.note("this member no longer has a seat in the roster")
 		m.resign()
@@ -267,12 +267,12 @@
 // resign gives up all keys and candidacies of a member that may not own keys.
 func (m *Replica) resign() {
 	for _, name := range m.names {
-		switch k := m.keys[name]; k.role {
+		switch part := m.partitions[name]; part.role {
 		case roleOwner:
-			m.transfer(k)
-			m.becomeFollower(k, ErrNotOwner)
+			m.transfer(part)
+			m.becomeFollower(part, ErrNotOwner)
 		case roleCandidate:
-			m.becomeFollower(k, ErrNotOwner)
+			m.becomeFollower(part, ErrNotOwner)
 		}
 	}
 }
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -14,14 +14,14 @@
 // Current returns a time on this member's clock as of which its committed copy of a key was
 // certainly the newest that anybody could have been told of.
 func (m *Replica) Current(name string) (time.Duration, bool) {
-	k := m.key(name)
-	if k.commit.Seq == 0 || k.commit != k.position && k.undo == nil {
+	part := m.partition(name)
+	if part.commit.Seq == 0 || part.commit != part.position && part.undo == nil {
 		return 0, false
 	}
-	if k.role == roleOwner {
-		return k.confirmedAt, k.confirmedAt != neverConfirmed && k.commit.Epoch == k.ownEpoch
+	if part.role == roleOwner {
+		return part.confirmedAt, part.confirmedAt != neverConfirmed && part.commit.Epoch == part.ownEpoch
 	}
-	return k.freshAsOf, k.freshAsOf > 0
+	return part.freshAsOf, part.freshAsOf > 0
 }
 
 // neverConfirmed is the value of confirmedAt while the ownership has not been confirmed yet.
@@ -39,31 +39,31 @@
 // Tenure describes this member's ownership of a key. ok is false unless the ownership was
 // confirmed within the last Config.Vacant.
 func (m *Replica) Tenure(now time.Duration, name string) (t Tenure, ok bool) {
-	k := m.key(name)
-	return Tenure{k.ownEpoch, k.ownerSince, k.confirmedAt, k.inherited, k.predecessorUntil}, k.role == roleOwner && k.confirmedAt != neverConfirmed && now-k.confirmedAt <= m.cfg.Vacant
+	part := m.partition(name)
+	return Tenure{part.ownEpoch, part.ownerSince, part.confirmedAt, part.inherited, part.predecessorUntil}, part.role == roleOwner && part.confirmedAt != neverConfirmed && now-part.confirmedAt <= m.cfg.Vacant
 }
 
 // Committed returns the records of a key at the newest position that this member knows to be
 // committed. While a later change is not committed yet, the map is a copy.
 func (m *Replica) Committed(name string) (map[string]Record, Position, bool) {
-	k := m.key(name)
+	part := m.partition(name)
 	switch {
-	case k.commit.Seq == 0:
-	case k.commit == k.position:
-		return k.Records, k.commit, true
-	case k.undo != nil:
-		out := make(map[string]Record, len(k.Records))
-		for name, r := range k.Records {
+	case part.commit.Seq == 0:
+	case part.commit == part.position:
+		return part.Records, part.commit, true
+	case part.undo != nil:
+		out := make(map[string]Record, len(part.Records))
+		for name, r := range part.Records {
 			out[name] = r
 		}
-		for name, old := range k.undo {
+		for name, old := range part.undo {
 			if old != nil {
 				out[name] = *old
 			} else {
 				delete(out, name)
 			}
 		}
-		return out, k.commit, true
+		return out, part.commit, true
 	}
-	return nil, k.commit, false
+	return nil, part.commit, false
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -57,8 +57,8 @@
 	roleOwner
 )
 
-// replicatedKey is this member's copy of a key and its role for that key.
-type replicatedKey struct {
+// partition is this member's copy of a key and its role for that key.
+type partition struct {
 	name     string
 	promised Epoch    // the newest epoch that this member has promised to follow
 	position Position // of the copy
@@ -101,7 +101,7 @@
 	lastConfirmSent  time.Duration            // when this member last confirmed an epoch, as a follower or as the owner
 	predecessorUntil time.Duration            // no earlier owner was confirmed later than this
 	quietSince       map[string]time.Duration // by voter: when it last confirmed another epoch
-	successorsFor    *seats                   // the roster that successorList was computed for
+	successorsFor    *voterSet                // the roster that successorList was computed for
 	successorList    []string
 	inherited        bool          // there were records when this member became owner
 	knownSince       time.Duration // when this member first heard of the key
@@ -109,15 +109,15 @@
 
 // Replica is the state machine of one member.
 type Replica struct {
-	cfg          Config
-	self         string // its identity: see idOf
-	identity     uint64
-	keys         map[string]*replicatedKey
-	names        []string // of all keys, sorted
-	bootstrapped bool     // a roster is committed, or all initial members hold the initial one
-	now          time.Duration
-	effects      Effects // since the last call of Take
-	cachedSeats  *seats  // the current roster; nil: to be computed again
+	cfg            Config
+	self           string // its identity: see idOf
+	identity       uint64
+	partitions     map[string]*partition
+	names          []string // of all keys, sorted
+	bootstrapped   bool     // a roster is committed, or all initial members hold the initial one
+	now            time.Duration
+	effects        Effects   // since the last call of Take
+	cachedVoterSet *voterSet // the current roster; nil: to be computed again
 
 	lastWrite    uint64              // ID of the newest write
 	onDurable    map[uint64][]func() // by write ID: what to call once it is durable
@@ -132,37 +132,37 @@
 	passive         map[string]bool   // seeds that may not propose the initial roster
 	// firstSeeds are the seeds of the system's first start, if this member took part in it; see
 	// bootstrap.go.
-	firstSeeds       []string
-	leaving          bool
-	started          bool
-	startedAt        time.Duration
-	incarnations     map[string]uint64          // by identity: the process (Message.Life) last heard from
-	rosterAnsweredAt map[string]time.Duration   // by identity: when the newest round of the roster that it has answered was sent
-	lastIdentity     map[string]string          // by address: the identity last heard from
-	learners         map[string]time.Duration   // identities without a seat that ask for one, and when they last did
-	leavers          map[string]time.Duration   // identities that are leaving, and when they last said so
-	probeAcks        map[string]map[string]bool // by address: the keys that have an owner
-	survey           *survey
-	surveyRound      uint64 // number of the newest survey round
+	firstSeeds         []string
+	leaving            bool
+	started            bool
+	startedAt          time.Duration
+	runIDs             map[string]uint64          // by identity: the process (Message.Life) last heard from
+	voterSetAnsweredAt map[string]time.Duration   // by identity: when the newest round of the roster that it has answered was sent
+	lastIdentity       map[string]string          // by address: the identity last heard from
+	learners           map[string]time.Duration   // identities without a seat that ask for one, and when they last did
+	leavers            map[string]time.Duration   // identities that are leaving, and when they last said so
+	probeAcks          map[string]map[string]bool // by address: the keys that have an owner
+	survey             *survey
+	surveyRound        uint64 // number of the newest survey round
 
-	heartbeats heartbeatState
-	peers      map[string]*peer      // by address
-	clockMarks map[string]clockMark  // by identity: clock readings to return to members
-	ownerLists map[string]*ownerList // by address: lists received in owners' heartbeats
+	heartbeats  heartbeatState
+	peers       map[string]*peer      // by address
+	clockEchoes map[string]clockEcho  // by identity: clock readings to return to members
+	ownerLists  map[string]*ownerList // by address: lists received in owners' heartbeats
 }
 
 // NewReplica creates a member from the contents of its disk.
 func NewReplica(cfg Config, disk map[string][]byte) (*Replica, error) {
-	m := &Replica{cfg: cfg, keys: map[string]*replicatedKey{}, onDurable: map[uint64][]func(){}, firstPending: 1,
+	m := &Replica{cfg: cfg, partitions: map[string]*partition{}, onDurable: map[uint64][]func(){}, firstPending: 1,
 		seedIDs: map[string]string{}, bootstrapAcks: map[string]bool{}, relays: map[string]string{}, passive: map[string]bool{},
-		incarnations: map[string]uint64{}, rosterAnsweredAt: map[string]time.Duration{}, lastIdentity: map[string]string{},
+		runIDs: map[string]uint64{}, voterSetAnsweredAt: map[string]time.Duration{}, lastIdentity: map[string]string{},
 		learners: map[string]time.Duration{}, leavers: map[string]time.Duration{}, probeAcks: map[string]map[string]bool{},
-		heartbeats: newHeartbeatState(), peers: map[string]*peer{}, clockMarks: map[string]clockMark{}, ownerLists: map[string]*ownerList{}}
+		heartbeats: newHeartbeatState(), peers: map[string]*peer{}, clockEchoes: map[string]clockEcho{}, ownerLists: map[string]*ownerList{}}
 	for _, name := range append([]string{RosterKey}, cfg.Keys...) {
-		m.key(name)
+		m.partition(name)
 	}
 	for _, name := range cfg.Sure {
-		m.key(name).trackFreshness = true
+		m.partition(name).trackFreshness = true
 	}
 	for entryKey, value := range disk {
 		var err error
@@ -174,12 +174,12 @@
 		case len(entryKey) > len(metaPrefix) && entryKey[:len(metaPrefix)] == metaPrefix:
 			var meta metaValue
 			err = cbor.Unmarshal(value, &meta)
-			k := m.key(entryKey[len(metaPrefix):])
-			k.promised, k.position, k.commit = meta.Promised, meta.At, meta.Commit
+			part := m.partition(entryKey[len(metaPrefix):])
+			part.promised, part.position, part.commit = meta.Promised, meta.At, meta.Commit
 		case len(entryKey) > len(recordPrefix) && entryKey[:len(recordPrefix)] == recordPrefix:
 			var r storedRecord
 			if err = cbor.Unmarshal(value, &r); err == nil {
-				m.key(r.Key).Put(r.Record)
+				m.partition(r.Key).Put(r.Record)
 			}
 		}
 		if err != nil {
@@ -199,17 +199,17 @@
 	return m, nil
 }
 
-// key returns this member's copy of a key, and creates it if the key is new.
-func (m *Replica) key(name string) *replicatedKey {
-	k := m.keys[name]
-	if k == nil {
-		k = &replicatedKey{name: name, Set: antientropy.NewSet(), knownSince: m.now}
-		k.trackFreshness = m.cfg.SurePrefix != "" && strings.HasPrefix(name, m.cfg.SurePrefix)
-		m.keys[name] = k
+// partition returns this member's copy of a partition, and creates it if the partition is new.
+func (m *Replica) partition(name string) *partition {
+	part := m.partitions[name]
+	if part == nil {
+		part = &partition{name: name, Set: antientropy.NewSet(), knownSince: m.now}
+		part.trackFreshness = m.cfg.SurePrefix != "" && strings.HasPrefix(name, m.cfg.SurePrefix)
+		m.partitions[name] = part
 		m.names = append(m.names, name)
 		sort.Strings(m.names)
 	}
-	return k
+	return part
 }
 
 // Take returns the effects since the last call.
@@ -240,7 +240,7 @@
 func (m *Replica) Handle(now time.Duration, from string, msg Message) {
 	m.now = now
 	id := idOf(from, msg.Identity)
-	m.incarnations[id], m.lastIdentity[from] = msg.Life, id
+	m.runIDs[id], m.lastIdentity[from] = msg.Life, id
 	m.notePeer(from, id, msg)
 	if msg.Body != nil {
 		msg.Body.handle(m, sender{from, id, msg.Life})
@@ -255,7 +255,7 @@
 	}
 	m.tickBootstrap()
 	if !m.mayOwn() {
-		m.requestSeat()
+		m.requestJoin()
 	}
 	if m.leaving {
 		m.tickLeaving()
@@ -263,7 +263,7 @@
 	if !m.mayOwn() {
 		m.resign()
 	}
-	if !m.hasSeat() {
+	if !m.isVoter() {
 		return
 	}
 	if now-m.startedAt < 2*m.cfg.Beat {
@@ -275,55 +275,55 @@
 	heartbeatDue, alone := now-m.heartbeats.lastFullAt >= m.cfg.Beat, m.decidesAlone()
 	m.expireLists()
 	for _, name := range m.names {
-		k := m.keys[name]
-		m.expireWaiters(k)
-		switch k.role {
+		part := m.partitions[name]
+		m.expireWaiters(part)
+		switch part.role {
 		case roleOwner:
-			if now-k.quorumAt > m.cfg.Vacant || diskStalled {
+			if now-part.quorumAt > m.cfg.Vacant || diskStalled {
 				// The owner is cut off, was suspended for a while, or its disk doesn't respond.
 				if diskStalled {
-					m.transfer(k)
+					m.transfer(part)
 				}
-				m.becomeFollower(k, ErrNoQuorum)
-				k.noElectionUntil = now + m.cfg.Vacant
+				m.becomeFollower(part, ErrNoQuorum)
+				part.noElectionUntil = now + m.cfg.Vacant
 			} else if heartbeatDue {
 				m.heartbeats.dueAll = true
 				if alone {
-					m.advanceCommit(k) // no acknowledgement will arrive to confirm the epoch
+					m.advanceCommit(part) // no acknowledgement will arrive to confirm the epoch
 				}
-				m.handBack(k)
+				m.transferBack(part)
 			}
 		case roleCandidate:
-			if k.preVote && now-k.roleSince > m.cfg.Beat || now-k.roleSince > m.cfg.Vacant {
-				m.becomeFollower(k, ErrNoQuorum)
-				k.noElectionUntil = now + m.cfg.Beat*time.Duration(1+m.rankAmongLive(k))/2
-			} else if k.votes[m.self] != nil && now-k.votesRequestedAt >= m.cfg.Beat/4 {
-				m.requestVotes(k) // a request or a vote may have been lost
+			if part.preVote && now-part.roleSince > m.cfg.Beat || now-part.roleSince > m.cfg.Vacant {
+				m.becomeFollower(part, ErrNoQuorum)
+				part.noElectionUntil = now + m.cfg.Beat*time.Duration(1+m.rankAmongLive(part))/2
+			} else if part.votes[m.self] != nil && now-part.votesRequestedAt >= m.cfg.Beat/4 {
+				m.requestVotes(part) // a request or a vote may have been lost
 			}
 		case roleFollower:
-			if k.hadContact && now-k.lastContact <= m.cfg.Vacant {
+			if part.hadContact && now-part.lastContact <= m.cfg.Vacant {
 				continue
 			}
-			wait := m.cfg.Vacant + time.Duration(m.rankAmongLive(k))*m.cfg.Vacant/2
-			since := k.lastContact
-			if !k.hadContact {
+			wait := m.cfg.Vacant + time.Duration(m.rankAmongLive(part))*m.cfg.Vacant/2
+			since := part.lastContact
+			if !part.hadContact {
 				// Just started: give an existing owner time to make itself known.
-				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.rankAmongAll(k.name))*m.cfg.Vacant/4
+				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.rankAmongAll(part.name))*m.cfg.Vacant/4
 				since = m.startedAt
-				if k.knownSince > m.startedAt {
+				if part.knownSince > m.startedAt {
 					// A new key can't have had an owner, unless this member missed that; then
 					// the owner will make itself known.
-					wait = time.Duration(m.rankAmongAll(k.name)) * m.cfg.Vacant / 4
-					since = k.knownSince
+					wait = time.Duration(m.rankAmongAll(part.name)) * m.cfg.Vacant / 4
+					since = part.knownSince
 				}
 				if m.probesFoundNoOwner(name) {
 					wait = 0
 				}
 			}
 			if !diskStalled && now-since > wait {
-				m.startElection(k, false)
+				m.startElection(part, false)
 			}
 		}
 	}
-	m.tickRosterChange()
+	m.tickVoterSetChange()
 }
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -9,30 +9,30 @@
 	"madderwing/internal/antientropy"
 )
 
-func TestAnAnswerMeansThreeDisks(t *testing.T) {
-	w := newWorld(t, 5, 4)
+func TestAcknowledgedChangeIsOnThreeDisks(t *testing.T) {
+	sim := newCluster(t, 5, 4)
 	for v := uint64(1); v <= 40; v++ {
-		n := w.mustPut(t, "x", v)
-		if got := w.holders("x", v); len(got) < 3 {
+		n := sim.mustPut(t, "x", v)
+		if got := sim.machinesWithCopy("x", v); len(got) < 3 {
 			t.Fatalf("x=%d was acknowledged by %s with copies at %v", v, n.id, got)
 		}
 	}
 }
 
 // The owner loses its power, or its disk, the moment it has answered.
-func TestTheAnswererIsLostAtOnce(t *testing.T) {
+func TestOwnerLostRightAfterAcknowledgement(t *testing.T) {
 	for _, wipe := range []bool{false, true} {
 		for seed := int64(1); seed <= 25; seed++ {
-			w := newWorld(t, seed, 4)
-			n := w.mustPut(t, "x", 1)
-			w.crash(n.id, wipe)
-			w.at(3*time.Second, func() { w.start(n.id) })
-			next := w.settle(t)
-			if got := next.m.keys[testKey].Records["x"].Gen; got != 1 {
+			sim := newCluster(t, seed, 4)
+			n := sim.mustPut(t, "x", 1)
+			sim.crash(n.id, wipe)
+			sim.after(3*time.Second, func() { sim.start(n.id) })
+			next := sim.waitForOwner(t)
+			if got := next.replica.partitions[testPartition].Records["x"].Gen; got != 1 {
 				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.id, got)
 			}
-			w.run(w.now + 8*time.Second)
-			if len(w.holders("x", 1)) != 4 || !w.nodes[n.id].m.Voting() {
+			sim.runUntil(sim.now + 8*time.Second)
+			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[n.id].replica.Voting() {
 				t.Fatalf("seed %d: the lost member did not catch up", seed)
 			}
 		}
@@ -41,146 +41,146 @@
 
 // A member that has lost its disk is another member: its word counts for nothing, and
 // so does all that its former life said, until the roster gives it a seat.
-func TestAWipedMemberCountsForNothingUntilItHasASeat(t *testing.T) {
-	w := newWorld(t, 2, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 7)
-	id, down := w.ids[3], w.ids[2]
-	former := w.nodes[id].m.self
-	w.crash(id, true)
-	w.crash(down, false)
-	w.run(w.now + 2*time.Second)
-	w.start(id)
-	w.run(w.now + 5*time.Second)
-	n := w.nodes[id]
-	if n.m.self == former || n.m.Voting() {
-		t.Fatalf("it is still %s, or votes", former)
+func TestMemberWithNewDiskDoesNotCountUntilItIsVoter(t *testing.T) {
+	sim := newCluster(t, 2, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 7)
+	id, down := sim.ids[3], sim.ids[2]
+	formerIdentity := sim.nodes[id].replica.self
+	sim.crash(id, true)
+	sim.crash(down, false)
+	sim.runUntil(sim.now + 2*time.Second)
+	sim.start(id)
+	sim.runUntil(sim.now + 5*time.Second)
+	n := sim.nodes[id]
+	if n.replica.self == formerIdentity || n.replica.Voting() {
+		t.Fatalf("it is still %s, or votes", formerIdentity)
 	}
 	for _, m := range []Message{
-		{Body: &VoteRequest{Key: testKey, Epoch: Epoch{99, w.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
-		{Body: &Append{Key: testKey, Epoch: Epoch{99, w.ids[0], 1}, Base: Position{Epoch{99, w.ids[0], 1}, 5}, Seq: 6, Roster: Position{Epoch: Epoch{N: 99}}}},
+		{Body: &VoteRequest{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
+		{Body: &Append{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Base: Position{Epoch{99, sim.ids[0], 1}, 5}, Seq: 6, Roster: Position{Epoch: Epoch{N: 99}}}},
 		{Body: &StateQuery{Round: 1}},
 	} {
-		n.m.Take()
-		n.m.Handle(w.clock(n), w.ids[0], m)
-		for _, e := range n.m.Take().Send {
-			if said := idOf(id, e.Msg.Identity); said == former {
-				t.Fatalf("it answered %+v as %s", m, said)
+		n.replica.Take()
+		n.replica.Handle(sim.clock(n), sim.ids[0], m)
+		for _, e := range n.replica.Take().Send {
+			if sender := idOf(id, e.Msg.Identity); sender == formerIdentity {
+				t.Fatalf("it answered %+v as %s", m, sender)
 			}
 		}
 	}
-	for i, o := range w.ids[:2] { // two of four seats, and the wiped member's word
-		if err := w.put(w.nodes[o], "x", uint64(8+i)); err == nil {
+	for i, o := range sim.ids[:2] { // two of four seats, and the wiped member's word
+		if err := sim.put(sim.nodes[o], "x", uint64(8+i)); err == nil {
 			t.Fatalf("%s acknowledged without a majority of the seats", o)
 		}
-		if s := w.nodes[o].m.seats(); slices.Contains(s.all(), n.m.self) || !slices.Contains(s.newSeats, former) {
+		if s := sim.nodes[o].replica.voterSet(); slices.Contains(s.all(), n.replica.self) || !slices.Contains(s.newVoters, formerIdentity) {
 			t.Fatalf("%s has the roster %+v", o, s)
 		}
 	}
-	w.start(down)
-	w.run(w.now + 6*time.Second)
-	if !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen < 7 || slices.Contains(n.m.seats().all(), former) {
-		t.Fatalf("it did not get its seat back: %s %+v %+v", n.m.self, n.m.seats(), n.m.keys[testKey].Records)
+	sim.start(down)
+	sim.runUntil(sim.now + 6*time.Second)
+	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen < 7 || slices.Contains(n.replica.voterSet().all(), formerIdentity) {
+		t.Fatalf("it did not get its seat back: %s %+v %+v", n.replica.self, n.replica.voterSet(), n.replica.partitions[testPartition].Records)
 	}
 }
 
-func TestAFrozenOwnerIsFenced(t *testing.T) {
+func TestFrozenOwnerIsFenced(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		w := newWorld(t, seed, 4)
-		old := w.mustPut(t, "x", 1)
-		old.frozen = w.now + 8*time.Second // longer than any election takes
-		w.run(w.now + 500*time.Millisecond)
-		w.mustPut(t, "x", 2)
-		w.run(old.frozen - time.Millisecond)
+		sim := newCluster(t, seed, 4)
+		frozen := sim.mustPut(t, "x", 1)
+		frozen.frozenUntil = sim.now + 8*time.Second // longer than any election takes
+		sim.runUntil(sim.now + 500*time.Millisecond)
+		sim.mustPut(t, "x", 2)
+		sim.runUntil(frozen.frozenUntil - time.Millisecond)
 		// The first thing it hears when it wakes is an order.
-		if err := w.put(old, "x", 1); err == nil {
+		if err := sim.put(frozen, "x", 1); err == nil {
 			t.Fatalf("seed %d: the old owner acknowledged", seed)
 		}
-		w.run(w.now + 3*time.Second)
-		if got := w.settle(t).m.keys[testKey].Records["x"].Gen; got != 2 {
+		sim.runUntil(sim.now + 3*time.Second)
+		if got := sim.waitForOwner(t).replica.partitions[testPartition].Records["x"].Gen; got != 2 {
 			t.Fatalf("seed %d: x=%d", seed, got)
 		}
 	}
 }
 
-func TestAStalledDiskHandsItsKeysOver(t *testing.T) {
-	w := newWorld(t, 9, 4)
-	old := w.mustPut(t, "x", 1)
-	old.stall = w.now + 10*time.Second
-	begin := w.now
-	_ = w.put(old, "x", 2)
-	n := w.mustPut(t, "x", 3)
-	if n == old || w.now-begin > 3*time.Second {
-		t.Fatalf("%s acknowledged after %v", n.id, w.now-begin)
+func TestStalledDiskTransfersPartitions(t *testing.T) {
+	sim := newCluster(t, 9, 4)
+	old := sim.mustPut(t, "x", 1)
+	old.stalledUntil = sim.now + 10*time.Second
+	begin := sim.now
+	_ = sim.put(old, "x", 2)
+	n := sim.mustPut(t, "x", 3)
+	if n == old || sim.now-begin > 3*time.Second {
+		t.Fatalf("%s acknowledged after %v", n.id, sim.now-begin)
 	}
 }
 
-func TestRefusedWritesAreWrittenAgain(t *testing.T) {
-	w := newWorld(t, 4, 4)
-	n := w.mustPut(t, "x", 1)
-	for _, id := range w.ids {
-		w.nodes[id].refuse = 2
-	}
-	_ = w.put(n, "x", 2)
-	w.mustPut(t, "x", 3)
-	w.run(w.now + 2*time.Second)
-	if got := w.holders("x", 3); len(got) != 4 {
+func TestRefusedWritesAreRetried(t *testing.T) {
+	sim := newCluster(t, 4, 4)
+	n := sim.mustPut(t, "x", 1)
+	for _, id := range sim.ids {
+		sim.nodes[id].writesToRefuse = 2
+	}
+	_ = sim.put(n, "x", 2)
+	sim.mustPut(t, "x", 3)
+	sim.runUntil(sim.now + 2*time.Second)
+	if got := sim.machinesWithCopy("x", 3); len(got) != 4 {
 		t.Fatalf("copies at %v", got)
 	}
 }
 
 // A copy that has silently gone bad is found by its digests and mended.
-func TestDigestsFindAndMendABadCopy(t *testing.T) {
-	w := newWorld(t, 6, 4)
-	w.mustPut(t, "x", 5)
-	w.mustPut(t, "y", 6)
-	w.run(w.now + time.Second)
-	owner := w.settle(t)
-	for _, id := range w.ids {
+func TestDigestsRepairCorruptCopy(t *testing.T) {
+	sim := newCluster(t, 6, 4)
+	sim.mustPut(t, "x", 5)
+	sim.mustPut(t, "y", 6)
+	sim.runUntil(sim.now + time.Second)
+	owner := sim.waitForOwner(t)
+	for _, id := range sim.ids {
 		if id == owner.id {
 			continue
 		}
-		k := w.nodes[id].m.keys[testKey]
-		k.Records["x"] = Record{Name: "x", Gen: 4, Data: []byte("rotten")}
-		k.Sums = antientropy.Digest(k.Records)
+		part := sim.nodes[id].replica.partitions[testPartition]
+		part.Records["x"] = Record{Name: "x", Gen: 4, Data: []byte("rotten")}
+		part.Sums = antientropy.Digest(part.Records)
 		break
 	}
-	w.run(w.now + 2*time.Second)
-	for _, id := range w.ids {
-		if r := w.nodes[id].m.keys[testKey].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
+	sim.runUntil(sim.now + 2*time.Second)
+	for _, id := range sim.ids {
+		if r := sim.nodes[id].replica.partitions[testPartition].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
 			t.Fatalf("%s holds %+v", id, r)
 		}
 	}
 }
 
-func TestOnlyTheFirstStartFounds(t *testing.T) {
-	w := newWorld(t, 3, 4)
-	w.run(5 * time.Second)
-	for _, id := range w.ids { // all disks are lost, which is beyond any budget
-		w.crash(id, true)
-	}
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		w.start(id)
-	}
-	w.run(w.now + 10*time.Second)
-	for _, id := range w.ids {
-		if w.nodes[id].m.Voting() || len(w.nodes[id].m.Roster()) > 0 {
+func TestOnlyFirstStartBootstraps(t *testing.T) {
+	sim := newCluster(t, 3, 4)
+	sim.runUntil(5 * time.Second)
+	for _, id := range sim.ids { // all disks are lost, which is beyond any budget
+		sim.crash(id, true)
+	}
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		sim.start(id)
+	}
+	sim.runUntil(sim.now + 10*time.Second)
+	for _, id := range sim.ids {
+		if sim.nodes[id].replica.Voting() || len(sim.nodes[id].replica.Roster()) > 0 {
 			t.Fatalf("%s founded anew over a system that had a past", id)
 		}
 	}
 }
 
-func TestLeavingHandsOverAtOnce(t *testing.T) {
-	w := newWorld(t, 8, 4)
-	old := w.mustPut(t, "x", 1)
-	w.on(old.id, old.life, func() { old.m.Leave(w.now) })
-	begin := w.now
-	n := w.settle(t)
-	if n == old || w.now-begin > 600*time.Millisecond {
-		t.Fatalf("%s owns the key after %v", n.id, w.now-begin)
-	}
-	if n.m.keys[testKey].Records["x"].Gen != 1 {
+func TestLeavingTransfersPartitionsAtOnce(t *testing.T) {
+	sim := newCluster(t, 8, 4)
+	old := sim.mustPut(t, "x", 1)
+	sim.runOn(old.id, old.runID, func() { old.replica.Leave(sim.now) })
+	begin := sim.now
+	n := sim.waitForOwner(t)
+	if n == old || sim.now-begin > 600*time.Millisecond {
+		t.Fatalf("%s owns the key after %v", n.id, sim.now-begin)
+	}
+	if n.replica.partitions[testPartition].Records["x"].Gen != 1 {
 		t.Fatal("lost on the way")
 	}
 }
@@ -204,137 +204,137 @@
 
 // A member that is gone for good is retired; another takes its seat, and the
 // system again bears the loss of any one.
-func TestRetiringALostMember(t *testing.T) {
-	w := newWorld(t, 12, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 1)
-	gone := w.ids[2]
+func TestRetireLostMember(t *testing.T) {
+	sim := newCluster(t, 12, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 1)
+	lost := sim.ids[2]
 	retire := func(id string) (err error) {
 		for i := 0; i < 10; i++ {
 			var owner *node
-			for w.run(w.now + 200*time.Millisecond); owner == nil && w.now < time.Minute; w.run(w.now + 100*time.Millisecond) {
-				owner = w.holder(RosterKey)
+			for sim.runUntil(sim.now + 200*time.Millisecond); owner == nil && sim.now < time.Minute; sim.runUntil(sim.now + 100*time.Millisecond) {
+				owner = sim.ownerOf(RosterKey)
 			}
 			if owner == nil {
 				t.Fatal("the roster has no owner")
 			}
 			err = ErrNoQuorum
-			w.on(owner.id, owner.life, func() { owner.m.Retire(w.now, id, func(e error) { err = e }) })
-			w.run(w.now + 1500*time.Millisecond)
+			sim.runOn(owner.id, owner.runID, func() { owner.replica.Retire(sim.now, id, func(e error) { err = e }) })
+			sim.runUntil(sim.now + 1500*time.Millisecond)
 			if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNotOwner) {
 				return err
 			}
 		}
 		return err
 	}
-	if err := retire(gone); !errors.Is(err, ErrAlive) {
+	if err := retire(lost); !errors.Is(err, ErrAlive) {
 		t.Fatalf("a member at work: %v", err)
 	}
 	if err := retire("10.9.9.9:1"); !errors.Is(err, ErrUnknown) {
 		t.Fatalf("an unknown member: %v", err)
 	}
-	w.crash(gone, true)
-	w.run(w.now + 4*testBeat) // before others know, it counts as being at work
-	if err := retire(gone); err != nil {
+	sim.crash(lost, true)
+	sim.runUntil(sim.now + 4*testHeartbeat) // before others know, it counts as being at work
+	if err := retire(lost); err != nil {
 		t.Fatal(err)
 	}
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		if id != gone && len(w.nodes[id].m.Roster()) != 3 {
-			t.Fatalf("%s holds the roster %v", id, w.nodes[id].m.Roster())
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		if id != lost && len(sim.nodes[id].replica.Roster()) != 3 {
+			t.Fatalf("%s holds the roster %v", id, sim.nodes[id].replica.Roster())
 		}
 	}
-	other := w.ids[3]
-	w.crash(other, false)
+	other := sim.ids[3]
+	sim.crash(other, false)
 	if err := retire(other); !errors.Is(err, ErrTooFew) {
 		t.Fatalf("a third member: %v", err)
 	}
-	w.start(other)
-	fresh := "10.0.0.9:7661"
-	w.ids = append(w.ids, fresh)
-	w.nodes[fresh] = &node{id: fresh, disk: map[string][]byte{}}
-	w.start(fresh)
-	w.run(w.now + 6*time.Second)
-	if !w.nodes[fresh].m.Voting() {
+	sim.start(other)
+	replacement := "10.0.0.9:7661"
+	sim.ids = append(sim.ids, replacement)
+	sim.nodes[replacement] = &node{id: replacement, disk: map[string][]byte{}}
+	sim.start(replacement)
+	sim.runUntil(sim.now + 6*time.Second)
+	if !sim.nodes[replacement].replica.Voting() {
 		t.Fatal("the newcomer has no seat")
 	}
-	w.crash(w.ids[0], false)
-	w.mustPut(t, "x", 2)
-	if got := w.holders("x", 2); len(got) < 3 {
+	sim.crash(sim.ids[0], false)
+	sim.mustPut(t, "x", 2)
+	if got := sim.machinesWithCopy("x", 2); len(got) < 3 {
 		t.Fatalf("copies at %v", got)
 	}
 	// The retired one comes back after all, with its old disk or without.
-	w.start(w.ids[0])
-	w.start(gone)
-	w.run(w.now + 8*time.Second)
-	if n := w.nodes[gone]; !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen != 2 {
+	sim.start(sim.ids[0])
+	sim.start(lost)
+	sim.runUntil(sim.now + 8*time.Second)
+	if n := sim.nodes[lost]; !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
 		t.Fatal("it did not come back as a new member")
 	}
 }
 
 // A retired member whose disk is whole believes in a roster of its own past.
-func TestARetiredMemberWithItsDiskStartsOver(t *testing.T) {
-	w := newWorld(t, 13, 4)
-	w.run(6 * time.Second) // all four have their seats
-	w.mustPut(t, "x", 1)
-	gone := w.ids[1]
-	w.crash(gone, false)
+func TestRetiredMemberRejoinsAsNewMember(t *testing.T) {
+	sim := newCluster(t, 13, 4)
+	sim.runUntil(6 * time.Second) // all four have their seats
+	sim.mustPut(t, "x", 1)
+	retired := sim.ids[1]
+	sim.crash(retired, false)
 	ok := false
-	for ; !ok; w.run(w.now + 500*time.Millisecond) {
-		if w.now > time.Minute {
+	for ; !ok; sim.runUntil(sim.now + 500*time.Millisecond) {
+		if sim.now > time.Minute {
 			t.Fatal("never retired")
 		}
-		for _, id := range w.ids {
-			if n := w.nodes[id]; n.up && n.m.keys[RosterKey].role == roleOwner {
-				w.on(id, n.life, func() { n.m.Retire(w.now, gone, func(e error) { ok = ok || e == nil }) })
+		for _, id := range sim.ids {
+			if n := sim.nodes[id]; n.up && n.replica.partitions[RosterKey].role == roleOwner {
+				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { ok = ok || e == nil }) })
 			}
 		}
 	}
-	w.mustPut(t, "x", 2)
-	w.start(gone)
-	w.run(w.now + 10*time.Second)
-	n := w.nodes[gone]
-	if !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen != 2 || len(w.settle(t).m.Roster()) != 4 {
-		t.Fatalf("voting %v, x=%d, roster %v", n.m.Voting(), n.m.keys[testKey].Records["x"].Gen, n.m.Roster())
+	sim.mustPut(t, "x", 2)
+	sim.start(retired)
+	sim.runUntil(sim.now + 10*time.Second)
+	n := sim.nodes[retired]
+	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 || len(sim.waitForOwner(t).replica.Roster()) != 4 {
+		t.Fatalf("voting %v, x=%d, roster %v", n.replica.Voting(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Roster())
 	}
 }
 
 // Keys that a failure has gathered go back to their first heir, but only after
 // a long calm, and nothing is lost on the way.
-func TestKeysGoBackToTheirFirstHeir(t *testing.T) {
-	w := newWorld(t, 21, 4)
-	w.run(6 * time.Second)
-	heir := w.settle(t).m.Heirs(testKey)[0]
-	w.crash(heir, false)
-	w.mustPut(t, "x", 1)
-	w.start(heir)
+func TestPartitionsReturnToFirstSuccessor(t *testing.T) {
+	sim := newCluster(t, 21, 4)
+	sim.runUntil(6 * time.Second)
+	successor := sim.waitForOwner(t).replica.Heirs(testPartition)[0]
+	sim.crash(successor, false)
+	sim.mustPut(t, "x", 1)
+	sim.start(successor)
 	back := time.Duration(0)
-	for begin := w.now; back == 0 && w.now < begin+30*time.Second; w.run(w.now + 100*time.Millisecond) {
-		if w.nodes[heir].m.keys[testKey].role == roleOwner {
-			back = w.now - begin
+	for begin := sim.now; back == 0 && sim.now < begin+30*time.Second; sim.runUntil(sim.now + 100*time.Millisecond) {
+		if sim.nodes[successor].replica.partitions[testPartition].role == roleOwner {
+			back = sim.now - begin
 		}
 	}
 	if back < 4*time.Second {
 		t.Fatalf("the key went back after %v (0: never)", back)
 	}
-	w.mustPut(t, "x", 2)
-	if n := w.settle(t); n.id != heir || n.m.keys[testKey].Records["x"].Gen != 2 {
-		t.Fatalf("%s owns x=%d", n.id, n.m.keys[testKey].Records["x"].Gen)
+	sim.mustPut(t, "x", 2)
+	if n := sim.waitForOwner(t); n.id != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+		t.Fatalf("%s owns x=%d", n.id, n.replica.partitions[testPartition].Records["x"].Gen)
 	}
 }
 
 // The disks of a version that knew no identities: seats are addresses. They go on
 // working, and are renewed without a person's hand.
-func TestSeatsWithoutIdentitiesAreRenewed(t *testing.T) {
-	w := newWorld(t, 31, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 1)
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		w.crash(id, false)
-	}
-	for _, id := range w.ids {
-		disk := w.nodes[id].disk
+func TestVotersWithoutIdentitiesAreRenewed(t *testing.T) {
+	sim := newCluster(t, 31, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 1)
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		sim.crash(id, false)
+	}
+	for _, id := range sim.ids {
+		disk := sim.nodes[id].disk
 		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
@@ -346,37 +346,37 @@
 				}
 			}
 		}
-		w.start(id)
+		sim.start(id)
 	}
-	w.mustPut(t, "x", 2)
-	w.run(w.now + 8*time.Second)
-	for _, id := range w.ids {
-		s := w.nodes[id].m.seats()
-		if len(s.newSeats) != 4 || s.joint || !slices.Contains(s.newSeats, w.nodes[id].m.self) {
+	sim.mustPut(t, "x", 2)
+	sim.runUntil(sim.now + 8*time.Second)
+	for _, id := range sim.ids {
+		s := sim.nodes[id].replica.voterSet()
+		if len(s.newVoters) != 4 || s.joint || !slices.Contains(s.newVoters, sim.nodes[id].replica.self) {
 			t.Fatalf("%s has the roster %+v", id, s)
 		}
 	}
-	w.crash(w.ids[1], true) // a wiped one counts for nothing, as ever
-	w.mustPut(t, "x", 3)
+	sim.crash(sim.ids[1], true) // a wiped one counts for nothing, as ever
+	sim.mustPut(t, "x", 3)
 }
 
 // After everything has stopped at once, those who kept their disks do not wait for a first
 // heir that has come back without its own: it may own nothing yet.
-func TestAWipedFirstHeirIsNotWaitedFor(t *testing.T) {
+func TestElectionDoesNotWaitForWipedFirstSuccessor(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		w := newWorld(t, seed, 5)
-		w.run(6 * time.Second)
-		heir := w.mustPut(t, "x", 1).m.Heirs(testKey)[0]
-		for _, id := range w.ids {
-			w.crash(id, id == heir)
+		sim := newCluster(t, seed, 5)
+		sim.runUntil(6 * time.Second)
+		successor := sim.mustPut(t, "x", 1).replica.Heirs(testPartition)[0]
+		for _, id := range sim.ids {
+			sim.crash(id, id == successor)
 		}
-		w.run(w.now + time.Second)
-		for _, id := range w.ids {
-			w.start(id)
+		sim.runUntil(sim.now + time.Second)
+		for _, id := range sim.ids {
+			sim.start(id)
 		}
-		begin := w.now
-		n := w.settle(t)
-		if took := w.now - begin; n.id == heir || took > testBeat {
+		begin := sim.now
+		n := sim.waitForOwner(t)
+		if took := sim.now - begin; n.id == successor || took > testHeartbeat {
 			t.Errorf("seed %d: %s owns the key after %v", seed, n.id, took)
 		}
 	}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// TestClosingFaultAfterReplacements replaces three machines one after the other, with a
+// TestDiskLossAfterReplacements replaces three machines one after the other, with a
 // planned replacement that crosses them, each as soon as the budget allows. Then as many
 // disks as it allows are lost right after an acknowledgement, and all others lose power.
-func TestClosingFaultAfterReplacements(t *testing.T) {
+func TestDiskLossAfterReplacements(t *testing.T) {
 	for _, c := range []struct {
 		members, faults, zones int
-		aim                    aim
+		target                 failureTarget
 	}{
-		{5, 2, 3, any_}, {5, 2, 5, owner}, {5, 2, 4, newcomer},
-		{8, 2, 4, any_}, {8, 2, 4, owner}, {8, 2, 4, newcomer},
-		{6, 2, 3, keeper}, {4, 1, 3, any_}, {4, 1, 4, owner}, {4, 1, 4, newcomer},
+		{5, 2, 3, anyMachine}, {5, 2, 5, owner}, {5, 2, 4, newcomer},
+		{8, 2, 4, anyMachine}, {8, 2, 4, owner}, {8, 2, 4, newcomer},
+		{6, 2, 3, voterSetOwner}, {4, 1, 3, anyMachine}, {4, 1, 4, owner}, {4, 1, 4, newcomer},
 	} {
-		t.Run(fmt.Sprintf("%d of %d in %d zones, %s", c.faults, c.members, c.zones, targetNames[c.aim]), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d of %d in %d zones, %s", c.faults, c.members, c.zones, targetNames[c.target]), func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 8; seed++ {
 				s := schedule{seed: seed, members: c.members, faults: c.faults, zones: c.zones}
-				for i, k := range []kind{replace, replace, planned, replace} {
-					s.failures = append(s.failures, failure{kind: k, aim: aim((int(seed) + i) % int(failureTargets)), who: int(seed) + i, count: 1, more: time.Duration(seed) * 300 * time.Millisecond})
+				for i, kind := range []failureKind{replace, replace, plannedReplacement, replace} {
+					s.failures = append(s.failures, failure{kind: kind, target: failureTarget((int(seed) + i) % int(failureTargetCount)), index: int(seed) + i, count: 1, replaceAfter: time.Duration(seed) * 300 * time.Millisecond})
 				}
-				s.closing = &failure{kind: wipePower, aim: c.aim, who: int(seed), count: c.faults, hold: time.Second, more: 12 * time.Second}
-				if broken, _ := perform(s); broken != "" {
+				s.lastFailure = &failure{kind: wipeAndPowerLoss, target: c.target, index: int(seed), count: c.faults, duration: time.Second, replaceAfter: 12 * time.Second}
+				if broken, _ := runSchedule(s); broken != "" {
 					t.Fatalf("%s\n%v", broken, s)
 				}
 			}
@@ -35,163 +35,163 @@
 	}
 }
 
-// TestAFrozenOwnerTellsNothingOld asks an owner for a read the moment it wakes, after
+// TestFrozenOwnerServesNoStaleReads asks an owner for a read the moment it wakes, after
 // another has taken its place.
-func TestAFrozenOwnerTellsNothingOld(t *testing.T) {
+func TestFrozenOwnerServesNoStaleReads(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		w := newWorldWithVoters(t, seed, 4, 1, 4)
-		w.mustPut(t, "x", 1)
-		old := w.settle(t)
-		w.inject(failure{kind: cutOff, who: slices.IndexFunc(w.sound(), func(n *node) bool { return n == old }), count: 1, hold: 30 * time.Second})
-		old.frozen = w.now + 10*time.Second
-		w.run(w.now + 5*time.Second)
-		if n := w.mustPut(t, "x", 2); n == old {
+		sim := newClusterWithVoters(t, seed, 4, 1, 4)
+		sim.mustPut(t, "x", 1)
+		frozen := sim.waitForOwner(t)
+		sim.injectFailure(failure{kind: cutOff, index: slices.IndexFunc(sim.healthy(), func(n *node) bool { return n == frozen }), count: 1, duration: 30 * time.Second})
+		frozen.frozenUntil = sim.now + 10*time.Second
+		sim.runUntil(sim.now + 5*time.Second)
+		if n := sim.mustPut(t, "x", 2); n == frozen {
 			t.Fatalf("seed %d: the frozen owner answered", seed)
 		}
-		w.floors[testKey+"/x"] = 2
-		w.run(old.frozen - time.Millisecond)
-		w.read(old.id, testKey, func(err error) {
+		sim.minVersions[testPartition+"/x"] = 2
+		sim.runUntil(frozen.frozenUntil - time.Millisecond)
+		sim.readPartition(frozen.id, testPartition, func(err error) {
 			if err == nil {
 				t.Fatalf("seed %d: it was answered", seed)
 			}
 		})
-		w.run(w.now + 2*time.Second)
+		sim.runUntil(sim.now + 2*time.Second)
 	}
 }
 
-// TestAWipedVoterForgetsNothingThatCounts has a change on just three of five disks. Two
+// TestWipedVotersLoseNoAcknowledgedChange has a change on just three of five disks. Two
 // of them are lost, everything loses power, and the third comes back last.
-func TestAWipedVoterForgetsNothingThatCounts(t *testing.T) {
+func TestWipedVotersLoseNoAcknowledgedChange(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		w, o := newCalmWorld(t, seed, 5, 2, 5, time.Second)
-		others := w.others(o)
-		w.drop = func(from string, e Envelope) bool {
-			return from == o.id && (e.To == others[2].id || e.To == others[3].id) && as[*Append](e.Msg) != nil && as[*Append](e.Msg).Key == testKey
+		sim, owner := newLosslessCluster(t, seed, 5, 2, 5, time.Second)
+		others := sim.machinesExcept(owner)
+		sim.drop = func(from string, e Envelope) bool {
+			return from == owner.id && (e.To == others[2].id || e.To == others[3].id) && bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Key == testPartition
 		}
-		if err := w.put(o, "x", 2); err != nil {
+		if err := sim.put(owner, "x", 2); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if got := w.holders("x", 2); len(got) != 3 {
+		if got := sim.machinesWithCopy("x", 2); len(got) != 3 {
 			t.Fatalf("seed %d: copies at %v", seed, got)
 		}
-		w.drop = nil
-		for i, n := range append(others, o) {
-			w.crash(n.id, i < 2)
+		sim.drop = nil
+		for i, n := range append(others, owner) {
+			sim.crash(n.id, i < 2)
 		}
 		for _, n := range others {
-			w.start(n.id)
+			sim.start(n.id)
 		}
-		for end := w.now + 4*time.Second; w.now < end; w.run(w.now + 50*time.Millisecond) {
-			if n := w.holder(testKey); n != nil {
+		for end := sim.now + 4*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
+			if n := sim.ownerOf(testPartition); n != nil {
 				t.Fatalf("seed %d: %s owns the key, with two disks that are new", seed, n.id)
 			}
 		}
-		w.start(o.id)
-		w.until("all hold everything", 12*time.Second, w.seated)
-		if n := w.settle(t); n.m.keys[testKey].Records["x"].Gen != 2 {
+		sim.start(owner.id)
+		sim.waitFor("all hold everything", 12*time.Second, sim.voterSetProblem)
+		if n := sim.waitForOwner(t); n.replica.partitions[testPartition].Records["x"].Gen != 2 {
 			t.Fatalf("seed %d: lost", seed)
 		}
 	}
 }
 
-// TestAFrozenOwnerWhileAMemberIsReseated freezes an owner with a change under way. A
+// TestFrozenOwnerWhileVoterIsReplaced freezes an owner with a change under way. A
 // member loses its disk meanwhile and gets its seat anew.
-func TestAFrozenOwnerWhileAMemberIsReseated(t *testing.T) {
+func TestFrozenOwnerWhileVoterIsReplaced(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		w := newWorldWithVoters(t, seed, 5, 2, 5)
-		w.extra = true
-		w.mustPut(t, "x", 1)
-		w.run(w.now + time.Second)
-		o := w.settle(t)
-		told := false
-		w.on(o.id, o.life, func() {
-			o.m.Propose(w.clock(o), testKey, func(map[string]Record) ([]Record, error) {
+		sim := newClusterWithVoters(t, seed, 5, 2, 5)
+		sim.duplicates = true
+		sim.mustPut(t, "x", 1)
+		sim.runUntil(sim.now + time.Second)
+		owner := sim.waitForOwner(t)
+		acknowledged := false
+		sim.runOn(owner.id, owner.runID, func() {
+			owner.replica.Propose(sim.clock(owner), testPartition, func(map[string]Record) ([]Record, error) {
 				return []Record{{Name: "x", Gen: 2, Data: []byte("old")}}, nil
-			}, func(err error) { told = err == nil })
+			}, func(err error) { acknowledged = err == nil })
 		})
-		w.freeze(o, 12*time.Second)
-		w.run(w.now + time.Duration(seed)*100*time.Millisecond)
-		var a *node
-		for _, id := range w.ids {
-			if n := w.nodes[id]; n != o && n.m.keys[RosterKey].role != roleOwner {
-				a = n
+		sim.freeze(owner, 12*time.Second)
+		sim.runUntil(sim.now + time.Duration(seed)*100*time.Millisecond)
+		var wiped *node
+		for _, id := range sim.ids {
+			if n := sim.nodes[id]; n != owner && n.replica.partitions[RosterKey].role != roleOwner {
+				wiped = n
 				break
 			}
 		}
-		w.crash(a.id, true)
-		w.run(w.now + 500*time.Millisecond)
-		w.start(a.id)
-		w.run(w.now + 6*time.Second)
-		if !a.m.Voting() {
+		sim.crash(wiped.id, true)
+		sim.runUntil(sim.now + 500*time.Millisecond)
+		sim.start(wiped.id)
+		sim.runUntil(sim.now + 6*time.Second)
+		if !wiped.replica.Voting() {
 			t.Fatalf("seed %d: the member that lost its disk has no seat", seed)
 		}
-		n := w.mustPut(t, "x", 3)
-		if n == o {
+		n := sim.mustPut(t, "x", 3)
+		if n == owner {
 			t.Fatalf("seed %d: the frozen owner answered", seed)
 		}
-		w.run(w.now + 15*time.Second)
-		if told && w.content[testKey+"/x/2"] != "old" {
+		sim.runUntil(sim.now + 15*time.Second)
+		if acknowledged && sim.contents[testPartition+"/x/2"] != "old" {
 			t.Fatalf("seed %d: told of what was never committed", seed)
 		}
-		w.until("all hold everything", 10*time.Second, w.seated)
-		if got := w.settle(t).m.keys[testKey].Records["x"].Gen; got != 3 {
+		sim.waitFor("all hold everything", 10*time.Second, sim.voterSetProblem)
+		if got := sim.waitForOwner(t).replica.partitions[testPartition].Records["x"].Gen; got != 3 {
 			t.Fatalf("seed %d: x=%d", seed, got)
 		}
 	}
 }
 
-// TestANewcomerGetsItsSeatSoon starts a member in calm, and under a storm of changes.
-func TestANewcomerGetsItsSeatSoon(t *testing.T) {
-	for _, stormy := range []bool{false, true} {
+// TestNewMemberBecomesVoterSoon starts a member in calm, and under a storm of changes.
+func TestNewMemberBecomesVoterSoon(t *testing.T) {
+	for _, underLoad := range []bool{false, true} {
 		for _, members := range []int{4, 5, 8} {
 			for seed := int64(1); seed <= 8; seed++ {
-				w := newWorldWithVoters(t, seed, members, 1+members/5, 4)
-				w.mustPut(t, "x", 1)
-				if stormy {
-					w.inject(failure{kind: storm, hold: 20 * time.Second})
+				sim := newClusterWithVoters(t, seed, members, 1+members/5, 4)
+				sim.mustPut(t, "x", 1)
+				if underLoad {
+					sim.injectFailure(failure{kind: changeStream, duration: 20 * time.Second})
 				}
-				w.run(w.now + 3*time.Second)
-				n := w.successor()
-				w.until(fmt.Sprintf("the newcomer of %d (seed %d, storm %v) has its seat", members, seed, stormy), 3*time.Second, func() string {
-					if n.m.mayOwn() && !n.m.seats().joint && n.m.keys[RosterKey].commit == n.m.keys[RosterKey].position {
+				sim.runUntil(sim.now + 3*time.Second)
+				n := sim.startReplacement()
+				sim.waitFor(fmt.Sprintf("the newcomer of %d (seed %d, storm %v) has its seat", members, seed, underLoad), 3*time.Second, func() string {
+					if n.replica.mayOwn() && !n.replica.voterSet().joint && n.replica.partitions[RosterKey].commit == n.replica.partitions[RosterKey].position {
 						return ""
 					}
-					return fmt.Sprint(*n.m.seats())
+					return fmt.Sprint(*n.replica.voterSet())
 				})
 			}
 		}
 	}
 }
 
-// TestACutOneWayDeposesNoSoundOwner cuts one member off one way for 20 s.
-func TestACutOneWayDeposesNoSoundOwner(t *testing.T) {
-	for _, k := range []kind{mute, deaf} {
-		for who := 0; who < 4; who++ {
-			t.Run(fmt.Sprint(kindNames[k], who), func(t *testing.T) {
-				w, _ := newCalmWorld(t, int64(who+1), 4, 1, 4, 3*time.Second)
-				keys := append([]string{RosterKey}, w.keys...)
+// TestOneWayCutDoesNotDeposeHealthyOwner cuts one member off one way for 20 s.
+func TestOneWayCutDoesNotDeposeHealthyOwner(t *testing.T) {
+	for _, kind := range []failureKind{cutOutgoing, cutIncoming} {
+		for index := 0; index < 4; index++ {
+			t.Run(fmt.Sprint(kindNames[kind], index), func(t *testing.T) {
+				sim, _ := newLosslessCluster(t, int64(index+1), 4, 1, 4, 3*time.Second)
+				partitions := append([]string{RosterKey}, sim.partitions...)
 				before := map[string]Epoch{}
-				for _, key := range keys {
-					before[key] = w.holder(key).m.keys[key].ownEpoch
+				for _, key := range partitions {
+					before[key] = sim.ownerOf(key).replica.partitions[key].ownEpoch
 				}
-				cut := w.nodes[w.ids[who]]
-				w.inject(failure{kind: k, who: who, count: 1, hold: 20 * time.Second})
-				without := map[string]time.Duration{}
-				for begin := w.now; w.now < begin+22*time.Second; w.run(w.now + 50*time.Millisecond) {
-					for _, key := range keys {
+				cut := sim.nodes[sim.ids[index]]
+				sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 20 * time.Second})
+				unservedFor := map[string]time.Duration{}
+				for begin := sim.now; sim.now < begin+22*time.Second; sim.runUntil(sim.now + 50*time.Millisecond) {
+					for _, key := range partitions {
 						served := false
-						for _, id := range w.ids {
-							n := w.nodes[id]
-							kk := n.m.keys[key]
-							served = served || kk.role == roleOwner && w.clock(n)-kk.quorumAt <= testVacant && kk.commit.Epoch == kk.ownEpoch
+						for _, id := range sim.ids {
+							n := sim.nodes[id]
+							part := n.replica.partitions[key]
+							served = served || part.role == roleOwner && sim.clock(n)-part.quorumAt <= testElectionTimeout && part.commit.Epoch == part.ownEpoch
 						}
 						if !served {
-							if without[key] += 50 * time.Millisecond; without[key] > 2*testVacant {
-								t.Fatalf("%s had no owner for %v", key, without[key])
+							if unservedFor[key] += 50 * time.Millisecond; unservedFor[key] > 2*testElectionTimeout {
+								t.Fatalf("%s had no owner for %v", key, unservedFor[key])
 							}
 						}
-						if o := w.holder(key); before[key].Owner != cut.id && o != nil && o.m.keys[key].ownEpoch != before[key] && w.now < begin+20*time.Second {
-							t.Fatalf("%v of %s was deposed by %v", before[key], key, o.m.keys[key].ownEpoch)
+						if o := sim.ownerOf(key); before[key].Owner != cut.id && o != nil && o.replica.partitions[key].ownEpoch != before[key] && sim.now < begin+20*time.Second {
+							t.Fatalf("%v of %s was deposed by %v", before[key], key, o.replica.partitions[key].ownEpoch)
 						}
 					}
 				}
@@ -200,62 +200,62 @@
 	}
 }
 
-// TestALeavingMemberWaitsForTheOthers lets nobody take what a leaving member holds.
-func TestALeavingMemberWaitsForTheOthers(t *testing.T) {
+// TestLeavingMemberWaitsForReplication lets nobody take what a leaving member holds.
+func TestLeavingMemberWaitsForReplication(t *testing.T) {
 	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 5; seed++ {
-			w := newWorldWithVoters(t, seed, c.members, c.faults, 4)
-			w.calm = true
-			w.mustPut(t, "x", 1)
-			n := w.settle(t)
-			w.run(w.now + time.Second)
-			w.drop = func(from string, e Envelope) bool {
-				return as[*Append](e.Msg) != nil && as[*Append](e.Msg).Key == testKey || as[*SnapshotChunk](e.Msg) != nil || as[*AppendAck](e.Msg) != nil && as[*AppendAck](e.Msg).Key == testKey
+			sim := newClusterWithVoters(t, seed, c.members, c.faults, 4)
+			sim.lossless = true
+			sim.mustPut(t, "x", 1)
+			n := sim.waitForOwner(t)
+			sim.runUntil(sim.now + time.Second)
+			sim.drop = func(from string, e Envelope) bool {
+				return bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Key == testPartition || bodyAs[*SnapshotChunk](e.Msg) != nil || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).Key == testPartition
 			}
-			_ = w.put(n, "x", 2) // only the leaving member may hold it
-			w.on(n.id, n.life, func() { n.m.Leave(w.clock(n)) })
-			for end := w.now + 3*time.Second; w.now < end; w.run(w.now + 50*time.Millisecond) {
-				if n.m.MayGo(w.clock(n)) && n.m.hasSeat() {
-					t.Fatalf("%d members, seed %d: it may go with x=2 at %v", c.members, seed, w.holders("x", 2))
+			_ = sim.put(n, "x", 2) // only the leaving member may hold it
+			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
+			for end := sim.now + 3*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
+				if n.replica.MayGo(sim.clock(n)) && n.replica.isVoter() {
+					t.Fatalf("%d members, seed %d: it may go with x=2 at %v", c.members, seed, sim.machinesWithCopy("x", 2))
 				}
 			}
-			w.drop = nil
-			begin := w.now
-			w.until("the member may go", 5*time.Second, func() string {
-				if n.m.MayGo(w.clock(n)) {
+			sim.drop = nil
+			begin := sim.now
+			sim.waitFor("the member may go", 5*time.Second, func() string {
+				if n.replica.MayGo(sim.clock(n)) {
 					return ""
 				}
-				return fmt.Sprint(*n.m.seats())
+				return fmt.Sprint(*n.replica.voterSet())
 			})
-			if took := w.now - begin; took > 4*time.Second {
+			if took := sim.now - begin; took > 4*time.Second {
 				t.Fatalf("%d members, seed %d: it waits for %v", c.members, seed, took)
 			}
-			if s := w.holder(RosterKey); s != nil && len(s.m.seats().newSeats) > s.m.minSeats() && slices.Contains(s.m.seats().newSeats, n.m.self) {
+			if s := sim.ownerOf(RosterKey); s != nil && len(s.replica.voterSet().newVoters) > s.replica.minVoters() && slices.Contains(s.replica.voterSet().newVoters, n.replica.self) {
 				t.Fatalf("%d members, seed %d: it may go with a seat that isn't needed", c.members, seed)
 			}
 		}
 	}
 }
 
-// TestAMemberThatLeavesInCalmMayGoSoon also has its seat taken if the others need it
+// TestMemberLeavesSoonWithoutFailures also has its seat taken if the others need it
 // less than they would mind its silence.
-func TestAMemberThatLeavesInCalmMayGoSoon(t *testing.T) {
+func TestMemberLeavesSoonWithoutFailures(t *testing.T) {
 	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 1}, {5, 2}, {6, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 8; seed++ {
-			w := newWorldWithVoters(t, seed, c.members, c.faults, 4)
-			w.calm = true
-			w.mustPut(t, "x", 1)
-			w.run(w.now + time.Second)
-			n := w.nodes[w.ids[int(seed)%c.members]]
-			w.on(n.id, n.life, func() { n.m.Leave(w.clock(n)) })
-			begin := w.now
-			w.until("the member may go", 2*time.Second, func() string {
-				if n.m.MayGo(w.clock(n)) {
+			sim := newClusterWithVoters(t, seed, c.members, c.faults, 4)
+			sim.lossless = true
+			sim.mustPut(t, "x", 1)
+			sim.runUntil(sim.now + time.Second)
+			n := sim.nodes[sim.ids[int(seed)%c.members]]
+			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
+			begin := sim.now
+			sim.waitFor("the member may go", 2*time.Second, func() string {
+				if n.replica.MayGo(sim.clock(n)) {
 					return ""
 				}
-				return fmt.Sprint(c, seed, *n.m.seats())
+				return fmt.Sprint(c, seed, *n.replica.voterSet())
 			})
-			t.Logf("%+v seed %d: after %v", c, seed, w.now-begin)
+			t.Logf("%+v seed %d: after %v", c, seed, sim.now-begin)
 		}
 	}
 }
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -16,27 +16,27 @@
 type schedule struct {
 	seed                   int64
 	members, faults, zones int
-	older                  int  // see world
-	rivals                 bool // operators race each other: see rivals_test.go
+	olderEvery             int  // see world
+	competing              bool // operators race each other: see rivals_test.go
 	failures               []failure
-	closing                *failure
+	lastFailure            *failure
 }
 
 func (s schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "schedule{seed: %d, members: %d, faults: %d, zones: %d", s.seed, s.members, s.faults, s.zones)
-	if s.older > 0 {
-		fmt.Fprintf(&b, ", older: %d", s.older)
+	if s.olderEvery > 0 {
+		fmt.Fprintf(&b, ", olderEvery: %d", s.olderEvery)
 	}
-	if s.rivals {
-		b.WriteString(", rivals: true")
+	if s.competing {
+		b.WriteString(", competing: true")
 	}
 	put := func(t failure) string {
-		out := "{" + fmt.Sprintf("kind: %s, aim: %s, who: %d, count: %d", kindNames[t.kind], targetNames[t.aim], t.who, t.count)
+		out := "{" + fmt.Sprintf("kind: %s, target: %s, index: %d, count: %d", kindNames[t.kind], targetNames[t.target], t.index, t.count)
 		for _, d := range []struct {
 			name string
 			d    time.Duration
-		}{{"gap", t.gap}, {"hold", t.hold}, {"more", t.more}} {
+		}{{"delay", t.delay}, {"duration", t.duration}, {"replaceAfter", t.replaceAfter}} {
 			if d.d > 0 {
 				out += fmt.Sprintf(", %s: %d * time.Millisecond", d.name, d.d/time.Millisecond)
 			}
@@ -48,14 +48,14 @@
 		b.WriteString("\n\t" + put(t) + ",")
 	}
 	b.WriteString("\n}")
-	if s.closing != nil {
-		b.WriteString(", closing: &failure" + put(*s.closing))
+	if s.lastFailure != nil {
+		b.WriteString(", lastFailure: &failure" + put(*s.lastFailure))
 	}
 	return b.String() + "}"
 }
 
-// draw draws the schedule of a seed.
-func draw(seed int64) schedule {
+// randomSchedule draws the schedule of a seed.
+func randomSchedule(seed int64) schedule {
 	r := rand.New(rand.NewSource(seed))
 	ms := func(least, spread int) time.Duration { return time.Duration(least+r.Intn(spread)) * time.Millisecond }
 	s := schedule{seed: seed, members: 4, faults: 1, zones: 3 + r.Intn(3)}
@@ -71,159 +71,159 @@
 		s.members, s.faults = 8, 2
 	}
 	if seed%3 == 0 {
-		s.older = 2
+		s.olderEvery = 2
 	}
-	s.rivals = seed%2 == 0
-	one := func(k kind) failure {
-		t := failure{kind: k, who: r.Intn(100), count: 1 + r.Intn(s.faults), hold: ms(300, 3500)}
+	s.competing = seed%2 == 0
+	randomFailure := func(k failureKind) failure {
+		t := failure{kind: k, index: r.Intn(100), count: 1 + r.Intn(s.faults), duration: ms(300, 3500)}
 		if r.Intn(2) == 0 {
-			t.aim = aim(r.Intn(int(failureTargets)))
+			t.target = failureTarget(r.Intn(int(failureTargetCount)))
 		}
 		if r.Intn(2) == 0 {
-			t.gap = ms(1, 3000)
+			t.delay = ms(1, 3000)
 		}
 		switch k {
-		case cutOff, mute, deaf, link, freeze:
+		case cutOff, cutOutgoing, cutIncoming, cutPair, freeze:
 			if r.Intn(3) == 0 {
-				t.hold = ms(8000, 15000)
+				t.duration = ms(8000, 15000)
 			}
 		case replace:
-			t.more = ms(200, 6000)
+			t.replaceAfter = ms(200, 6000)
 		case replaceFrozen:
-			t.hold, t.more = ms(4000, 12000), ms(200, 4000)
-		case storm:
-			t.hold = ms(2000, 6000)
-		case noise:
-			t.hold = ms(500, 2500)
-		case wipePower:
-			t.more = ms(500, 4000)
+			t.duration, t.replaceAfter = ms(4000, 12000), ms(200, 4000)
+		case changeStream:
+			t.duration = ms(2000, 6000)
+		case lossyNetwork:
+			t.duration = ms(500, 2500)
+		case wipeAndPowerLoss:
+			t.replaceAfter = ms(500, 4000)
 		}
 		return t
 	}
 	for n := 5 + r.Intn(6); len(s.failures) < n; {
-		switch k := kind(r.Intn(int(kinds))); k {
-		case leave: // a rolling restart
+		switch k := failureKind(r.Intn(int(failureKinds))); k {
+		case drain: // a rolling restart
 			for i := 0; i < s.members; i++ {
-				s.failures = append(s.failures, failure{kind: leave, who: i, count: 1, hold: ms(300, 1200)})
+				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: ms(300, 1200)})
 			}
-		case cutOff, mute, deaf, link: // many in a row
+		case cutOff, cutOutgoing, cutIncoming, cutPair: // many in a row
 			for i := 1 + r.Intn(3); i > 0; i-- {
-				s.failures = append(s.failures, one([]kind{cutOff, mute, deaf, link}[r.Intn(4)]))
+				s.failures = append(s.failures, randomFailure([]failureKind{cutOff, cutOutgoing, cutIncoming, cutPair}[r.Intn(4)]))
 			}
 		default:
-			s.failures = append(s.failures, one(k))
+			s.failures = append(s.failures, randomFailure(k))
 		}
 	}
 	if r.Intn(5) > 0 {
-		c := one([]kind{killAll, wipe, wipePower, wipePower}[r.Intn(4)])
-		c.gap, c.count, c.more, c.hold = 0, s.faults, ms(500, 12000), ms(300, 1500)
-		s.closing = &c
+		last := randomFailure([]failureKind{killAll, wipe, wipeAndPowerLoss, wipeAndPowerLoss}[r.Intn(4)])
+		last.delay, last.count, last.replaceAfter, last.duration = 0, s.faults, ms(500, 12000), ms(300, 1500)
+		s.lastFailure = &last
 	}
 	return s
 }
 
-// modelFailure is a broken rule.
-type modelFailure string
+// brokenRule is a broken rule.
+type brokenRule string
 
-// perform runs a schedule and says which rule broke, if any.
-func perform(s schedule) (broken string, w *world) {
+// runSchedule runs a schedule and says which rule broke, if any.
+func runSchedule(s schedule) (broken string, sim *cluster) {
 	defer func() {
 		switch f := recover().(type) {
 		case nil:
-		case modelFailure:
+		case brokenRule:
 			broken = string(f)
 		default:
 			panic(f)
 		}
 	}()
-	w = emptyWorld(s.seed, s.faults)
-	w.fatal = func(format string, args ...any) { panic(modelFailure(fmt.Sprintf(format, args...))) }
-	w.extra = true
-	w.older = s.older
-	w.keys = []string{testKey, "evacuation/a", "evacuation/b"}
-	w.schedule, w.newest = s, s.members
-	w.found(s.members, s.zones)
-	w.until("all members have their seats", 8*time.Second, w.seated)
-	w.operator("one", testKey)
-	w.operator("two", testKey)
-	w.operator("three", "evacuation/a")
-	w.operator("four", "evacuation/b")
-	w.at(5*time.Second, func() { w.operator("five", "rollout/c") })
-	if s.rivals {
-		w.rivals()
+	sim = newEmptyCluster(s.seed, s.faults)
+	sim.fatal = func(format string, args ...any) { panic(brokenRule(fmt.Sprintf(format, args...))) }
+	sim.duplicates = true
+	sim.olderEvery = s.olderEvery
+	sim.partitions = []string{testPartition, "evacuation/a", "evacuation/b"}
+	sim.schedule, sim.newestMachine = s, s.members
+	sim.bootstrap(s.members, s.zones)
+	sim.waitFor("all members have their seats", 8*time.Second, sim.voterSetProblem)
+	sim.runOperator("one", testPartition)
+	sim.runOperator("two", testPartition)
+	sim.runOperator("three", "evacuation/a")
+	sim.runOperator("four", "evacuation/b")
+	sim.after(5*time.Second, func() { sim.runOperator("five", "rollout/c") })
+	if s.competing {
+		sim.runCompetingOperators()
 	}
-	w.advance()
-	for w.nextFailure < len(s.failures) || w.free() < w.faults || len(w.onAck) > 0 || w.pendingFailures > 0 || w.now < 10*time.Second {
-		if w.now > 20*time.Minute {
-			w.fatal("the failures don't end")
+	sim.nextFailures()
+	for sim.nextFailure < len(s.failures) || sim.remainingFaults() < sim.faults || len(sim.onAck) > 0 || sim.pendingFailures > 0 || sim.now < 10*time.Second {
+		if sim.now > 20*time.Minute {
+			sim.fatal("the failures don't end")
 		}
-		w.run(w.now + 10*time.Millisecond)
+		sim.runUntil(sim.now + 10*time.Millisecond)
 	}
-	if s.closing != nil {
-		w.injectLast(*s.closing)
+	if s.lastFailure != nil {
+		sim.injectLast(*s.lastFailure)
 	}
-	w.until("every key has an owner that answers", 10*time.Second, w.owned)
-	for i := 0; w.free() < w.faults && i < 10000; i++ {
-		w.run(w.now + 10*time.Millisecond)
+	sim.waitFor("every key has an owner that answers", 10*time.Second, sim.ownershipProblem)
+	for i := 0; sim.remainingFaults() < sim.faults && i < 10000; i++ {
+		sim.runUntil(sim.now + 10*time.Millisecond)
 	}
-	w.until("the seats are those of the members at work, and all hold everything", 15*time.Second, func() string {
-		if why := w.owned(); why != "" {
-			return why
+	sim.waitFor("the seats are those of the members at work, and all hold everything", 15*time.Second, func() string {
+		if problem := sim.ownershipProblem(); problem != "" {
+			return problem
 		}
-		return w.seated()
+		return sim.voterSetProblem()
 	})
-	w.operatorsStopped, w.calm = true, true
-	w.run(w.now + 3*time.Second)
-	before, asked := w.answer, 0
-	for _, key := range append(w.keys, "rollout/c") {
+	sim.operatorsStopped, sim.lossless = true, true
+	sim.runUntil(sim.now + 3*time.Second)
+	before, proposed := sim.answeredChanges, 0
+	for _, key := range append(sim.partitions, "rollout/c") {
 		for i := 0; i < 10; i++ {
-			w.at(time.Duration(w.rng.Intn(2000))*time.Millisecond, func() {
-				for _, id := range w.ids {
-					if n := w.nodes[id]; n.m.keys[key] != nil && n.m.keys[key].role == roleOwner {
-						asked++
-						w.sent++
-						w.ask(id, key, "s0", w.floors[key+"/s0"]+w.sent, fmt.Sprint("calm", w.sent), func(uint64, error) {})
+			sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, func() {
+				for _, id := range sim.ids {
+					if n := sim.nodes[id]; n.replica.partitions[key] != nil && n.replica.partitions[key].role == roleOwner {
+						proposed++
+						sim.changesSent++
+						sim.proposeVersion(id, key, "s0", sim.minVersions[key+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
 					}
 				}
 			})
 		}
 	}
-	w.run(w.now + 4*time.Second)
-	if asked < 36 || w.answer-before < asked*95/100 {
-		w.fatal("at %v only %d of %d changes answered after the failures", w.now, w.answer-before, asked)
+	sim.runUntil(sim.now + 4*time.Second)
+	if proposed < 36 || sim.answeredChanges-before < proposed*95/100 {
+		sim.fatal("at %v only %d of %d changes answered after the failures", sim.now, sim.answeredChanges-before, proposed)
 	}
-	w.until("all hold everything", 3*time.Second, w.seated)
-	if why := w.calls.check(); why != "" {
-		w.fatal("%s", why)
+	sim.waitFor("all hold everything", 3*time.Second, sim.voterSetProblem)
+	if why := sim.history.check(); why != "" {
+		sim.fatal("%s", why)
 	}
-	if s.rivals {
-		if why := w.rivalry(); why != "" {
-			w.fatal("%s", why)
+	if s.competing {
+		if why := sim.competitionProblem(); why != "" {
+			sim.fatal("%s", why)
 		}
 	}
-	if w.claims < 500 {
-		w.fatal("only %d claims of a current copy were checked", w.claims)
+	if sim.freshnessClaims < 500 {
+		sim.fatal("only %d claims of a current copy were checked", sim.freshnessClaims)
 	}
-	return "", w
+	return "", sim
 }
 
 // shrink leaves out failures as long as the schedule still fails.
 func shrink(s schedule) schedule {
-	fails := func(s schedule) bool { broken, _ := perform(s); return broken != "" }
-	for again := true; again; {
-		again = false
+	fails := func(s schedule) bool { broken, _ := runSchedule(s); return broken != "" }
+	for changed := true; changed; {
+		changed = false
 		for i := 0; i < len(s.failures); i++ {
-			less := s
-			less.failures = append(slices.Clone(s.failures[:i]), s.failures[i+1:]...)
-			if fails(less) {
-				s, again = less, true
+			smaller := s
+			smaller.failures = append(slices.Clone(s.failures[:i]), s.failures[i+1:]...)
+			if fails(smaller) {
+				s, changed = smaller, true
 				i--
 			}
 		}
 	}
-	if s.closing != nil {
+	if s.lastFailure != nil {
 		less := s
-		less.closing = nil
+		less.lastFailure = nil
 		if fails(less) {
 			s = less
 		}
@@ -246,8 +246,8 @@
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			s := draw(int64(seed))
-			broken, _ := perform(s)
+			s := randomSchedule(int64(seed))
+			broken, _ := runSchedule(s)
 			if broken == "" {
 				return
 			}
@@ -255,7 +255,7 @@
 				t.Fatalf("%s\n%v", broken, s) // shrinking takes long
 			}
 			short := shrink(s)
-			why, _ := perform(short)
+			why, _ := runSchedule(short)
 			t.Fatalf("%s\nshrunk: %s\n%v", broken, why, short)
 		})
 	}
@@ -269,38 +269,38 @@
 		schedule
 	}{
 		{"two planned replacements cross", schedule{seed: 319, members: 5, faults: 2, zones: 3, failures: []failure{
-			{kind: planned, aim: any_, who: 87, count: 1, gap: 211 * time.Millisecond, hold: 3288 * time.Millisecond},
-			{kind: planned, aim: any_, who: 78, count: 1, hold: 1519 * time.Millisecond},
-		}, closing: &failure{kind: wipePower, aim: any_, who: 36, count: 2, hold: 1537 * time.Millisecond, more: 4388 * time.Millisecond}}},
+			{kind: plannedReplacement, target: anyMachine, index: 87, count: 1, delay: 211 * time.Millisecond, duration: 3288 * time.Millisecond},
+			{kind: plannedReplacement, target: anyMachine, index: 78, count: 1, duration: 1519 * time.Millisecond},
+		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 36, count: 2, duration: 1537 * time.Millisecond, replaceAfter: 4388 * time.Millisecond}}},
 		{"a replaced machine wakes, takes a seat and goes", schedule{seed: 301, members: 5, faults: 2, zones: 4, failures: []failure{
-			{kind: wipe, aim: any_, who: 36, count: 1, gap: 563 * time.Millisecond, hold: 852 * time.Millisecond},
-			{kind: replaceFrozen, aim: owner, who: 90, count: 1, hold: 11176 * time.Millisecond, more: 2648 * time.Millisecond},
-			{kind: wipePower, aim: any_, who: 90, count: 2, gap: 2301 * time.Millisecond, hold: 2335 * time.Millisecond, more: 1851 * time.Millisecond},
-		}, closing: &failure{kind: wipePower, aim: any_, who: 30, count: 2, hold: 973 * time.Millisecond, more: 12464 * time.Millisecond}}},
+			{kind: wipe, target: anyMachine, index: 36, count: 1, delay: 563 * time.Millisecond, duration: 852 * time.Millisecond},
+			{kind: replaceFrozen, target: owner, index: 90, count: 1, duration: 11176 * time.Millisecond, replaceAfter: 2648 * time.Millisecond},
+			{kind: wipeAndPowerLoss, target: anyMachine, index: 90, count: 2, delay: 2301 * time.Millisecond, duration: 2335 * time.Millisecond, replaceAfter: 1851 * time.Millisecond},
+		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 30, count: 2, duration: 973 * time.Millisecond, replaceAfter: 12464 * time.Millisecond}}},
 		{"two replaced machines wake after a kill of all", schedule{seed: 340, members: 5, faults: 2, zones: 4, failures: []failure{
-			{kind: killAll, aim: owner, who: 20, count: 1, hold: 2384 * time.Millisecond},
-			{kind: replaceFrozen, aim: any_, who: 71, count: 2, gap: 1634 * time.Millisecond, hold: 8712 * time.Millisecond, more: 2891 * time.Millisecond},
-			{kind: restart, aim: newcomer, who: 5, count: 2, gap: 2566 * time.Millisecond, hold: 2701 * time.Millisecond},
-		}, closing: &failure{kind: wipePower, aim: any_, who: 8, count: 2, hold: 1445 * time.Millisecond, more: 7727 * time.Millisecond}}},
+			{kind: killAll, target: owner, index: 20, count: 1, duration: 2384 * time.Millisecond},
+			{kind: replaceFrozen, target: anyMachine, index: 71, count: 2, delay: 1634 * time.Millisecond, duration: 8712 * time.Millisecond, replaceAfter: 2891 * time.Millisecond},
+			{kind: restart, target: newcomer, index: 5, count: 2, delay: 2566 * time.Millisecond, duration: 2701 * time.Millisecond},
+		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 8, count: 2, duration: 1445 * time.Millisecond, replaceAfter: 7727 * time.Millisecond}}},
 		{"an owner loses its seat in a rolling restart", schedule{seed: 158, members: 6, faults: 2, zones: 5, failures: []failure{
-			{kind: planned, aim: any_, who: 92, count: 2, gap: 680 * time.Millisecond, hold: 3126 * time.Millisecond},
-			{kind: planned, aim: newcomer, who: 75, count: 1, hold: 1388 * time.Millisecond},
-			{kind: wipe, aim: any_, who: 42, count: 1, hold: 881 * time.Millisecond},
-			{kind: mute, aim: any_, who: 78, count: 2, gap: 1676 * time.Millisecond, hold: 13427 * time.Millisecond},
-			{kind: link, aim: any_, who: 66, count: 2, gap: 2256 * time.Millisecond, hold: 21361 * time.Millisecond},
-			{kind: link, aim: any_, who: 43, count: 2, hold: 12489 * time.Millisecond},
-			{kind: link, aim: any_, who: 40, count: 1, hold: 2299 * time.Millisecond},
-			{kind: leave, aim: any_, who: 0, count: 1, hold: 1056 * time.Millisecond},
-			{kind: leave, aim: any_, who: 1, count: 1, hold: 750 * time.Millisecond},
-			{kind: leave, aim: any_, who: 2, count: 1, hold: 472 * time.Millisecond},
-			{kind: leave, aim: any_, who: 3, count: 1, hold: 943 * time.Millisecond},
-			{kind: leave, aim: any_, who: 4, count: 1, hold: 1232 * time.Millisecond},
-			{kind: leave, aim: any_, who: 5, count: 1, hold: 1462 * time.Millisecond},
+			{kind: plannedReplacement, target: anyMachine, index: 92, count: 2, delay: 680 * time.Millisecond, duration: 3126 * time.Millisecond},
+			{kind: plannedReplacement, target: newcomer, index: 75, count: 1, duration: 1388 * time.Millisecond},
+			{kind: wipe, target: anyMachine, index: 42, count: 1, duration: 881 * time.Millisecond},
+			{kind: cutOutgoing, target: anyMachine, index: 78, count: 2, delay: 1676 * time.Millisecond, duration: 13427 * time.Millisecond},
+			{kind: cutPair, target: anyMachine, index: 66, count: 2, delay: 2256 * time.Millisecond, duration: 21361 * time.Millisecond},
+			{kind: cutPair, target: anyMachine, index: 43, count: 2, duration: 12489 * time.Millisecond},
+			{kind: cutPair, target: anyMachine, index: 40, count: 1, duration: 2299 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 0, count: 1, duration: 1056 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 1, count: 1, duration: 750 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 2, count: 1, duration: 472 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 3, count: 1, duration: 943 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 4, count: 1, duration: 1232 * time.Millisecond},
+			{kind: drain, target: anyMachine, index: 5, count: 1, duration: 1462 * time.Millisecond},
 		}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if broken, _ := perform(c.schedule); broken != "" {
+			if broken, _ := runSchedule(c.schedule); broken != "" {
 				t.Fatalf("%s\n%v", broken, c.schedule)
 			}
 		})
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -91,10 +91,10 @@
 func (m *Replica) Snapshot() (entries []storage.Entry, upTo uint64) {
 	entries = append(entries, m.nodeEntry())
 	for _, name := range m.names {
-		k := m.keys[name]
-		entries = append(entries, k.meta())
-		for _, r := range k.Pick(allRanges) {
-			entries = append(entries, k.entry(r))
+		part := m.partitions[name]
+		entries = append(entries, part.meta())
+		for _, r := range part.Pick(allRanges) {
+			entries = append(entries, part.entry(r))
 		}
 	}
 	return entries, m.lastWrite
@@ -118,68 +118,68 @@
 	return storage.Entry{Key: nodeEntryKey, Value: marshal(v)}
 }
 
-func (k *replicatedKey) meta() storage.Entry {
-	return storage.Entry{Key: metaPrefix + k.name, Value: marshal(metaValue{k.promised, k.position, k.commit})}
+func (part *partition) meta() storage.Entry {
+	return storage.Entry{Key: metaPrefix + part.name, Value: marshal(metaValue{part.promised, part.position, part.commit})}
 }
 
-func (k *replicatedKey) entry(r Record) storage.Entry {
-	e := storage.Entry{Key: recordPrefix + k.name + "/" + r.Name}
+func (part *partition) entry(r Record) storage.Entry {
+	e := storage.Entry{Key: recordPrefix + part.name + "/" + r.Name}
 	if !r.Erased {
-		e.Value = marshal(storedRecord{k.name, r})
+		e.Value = marshal(storedRecord{part.name, r})
 	}
 	return e
 }
 
 // apply applies the changes of a log entry to the key's records, keeps the old versions in
 // undo, and returns the entries to store.
-func (m *Replica) apply(k *replicatedKey, changes []Record) []storage.Entry {
-	if k.undo == nil && k.commit == k.position {
-		k.undo = map[string]*Record{}
+func (m *Replica) apply(part *partition, changes []Record) []storage.Entry {
+	if part.undo == nil && part.commit == part.position {
+		part.undo = map[string]*Record{}
 	}
 	var out []storage.Entry
 	for _, r := range changes {
-		if k.undo != nil {
-			if _, noted := k.undo[r.Name]; !noted {
-				if old, ok := k.Records[r.Name]; ok {
-					k.undo[r.Name] = &old
+		if part.undo != nil {
+			if _, noted := part.undo[r.Name]; !noted {
+				if old, ok := part.Records[r.Name]; ok {
+					part.undo[r.Name] = &old
 				} else {
-					k.undo[r.Name] = nil
+					part.undo[r.Name] = nil
 				}
 			}
 		}
-		k.Put(r)
-		out = append(out, k.entry(r))
+		part.Put(r)
+		out = append(out, part.entry(r))
 	}
-	m.invalidateCaches(k)
+	m.invalidateCaches(part)
 	return out
 }
 
 // replace makes the given ranges hold exactly the given records, and returns the entries to
 // store.
-func (m *Replica) replace(k *replicatedKey, ranges []int, records []Record) []storage.Entry {
-	k.undo, k.log = nil, entryLog{}
+func (m *Replica) replace(part *partition, ranges []int, records []Record) []storage.Entry {
+	part.undo, part.log = nil, entryLog{}
 	var out []storage.Entry
 	keep := map[string]bool{}
 	for _, r := range records {
 		keep[r.Name] = true
 	}
-	for _, r := range k.Pick(ranges) {
+	for _, r := range part.Pick(ranges) {
 		if !keep[r.Name] {
-			k.Remove(r.Name)
-			out = append(out, storage.Entry{Key: recordPrefix + k.name + "/" + r.Name})
+			part.Remove(r.Name)
+			out = append(out, storage.Entry{Key: recordPrefix + part.name + "/" + r.Name})
 		}
 	}
 	for _, r := range records {
-		k.Put(r)
-		out = append(out, k.entry(r))
+		part.Put(r)
+		out = append(out, part.entry(r))
 	}
-	m.invalidateCaches(k)
+	m.invalidateCaches(part)
 	return out
 }
 
 // invalidateCaches drops what was computed from a key's records.
-func (m *Replica) invalidateCaches(k *replicatedKey) {
-	if k.name == RosterKey {
-		m.cachedSeats = nil
+func (m *Replica) invalidateCaches(part *partition) {
+	if part.name == RosterKey {
+		m.cachedVoterSet = nil
 	}
 }
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -18,28 +18,28 @@
 
 // Owner returns the address of the member believed to own a key; empty if none is known.
 func (m *Replica) Owner(now time.Duration, name string) string {
-	k := m.key(name)
-	if k.role == roleOwner {
+	part := m.partition(name)
+	if part.role == roleOwner {
 		return m.cfg.Self
 	}
-	if k.role == roleCandidate || !k.hadContact || now-k.lastContact > m.cfg.Vacant || k.promised.Owner == m.cfg.Self {
+	if part.role == roleCandidate || !part.hadContact || now-part.lastContact > m.cfg.Vacant || part.promised.Owner == m.cfg.Self {
 		return ""
 	}
-	return k.promised.Owner
+	return part.promised.Owner
 }
 
 // Founder returns the member to contact for a key that, as far as this member knows, has never
 // had an owner; empty if it has had one or no member is available.
 func (m *Replica) Founder(now time.Duration, name string) string {
 	m.now = now
-	return m.initialOwner(m.key(name))
+	return m.initialOwner(m.partition(name))
 }
 
-func (m *Replica) initialOwner(k *replicatedKey) string {
-	if k.hadContact || k.role != roleFollower || k.promised != (Epoch{}) {
+func (m *Replica) initialOwner(part *partition) string {
+	if part.hadContact || part.role != roleFollower || part.promised != (Epoch{}) {
 		return ""
 	}
-	for _, id := range m.Heirs(k.name) {
+	for _, id := range m.Heirs(part.name) {
 		if id == m.cfg.Self || m.cfg.Alive(id) {
 			return id
 		}
@@ -51,14 +51,14 @@
 func (m *Replica) Keys() []string { return append([]string(nil), m.names...) }
 
 // Voting reports whether the member has a seat.
-func (m *Replica) Voting() bool { return m.hasSeat() }
+func (m *Replica) Voting() bool { return m.isVoter() }
 
 // Views returns the status of all keys.
 func (m *Replica) Views(now time.Duration) []View {
 	var out []View
 	for _, name := range m.names {
-		k := m.keys[name]
-		out = append(out, View{name, m.Owner(now, name), k.promised.N, k.position.Seq, k.commit.Seq, k.role == roleOwner, len(k.Records), now - k.lastContact})
+		part := m.partitions[name]
+		out = append(out, View{name, m.Owner(now, name), part.promised.N, part.position.Seq, part.commit.Seq, part.role == roleOwner, len(part.Records), now - part.lastContact})
 	}
 	return out
 }
--- /dev/null
+++ b/internal/replication/voter_set_change_test.go
@@ -0,0 +1,309 @@
+package replication
+
+// This file holds changes of the roster under way, and members that have lost their seats.
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestOwnerThatMissedTwoVoterSetsCannotAcknowledge has an owner hear of neither of two
+// changes of the roster. With the two members that those took away it is a majority of
+// the roster that it knows.
+func TestOwnerThatMissedTwoVoterSetsCannotAcknowledge(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		sim := newClusterWithVoters(t, seed, 5, 2, 5)
+		sim.lossless = true
+		sim.mustPut(t, "x", 1)
+		owner, voterSetOwner := sim.separateOwners()
+		others := sim.machinesExcept(owner, voterSetOwner)
+		// No word of the roster reaches the owner.
+		noVoterSet := true
+		sim.drop = func(_ string, e Envelope) bool {
+			m := e.Msg
+			return noVoterSet && e.To == owner.id && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Key == RosterKey || bodyAs[*AppendAck](m) != nil && bodyAs[*AppendAck](m).Outdated != nil ||
+				bodyAs[*HeartbeatAck](m) != nil && bodyAs[*HeartbeatAck](m).Outdated != nil ||
+				bodyAs[*Vote](m) != nil && bodyAs[*Vote](m).Outdated != nil || bodyAs[*StateReport](m) != nil && bodyAs[*StateReport](m).Outdated != nil || bodyAs[*SnapshotChunk](m) != nil && bodyAs[*SnapshotChunk](m).Key == RosterKey)
+		}
+		removed := others[:2]
+		for _, n := range removed {
+			sim.freeze(n, time.Hour)
+			sim.remove(n, time.Second)
+			n.failures++ // so that the count of remove ends at none
+			sim.runUntil(sim.now + 9*time.Second)
+		}
+		newer := sim.committedAt[RosterKey]
+		if got := owner.replica.partitions[RosterKey].position; !got.Less(newer) || len(owner.replica.voterSet().newVoters) != 5 || !slices.Contains(owner.replica.voterSet().newVoters, removed[0].replica.self) {
+			t.Fatalf("seed %d: the owner has heard of the roster %v", seed, *owner.replica.voterSet())
+		}
+		// It meets those two and nobody else.
+		sim.changeCuts([]*node{owner, removed[0], removed[1]}, true, true, 1)
+		for _, n := range removed {
+			sim.unfreeze(n)
+		}
+		sim.ids = append(sim.ids, removed[0].id, removed[1].id)
+		for end := sim.now + 6*time.Second; sim.now < end; {
+			for _, n := range append(removed, owner) {
+				if err := sim.put(n, "x", 100); err == nil {
+					t.Fatalf("seed %d: %s acknowledged with members that were taken away", seed, n.id)
+				}
+			}
+			sim.runUntil(sim.now + 50*time.Millisecond)
+		}
+		for _, n := range append(removed, owner) {
+			if n.replica.partitions[testPartition].role == roleOwner || n.replica.partitions[RosterKey].role == roleOwner {
+				t.Fatalf("seed %d: %s owns a key among members that were taken away", seed, n.id)
+			}
+		}
+	}
+}
+
+// TestRemovedMembersFormNoQuorum wakes three members whose seats were
+// taken one after the other while they stood still: a majority of the first roster.
+func TestRemovedMembersFormNoQuorum(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		sim := newClusterWithVoters(t, seed, 5, 2, 5)
+		sim.mustPut(t, "x", 1)
+		sim.runUntil(sim.now + 2*time.Second)
+		var removed []*node
+		for i := 0; i < 3; i++ {
+			n := sim.nodes[sim.ids[(int(seed)+i)%(5-i)]]
+			sim.freeze(n, time.Hour)
+			sim.remove(n, time.Second)
+			n.failures++
+			removed = append(removed, n)
+			sim.runUntil(sim.now + 6*time.Second)
+			sim.waitFor("its seat is taken", 3*time.Second, sim.voterSetProblem)
+		}
+		sim.changeCuts(removed, true, true, 1)
+		for _, n := range removed {
+			sim.unfreeze(n)
+		}
+		begin := sim.now
+		for sim.now < begin+10*time.Second {
+			for _, n := range removed {
+				if err := sim.put(n, "x", 50); err == nil {
+					t.Fatalf("seed %d: %s acknowledged", seed, n.id)
+				}
+				for _, key := range []string{testPartition, RosterKey} {
+					if n.replica.partitions[key].role == roleOwner && n.replica.partitions[key].ownerSince >= begin-n.startedAt {
+						t.Fatalf("seed %d: %s owns %s", seed, n.id, key)
+					}
+				}
+			}
+			sim.runUntil(sim.now + 100*time.Millisecond)
+		}
+		sim.mustPut(t, "x", 60)
+		sim.changeCuts(removed, true, true, -1)
+		for _, n := range removed {
+			sim.ids = append(sim.ids, n.id)
+		}
+		sim.runUntil(sim.now + 10*time.Second)
+		sim.mustPut(t, "x", 61)
+	}
+}
+
+// voterSetChange is a voterSetChange of the roster in the making: x and y, which stand still, are to be
+// replaced by two newcomers at once. o owns the test key and keeps the roster.
+type voterSetChange struct {
+	*cluster
+	owner, remaining, setOwner, failed1, failed2 *node
+	replacements                                 []*node
+	joint                                        bool                               // the keeper has the joint roster
+	drops                                        func(from string, e Envelope) bool // what is lost beside that
+}
+
+func newVoterSetChange(t *testing.T, seed int64) *voterSetChange {
+	t.Helper()
+	sim := newClusterWithVoters(t, seed, 5, 2, 5)
+	sim.lossless = true
+	sim.mustPut(t, "x", 1)
+	c := &voterSetChange{cluster: sim}
+	c.owner, c.setOwner = sim.separateOwners()
+	others := sim.machinesExcept(c.owner, c.setOwner)
+	c.remaining, c.failed1, c.failed2 = others[0], others[1], others[2]
+	for _, n := range others[1:] {
+		sim.freeze(n, time.Hour)
+	}
+	enrol := sim.now + 4*time.Second
+	sim.drop = func(from string, e Envelope) bool {
+		c.joint = c.joint || c.setOwner.replica.voterSet().joint
+		// Both newcomers are known to hold all before anything is changed.
+		early := sim.now < enrol && bodyAs[*Join](e.Msg) != nil || sim.now < enrol+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == c.owner.id || from == c.remaining.id)
+		return early || c.drops != nil && c.drops(from, e)
+	}
+	c.replacements = []*node{sim.startReplacement(), sim.startReplacement()}
+	return c
+}
+
+// untilJoint runs until the keeper has the joint roster.
+func (c *voterSetChange) untilJoint() {
+	c.waitFor("the roster is a joint one", 10*time.Second, func() string {
+		if c.joint {
+			return ""
+		}
+		return fmt.Sprint(*c.setOwner.replica.voterSet())
+	})
+}
+
+// TestJointVoterSetNeedsBothMajorities cuts the keeper of the roster and two newcomers,
+// a majority of the seats to come, off from the majority of the seats before.
+func TestJointVoterSetNeedsBothMajorities(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		c := newVoterSetChange(t, seed)
+		before := []*node{c.owner, c.remaining, c.failed1, c.failed2}
+		c.drops = func(from string, e Envelope) bool {
+			if c.joint && c.failed1.frozenUntil > c.now {
+				for _, n := range []*node{c.failed1, c.failed2} {
+					c.unfreeze(n)
+				}
+			}
+			return c.joint && crossesCut(before, from, e.To)
+		}
+		c.untilJoint()
+		if s := c.setOwner.replica.voterSet(); len(s.newVoters) != 5 || slices.Contains(s.newVoters, c.failed1.replica.self) || slices.Contains(s.newVoters, c.failed2.replica.self) {
+			t.Fatalf("seed %d: another change than was meant: %v", seed, *s)
+		}
+		if err := c.put(c.owner, "x", 2); err != nil {
+			t.Fatalf("seed %d: a majority of the roster before: %v", seed, err)
+		}
+		for end := c.now + 8*time.Second; c.now < end; c.runUntil(c.now + 50*time.Millisecond) {
+			for _, n := range append(c.replacements, c.setOwner) {
+				if n.replica.partitions[testPartition].role == roleOwner || !n.replica.voterSet().joint && len(n.replica.voterSet().newVoters) > 0 && !slices.Contains(n.replica.voterSet().newVoters, c.failed1.replica.self) {
+					t.Fatalf("seed %d: %s decides without the seats before: %v", seed, n.id, *n.replica.voterSet())
+				}
+			}
+		}
+	}
+}
+
+// TestJointVoterSetEndsOnlyWhenNewVotersHoldEverything has a change acknowledged under the
+// roster before while the joint one is on its way. The majority of the seats to come
+// that lacks it must not come to decide.
+func TestJointVoterSetEndsOnlyWhenNewVotersHoldEverything(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		c := newVoterSetChange(t, seed)
+		var jointSince time.Duration
+		lacking := append([]*node{c.setOwner}, c.replacements...)
+		c.drops = func(from string, e Envelope) bool {
+			m := e.Msg
+			switch {
+			case !c.joint:
+				return false
+			case jointSince == 0:
+				jointSince = c.now
+				c.unfreeze(c.failed1)
+			}
+			switch {
+			case crossesCut([]*node{c.owner, c.remaining, c.failed1}, from, e.To) && (from == c.failed1.id || e.To == c.failed1.id):
+				return true
+			case c.now < jointSince+time.Second && crossesCut(lacking, from, e.To):
+				return true // the joint roster is late
+			}
+			return slices.ContainsFunc(lacking, func(n *node) bool { return n.id == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Key == testPartition || bodyAs[*SnapshotChunk](m) != nil)
+		}
+		c.untilJoint()
+		if err := c.put(c.owner, "x", 2); err != nil {
+			t.Fatalf("seed %d: a majority of the roster before: %v", seed, err)
+		}
+		c.runUntil(c.now + 5*time.Second)
+		if s := c.setOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, c.failed1.replica.self) {
+			t.Errorf("seed %d: the joint roster ended with x=2 at %v", seed, c.machinesWithCopy("x", 2))
+		}
+		c.drops = func(from string, e Envelope) bool { return crossesCut(lacking, from, e.To) }
+		// Whoever becomes owner now lacks a change that was acknowledged.
+		c.runUntil(c.now + 8*time.Second)
+		c.drops = nil
+		c.unfreeze(c.failed2)
+		c.runUntil(c.now + 5*time.Second)
+		if n := c.waitForOwner(t); n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+			t.Fatalf("seed %d: lost", seed)
+		}
+	}
+}
+
+// TestRemovedVoterLosesOwnership takes the seat of an owner by the ordinary copies
+// of the roster, without which nobody copies to it any more.
+func TestRemovedVoterLosesOwnership(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, time.Second)
+		owner, voterSetOwner := sim.separateOwners()
+		voterSetOwner.replica.leavers[owner.replica.self] = sim.clock(voterSetOwner) // as if it had said that it goes
+		sim.drop = func(from string, e Envelope) bool { return bodyAs[*Join](e.Msg) != nil }
+		begin := sim.now
+		sim.waitFor("its seat is taken and the key has another owner", 2*time.Second, func() string {
+			if n := sim.ownerOf(testPartition); n == nil || n == owner || slices.Contains(voterSetOwner.replica.voterSet().all(), owner.replica.self) && !voterSetOwner.replica.voterSet().joint {
+				return fmt.Sprint(*voterSetOwner.replica.voterSet())
+			}
+			return ""
+		})
+		if took := sim.now - begin; took > testElectionTimeout {
+			t.Fatalf("seed %d: another owner after %v", seed, took)
+		}
+	}
+}
+
+// TestVotesForRemovedVoterElectNoOwner has a member lose its seat between its
+// question and the answers.
+func TestVotesForRemovedVoterElectNoOwner(t *testing.T) {
+	for _, removed := range []bool{false, true} {
+		sim := newClusterWithVoters(t, 5, 5, 2, 5)
+		sim.mustPut(t, "x", 1)
+		sim.runUntil(sim.now + 2*time.Second)
+		owner, voterSetOwner := sim.waitForOwner(t), sim.ownerOf(RosterKey)
+		n := sim.lastMachineExcept(owner, voterSetOwner)
+		m, part, voterSet := n.replica, n.replica.partitions[testPartition], n.replica.partitions[RosterKey]
+		m.startElection(part, true)
+		m.Durable(sim.clock(n), m.lastWrite)
+		if removed {
+			next := map[string]voterState{}
+			for _, voter := range m.voterSet().newVoters {
+				if next[voter] = voterStable; voter == m.self {
+					next[voter] = voterLeaving
+				}
+			}
+			m.Handle(sim.clock(n), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Key: RosterKey, Epoch: voterSet.promised,
+				Base: voterSet.position, Seq: voterSet.position.Seq + 1, Roster: Position{voterSet.promised, voterSet.position.Seq + 1}, Changes: voterSetRecords(voterSet.Records, next)}})
+		}
+		for _, id := range sim.ids {
+			m.Handle(sim.clock(n), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Key: testPartition, Epoch: part.ownEpoch, OK: true, Promised: part.ownEpoch, At: part.position}})
+		}
+		if (part.role == roleOwner) == removed {
+			t.Errorf("loses its seat: %v, owns the key: %v", removed, part.role == roleOwner)
+		}
+	}
+}
+
+// TestDelayedMessagesDoNotKeepFailedVoterAlive repeats the last words of a machine long
+// after it has gone, as a network may that holds messages back.
+func TestDelayedMessagesDoNotKeepFailedVoterAlive(t *testing.T) {
+	for seed := int64(1); seed <= 5; seed++ {
+		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, 3*time.Second)
+		voterSetOwner := sim.ownerOf(RosterKey)
+		n := sim.lastMachineExcept(voterSetOwner)
+		var last []Envelope
+		sim.drop = func(from string, e Envelope) bool {
+			if from == n.id && e.To == voterSetOwner.id {
+				last = append(last, e)
+			}
+			return false
+		}
+		sim.runUntil(sim.now + time.Second)
+		sim.beginFailure(n)
+		sim.crash(n.id, true)
+		for i := 0; i < 100; i++ {
+			e := last[i%len(last)]
+			sim.after(time.Duration(i)*50*time.Millisecond, func() {
+				sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), n.id, e.Msg) })
+			})
+		}
+		sim.waitFor("its seat is taken", 2*testElectionTimeout+2*testHeartbeat, func() string {
+			if s := voterSetOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, n.replica.self) {
+				return ""
+			}
+			return fmt.Sprint(*voterSetOwner.replica.voterSet())
+		})
+	}
+}
--- a/internal/replication/roster_status.go
+++ b/internal/replication/voter_set_status.go
@@ -28,30 +28,30 @@
 // Standing returns the status of the roster and the losses that it tolerates.
 func (m *Replica) Standing(now time.Duration) Standing {
 	m.now = now
-	s := m.seats()
+	s := m.voterSet()
 	out := Standing{Seats: s.all(), Joint: s.joint, Learners: []LearnerState{}, Wanted: m.cfg.Faults}
-	tolerance := func(seats []string) int {
+	tolerance := func(voters []string) int {
 		live := 0
-		for _, seat := range seats {
-			if m.seatHeld(seat) {
+		for _, voter := range voters {
+			if m.voterAlive(voter) {
 				live++
 			}
 		}
-		return live - ackQuorum(len(seats))
+		return live - ackQuorum(len(voters))
 	}
-	out.Bears = tolerance(s.newSeats)
+	out.Bears = tolerance(s.newVoters)
 	if s.joint {
-		out.Bears = min(out.Bears, tolerance(s.oldSeats))
+		out.Bears = min(out.Bears, tolerance(s.oldVoters))
 	}
 	for _, id := range m.activeLearners() {
-		if slices.Contains(s.newSeats, id) {
+		if slices.Contains(s.newVoters, id) {
 			continue
 		}
 		l := LearnerState{ID: id, Behind: -1}
 		for _, name := range m.names {
-			if k := m.keys[name]; k.role == roleOwner {
+			if part := m.partitions[name]; part.role == roleOwner {
 				l.Behind = max(l.Behind, 0)
-				if k.acks[id] != k.position {
+				if part.acks[id] != part.position {
 					l.Behind++
 				}
 			}
@@ -61,10 +61,10 @@
 	return out
 }
 
-// seatHeld reports whether the disk that a seat belongs to seems to be in use. A machine that
+// voterAlive reports whether the disk that a seat belongs to seems to be in use. A machine that
 // runs with another disk doesn't count until that disk has a seat of its own.
-func (m *Replica) seatHeld(seat string) bool {
-	id, address := m.holder(seat), addressOf(seat)
+func (m *Replica) voterAlive(voter string) bool {
+	id, address := m.voterIdentity(voter), addressOf(voter)
 	switch {
 	case id == m.self:
 		return true
@@ -81,11 +81,11 @@
 
 // String returns the status in one line.
 func (s Standing) String() string {
-	var seats []string
+	var voters []string
 	for _, id := range s.Seats {
-		seats = append(seats, addressOf(id))
+		voters = append(voters, addressOf(id))
 	}
-	text := fmt.Sprintf("%d seats: %s", len(seats), strings.Join(seats, " "))
+	text := fmt.Sprintf("%d seats: %s", len(voters), strings.Join(voters, " "))
 	if s.Joint {
 		text += "; a change is in progress"
 	}
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -19,18 +19,18 @@
 
 // sender is the member that a message came from.
 type sender struct {
-	address     string
-	id          string // see idOf
-	incarnation uint64
+	address string
+	id      string // see idOf
+	runID   uint64
 }
 
 func (b *VoteRequest) handle(m *Replica, from sender)   { m.onVoteRequest(from.address, b) }
 func (b *Vote) handle(m *Replica, from sender)          { m.onVote(from.address, from.id, b) }
 func (b *Append) handle(m *Replica, from sender)        { m.onAppend(from.address, b) }
 func (b *AppendAck) handle(m *Replica, from sender)     { m.onAppendAck(from.address, from.id, b) }
-func (b *Found) handle(m *Replica, from sender)         { m.onFound(from.address, b) }
-func (b *Founded) handle(m *Replica, from sender)       { m.onFounded(from.address, from.id, b) }
-func (b *Transfer) handle(m *Replica, _ sender)         { m.startElection(m.key(b.Key), true) }
+func (b *Found) handle(m *Replica, from sender)         { m.onBootstrapRequest(from.address, b) }
+func (b *Founded) handle(m *Replica, from sender)       { m.onBootstrapReply(from.address, from.id, b) }
+func (b *Transfer) handle(m *Replica, _ sender)         { m.startElection(m.partition(b.Key), true) }
 func (*Join) handle(m *Replica, from sender)            { m.onJoin(from.address, from.id) }
 func (*Probe) handle(m *Replica, from sender)           { m.onProbe(from.address) }
 func (b *ProbeAck) handle(m *Replica, from sender)      { m.onProbeAck(from.address, b) }
@@ -38,7 +38,7 @@
 func (b *SnapshotAck) handle(m *Replica, from sender)   { m.onSnapshotAck(from.address, from.id, b) }
 func (b *StateQuery) handle(m *Replica, from sender)    { m.onStateQuery(from.address, from.id, b) }
 func (b *StateReport) handle(m *Replica, from sender)   { m.onStateReport(from.id, b) }
-func (b *Heartbeat) handle(m *Replica, from sender)     { m.onHeartbeat(from.address, from.incarnation, b) }
+func (b *Heartbeat) handle(m *Replica, from sender)     { m.onHeartbeat(from.address, from.runID, b) }
 func (b *HeartbeatAck) handle(m *Replica, from sender)  { m.onHeartbeatAck(from.address, from.id, b) }
 
 // wireMessage is the encoded form of Message; exactly one of the pointers is set. The numbers 5
