--- a/internal/replication/append.go
+++ b/internal/replication/append.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// clockEcho is a reading of a member's clock and when it was received.
+// clockEcho is a reading of a member's clock, to be echoed to it, and when it was received.
 type clockEcho struct {
 	runID      uint64
 	clock      time.Duration
@@ -43,7 +43,7 @@
 	return msg
 }
 
-// Propose runs fn on the key's records and replicates the changes that it returns. done is
+// Propose runs fn on the partition's records and replicates the changes that it returns. done is
 // called with nil once these, and everything that fn saw, are committed.
 func (m *Replica) Propose(now time.Duration, name string, fn func(map[string]Record) ([]Record, error), done func(error)) {
 	m.now = now
@@ -73,7 +73,7 @@
 	var ran []proposal
 	for i, p := range queue {
 		if part.name == RosterKey && len(changes) > 0 {
-			// Only one change of the roster per log entry: see membership.go.
+			// Only one change of the voter set per log entry: see membership.go.
 			part.queue = queue[i:]
 			break
 		}
@@ -126,7 +126,7 @@
 }
 
 // withFreshness returns the message with the time since this member's ownership was confirmed,
-// for a receiver that has set a clock mark.
+// for a receiver whose clock reading is known.
 func (m *Replica) withFreshness(part *partition, to string, msg *Append) *Append {
 	echo, ok := m.clockEchoes[to]
 	if !ok || part.confirmedAt == neverConfirmed {
@@ -138,7 +138,7 @@
 }
 
 // rejection returns the answer to an owner that the member accepts nothing from, because its
-// epoch is older than the one promised or its roster is older than the one adopted here; nil if
+// epoch is older than the one promised or its voter set is older than the one adopted here; nil if
 // the owner is acceptable.
 func (m *Replica) rejection(part *partition, e Epoch, voterSet Position) *AppendAck {
 	older := m.olderVoterSet(voterSet)
@@ -215,7 +215,7 @@
 	m.commit(part, p)
 }
 
-// replyWhenDurable answers an owner once everything that this member holds of the key is
+// replyWhenDurable answers an owner once everything that this member holds of the partition is
 // durable.
 func (m *Replica) replyWhenDurable(part *partition, to string, ack *AppendAck) {
 	at, sums := part.position, part.Sums
@@ -247,7 +247,7 @@
 	}
 	if ack.Promised != part.ownEpoch {
 		if ack.Outdated != nil && m.mayOwn() {
-			m.scheduleConfirm(part) // again, under the newer roster
+			m.scheduleConfirm(part) // again, under the newer voter set
 		}
 		return
 	}
--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -1,18 +1,18 @@
 package replication
 
-// This file holds how a new system is bootstrapped: how its first roster is chosen.
+// This file holds how a new system is bootstrapped: how its first voter set is chosen.
 //
 // A member that starts with an empty disk and the bootstrap setting stores the seeds of that
-// start along with its identity. Until it has a roster it may take the lead in the bootstrap,
-// also after restarts. The lowest such seed proposes the initial roster once all seeds with a
-// disk have answered that they are there and have no roster. A seed without these stored seeds
+// start along with its identity. Until it has a voter set it may take the lead in the bootstrap,
+// also after restarts. The lowest such seed proposes the initial voter set once all seeds with a
+// disk have answered that they are there and have no voter set. A seed without these stored seeds
 // is passive: it was killed before its first write, or has lost its disk. It never proposes but
 // takes part. Nothing is sent before the state that it rests on is durable, so a seed accepts
-// at most one initial roster, and one that was proposed before a restart is continued.
+// at most one initial voter set, and one that was proposed before a restart is continued.
 
 import "slices"
 
-// mayBootstrap reports whether this member may propose the initial roster or be appointed its
+// mayBootstrap reports whether this member may propose the initial voter set or be appointed its
 // only member.
 func (m *Replica) mayBootstrap() bool {
 	return !m.bootstrapped && len(m.firstSeeds) > 0 && len(m.partitions[RosterKey].Records) == 0
@@ -32,7 +32,7 @@
 	return m.cfg.Seeds
 }
 
-// initialMembers returns the seeds that form the initial roster if this member is to propose
+// initialMembers returns the seeds that form the initial voter set if this member is to propose
 // it, and nil if another one is or if that isn't known yet. The lowest seed with a disk that
 // isn't passive proposes. If no seed has a disk, the lowest seed appoints the first member that
 // asks it.
@@ -72,7 +72,7 @@
 	m.bootstrapVoterSet(part)
 }
 
-// bootstrapVoterSet proposes the initial roster, once all its members are known to be there, and
+// bootstrapVoterSet proposes the initial voter set, once all its members are known to be there, and
 // sends it to those that have not acknowledged it.
 func (m *Replica) bootstrapVoterSet(part *partition) {
 	switch {
@@ -94,8 +94,8 @@
 	})
 }
 
-// proposeInitialVoterSet creates the initial roster if it is up to this member and all the
-// roster's members are there. It reports whether it did.
+// proposeInitialVoterSet creates the initial voter set if it is up to this member and all the
+// voter set's members are there. It reports whether it did.
 func (m *Replica) proposeInitialVoterSet(part *partition) bool {
 	members := m.initialMembers()
 	if len(members) == 0 || !m.mayBootstrap() || slices.ContainsFunc(members, func(seed string) bool { return m.seedIDs[seed] == "" }) {
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -17,7 +17,7 @@
 	maxLogEntries = 1024
 )
 
-// entryLog holds the newest log entries of a key. Each entry begins at the position where the
+// entryLog holds the newest log entries of a partition. Each entry begins at the position where the
 // one before it ended.
 type entryLog struct {
 	entries []logEntry
@@ -160,7 +160,7 @@
 	m.sendSnapshotChunk(part, to, snapshot)
 }
 
-// committedSums returns the digests of the key's records at the last committed position.
+// committedSums returns the digests of the partition's records at the last committed position.
 func (part *partition) committedSums() antientropy.Sums {
 	sums := part.Sums
 	for name, old := range part.undo {
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds elections and the transfer of keys to another owner.
+// This file holds elections and the transfer of partitions to another owner.
 
 import (
 	"maps"
@@ -10,8 +10,8 @@
 	"madderwing/internal/rendezvous"
 )
 
-// startElection starts an election in which this member is the candidate for a key. It begins
-// with a pre-vote unless the key was transferred to this member, by its owner or by the
+// startElection starts an election in which this member is the candidate for a partition. It begins
+// with a pre-vote unless the partition was transferred to this member, by its owner or by the
 // bootstrap: a member that the others don't need as owner, because it is cut off in one
 // direction or has only just restarted, then doesn't raise the epoch.
 func (m *Replica) startElection(part *partition, transferred bool) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// requestVotes sends a vote request to every seat that has not granted its vote yet. Tick
+// requestVotes sends a vote request to every voter that has not granted its vote yet. Tick
 // repeats it every quarter of a heartbeat interval.
 func (m *Replica) requestVotes(part *partition) {
 	part.votesRequestedAt = m.now
@@ -58,7 +58,7 @@
 	m.tallyVotes(part)
 }
 
-// hasLiveOwner reports whether, as far as this member knows, the key has an owner in contact
+// hasLiveOwner reports whether, as far as this member knows, the partition has an owner in contact
 // with a quorum (if it is this member) or with this member.
 func (m *Replica) hasLiveOwner(part *partition) bool {
 	limit := m.cfg.Vacant * 3 / 4
@@ -117,7 +117,7 @@
 			m.write([]storageEntry{part.meta()}, nil)
 		case vote.Outdated != nil:
 			if voterSetBefore != m.partitions[RosterKey].position {
-				m.requestVotes(part) // under the newer roster
+				m.requestVotes(part) // under the newer voter set
 			}
 		case vote.PreVote && part.position.Less(vote.At):
 			// Only a pre-vote ends here: in a binding vote a majority decides, whatever the
@@ -139,7 +139,7 @@
 		return
 	}
 	if !m.mayOwn() {
-		m.becomeFollower(part, ErrNotOwner) // this member has lost its seat in the meantime
+		m.becomeFollower(part, ErrNotOwner) // this member has been removed from the voter set in the meantime
 		return
 	}
 	if part.preVote {
@@ -183,8 +183,8 @@
 	m.becomeFollower(part, ErrNoQuorum)
 }
 
-// becomeFollower gives up the ownership or candidacy of a key, and fails all waiting proposals
-// with err.
+// becomeFollower gives up the ownership or candidacy of a partition, and fails all waiting
+// proposals with err.
 func (m *Replica) becomeFollower(part *partition, err error) {
 	if part.role != roleFollower {
 		part.role, part.preVote = roleFollower, false
@@ -201,10 +201,10 @@
 	}
 }
 
-// Heirs returns the addresses of the roster in the order in which they take over a key.
+// Heirs returns the addresses of the voters in the order in which they take over a partition.
 func (m *Replica) Heirs(name string) []string { return slices.Clone(m.successors(m.partition(name))) }
 
-// successors is Heirs without the copy; the order is computed once per roster.
+// successors is Heirs without the copy; the order is computed once per voter set.
 func (m *Replica) successors(part *partition) []string {
 	if s := m.voterSet(); part.successorsFor != s {
 		part.successorsFor, part.successorList = s, rendezvous.Order(part.name, m.Roster())
@@ -213,7 +213,7 @@
 }
 
 // rankAmongLive is the number of live members, other than the present owner, that come before
-// this one in the key's order of successors.
+// this one in the partition's order of successors.
 func (m *Replica) rankAmongLive(part *partition) int {
 	n := 0
 	for _, id := range m.successors(part) {
@@ -227,13 +227,13 @@
 	return n
 }
 
-// diskReplaced reports whether the machine at a seat's address has come back with another disk.
+// diskReplaced reports whether the machine at a voter's address has come back with another disk.
 func (m *Replica) diskReplaced(address string) bool {
 	id, known := m.lastIdentity[address]
 	return known && id != address && !slices.Contains(m.voterSet().all(), id) && !slices.Contains(m.voterSet().all(), address)
 }
 
-// rankAmongAll is this member's index in the key's order of successors.
+// rankAmongAll is this member's index in the partition's order of successors.
 func (m *Replica) rankAmongAll(name string) int {
 	for i, id := range m.successors(m.partition(name)) {
 		if id == m.cfg.Self {
@@ -245,7 +245,7 @@
 
 func (m *Replica) onProbe(from string) {
 	if !m.mayOwn() || m.leaving {
-		return // an answer would make the sender wait for this member to take over keys
+		return // an answer would make the sender wait for this member to take over partitions
 	}
 	ack := &ProbeAck{}
 	for _, name := range m.names {
@@ -264,8 +264,8 @@
 }
 
 // probesFoundNoOwner reports whether a majority has answered this member's probes, none of them
-// knows an owner of the key, and none of those that answered precedes this member in the order
-// of successors.
+// knows an owner of the partition, and none of those that answered precedes this member in the
+// order of successors.
 func (m *Replica) probesFoundNoOwner(name string) bool {
 	for _, owned := range m.probeAcks {
 		if owned[name] {
@@ -286,8 +286,8 @@
 	return false
 }
 
-// transfer asks a successor to take over a key: the first live one whose copy is up to date, or
-// else the first live one.
+// transfer asks a successor to take over a partition: the first live one whose copy is up to date,
+// or else the first live one.
 func (m *Replica) transfer(part *partition) {
 	var successor string
 	for _, id := range m.Heirs(part.name) {
@@ -307,9 +307,9 @@
 	}
 }
 
-// transferBack returns a key to the first member in its order of successors once that member has
-// been alive and up to date, and the key idle, for the period HandBack. Keys that were gathered
-// at one member by a failure are thus spread out again.
+// transferBack returns a partition to the first member in its order of successors once that member
+// has been alive and up to date, and the partition idle, for the period HandBack. Partitions that
+// were gathered at one member by a failure are thus spread out again.
 func (m *Replica) transferBack(part *partition) {
 	preferred := m.successors(part)[0]
 	at, _ := part.ackedPosition(preferred)
@@ -337,7 +337,7 @@
 	return at, ok
 }
 
-// Leave transfers all keys to other members; from then on this member takes over none. MayGo
+// Leave transfers all partitions to other members; from then on this member takes over none. MayGo
 // reports when its copies are no longer needed.
 func (m *Replica) Leave(now time.Duration) {
 	m.now = now
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -1,18 +1,18 @@
 package replication
 
-// This file holds the owner's side of heartbeats: what a member that owns keys sends to the
+// This file holds the owner's side of heartbeats: what a member that owns partitions sends to the
 // others at each heartbeat interval. heartbeat_acks.go holds what it does with the answers.
 //
-// One heartbeat covers all keys that a process owns. It identifies their epochs and positions
-// by a version and a digest of the whole list, and carries only the entries that differ from
-// the version that the receiver acknowledged last. A round number applies to the whole process,
-// so one answer confirms the epochs of all keys in the list. An answer names the keys that are
-// exceptions; a newer epoch for one of them deposes the owner of that key alone.
+// One heartbeat covers all partitions that a process owns. It identifies their epochs and positions
+// by a version and a digest of the whole list, and carries only the entries that differ from the
+// version that the receiver acknowledged last. A round number applies to the whole process, so one
+// answer confirms the epochs of all partitions in the list. An answer names the partitions that are
+// exceptions; a newer epoch for one of them deposes the owner of that partition alone.
 //
-// Between these full heartbeats a partial heartbeat covers only the keys that it names: those
+// Between these full heartbeats a partial heartbeat covers only the partitions that it names: those
 // with a new commit, and those for which a read waits until the ownership is confirmed. One
 // that only announces commits is not answered unless the receiver's copy differs from the
-// owner's or the owner's epoch or roster is outdated.
+// owner's or the owner's epoch or voter set is outdated.
 
 import (
 	"maps"
@@ -21,11 +21,11 @@
 )
 
 // protocolHeartbeat is the first protocol version whose members understand heartbeats. Members
-// of an older version are sent an Append without changes for each key.
+// of an older version are sent an Append without changes for each partition.
 const protocolHeartbeat = 1
 
 // roundRetention is how long the start times of rounds are kept, in multiples of Config.Vacant.
-// The times of the roster's rounds tell when a member last answered (see gone).
+// The times of the voter set's rounds tell when a member last answered (see failed).
 const roundRetention = 8
 
 // peer is what an owner knows of the process at another member's address.
@@ -36,25 +36,25 @@
 	listVersion       uint64 // version of the list that it acknowledged last; 0: none
 }
 
-// sentRound is a round that has begun. keys are the keys of its partial heartbeat.
+// sentRound is a round that has begun. partitions are the partitions of its partial heartbeat.
 type sentRound struct {
 	at         time.Duration
 	partitions []sentPartition
 }
 
-// sentPartition is a key with its position when the round began.
+// sentPartition is a partition with its position when the round began.
 type sentPartition struct {
 	*partition
 	position Position
 }
 
-// listEntry is a key's entry in the list, with the list version that added it.
+// listEntry is a partition's entry in the list, with the list version that added it.
 type listEntry struct {
 	KeyStatus
 	version uint64
 }
 
-// dueReason is why a key is due for a partial heartbeat.
+// dueReason is why a partition is due for a partial heartbeat.
 type dueReason int
 
 const (
@@ -71,13 +71,13 @@
 	confirmedRound  uint64               // the newest round that a quorum confirmed
 	lastFullAt      time.Duration        // when a full heartbeat was last sent to all members
 
-	version, digest uint64 // of the list of owned keys
+	version, digest uint64 // of the list of owned partitions
 	listed          map[string]listEntry
-	removed         map[string]uint64 // keys removed from the list, with the list version that removed them
+	removed         map[string]uint64 // partitions removed from the list, with the list version that removed them
 
 	dueAll        bool                 // a full heartbeat to all members is due
 	dueTo         map[string]bool      // addresses to be sent a full heartbeat at once, ahead of the interval
-	duePartitions map[string]dueReason // keys for the next partial heartbeat
+	duePartitions map[string]dueReason // partitions for the next partial heartbeat
 }
 
 func newHeartbeatState() heartbeatState {
@@ -96,7 +96,7 @@
 	p.supportsHeartbeat = msg.Protocol >= protocolHeartbeat
 }
 
-// noteClockReading records a member's clock reading, which the next heartbeat returns to it. A new
+// noteClockReading records a member's clock reading, which the next heartbeat echoes. A new
 // process is sent one at once.
 func (m *Replica) noteClockReading(from, id string, clock time.Duration) {
 	previous, ok := m.clockEchoes[id]
@@ -106,20 +106,20 @@
 	}
 }
 
-// scheduleConfirm schedules a round in which a quorum has to confirm the key's epoch, and
+// scheduleConfirm schedules a round in which a quorum has to confirm the partition's epoch, and
 // returns its number.
 func (m *Replica) scheduleConfirm(part *partition) (round uint64) {
 	m.heartbeats.duePartitions[part.name] = dueConfirm
 	return m.heartbeats.round + 1
 }
 
-// scheduleCommitNotice schedules a partial heartbeat that tells the others the key's commit
+// scheduleCommitNotice schedules a partial heartbeat that tells the others the partition's commit
 // position.
 func (m *Replica) scheduleCommitNotice(part *partition) {
 	m.heartbeats.duePartitions[part.name] = max(m.heartbeats.duePartitions[part.name], dueCommit)
 }
 
-// ownedPartitions returns the keys that this member owns, sorted by name.
+// ownedPartitions returns the partitions that this member owns, sorted by name.
 func (m *Replica) ownedPartitions() (out []*partition) {
 	for _, name := range m.names {
 		if part := m.partitions[name]; part.role == roleOwner {
@@ -130,7 +130,7 @@
 }
 
 // flushHeartbeats sends the heartbeats that are due. It runs once the driver has passed on
-// everything that it had for this member, so that many keys share one heartbeat.
+// everything that it had for this member, so that many partitions share one heartbeat.
 func (m *Replica) flushHeartbeats() {
 	state := &m.heartbeats
 	if !state.dueAll && len(state.dueTo) == 0 && len(state.duePartitions) == 0 {
@@ -189,7 +189,7 @@
 	return state.round
 }
 
-// status is the entry of an owned key in a heartbeat.
+// status is the entry of an owned partition in a heartbeat.
 func (m *Replica) status(part *partition) KeyStatus {
 	s := KeyStatus{Key: part.name, Epoch: part.ownEpoch.N, Seq: part.position.Seq, Sum: part.Sums.Fold()}
 	if part.commit.Epoch == part.ownEpoch {
@@ -198,7 +198,7 @@
 	return s
 }
 
-// updateList brings the list up to date with the keys that this member owns now.
+// updateList brings the list up to date with the partitions that this member owns now.
 func (m *Replica) updateList(owned []*partition) {
 	state := &m.heartbeats
 	next := state.version + 1
@@ -227,7 +227,7 @@
 	m.forgetRemoved()
 }
 
-// forgetRemoved forgets removed keys once every member's list reflects the removal.
+// forgetRemoved forgets removed partitions once every member's list reflects the removal.
 func (m *Replica) forgetRemoved() {
 	known := m.heartbeats.version
 	for _, p := range m.peers {
@@ -276,8 +276,8 @@
 	return h
 }
 
-// setAges sets how long ago this member's ownership of the keys was last confirmed: one age for
-// most of them, and separate ages for keys that were confirmed earlier or never.
+// setAges sets how long ago this member's ownership of the partitions was last confirmed: one age
+// for most of them, and separate ages for partitions that were confirmed earlier or never.
 func (m *Replica) setAges(h *Heartbeat, partitions []*partition) {
 	confirmedAt := neverConfirmed
 	for _, part := range partitions {
@@ -302,7 +302,7 @@
 	}
 }
 
-// withClockEcho returns the heartbeat with the clock mark of its receiver. Without a mark the
+// withClockEcho returns the heartbeat with the echo of its receiver's clock. Without one the
 // ages mean nothing to the receiver and are left out.
 func (m *Replica) withClockEcho(h *Heartbeat, to string) *Heartbeat {
 	if h.Sure == nil {
@@ -318,8 +318,8 @@
 }
 
 // sendFull sends a member its full heartbeat. A member of an older protocol version is sent an
-// Append for each key instead, and one that has not been heard from yet an Append for one key,
-// which every version answers.
+// Append for each partition instead, and one that has not been heard from yet an Append for one
+// partition, which every version answers.
 func (m *Replica) sendFull(to string, owned []*partition, full func(base uint64) *Heartbeat) {
 	p := m.peers[to]
 	switch {
@@ -342,8 +342,8 @@
 	}
 }
 
-// sendAppends sends a member an Append without changes for each key, as older protocol versions
-// expect.
+// sendAppends sends a member an Append without changes for each partition, as older protocol
+// versions expect.
 func (m *Replica) sendAppends(to string, partitions []*partition) {
 	for _, part := range partitions {
 		m.send(to, Message{Body: m.withFreshness(part, m.lastIdentity[to], m.newAppend(part, part.position))})
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -18,7 +18,7 @@
 	if ack.Outdated != nil {
 		m.adoptVoterSet(ack.Outdated)
 		m.handleDeviations(from, id, ack)
-		m.heartbeats.dueAll = m.heartbeats.dueAll || m.mayOwn() // again, under the newer roster
+		m.heartbeats.dueAll = m.heartbeats.dueAll || m.mayOwn() // again, under the newer voter set
 		return
 	}
 	if ack.Mark > 0 {
@@ -41,8 +41,8 @@
 	}
 }
 
-// handleDeviations handles the answers about individual keys and returns the names of those
-// keys.
+// handleDeviations handles the answers about individual partitions and returns the names of those
+// partitions.
 func (m *Replica) handleDeviations(from, id string, ack *HeartbeatAck) map[string]bool {
 	deviating := map[string]bool{}
 	for _, d := range ack.Deviate {
@@ -54,8 +54,8 @@
 	return deviating
 }
 
-// noteConfirmedBy records that a member has confirmed a key's epoch in a round and holds the
-// key at a position.
+// noteConfirmedBy records that a member has confirmed a partition's epoch in a round and holds the
+// partition at a position.
 func (m *Replica) noteConfirmedBy(part *partition, id string, round uint64, at Position) {
 	if part.role != roleOwner || round < part.firstRound {
 		return
@@ -73,8 +73,8 @@
 }
 
 // noteListConfirmed handles a member's confirmation of the whole list. Which round a quorum has
-// confirmed is computed once for all keys. Keys with waiting callers or uncommitted changes are
-// also advanced one by one, as are all keys while the protocols are mixed.
+// confirmed is computed once for all partitions. Partitions with waiting callers or uncommitted
+// changes are also advanced one by one, as are all partitions while the protocols are mixed.
 func (m *Replica) noteListConfirmed(id string, ack *HeartbeatAck, deviating map[string]bool) {
 	state := &m.heartbeats
 	state.confirmedRounds[id] = max(state.confirmedRounds[id], ack.Round)
@@ -103,7 +103,7 @@
 	}
 }
 
-// mixedProtocols reports whether some seat's member confirms keys one by one because it doesn't
+// mixedProtocols reports whether some voter confirms partitions one by one because it doesn't
 // understand heartbeats.
 func (m *Replica) mixedProtocols() bool {
 	for _, voter := range m.voterSet().all() {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// noteOwnershipConfirmed records that a quorum has confirmed the key's epoch in a round that
+// noteOwnershipConfirmed records that a quorum has confirmed the partition's epoch in a round that
 // began at the given time.
 func (m *Replica) noteOwnershipConfirmed(part *partition, began time.Duration) {
 	first := part.confirmedAt == neverConfirmed
@@ -125,8 +125,8 @@
 	}
 }
 
-// confirmedRound returns the newest round in which a quorum has confirmed the key's epoch, and
-// when it began; 0 if there is none.
+// confirmedRound returns the newest round in which a quorum has confirmed the partition's epoch,
+// and when it began; 0 if there is none.
 func (m *Replica) confirmedRound(part *partition) (round uint64, began time.Duration) {
 	if m.decidesAlone() {
 		return m.heartbeats.round + 1, m.now
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ownerList is a member's copy of an owner's key list, sorted by name.
+// ownerList is a member's copy of an owner's partition list, sorted by name.
 type ownerList struct {
 	runID     uint64
 	version   uint64
@@ -84,7 +84,7 @@
 	}
 }
 
-// heardPartition is a key covered by a heartbeat, with the epoch that the heartbeat gave.
+// heardPartition is a partition covered by a heartbeat, with the epoch that the heartbeat gave.
 type heardPartition struct {
 	*partition
 	epoch Epoch
@@ -134,8 +134,8 @@
 	m.whenDurable(func() { m.replyHeartbeat(from, ack, heard) })
 }
 
-// applyPartitionStatus applies an owner's status of one key and reports whether this member holds
-// what the owner does.
+// applyPartitionStatus applies an owner's status of one partition and reports whether this member
+// holds what the owner does.
 func (m *Replica) applyPartitionStatus(part *partition, e Epoch, s KeyStatus) bool {
 	m.followOwner(part, e)
 	to := Position{e, s.Seq}
@@ -143,7 +143,7 @@
 	return !part.position.Less(to) && (part.position != to || part.Sums.Fold() == s.Sum)
 }
 
-// updateFreshness updates the time as of which the copy of a key is known to be the newest.
+// updateFreshness updates the time as of which the copy of a partition is known to be the newest.
 // When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
 func (m *Replica) updateFreshness(part *partition, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
 	if sure == nil || sure.Life != m.cfg.Life || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
@@ -158,7 +158,7 @@
 	}
 }
 
-// replyHeartbeat answers once all that this member holds is durable. Keys for which it has
+// replyHeartbeat answers once all that this member holds is durable. Partitions for which it has
 // promised another epoch in the meantime are no longer confirmed.
 func (m *Replica) replyHeartbeat(from string, ack *HeartbeatAck, heard []heardPartition) {
 	for _, d := range ack.Deviate {
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// KeyStatus is an owner's status of one of its keys. The full epoch consists of the number here
-// and the sender's address and process (Epoch.Owner, Epoch.Life).
+// KeyStatus is an owner's status of one of its partitions. The full epoch consists of the number
+// here and the sender's address and process run (Epoch.Owner, Epoch.Life).
 type KeyStatus struct {
 	Key    string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
@@ -29,38 +29,38 @@
 	return sum
 }
 
-// KeyAge is how long ago the ownership of one key was confirmed, where that differs from
+// KeyAge is how long ago the ownership of one partition was confirmed, where that differs from
 // Heartbeat.Sure.Age. Negative: it has not been confirmed yet.
 type KeyAge struct {
 	Key string        `cbor:"1,keyasint"`
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// Heartbeat covers all keys of an owner once per heartbeat interval or, if it is partial, those
-// that it names.
+// Heartbeat covers all partitions of an owner once per heartbeat interval or, if it is partial,
+// those that it names.
 type Heartbeat struct {
-	Round   uint64      `cbor:"1,keyasint,omitempty"` // 0: answered only if a key deviates or the roster is outdated
+	Round   uint64      `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
 	Roster  Position    `cbor:"2,keyasint"`
 	Partial bool        `cbor:"3,keyasint,omitempty"`
 	Base    uint64      `cbor:"4,keyasint,omitempty"` // list version that Keys and Gone are relative to; 0: Keys is the whole list
 	Version uint64      `cbor:"5,keyasint,omitempty"`
 	Digest  uint64      `cbor:"6,keyasint,omitempty"` // digest of the list at Version
 	Keys    []KeyStatus `cbor:"7,keyasint,omitempty"`
-	Gone    []string    `cbor:"8,keyasint,omitempty"` // keys that the sender no longer owns
+	Gone    []string    `cbor:"8,keyasint,omitempty"` // partitions that the sender no longer owns
 	Sure    *Sure       `cbor:"9,keyasint,omitempty"`
 	Ages    []KeyAge    `cbor:"10,keyasint,omitempty"`
 }
 
-// HeartbeatAck answers a Heartbeat. It confirms the epochs of all keys that the heartbeat
-// covered, except those in Deviate, unless the owner's roster is outdated or the member lacks
+// HeartbeatAck answers a Heartbeat. It confirms the epochs of all partitions that the heartbeat
+// covered, except those in Deviate, unless the owner's voter set is outdated or the member lacks
 // the list.
 type HeartbeatAck struct {
-	Life     uint64        `cbor:"1,keyasint"` // the owner's process (Message.Life)
+	Life     uint64        `cbor:"1,keyasint"` // the owner's process run (Message.Life)
 	Round    uint64        `cbor:"2,keyasint,omitempty"`
 	Partial  bool          `cbor:"3,keyasint,omitempty"`
 	Lacks    bool          `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
 	Version  uint64        `cbor:"5,keyasint,omitempty"` // list version that the member holds
 	Mark     time.Duration `cbor:"6,keyasint,omitempty"` // the member's clock
-	Deviate  []*AppendAck  `cbor:"7,keyasint,omitempty"` // keys in which the member's copy differs from the owner's, or for which it has promised another epoch
-	Outdated *Holding      `cbor:"8,keyasint,omitempty"` // the newer roster, if the owner's is older
+	Deviate  []*AppendAck  `cbor:"7,keyasint,omitempty"` // partitions in which the member's copy differs from the owner's, or for which it has promised another epoch
+	Outdated *Holding      `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -13,8 +13,8 @@
 	m.sendSurvey(m.otherVoters())
 }
 
-// MayGo reports whether a leaving member is no longer needed. That is so if it has no seat, or
-// if it can leave its seat behind as a lost one and, for each key, there is another owner and a
+// MayGo reports whether a leaving member is no longer needed. That is so if it is not a voter, or
+// if the others can do without its vote and, for each partition, there is another owner and a
 // majority without this member holds everything that this member holds.
 func (m *Replica) MayGo(now time.Duration) bool {
 	m.now = now
@@ -22,7 +22,7 @@
 		return true
 	}
 	if s := m.voterSet(); s.joint || m.mustBeRemovedFirst(len(s.newVoters)) {
-		return false // wait until the roster's owner has taken the seat away
+		return false // wait until the voter set's owner has removed this member
 	}
 	for _, name := range m.names {
 		part := m.partitions[name]
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -1,25 +1,25 @@
 package replication
 
-// This file holds membership: which members count in a quorum, and why changes of the roster
+// This file holds membership: which members count in a quorum, and why changes of the voter set
 // are safe.
 //
-// The roster consists of seats, each an address and the identity of a disk. It changes by joint
-// consensus: first to a joint roster, in which every decision needs a majority of the old seats
-// and one of the new seats, then to the new seats alone. The other keys have owners of their
-// own, which learn of a change at different times. Their safety rests on three rules, none of
+// A voter is identified by an address and the identity of a disk. The voter set changes by joint
+// consensus: first to a joint voter set, in which every decision needs a majority of the old voters
+// and one of the new voters, then to the new voters alone. The other partitions have owners of
+// their own, which learn of a change at different times. Their safety rests on three rules, none of
 // which depends on time:
 //
-//   - A member that has taken over a roster rejects every owner and candidate that acts
+//   - A member that has taken over a voter set rejects every owner and candidate that acts
 //     under an older one, whether or not it knows the newer one to be committed.
-//   - The joint roster ends only after a survey in which a majority of the old seats and
-//     a majority of the new seats, all of them under the joint roster, reported the positions
-//     of their copies, and enough of the new seats hold durably at least the newest positions
+//   - The joint voter set ends only after a survey in which a majority of the old voters and
+//     a majority of the new voters, all of them under the joint voter set, reported the positions
+//     of their copies, and enough of the new voters hold durably at least the newest positions
 //     and promised epochs reported.
-//   - A seat belongs to a disk. A member that has lost its disk has another identity and no
-//     seat; nothing that it sent before counts for it.
+//   - A voter is tied to a disk. A member that has lost its disk has another identity and is
+//     no voter; nothing that it sent before counts for it.
 //
-// Thus any two majorities that decide about the same key overlap, or the later one starts with
-// everything that the earlier one could have decided.
+// Thus any two majorities that decide about the same partition overlap, or the later one starts
+// with everything that the earlier one could have decided.
 
 import (
 	"slices"
@@ -29,20 +29,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// voterState is the state of a seat in its record.
+// voterState is the state of a voter in its record.
 type voterState uint8
 
 const (
 	voterStable  voterState = iota
-	voterJoining            // counts among the new seats only
-	voterLeaving            // counts among the old seats only
+	voterJoining            // counts among the new voters only
+	voterLeaving            // counts among the old voters only
 )
 
 type voterValue struct {
 	State voterState `cbor:"1,keyasint,omitempty"`
 }
 
-// voterSet is the current roster. oldSeats and newSeats are the same unless the roster is joint.
+// voterSet is the current voter set. oldVoters and newVoters are the same unless the voter set is
+// joint.
 type voterSet struct {
 	oldVoters, newVoters []string
 	joint                bool
@@ -88,7 +89,7 @@
 	return s
 }
 
-// all returns the old and new seats, sorted.
+// all returns the old and new voters, sorted.
 func (s *voterSet) all() []string {
 	out := append([]string(nil), s.newVoters...)
 	for _, id := range s.oldVoters {
@@ -108,9 +109,9 @@
 	return id
 }
 
-// voterIdentity returns the identity that counts for a seat. A seat without an identity was given by a
-// version without identities; it belongs to whichever member answers at its address until the
-// seat is renewed.
+// voterIdentity returns the identity that counts for an entry of the voter set. An entry without an
+// identity was made by a version without identities; it stands for whichever member answers at its
+// address until the entry is renewed.
 func (m *Replica) voterIdentity(voter string) string {
 	if strings.IndexByte(voter, '/') >= 0 {
 		return voter
@@ -124,7 +125,7 @@
 	return voter
 }
 
-// olderVersions reports whether the holder of some seat runs a version without identities.
+// olderVersions reports whether some voter runs a version without identities.
 func (m *Replica) olderVersions() bool {
 	for _, voter := range m.voterSet().all() {
 		if a := addressOf(voter); m.lastIdentity[a] == a {
@@ -134,7 +135,7 @@
 	return false
 }
 
-// Roster returns the addresses of all seats, old and new.
+// Roster returns the addresses of all voters, old and new.
 func (m *Replica) Roster() []string {
 	var out []string
 	for _, id := range m.voterSet().all() {
@@ -145,7 +146,7 @@
 	return out
 }
 
-// otherVoters returns the addresses of the other members with a seat.
+// otherVoters returns the addresses of the other voters.
 func (m *Replica) otherVoters() []string {
 	var out []string
 	for _, a := range m.Roster() {
@@ -156,7 +157,7 @@
 	return out
 }
 
-// others returns the addresses that changes are replicated to: those of the other seats and of
+// others returns the addresses that changes are replicated to: those of the other voters and of
 // the learners.
 func (m *Replica) others() []string {
 	out := m.otherVoters()
@@ -168,14 +169,14 @@
 	return out
 }
 
-// Everyone returns the addresses of this member, the other seats and the learners.
+// Everyone returns the addresses of this member, the other voters and the learners.
 func (m *Replica) Everyone() []string {
 	out := append([]string{m.cfg.Self}, m.others()...)
 	sort.Strings(out)
 	return out
 }
 
-// activeLearners returns the learners that have asked for a seat recently.
+// activeLearners returns the learners that have asked to become voters recently.
 func (m *Replica) activeLearners() (out []string) {
 	for id, at := range m.learners {
 		if m.now-at <= m.cfg.Vacant+m.cfg.Beat {
@@ -190,11 +191,11 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// ackQuorum is how many of n seats must hold a change before it is acknowledged: the owner and
+// ackQuorum is how many of n voters must hold a change before it is acknowledged: the owner and
 // two others, and never less than a majority.
 func ackQuorum(n int) int { return max(majority(n), min(3, n)) }
 
-// hasQuorumOf reports whether the seats for which has is true suffice: for an acknowledgement
+// hasQuorumOf reports whether the voters for which has is true suffice: for an acknowledgement
 // of a change if forAck is set, or else for a vote or confirmation, which need a majority.
 func hasQuorumOf(voters []string, forAck bool, has func(string) bool) bool {
 	n := 0
@@ -209,8 +210,8 @@
 	return len(voters) > 0 && n >= majority(len(voters))
 }
 
-// hasQuorum reports whether the members for which has is true hold enough seats, in a joint
-// roster enough of the old and of the new ones.
+// hasQuorum reports whether enough voters are among the members for which has is true, in a joint
+// voter set enough of the old and of the new ones.
 func (m *Replica) hasQuorum(forAck bool, has func(string) bool) bool {
 	s := m.voterSet()
 	holds := func(voter string) bool { return has(m.voterIdentity(voter)) }
@@ -232,11 +233,10 @@
 	return m.isAnyOf(s.newVoters) || s.joint && m.isAnyOf(s.oldVoters)
 }
 
-// mayOwn reports whether this member may own keys. A member whose seat is being taken away may
-// not.
+// mayOwn reports whether this member may own partitions. A voter that is being removed may not.
 func (m *Replica) mayOwn() bool { return m.isAnyOf(m.voterSet().newVoters) }
 
-// olderVoterSet reports whether p is older than this member's roster.
+// olderVoterSet reports whether p is older than this member's voter set.
 func (m *Replica) olderVoterSet(p Position) bool { return p.Less(m.partitions[RosterKey].position) }
 
 func (m *Replica) voterSetCopy() *Holding {
@@ -244,8 +244,8 @@
 	return &Holding{At: part.position, Records: part.Pick(allRanges)}
 }
 
-// adoptVoterSet takes over a newer roster, sent by a member that rejected a message because this
-// member's roster is outdated.
+// adoptVoterSet takes over a newer voter set, sent by a member that rejected a message because this
+// member's voter set is outdated.
 func (m *Replica) adoptVoterSet(h *Holding) {
 	part := m.partitions[RosterKey]
 	if !part.position.Less(h.At) {
@@ -264,7 +264,7 @@
 	}
 }
 
-// resign gives up all keys and candidacies of a member that may not own keys.
+// resign gives up all partitions and candidacies of a member that may not own partitions.
 func (m *Replica) resign() {
 	for _, name := range m.names {
 		switch part := m.partitions[name]; part.role {
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -1,11 +1,11 @@
-// Package replication replicates the state of the control nodes: a set of keys, each of which
-// is a set of records that are validated together. A key corresponds to a Raft group: it has
-// one owner (its leader) at a time, elected under a rising epoch, which replicates each change
-// to other members before it answers. There is no log common to all keys and no leader for all
+// Package replication replicates the state of the control nodes: a set of partitions, each of which
+// is a set of records that are validated together. A partition corresponds to a Raft group: it has
+// one owner (its leader) at a time, elected under a rising epoch, which replicates each change to
+// other members before it answers. There is no log common to all partitions and no leader for all
 // of them.
 //
-// A member is one control node's replica. Members with a seat in the roster vote; the others
-// are learners, which only receive copies. A member's Life identifies its process, and its
+// A member is one control node's replica. Members in the voter set (voters) vote; the others
+// are learners, which only receive copies. A member's Life identifies its process run, and its
 // identity includes that of its disk.
 //
 // Replica is the state machine of one member. It does no I/O and reads no clock: a driver
@@ -20,14 +20,14 @@
 	"madderwing/internal/antientropy"
 )
 
-// Record is one entry of a key.
+// Record is one entry of a partition.
 type Record = antientropy.Record
 
-// RosterKey is the key of the roster; the names of its records are the identities of the
-// members with a seat.
+// RosterKey is the partition of the voter set; the names of its records are the identities of the
+// voters.
 const RosterKey = "roster"
 
-// Epoch identifies one ownership of a key, as a term does in Raft. No two processes ever use
+// Epoch identifies one ownership of a partition, as a term does in Raft. No two processes ever use
 // the same one.
 type Epoch struct {
 	N     uint64 `cbor:"1,keyasint,omitempty"`
@@ -45,7 +45,7 @@
 	return e.Life < o.Life
 }
 
-// Position is a position in a key's log.
+// Position is a position in a partition's log.
 type Position struct {
 	Epoch Epoch  `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint,omitempty"`
@@ -77,8 +77,8 @@
 	OK       bool     `cbor:"3,keyasint,omitempty"`
 	Promised Epoch    `cbor:"4,keyasint"`
 	At       Position `cbor:"5,keyasint"`
-	Outdated *Holding `cbor:"9,keyasint,omitempty"` // the newer roster, if the candidate's is older
-	// Quiet is how long ago the member last confirmed another epoch. It is set for keys whose
+	Outdated *Holding `cbor:"9,keyasint,omitempty"` // the newer voter set, if the candidate's is older
+	// Quiet is how long ago the member last confirmed another epoch. It is set for partitions whose
 	// members must know how fresh their copies are.
 	Quiet   time.Duration    `cbor:"8,keyasint,omitempty"`
 	PreVote bool             `cbor:"10,keyasint,omitempty"`
@@ -124,11 +124,11 @@
 }
 
 // Sure tells a member how long ago the owner's ownership was last confirmed, and thus how old the
-// member's copy may be. It consists of durations: the member's own clock mark comes back with
+// member's copy may be. It consists of durations: the member's own clock reading is echoed with
 // the time for which the owner held it, so the member can date the confirmation by its own
 // clock, however long the message was in transit.
 type Sure struct {
-	Life uint64        `cbor:"1,keyasint"` // process that set the mark (Message.Life)
+	Life uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.Life)
 	Mark time.Duration `cbor:"2,keyasint"`
 	Held time.Duration `cbor:"3,keyasint"`
 	Age  time.Duration `cbor:"4,keyasint"`
@@ -143,8 +143,8 @@
 	At       Position          `cbor:"5,keyasint"`
 	Round    uint64            `cbor:"6,keyasint,omitempty"`
 	Sums     *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Mark     time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this key
-	Outdated *Holding          `cbor:"9,keyasint,omitempty"` // the newer roster, if the owner's is older
+	Mark     time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this partition
+	Outdated *Holding          `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
 
 // SnapshotChunk is a part of a snapshot: the records of some ranges at a position. A member
@@ -173,21 +173,21 @@
 type StateQuery struct {
 	Round   uint64   `cbor:"1,keyasint"`
 	Leaving bool     `cbor:"2,keyasint,omitempty"` // the sender is about to leave
-	Roster  Position `cbor:"3,keyasint"`           // the sender's roster
+	Roster  Position `cbor:"3,keyasint"`           // the sender's voter set
 }
 
-// StateReport answers StateQuery: the member's roster, below which it no longer accepts
+// StateReport answers StateQuery: the member's voter set, below which it no longer accepts
 // anything, and the positions of its copies under it.
 type StateReport struct {
 	Round  uint64   `cbor:"1,keyasint"`
 	Roster Position `cbor:"2,keyasint"`
 	Keys   []Stand  `cbor:"3,keyasint,omitempty"`
-	// Outdated is a newer, committed roster for a sender that is leaving: nothing is replicated
-	// to it any more once it has lost its seat.
+	// Outdated is a newer, committed voter set for a sender that is leaving: nothing is replicated
+	// to it any more once it has been removed from the voter set.
 	Outdated *Holding `cbor:"4,keyasint,omitempty"`
 }
 
-// Stand is the position of a member's copy of a key and the newest epoch that it has promised
+// Stand is the position of a member's copy of a partition and the newest epoch that it has promised
 // to follow.
 type Stand struct {
 	Key      string   `cbor:"1,keyasint"`
@@ -195,21 +195,21 @@
 	At       Position `cbor:"3,keyasint"`
 }
 
-// Holding is a copy of a key at a position.
+// Holding is a copy of a partition at a position.
 type Holding struct {
 	At      Position `cbor:"3,keyasint"`
 	Records []Record `cbor:"4,keyasint,omitempty"`
 }
 
-// Found proposes the initial roster of a new system. Without Records it only asks whether the
+// Found proposes the initial voter set of a new system. Without Records it only asks whether the
 // receiver is there.
 type Found struct {
 	At      Position `cbor:"1,keyasint"`
 	Records []Record `cbor:"2,keyasint"`
 }
 
-// Founded acknowledges that the sender holds the initial roster durably. At the zero position
-// it only says that the sender is there and has no roster.
+// Founded acknowledges that the sender holds the initial voter set durably. At the zero position
+// it only says that the sender is there and has no voter set.
 type Founded struct {
 	At Position `cbor:"1,keyasint"`
 	// Relay says that the sender has no disk and can't be a member. Appointed is the member
@@ -217,27 +217,28 @@
 	// isn't known here.
 	Relay     bool   `cbor:"2,keyasint,omitempty"`
 	Appointed string `cbor:"3,keyasint,omitempty"`
-	// Passive says that the sender may not propose the initial roster because its disk holds no
+	// Passive says that the sender may not propose the initial voter set because its disk holds no
 	// seeds of a first start.
 	Passive bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Transfer asks a member to take over a key at once.
+// Transfer asks a member to take over a partition at once.
 type Transfer struct {
 	Key string `cbor:"1,keyasint"`
 }
 
-// Probe asks, after a start, which keys have an owner.
+// Probe asks, after a start, which partitions have an owner.
 type Probe struct{}
 
-// ProbeAck lists the keys that, as far as the sender knows, have an owner or an election under
-// way. It binds nobody; it only saves a restarted member the wait for owners that don't exist.
+// ProbeAck lists the partitions that, as far as the sender knows, have an owner or an election
+// under way. It binds nobody; it only saves a restarted member the wait for owners that don't
+// exist.
 type ProbeAck struct {
 	Owned []string `cbor:"1,keyasint,omitempty"`
 }
 
-// Join says that the sender has no seat. Owners replicate to it as a learner, and the owner of
-// the roster gives it a seat once it holds everything that is committed.
+// Join says that the sender is not a voter. Owners replicate to it as a learner, and the owner of
+// the voter set makes it a voter once it holds everything that is committed.
 type Join struct{}
 
 // Envelope is a message with its receiver's address.
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -1,17 +1,17 @@
 package replication
 
 // This file holds reads and fencing: how fresh a member's copies are known to be, and since
-// when it has been the confirmed owner of a key.
+// when it has been the confirmed owner of a partition.
 
 import "time"
 
-// Read calls done with nil once it is certain that no newer version of the key than the one in
-// memory has been acknowledged.
+// Read calls done with nil once it is certain that no newer version of the partition than the one
+// in memory has been acknowledged.
 func (m *Replica) Read(now time.Duration, name string, done func(error)) {
 	m.Propose(now, name, func(map[string]Record) ([]Record, error) { return nil, nil }, done)
 }
 
-// Current returns a time on this member's clock as of which its committed copy of a key was
+// Current returns a time on this member's clock as of which its committed copy of a partition was
 // certainly the newest that anybody could have been told of.
 func (m *Replica) Current(name string) (time.Duration, bool) {
 	part := m.partition(name)
@@ -27,23 +27,23 @@
 // neverConfirmed is the value of confirmedAt while the ownership has not been confirmed yet.
 const neverConfirmed time.Duration = -1
 
-// Tenure describes a member's ownership of a key.
+// Tenure describes a member's ownership of a partition.
 type Tenure struct {
 	Epoch Epoch
 	Since time.Duration // when the member won the election
 	Sure  time.Duration // when it was last certain that there was no other owner
-	Heir  bool          // the key had records when the ownership began, so others may have owned it before
+	Heir  bool          // the partition had records when the ownership began, so others may have owned it before
 	Free  time.Duration // no earlier owner was confirmed later than this
 }
 
-// Tenure describes this member's ownership of a key. ok is false unless the ownership was
+// Tenure describes this member's ownership of a partition. ok is false unless the ownership was
 // confirmed within the last Config.Vacant.
 func (m *Replica) Tenure(now time.Duration, name string) (t Tenure, ok bool) {
 	part := m.partition(name)
 	return Tenure{part.ownEpoch, part.ownerSince, part.confirmedAt, part.inherited, part.predecessorUntil}, part.role == roleOwner && part.confirmedAt != neverConfirmed && now-part.confirmedAt <= m.cfg.Vacant
 }
 
-// Committed returns the records of a key at the newest position that this member knows to be
+// Committed returns the records of a partition at the newest position that this member knows to be
 // committed. While a later change is not committed yet, the map is a copy.
 func (m *Replica) Committed(name string) (map[string]Record, Position, bool) {
 	part := m.partition(name)
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -15,25 +15,25 @@
 // the settings.
 type Config struct {
 	Self      string               // the member's address
-	Life      uint64               // unique to each process
+	Life      uint64               // unique to each run of the process
 	Identity  uint64               // for a disk that has none yet; unique to each disk
 	Seeds     []string             // sorted
 	Bootstrap bool                 // setting: with an empty disk, take part in the bootstrap of a new system
 	Empty     bool                 // the disk held nothing, or nothing readable
-	Keys      []string             // keys that exist from the start, besides the roster
+	Keys      []string             // partitions that exist from the start, besides the voter set
 	Beat      time.Duration        // interval between an owner's heartbeats
-	Vacant    time.Duration        // election timeout: silence after which a key is taken over
+	Vacant    time.Duration        // election timeout: silence after which a partition is taken over
 	Patience  time.Duration        // how long a proposal may wait
-	HandBack  time.Duration        // how long everything must be stable before a key goes back to its first successor; 0: never
+	HandBack  time.Duration        // how long everything must be stable before a partition goes back to its first successor; 0: never
 	Alive     func(id string) bool // whether the process at an address seems alive
-	Sure      []string             // keys whose members must know how fresh their copy is
-	// SurePrefix is the prefix of further such keys, which are created on demand; empty: there
-	// are none.
+	Sure      []string             // partitions whose members must know how fresh their copy is
+	// SurePrefix is the prefix of further such partitions, which are created on demand; empty:
+	// there are none.
 	SurePrefix string
 
 	Faults int                    // how many members may be lost at once with all guarantees kept
 	Left   func(id string) bool   // the process at an address has announced that it left; nil: never known
-	Peers  func() []string        // known control nodes, for a member without a seat; nil: none
+	Peers  func() []string        // known control nodes, for a member that is not a voter; nil: none
 	Zone   func(id string) string // zone of an address; nil or empty: not known
 }
 
@@ -42,8 +42,8 @@
 	Send      []Envelope
 	Writes    []Write
 	Rewrite   bool     // the last write failed: write the whole state
-	Committed []string // keys with a newer committed copy
-	// Changed holds, by key, the records committed since the last call of Take. A nil entry
+	Committed []string // partitions with a newer committed copy
+	// Changed holds, by partition, the records committed since the last call of Take. A nil entry
 	// means that they are not known: any record may have changed.
 	Changed map[string][]Record
 	Notes   []string // messages for the log
@@ -57,7 +57,7 @@
 	roleOwner
 )
 
-// partition is this member's copy of a key and its role for that key.
+// partition is this member's copy of a partition and its role for that partition.
 type partition struct {
 	name     string
 	promised Epoch    // the newest epoch that this member has promised to follow
@@ -88,7 +88,7 @@
 	waiters          []waiter
 	queue            []proposal
 	noElectionUntil  time.Duration
-	stableSince      time.Duration                // since when the conditions for handing the key back hold
+	stableSince      time.Duration                // since when the conditions for transferring the partition back hold
 	outgoing         map[string]*outgoingSnapshot // snapshots being sent, by member
 	lastCatchUp      map[string]catchUpSent       // the last changes sent to members that lag behind, by member
 	incoming         *incomingSnapshot            // snapshot being received
@@ -101,10 +101,10 @@
 	lastConfirmSent  time.Duration            // when this member last confirmed an epoch, as a follower or as the owner
 	predecessorUntil time.Duration            // no earlier owner was confirmed later than this
 	quietSince       map[string]time.Duration // by voter: when it last confirmed another epoch
-	successorsFor    *voterSet                // the roster that successorList was computed for
+	successorsFor    *voterSet                // the voter set that successorList was computed for
 	successorList    []string
 	inherited        bool          // there were records when this member became owner
-	knownSince       time.Duration // when this member first heard of the key
+	knownSince       time.Duration // when this member first heard of the partition
 }
 
 // Replica is the state machine of one member.
@@ -113,11 +113,11 @@
 	self           string // its identity: see idOf
 	identity       uint64
 	partitions     map[string]*partition
-	names          []string // of all keys, sorted
-	bootstrapped   bool     // a roster is committed, or all initial members hold the initial one
+	names          []string // of all partitions, sorted
+	bootstrapped   bool     // a voter set is committed, or all initial members hold the initial one
 	now            time.Duration
 	effects        Effects   // since the last call of Take
-	cachedVoterSet *voterSet // the current roster; nil: to be computed again
+	cachedVoterSet *voterSet // the current voter set; nil: to be computed again
 
 	lastWrite    uint64              // ID of the newest write
 	onDurable    map[uint64][]func() // by write ID: what to call once it is durable
@@ -127,27 +127,27 @@
 	nextJoinAt      time.Duration
 	nextBootstrapAt time.Duration
 	seedIDs         map[string]string // by address: identities of the seeds that have answered
-	bootstrapAcks   map[string]bool   // addresses of members that hold the initial roster
+	bootstrapAcks   map[string]bool   // addresses of members that hold the initial voter set
 	relays          map[string]string // seeds without a disk, and the member that each appoints
-	passive         map[string]bool   // seeds that may not propose the initial roster
+	passive         map[string]bool   // seeds that may not propose the initial voter set
 	// firstSeeds are the seeds of the system's first start, if this member took part in it; see
 	// bootstrap.go.
 	firstSeeds         []string
 	leaving            bool
 	started            bool
 	startedAt          time.Duration
-	runIDs             map[string]uint64          // by identity: the process (Message.Life) last heard from
-	voterSetAnsweredAt map[string]time.Duration   // by identity: when the newest round of the roster that it has answered was sent
+	runIDs             map[string]uint64          // by identity: the process run (Message.Life) last heard from
+	voterSetAnsweredAt map[string]time.Duration   // by identity: when the newest round of the voter set that it has answered was sent
 	lastIdentity       map[string]string          // by address: the identity last heard from
-	learners           map[string]time.Duration   // identities without a seat that ask for one, and when they last did
+	learners           map[string]time.Duration   // identities that ask to become voters, and when they last did
 	leavers            map[string]time.Duration   // identities that are leaving, and when they last said so
-	probeAcks          map[string]map[string]bool // by address: the keys that have an owner
+	probeAcks          map[string]map[string]bool // by address: the partitions that have an owner
 	survey             *survey
 	surveyRound        uint64 // number of the newest survey round
 
 	heartbeats  heartbeatState
 	peers       map[string]*peer      // by address
-	clockEchoes map[string]clockEcho  // by identity: clock readings to return to members
+	clockEchoes map[string]clockEcho  // by identity: clock readings to echo to members
 	ownerLists  map[string]*ownerList // by address: lists received in owners' heartbeats
 }
 
@@ -311,7 +311,7 @@
 				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.rankAmongAll(part.name))*m.cfg.Vacant/4
 				since = m.startedAt
 				if part.knownSince > m.startedAt {
-					// A new key can't have had an owner, unless this member missed that; then
+					// A new partition can't have had an owner, unless this member missed that; then
 					// the owner will make itself known.
 					wait = time.Duration(m.rankAmongAll(part.name)) * m.cfg.Vacant / 4
 					since = part.knownSince
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -30,7 +30,7 @@
 	Bootstrapped bool   `cbor:"2,keyasint"`
 	Identity     uint64 `cbor:"3,keyasint,omitempty"`
 	// FirstSeeds are the seeds of the system's first start. They are stored until the member
-	// has a roster.
+	// has a voter set.
 	FirstSeeds []string `cbor:"4,keyasint,omitempty"`
 }
 
@@ -130,7 +130,7 @@
 	return e
 }
 
-// apply applies the changes of a log entry to the key's records, keeps the old versions in
+// apply applies the changes of a log entry to the partition's records, keeps the old versions in
 // undo, and returns the entries to store.
 func (m *Replica) apply(part *partition, changes []Record) []storage.Entry {
 	if part.undo == nil && part.commit == part.position {
@@ -177,7 +177,7 @@
 	return out
 }
 
-// invalidateCaches drops what was computed from a key's records.
+// invalidateCaches drops what was computed from a partition's records.
 func (m *Replica) invalidateCaches(part *partition) {
 	if part.name == RosterKey {
 		m.cachedVoterSet = nil
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -1,10 +1,10 @@
 package replication
 
-// This file holds what a member reports about its keys.
+// This file holds what a member reports about its partitions.
 
 import "time"
 
-// View is the status of a key as one member sees it.
+// View is the status of a partition as one member sees it.
 type View struct {
 	Key      string
 	Owner    string
@@ -16,7 +16,7 @@
 	HeardAgo time.Duration // since the last contact with an owner or candidate
 }
 
-// Owner returns the address of the member believed to own a key; empty if none is known.
+// Owner returns the address of the member believed to own a partition; empty if none is known.
 func (m *Replica) Owner(now time.Duration, name string) string {
 	part := m.partition(name)
 	if part.role == roleOwner {
@@ -28,8 +28,8 @@
 	return part.promised.Owner
 }
 
-// Founder returns the member to contact for a key that, as far as this member knows, has never
-// had an owner; empty if it has had one or no member is available.
+// Founder returns the member to contact for a partition that, as far as this member knows, has
+// never had an owner; empty if it has had one or no member is available.
 func (m *Replica) Founder(now time.Duration, name string) string {
 	m.now = now
 	return m.initialOwner(m.partition(name))
@@ -47,13 +47,13 @@
 	return ""
 }
 
-// Keys returns the names of all keys that this member has heard of.
+// Keys returns the names of all partitions that this member has heard of.
 func (m *Replica) Keys() []string { return append([]string(nil), m.names...) }
 
-// Voting reports whether the member has a seat.
+// Voting reports whether the member is a voter.
 func (m *Replica) Voting() bool { return m.isVoter() }
 
-// Views returns the status of all keys.
+// Views returns the status of all partitions.
 func (m *Replica) Views(now time.Duration) []View {
 	var out []View
 	for _, name := range m.names {
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -1,7 +1,7 @@
 package replication
 
-// This file holds changes of the roster, which the owner of the roster makes. See membership.go
-// for why they are safe.
+// This file holds changes of the voter set, which the owner of that partition makes. See
+// membership.go for why they are safe.
 
 import (
 	"slices"
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// requestJoin asks the other members to replicate to this one as a learner and to give it a
-// seat.
+// requestJoin asks the other members to replicate to this one as a learner and to make it a
+// voter.
 func (m *Replica) requestJoin() {
 	if m.now < m.nextJoinAt || m.leaving {
 		return
@@ -33,8 +33,8 @@
 
 func (m *Replica) onJoin(from, id string) {
 	if slices.Contains(m.voterSet().newVoters, id) {
-		// The member hasn't learned of its seat yet; the next message about the roster tells
-		// it.
+		// The member hasn't learned yet that it is a voter; the next message about the voter set
+		// tells it.
 		return
 	}
 	at, known := m.learners[id]
@@ -45,21 +45,21 @@
 	m.heartbeats.dueTo[from] = true
 }
 
-// maxVoters is the maximum number of seats. Further control nodes remain learners in standby, as
+// maxVoters is the maximum number of voters. Further control nodes remain learners in standby, as
 // do all members that hold no more than what is replicated to them.
 const maxVoters = 9
 
-// minVoters is the number of seats below which silence alone removes none: one more than twice
+// minVoters is the number of voters below which silence alone removes none: one more than twice
 // the losses to be tolerated, and no fewer than an acknowledgement needs besides the lost ones.
 func (m *Replica) minVoters() int { return max(2*m.cfg.Faults+1, m.cfg.Faults+3) }
 
-// mustBeRemovedFirst reports whether, in a roster of n seats, a member has to lose its seat
-// before it leaves. A seat left behind counts as lost, and more so if several members leave at
-// once, so the others might no longer tolerate the losses that they have to.
+// mustBeRemovedFirst reports whether, in a voter set of n voters, a member has to be removed from
+// it before it leaves. A voter that leaves counts as lost, and more so if several leave at once,
+// so the others might no longer tolerate the losses that they have to.
 func (m *Replica) mustBeRemovedFirst(n int) bool { return n > m.minVoters() }
 
-// failed reports whether the holder of a seat counts as failed, and whether that is certain enough to
-// remove the seat without a replacement.
+// failed reports whether a voter counts as failed, has been replaced at its address or is leaving,
+// and whether that is certain enough to remove it without a replacement.
 func (m *Replica) failed(voter string) (failed, certain bool) {
 	id, address := m.voterIdentity(voter), addressOf(voter)
 	if id == m.self {
@@ -72,26 +72,26 @@
 	case leaving && m.now-at <= m.cfg.Beat && m.mustBeRemovedFirst(len(m.voterSet().newVoters)):
 		return true, true
 	case current != id && m.voterSetAnsweredAt[current] > m.voterSetAnsweredAt[id]:
-		return true, true // another disk is in use at the seat's address
+		return true, true // another disk is in use at the voter's address
 	case m.cfg.Left != nil && m.cfg.Left(address) && silence > m.cfg.Beat:
 		return true, true
 	}
-	// Every seat is sent a heartbeat at each interval, so silence is strong evidence, even if
-	// no other member watches that seat's holder. If others don't see it alive either, less
+	// Every voter is sent a heartbeat at each interval, so silence is strong evidence, even if
+	// no other member watches that voter. If others don't see it alive either, less
 	// silence is enough.
 	failed = silence > m.cfg.Vacant && !m.cfg.Alive(address) || silence > 2*m.cfg.Vacant
 	return failed, failed && silence > 2*m.cfg.Vacant
 }
 
-// suspected reports whether the holder of a seat is silent and may soon count as gone.
+// suspected reports whether a voter is silent and may soon count as failed.
 func (m *Replica) suspected(voter string) bool {
 	id := m.voterIdentity(voter)
 	failed, _ := m.failed(voter)
 	return !failed && id != m.self && !m.cfg.Alive(addressOf(voter)) && m.now-m.voterSetAnsweredAt[id] > m.cfg.Beat*3/2
 }
 
-// allVotersAnswering reports whether all seats have answered recently and no change is wanted.
-// Until then the owner of the roster doesn't hand it back: the next owner would have to wait
+// allVotersAnswering reports whether all voters have answered recently and no change is wanted.
+// Until then the owner of the voter set doesn't transfer it back: the next owner would have to wait
 // for the answers afresh.
 func (m *Replica) allVotersAnswering() bool {
 	s := m.voterSet()
@@ -103,16 +103,16 @@
 	return !s.joint && !m.changeWanted()
 }
 
-// survey collects what the members hold, for a change of the roster or for a member that
+// survey collects what the members hold, for a change of the voter set or for a member that
 // leaves.
 type survey struct {
-	voterSet Position         // position of the roster that the survey is for
-	required map[string]Stand // by key: the newest position and promised epoch reported; nil: not known yet
+	voterSet Position         // position of the voter set that the survey is for
+	required map[string]Stand // by partition: the newest position and promised epoch reported; nil: not known yet
 	replies  map[string]*StateReport
 }
 
-// tickVoterSetChange continues a change of the roster, or begins one that is wanted. It does
-// something only at the owner of the roster.
+// tickVoterSetChange continues a change of the voter set, or begins one that is wanted. It does
+// something only at the owner of the voter set.
 func (m *Replica) tickVoterSetChange() {
 	part := m.partitions[RosterKey]
 	if m.leaving {
@@ -180,8 +180,8 @@
 	m.proposeVoterSetChange()
 }
 
-// computeRequired determines what a member must hold to count under the next roster, once a
-// majority (of the old and of the new seats) has reported its state under the present one. It
+// computeRequired determines what a member must hold to count under the next voter set, once a
+// majority (of the old and of the new voters) has reported its state under the present one. It
 // reports whether that is known.
 func (sv *survey) computeRequired(m *Replica) bool {
 	if sv.required != nil {
@@ -227,7 +227,7 @@
 	return true
 }
 
-// proposeVoterSetChange proposes the next roster if the survey allows it.
+// proposeVoterSetChange proposes the next voter set if the survey allows it.
 func (m *Replica) proposeVoterSetChange() {
 	part, survey := m.partitions[RosterKey], m.survey
 	if part.role != roleOwner || part.commit != part.position || survey.voterSet != part.position || !survey.computeRequired(m) {
@@ -251,7 +251,7 @@
 	at := part.position
 	m.Propose(m.now, RosterKey, func(have map[string]Record) ([]Record, error) {
 		if part.position != at {
-			return nil, nil // the roster has changed in the meantime
+			return nil, nil // the voter set has changed in the meantime
 		}
 		return voterSetRecords(have, next), nil
 	}, func(err error) {
@@ -261,8 +261,8 @@
 	})
 }
 
-// voterSetRecords returns the change that makes the roster hold exactly the given seats. Records
-// of seats that were dropped before are erased.
+// voterSetRecords returns the change that makes the voter set hold exactly the given voters.
+// Records of voters that were dropped before are erased.
 func voterSetRecords(current map[string]Record, next map[string]voterState) (out []Record) {
 	for name, r := range current {
 		state, stays := next[name]
@@ -284,8 +284,8 @@
 	return out
 }
 
-// promotable returns the members that may get a seat: first those at the address of an existing
-// seat, then those in the zones with the fewest seats.
+// promotable returns the members that may become voters: first those at the address of an existing
+// voter, then those in the zones with the fewest voters.
 func (m *Replica) promotable() []string {
 	s := m.voterSet()
 	votersPerZone := map[string]int{}
@@ -303,7 +303,7 @@
 		}
 	}
 	for _, voter := range s.newVoters {
-		// A seat without an identity is renewed for the member that holds it.
+		// An entry without an identity is renewed with that of the member at its address.
 		if id := m.voterIdentity(voter); id != voter && !slices.Contains(out, id) {
 			out = append(out, id)
 		}
@@ -323,7 +323,7 @@
 	return out
 }
 
-// changeWanted reports whether a change could improve the roster.
+// changeWanted reports whether a change could improve the voter set.
 func (m *Replica) changeWanted() bool {
 	s := m.voterSet()
 	failedVoters := 0
@@ -343,9 +343,8 @@
 	return false
 }
 
-// planJointVoterSet returns the next joint roster, or nil if there is nothing to do. Learners
-// that hold everything required get seats, in place of seats whose holder is gone if there are
-// any.
+// planJointVoterSet returns the next joint voter set, or nil if there is nothing to do. Learners
+// that hold everything required become voters, in place of failed voters if there are any.
 func (m *Replica) planJointVoterSet(meetsRequired func(string) bool) map[string]voterState {
 	s := m.voterSet()
 	next := map[string]voterState{}
@@ -353,7 +352,7 @@
 	for _, voter := range s.newVoters {
 		next[voter] = voterStable
 	}
-	var replaceable []string // seats whose holder is gone, the certain ones first
+	var replaceable []string // failed voters, the certain ones first
 	var likelyFailed []string
 	for _, voter := range s.newVoters {
 		switch failed, certainlyFailed := m.failed(voter); {
@@ -394,7 +393,7 @@
 			replaced = replaceable[0]
 		}
 		if replaced == "" && (size >= maxVoters || pending) {
-			continue // or it would get an extra seat beside one that it should replace
+			continue // or it would be added beside a voter that it should replace
 		}
 		if replaced != "" {
 			drop(replaced)
@@ -421,7 +420,7 @@
 	return next
 }
 
-// Retire removes a member that is gone for good from the roster, by its address.
+// Retire removes a member that has failed for good from the voter set, by its address.
 func (m *Replica) Retire(now time.Duration, address string, done func(error)) {
 	m.Propose(now, RosterKey, func(have map[string]Record) ([]Record, error) {
 		s := m.voterSet()
--- a/internal/replication/voter_set_status.go
+++ b/internal/replication/voter_set_status.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds the status of the roster, for operators.
+// This file holds the status of the voter set, for operators.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Standing is the status of the roster as one member sees it.
+// Standing is the status of the voter set as one member sees it.
 type Standing struct {
 	Seats    []string       `json:"seats"` // each an address and the identity of a disk
 	Joint    bool           `json:"joint"` // a change is in progress
@@ -18,14 +18,14 @@
 	Wanted   int            `json:"wanted"` // how many losses should be tolerated
 }
 
-// LearnerState is the status of a member without a seat. Behind is the number of keys owned by
-// this member of which the learner lacks the newest version; -1 if this member owns none.
+// LearnerState is the status of a member that is not a voter. Behind is the number of partitions
+// owned by this member of which the learner lacks the newest version; -1 if this member owns none.
 type LearnerState struct {
 	ID     string `json:"id"`
 	Behind int    `json:"behind"`
 }
 
-// Standing returns the status of the roster and the losses that it tolerates.
+// Standing returns the status of the voter set and the losses that it tolerates.
 func (m *Replica) Standing(now time.Duration) Standing {
 	m.now = now
 	s := m.voterSet()
@@ -61,8 +61,8 @@
 	return out
 }
 
-// voterAlive reports whether the disk that a seat belongs to seems to be in use. A machine that
-// runs with another disk doesn't count until that disk has a seat of its own.
+// voterAlive reports whether the disk of a voter seems to be in use. A machine that runs with
+// another disk doesn't count until that disk has been made a voter.
 func (m *Replica) voterAlive(voter string) bool {
 	id, address := m.voterIdentity(voter), addressOf(voter)
 	switch {
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -6,7 +6,7 @@
 
 // Message is a message between members.
 type Message struct {
-	Life     uint64 // the sender's process
+	Life     uint64 // the sender's process run
 	Identity uint64 // the sender's disk
 	Protocol uint64 // the newest protocol version that the sender understands
 	Body     Body   // nil: a type that only newer versions know
