--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds the rules that are checked while a world runs.
+// This file holds the invariants that are checked while a simulated cluster runs.
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"sort"
 )
 
-// checkNewOwner checks that whoever becomes owner of a key holds all that was ever shown as
+// checkNewOwner checks that a new owner of a partition holds everything that was ever reported as
 // committed in it.
 func (sim *cluster) checkNewOwner(n *node) {
 	for name, part := range n.replica.partitions {
@@ -21,7 +21,7 @@
 		}
 		n.ownEpochs[name] = part.ownEpoch
 		if !n.replica.mayOwn() {
-			sim.fatal("at %v %s owns %s without a seat", sim.now, n.id, name)
+			sim.fatal("at %v %s owns %s without being a voter", sim.now, n.id, name)
 		}
 		if sim.initialRecords[name] == nil {
 			sim.initialRecords[name] = map[Epoch]map[string]Record{}
@@ -37,10 +37,10 @@
 	}
 }
 
-// checkHolds checks that records hold at least what others do.
+// checkHolds checks that the records in have are at least as new as those in want.
 func (sim *cluster) checkHolds(who, key string, have, want map[string]Record) {
 	if key == RosterKey {
-		return // records of the roster vanish; its contents are compared by position
+		return // records of the voter set are erased; its contents are compared by position
 	}
 	for name, r := range want {
 		h, ok := have[name]
@@ -50,15 +50,15 @@
 	}
 }
 
-// checkFreshness checks what a member says of how old its copy is, and that no two owners
-// are ever checkFreshness of themselves at once.
+// checkFreshness checks that a member's copy contains everything acknowledged up to the time as of
+// which the member reports it to be the newest, and that no two owners are confirmed at once.
 func (sim *cluster) checkFreshness(n *node) {
 	if at, ok := n.replica.Current(testPartition); ok {
 		have, _, _ := n.replica.Committed(testPartition)
 		sim.freshnessClaims++
 		for i := len(sim.acks) - 1; i >= 0 && i > len(sim.acks)-40; i-- {
 			if a := sim.acks[i]; a.at < n.startedAt+at && have[a.name].Gen < a.value {
-				sim.fatal("at %v %s takes its copy for current at %v, but lacks %s=%d of %v", sim.now, n.id, n.startedAt+at, a.name, a.value, a.at)
+				sim.fatal("at %v %s reports its copy to be the newest as of %v, but it lacks %s=%d of %v", sim.now, n.id, n.startedAt+at, a.name, a.value, a.at)
 			}
 		}
 	}
@@ -69,29 +69,29 @@
 	sim.confirmedAt[term.Epoch], sim.predecessorUntil[term.Epoch] = max(sim.confirmedAt[term.Epoch], n.startedAt+term.Sure), n.startedAt+term.Free
 	for o, free := range sim.predecessorUntil {
 		if term.Epoch.Less(o) && sim.confirmedAt[term.Epoch] > free {
-			sim.fatal("at %v: owner %v was sure of itself until %v, but %v took it to be so until %v only", sim.now, term.Epoch, sim.confirmedAt[term.Epoch], o, free)
+			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, term.Epoch, sim.confirmedAt[term.Epoch], o, free)
 		}
 	}
 	for e, sure := range sim.confirmedAt {
 		if e.Less(term.Epoch) && sure > n.startedAt+term.Free {
-			sim.fatal("at %v: owner %v was sure of itself until %v, but %v took it to be so until %v only", sim.now, e, sure, term.Epoch, n.startedAt+term.Free)
+			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, e, sure, term.Epoch, n.startedAt+term.Free)
 		}
 	}
 }
 
-// checkSameContents checks that one version of a record has one content everywhere.
+// checkSameContents checks that a version of a record has the same contents at all members.
 func (sim *cluster) checkSameContents(who, key string, r Record) {
 	id := fmt.Sprintf("%s/%s/%d", key, r.Name, r.Gen)
 	if was, ok := sim.contents[id]; !ok {
 		sim.contents[id] = string(r.Data)
 	} else if was != string(r.Data) {
-		sim.fatal("at %v %s shows %s as %q, it was %q", sim.now, who, id, r.Data, was)
+		sim.fatal("at %v %s has %s as %q, it was %q", sim.now, who, id, r.Data, was)
 	}
 }
 
-// checkCommitted checks what a member shows as committed: it never goes back within a life, no
-// two members show different contents at one position, and each owner that came
-// later began with it.
+// checkCommitted checks what a member reports as committed: its position never goes back within a
+// process run, no two members have different contents at one position, and the ownership of each
+// later owner began with it.
 func (sim *cluster) checkCommitted(n *node, key string) {
 	records, pos, ok := n.replica.Committed(key)
 	if !ok {
@@ -102,7 +102,7 @@
 	}
 	n.lastPosition[key] = pos
 	if sim.skipContents {
-		return // the contents are compared when the world is calm again
+		return // the contents are compared at the end of the test
 	}
 	var text bytes.Buffer
 	for _, r := range sortedRecords(records) {
@@ -117,7 +117,7 @@
 	if was, ok := sim.shown[key][pos]; !ok {
 		sim.shown[key][pos] = text.String()
 	} else if was != text.String() {
-		sim.fatal("at %v two contents of %s at %v: %v and %v", sim.now, key, pos, was, text.String())
+		sim.fatal("at %v %s has two contents at %v: %v and %v", sim.now, key, pos, was, text.String())
 	}
 	if !sim.committedAt[key].Less(pos) {
 		return
@@ -134,12 +134,12 @@
 	}
 }
 
-// checkVersion takes note of a version that somebody was told of: none that was told of
-// before the question began may be missing. With versions that only rise that is all
-// that linearizability asks of each register.
+// checkVersion records a version that was returned to a client. It must not be older than any
+// version returned before the request was sent. As versions only rise, linearizability requires
+// nothing else of a single register.
 func (sim *cluster) checkVersion(who, key, name string, minVersion uint64, r Record) {
 	if r.Gen < minVersion {
-		sim.fatal("at %v %s told %s/%s=%d, %d was told before the question", sim.now, who, key, name, r.Gen, minVersion)
+		sim.fatal("at %v %s returned %s/%s=%d, %d was returned before the request", sim.now, who, key, name, r.Gen, minVersion)
 	}
 	if r.Gen > 0 {
 		sim.checkSameContents(who, key, r)
@@ -148,7 +148,8 @@
 	sim.minVersions[id] = max(sim.minVersions[id], r.Gen)
 }
 
-// ownershipProblem says which key has no owner that answers.
+// ownershipProblem names a partition that doesn't have exactly one owner that has committed in its
+// term; empty if there is none.
 func (sim *cluster) ownershipProblem() string {
 	for _, key := range append([]string{RosterKey}, sim.partitions...) {
 		n := 0
@@ -164,8 +165,8 @@
 	return ""
 }
 
-// voterSetProblem says where the seats are others than those of the members at work, or where a
-// member lacks something.
+// voterSetProblem describes where a voter set differs from the running members, or which committed
+// state a member lacks; empty if all is well.
 func (sim *cluster) voterSetProblem() string {
 	var live []string
 	for _, id := range sim.ids {
@@ -179,27 +180,27 @@
 		n := sim.nodes[id]
 		s := n.replica.voterSet()
 		if s.joint || len(s.newVoters) != min(len(live), maxVoters) {
-			return fmt.Sprintf("%s has the roster %+v, at work are %v", id, *s, live)
+			return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, live)
 		}
 		for _, seat := range s.newVoters {
 			if !slices.Contains(live, seat) {
-				return fmt.Sprintf("%s has the roster %+v, at work are %v", id, *s, live)
+				return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, live)
 			}
 		}
 		for _, key := range append([]string{RosterKey}, sim.partitions...) {
 			have, pos, ok := n.replica.Committed(key)
 			if !ok || pos.Seq == 0 {
-				return fmt.Sprintf("%s shows nothing of %s", id, key)
+				return fmt.Sprintf("%s has no committed copy of %s", id, key)
 			}
 			if pos.Epoch != sim.committedAt[key].Epoch {
-				return fmt.Sprintf("%s shows %s at %v, committed is %v", id, key, pos, sim.committedAt[key])
+				return fmt.Sprintf("%s has %s committed up to %v, the newest position is %v", id, key, pos, sim.committedAt[key])
 			}
 			if sim.operatorsStopped && len(have) != len(sim.committed[key]) {
-				return fmt.Sprintf("%s shows %d records of %s of %d", id, len(have), key, len(sim.committed[key]))
+				return fmt.Sprintf("%s has %d records of %s, %d are committed", id, len(have), key, len(sim.committed[key]))
 			}
 			for name, r := range sim.committed[key] {
 				if sim.operatorsStopped && key != RosterKey && have[name].Gen != r.Gen {
-					return fmt.Sprintf("%s shows %s/%s=%d of %d", id, key, name, have[name].Gen, r.Gen)
+					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", id, key, name, have[name].Gen, r.Gen)
 				}
 			}
 		}
@@ -207,7 +208,7 @@
 	return ""
 }
 
-// ownersRecords is what the owner of a key shows of it.
+// ownersRecords returns the committed records at the owner of a partition.
 func (sim *cluster) ownersRecords(key string) map[string]Record {
 	if o := sim.ownerOf(key); o != nil {
 		have, _, _ := o.replica.Committed(key)
--- a/internal/replication/cluster_competing_operators_test.go
+++ b/internal/replication/cluster_competing_operators_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// This file holds operators that get into each other's way: two contents under one
-// generation, also over a takeover and a loss of disks, and reads while changes come.
+// This file holds operators that compete: they propose two contents under one generation, also
+// across takeovers and losses of disks, and read while changes are in progress.
 
-// Figures of the rivals.
+// Retries of competing operators.
 const (
 	competingTries = 8
 	competingPause = 150 * time.Millisecond
 )
 
-// minCompetition is how many refusals of another content, and how many reads, a schedule with
-// rivals has at least; with fewer it would show nothing.
+// minCompetition is the least number of refusals of a second content, and of reads, in a schedule
+// with competing operators; with fewer the schedule proves too little.
 const minCompetition = 40
 
-// competitionProblem says whether the rivals met; empty: they did.
+// competitionProblem reports too few conflicts or reads; empty if there were enough.
 func (sim *cluster) competitionProblem() string {
 	refusals, reads := 0, 0
 	for _, op := range sim.history.calls[testPartition] {
@@ -37,14 +37,14 @@
 	return ""
 }
 
-// contentProposal is one content that an operator insists on.
+// contentProposal is a content that an operator proposes until it has a definite answer.
 type contentProposal struct {
 	name    string
 	version uint64
 	data    string
 }
 
-// runCompetingOperators lets two operators race each other all the time, and a third one read.
+// runCompetingOperators keeps two operators proposing conflicting contents, and a third one reading.
 func (sim *cluster) runCompetingOperators() {
 	var again func()
 	again = func() {
@@ -58,8 +58,8 @@
 	again()
 }
 
-// proposeTwoContents sends two contents under one generation, to two nodes: the next generation, or the
-// one that stands.
+// proposeTwoContents sends two contents under one generation, either the next one or the one that is
+// stored.
 func (sim *cluster) proposeTwoContents() {
 	name := []string{"x", "y", "z"}[sim.rng.Intn(3)]
 	version := max(1, sim.minVersions[testPartition+"/"+name]+uint64(sim.rng.Intn(2)))
@@ -70,8 +70,8 @@
 	}
 }
 
-// repeatLastAck sends what was acknowledged last once more, and another content under its
-// generation, over the next seconds.
+// repeatLastAck sends the change that was acknowledged last again, and another content under its
+// generation, within the next 3 s.
 func (sim *cluster) repeatLastAck() {
 	if len(sim.acks) == 0 {
 		return
@@ -85,8 +85,8 @@
 	}
 }
 
-// retryContent sends a content, to any node, until there is a clear answer or it has been tried
-// often enough.
+// retryContent sends a content to the owner known to a random node until it is accepted or refused,
+// or the tries are used up.
 func (sim *cluster) retryContent(proposal contentProposal, tries int) {
 	if sim.operatorsStopped || tries == 0 {
 		return
@@ -105,8 +105,8 @@
 	})
 }
 
-// readAroundChange reads all records as control nodes do for operators, has a change come
-// while the round that confirms the read is under way, and reads once more.
+// readAroundChange reads all records as control nodes do for operators, proposes a change while the
+// round that confirms the read is in progress, and reads again.
 func (sim *cluster) readAroundChange() {
 	to := sim.ownerByAnyNode()
 	if to == "" {
@@ -121,8 +121,8 @@
 	})
 }
 
-// readAll reads a key's records as they stand when the owner takes the question; the answer
-// counts once a majority has confirmed the owner after that.
+// readAll reads the test partition's records at the time when the owner processes the request; the
+// answer counts once a majority has confirmed the owner after that.
 func (sim *cluster) readAll(id string) {
 	n := sim.nodes[id]
 	if n == nil {
@@ -146,7 +146,8 @@
 	})
 }
 
-// ownerByAnyNode is who owns the test key as a random node believes; empty: it knows nobody.
+// ownerByAnyNode returns the owner of the test partition as known to a random node; empty if that
+// node knows none.
 func (sim *cluster) ownerByAnyNode() string {
 	n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
 	if !n.up || n.frozenUntil > sim.now {
--- a/internal/replication/cluster_disk_test.go
+++ b/internal/replication/cluster_disk_test.go
@@ -40,7 +40,7 @@
 	}
 	n.pendingWrites = n.pendingWrites[1:]
 	if n.writesToRefuse > 0 || n.diskFailed && !p.rewrite {
-		// A disk that has refused a write takes only the whole state.
+		// After a refused write the disk accepts only the whole state.
 		first := !n.diskFailed || p.rewrite
 		n.diskFailed, n.writesToRefuse = true, max(n.writesToRefuse-1, 0)
 		if first {
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds what fails in a world, and how much may at once.
+// This file holds the failures of a simulated cluster and the budget for simultaneous ones.
 
 import (
 	"fmt"
@@ -10,62 +10,62 @@
 	"time"
 )
 
-// failureKind is what a failure does.
+// failureKind is the kind of a failure.
 type failureKind int
 
 const (
-	restart            failureKind = iota // a process ends and comes back with its disk
-	wipe                                  // a machine comes back with an empty disk
-	freeze                                // a process stands still
-	cutOff                                // machines are cut off from the others, both ways
-	cutOutgoing                           // they hear but aren't heard
-	cutIncoming                           // they are heard but don't hear
-	cutPair                               // two machines don't reach each other
-	stall                                 // a disk hangs
+	restart            failureKind = iota // a process crashes and starts again with its disk
+	wipe                                  // a machine crashes and starts again with an empty disk
+	freeze                                // a process is suspended
+	cutOff                                // machines are cut off from the others in both directions
+	cutOutgoing                           // they receive but can't send
+	cutIncoming                           // they send but can't receive
+	cutPair                               // two machines can't reach each other
+	stall                                 // a disk doesn't complete writes
 	refuse                                // a disk refuses writes
-	replace                               // a machine is gone for good, an empty one comes at another address
-	replaceFrozen                         // the same, but the machine wakes after that
-	plannedReplacement                    // an empty machine comes, then another one leaves
-	drain                                 // a process leaves in order and comes back
-	killAll                               // all processes end at one moment
-	wipeAndPowerLoss                      // after an acknowledgement some disks are lost, and all others lose power
-	changeStream                          // an unbroken stream of changes
-	lossyNetwork                          // messages are lost, late and out of order everywhere
+	replace                               // a machine is lost for good; an empty one starts at another address
+	replaceFrozen                         // the machine is frozen and replaced, and resumes after that
+	plannedReplacement                    // an empty machine is added, then another one is drained
+	drain                                 // a process drains, shuts down and starts again
+	killAll                               // all processes crash at once
+	wipeAndPowerLoss                      // right after an acknowledgement some disks are lost and all other machines lose power
+	changeStream                          // a continuous stream of changes
+	lossyNetwork                          // messages on all links are lost, delayed and reordered
 	failureKinds
 )
 
 var kindNames = [...]string{"restart", "wipe", "freeze", "cutOff", "cutOutgoing", "cutIncoming", "cutPair", "stall", "refuse", "replace",
 	"replaceFrozen", "plannedReplacement", "drain", "killAll", "wipeAndPowerLoss", "changeStream", "lossyNetwork"}
 
-// failureTarget is which machine a failure strikes.
+// failureTarget says which machine a failure affects.
 type failureTarget int
 
 const (
 	anyMachine    failureTarget = iota
-	owner                       // of the test key
-	voterSetOwner               // the owner of the roster
-	newcomer                    // the machine that started last
+	owner                       // the owner of the test partition
+	voterSetOwner               // the owner of the voter set
+	newcomer                    // the machine that was added last
 	failureTargetCount
 )
 
 var targetNames = [...]string{"anyMachine", "owner", "voterSetOwner", "newcomer"}
 
-// failure is one failure. It begins gap after the fault budget allows it.
+// failure describes one failure. It begins once the fault budget has allowed it for delay.
 type failure struct {
 	kind         failureKind
 	target       failureTarget
 	index        int
-	count        int // machines at once, as far as the budget allows
+	count        int // number of machines affected at once, as far as the budget allows
 	delay        time.Duration
 	duration     time.Duration
-	replaceAfter time.Duration // until a successor comes, or disks that were lost come back
+	replaceAfter time.Duration // until a replacement starts, or a machine that lost its disk starts again
 }
 
-// countsAsLost says whether a machine counts as countsAsLost: while it is in failure, and until
-// catchUpS after that. One that was removed counts until its successor has had that.
+// countsAsLost reports whether a machine counts as lost: during a failure and for testCatchUp after
+// it. A removed machine counts until its replacement has had that time.
 func (sim *cluster) countsAsLost(n *node) bool { return n.failures > 0 || sim.now < n.lostUntil }
 
-// remainingFaults is how many more machines may be lost now.
+// remainingFaults returns how many more machines may be lost now.
 func (sim *cluster) remainingFaults() int {
 	remaining := sim.faults
 	for _, n := range sim.nodes {
@@ -79,7 +79,7 @@
 	return remaining
 }
 
-// beginFailure and end mark the time in which a machine is in failure.
+// beginFailure and endFailure mark the beginning and the end of a failure of a machine.
 func (sim *cluster) beginFailure(n *node) {
 	n.failures++
 	if n.unreachableSince == 0 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// failureTargets picks the machines that a failure strikes.
+// failureTargets returns the machines that a failure affects.
 func (sim *cluster) failureTargets(f failure) (out []*node) {
 	healthy := sim.healthy()
 	if len(healthy) == 0 {
@@ -121,12 +121,12 @@
 	return out
 }
 
-// injectFailure brings a failure about.
+// injectFailure begins a failure.
 func (sim *cluster) injectFailure(f failure) {
 	f.count = min(f.count, sim.remainingFaults())
 	if sim.schedule.competing {
 		sim.proposeTwoContents()
-		sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, sim.proposeTwoContents) // while another takes over
+		sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, sim.proposeTwoContents) // during a takeover by another member
 		if f.kind == wipeAndPowerLoss {
 			sim.onAck = append(sim.onAck, sim.repeatLastAck)
 		}
@@ -175,7 +175,7 @@
 		sim.after(testCatchUp, func() { sim.retire(f, 0) })
 		return
 	case wipeAndPowerLoss:
-		// The budget may be used up when the acknowledgement comes.
+		// The budget may have been used up by the time of the acknowledgement.
 		sim.onAck = append(sim.onAck, func() {
 			f.count = min(f.count, sim.remainingFaults())
 			lose := sim.failureTargets(f)
@@ -219,7 +219,7 @@
 		sim.changeCuts(targets, f.kind != cutIncoming, f.kind != cutOutgoing, 1)
 		others := slices.Collect(maps.Keys(sim.nodes))
 		sim.after(f.duration, func() {
-			// Machines that came meanwhile were never cut.
+			// Machines that were added in the meantime were never cut off.
 			sim.changeCutsTo(others, targets, f.kind != cutIncoming, f.kind != cutOutgoing, -1)
 			for _, n := range targets {
 				sim.endFailure(n)
@@ -227,7 +227,7 @@
 		})
 	case cutPair:
 		for _, n := range targets {
-			n.unreachableSince = 0 // others still reach it
+			n.unreachableSince = 0 // others can still reach it
 			o := sim.ids[(f.index/7+1)%len(sim.ids)]
 			sim.cutLinks[[2]string{n.id, o}]++
 			sim.cutLinks[[2]string{o, n.id}]++
@@ -255,8 +255,8 @@
 			sim.pendingFailures++
 		}
 		after(f.duration, func(n *node) { n.unreachableSince = 0 })
-		// It is at work for a while, and may get a seat. Then it is switched off, which
-		// is a loss like any other.
+		// It runs for a while and may become a voter. Then it is shut down, which counts as a loss
+		// like any other.
 		after(f.duration+4*time.Second, sim.shutDownForGood)
 	case drain:
 		for _, n := range targets {
@@ -268,7 +268,7 @@
 	}
 }
 
-// nextFailures begins the failures one after the other, each as soon as the budget allows.
+// nextFailures begins the failures of the schedule one by one, each as soon as the budget allows.
 func (sim *cluster) nextFailures() {
 	if sim.nextFailure == len(sim.schedule.failures) {
 		return
@@ -293,8 +293,8 @@
 	})
 }
 
-// close strikes right after an acknowledgement, at the earliest moment that the budget
-// allows. The disks that are lost come back, empty, only after a while.
+// injectLast injects the last failure, right after an acknowledgement for those that lose data.
+// Machines that lose their disks start again, empty, only after a while.
 func (sim *cluster) injectLast(f failure) {
 	if sim.schedule.competing && f.kind == wipe {
 		sim.onAck = append(sim.onAck, sim.repeatLastAck)
@@ -315,7 +315,7 @@
 		sim.runUntil(sim.now + time.Millisecond)
 	}
 	if len(sim.onAck) > 0 {
-		sim.fatal("at %v nothing was acknowledged for 10 s, with nothing lost", sim.now)
+		sim.fatal("at %v no change had been acknowledged for 10 s, although no machine counted as lost", sim.now)
 	}
 	sim.runUntil(sim.now + f.duration + 400*time.Millisecond)
 }
--- a/internal/replication/cluster_network_test.go
+++ b/internal/replication/cluster_network_test.go
@@ -36,7 +36,7 @@
 		delay += sim.linkBusyUntil[link] - sim.now
 	}
 	if sender, to := sim.nodes[from], sim.nodes[envelope.To]; sender != nil && to != nil && (sender.withoutHeartbeats || to.withoutHeartbeats) {
-		// One of them knows neither heartbeats nor the field that offers them.
+		// One of them knows neither heartbeats nor the protocol field.
 		if envelope.Msg.Protocol = 0; to.withoutHeartbeats && (bodyAs[*Heartbeat](envelope.Msg) != nil || bodyAs[*HeartbeatAck](envelope.Msg) != nil) {
 			envelope.Msg.Body = nil
 		}
@@ -52,12 +52,13 @@
 	}
 }
 
-// changeCuts cuts the ways from some machines to all others, the ways back, or both.
+// changeCuts cuts (by 1) or restores (by -1) the links from some machines to all others (out), the
+// links from the others to them (in), or both.
 func (sim *cluster) changeCuts(from []*node, out, in bool, by int) {
 	sim.changeCutsTo(slices.Collect(maps.Keys(sim.nodes)), from, out, in, by)
 }
 
-// changeCutsTo does the same with some of the others only.
+// changeCutsTo is changeCuts for the given other machines only.
 func (sim *cluster) changeCutsTo(others []string, from []*node, out, in bool, by int) {
 	for _, n := range from {
 		for _, id := range others {
@@ -74,13 +75,13 @@
 	}
 }
 
-// crossesCut says that a message goes from one side to the other.
+// crossesCut reports whether a message goes from one side to the other.
 func crossesCut(side []*node, from, to string) bool {
 	in := func(id string) bool { return slices.ContainsFunc(side, func(n *node) bool { return n.id == id }) }
 	return in(from) != in(to)
 }
 
-// bodyAs is the body of a message, if it is of that type; else nil.
+// bodyAs returns the body of a message if it is of that type, and else nil.
 func bodyAs[B Body](m Message) B {
 	b, _ := m.Body.(B)
 	return b
--- a/internal/replication/cluster_nodes_test.go
+++ b/internal/replication/cluster_nodes_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds the simulated processes: how they start, run, crash, leave and are replaced.
+// This file holds the simulated processes: how they start, run, crash, drain and are replaced.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	replica           *Replica
 	up                bool
 	frozenUntil       time.Duration
-	disk              replicationtest.Disk // durable
+	disk              replicationtest.Disk // the durable entries
 	pendingWrites     []*pendingWrite
 	runID             int
 	stalledUntil      time.Duration
@@ -24,20 +24,20 @@
 	lastPosition      map[string]Position
 	ownEpochs         map[string]Epoch
 	bootstrap         bool
-	withoutHeartbeats bool // it runs a version without heartbeats
-	left              bool // it has said that it goes
+	withoutHeartbeats bool // runs a version without heartbeats
+	left              bool // has announced that it leaves
 	writesToRefuse    int
-	diskFailed        bool          // its disk has refused a write and takes only the whole state
-	startedAt         time.Duration // every process counts time from its own start
+	diskFailed        bool          // the disk has refused a write and accepts only the whole state
+	startedAt         time.Duration // the origin of the process's clock
 
-	failures         int           // how many are under way
-	unreachableSince time.Duration // since when it has been down, frozen or cut off
+	failures         int           // number of failures in progress
+	unreachableSince time.Duration // since when it has been down, frozen or cut off; 0: it is reachable
 	lostUntil        time.Duration // it counts as lost until then
-	leaving          bool          // it leaves for good
+	leaving          bool          // it is being drained for good
 	removed          bool
 }
 
-// addMachine adds a machine, which is not started yet.
+// addMachine adds a machine without starting it.
 func (sim *cluster) addMachine(i, zones int, boot bool) string {
 	id := fmt.Sprintf("10.0.0.%02d:7661", i)
 	sim.ids = append(sim.ids, id)
@@ -78,20 +78,21 @@
 	if !n.up || n.runID != runID {
 		return
 	}
-	if n.frozenUntil <= sim.now { // a timer doesn't gather what was missed
+	if n.frozenUntil <= sim.now { // missed ticks are not made up for
 		sim.runOn(id, runID, func() { n.replica.Tick(sim.clock(n)) })
 	}
 	sim.after(100*time.Millisecond, func() { sim.tick(id, runID) })
 }
 
-// runOn runs a step of a node and carries out its effects.
+// runOn runs a step of a node's process run and carries out the effects. It does nothing if that
+// run has ended.
 func (sim *cluster) runOn(id string, runID int, step func()) {
 	n := sim.nodes[id]
 	if !n.up || n.runID != runID {
 		return
 	}
 	if n.frozenUntil > sim.now {
-		// What has gathered is done in any order when it wakes.
+		// Steps that were deferred run in any order when the process resumes.
 		sim.after(n.frozenUntil-sim.now+time.Duration(1+sim.rng.Intn(50))*time.Microsecond, func() { sim.runOn(id, runID, step) })
 		return
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-// seesAlive is what a member takes for known of another: silence is noticed after a while.
+// seesAlive reports whether a member believes another one to be alive. A failure is noticed after 1 s.
 func (sim *cluster) seesAlive(viewer, o string) bool {
 	unreachable := func(id string) bool {
 		n := sim.nodes[id]
@@ -123,8 +124,8 @@
 	return !unreachable(o) && !unreachable(viewer)
 }
 
-// crash ends a process; wipe takes its disk too. Of the writes under way a first part
-// may still be on the disk.
+// crash kills a process and, with wipe, erases its disk. A prefix of the pending writes may have
+// reached the disk.
 func (sim *cluster) crash(id string, wipe bool) {
 	n := sim.nodes[id]
 	if !n.up {
@@ -150,7 +151,7 @@
 	}
 }
 
-// shutDownForGood ends a machine for good as soon as the budget allows.
+// shutDownForGood shuts a machine down for good as soon as the fault budget allows.
 func (sim *cluster) shutDownForGood(n *node) {
 	if sim.remainingFaults() < 1 {
 		sim.after(20*time.Millisecond, func() { sim.shutDownForGood(n) })
@@ -161,14 +162,14 @@
 	sim.after(testCatchUp, func() { n.failures--; sim.pendingFailures-- })
 }
 
-// loseDisk ends a machine, which comes back empty.
+// loseDisk crashes a machine, which starts again with an empty disk after the given time.
 func (sim *cluster) loseDisk(n *node, after time.Duration) {
 	sim.beginFailure(n)
 	sim.crash(n.id, true)
 	sim.after(after, func() { sim.recover(n) })
 }
 
-// remove takes a machine away for good; its successor starts later.
+// remove removes a machine for good; its replacement starts after the given time.
 func (sim *cluster) remove(n *node, after time.Duration) {
 	n.removed = true
 	sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { return id == n.id })
@@ -178,8 +179,8 @@
 	})
 }
 
-// startReplacement starts an empty machine. Its seeds are those of the first day, which may be
-// gone by now.
+// startReplacement starts a machine with an empty disk. Its seeds are those of the bootstrap, which
+// may have been removed since.
 func (sim *cluster) startReplacement() *node {
 	sim.newestMachine++
 	id := sim.addMachine(sim.newestMachine, sim.schedule.zones, false)
@@ -187,7 +188,7 @@
 	return sim.nodes[id]
 }
 
-// recover ends a machine's failure and starts it again.
+// recover starts a machine again and ends its failure.
 func (sim *cluster) recover(n *node) {
 	sim.restartMachine(n)
 	sim.endFailure(n)
@@ -200,7 +201,7 @@
 	}
 }
 
-// drain makes a member leave and calls then once it may go, or at the given time.
+// drain makes a member leave and calls then once it is safe to shut it down, or at the given time.
 func (sim *cluster) drain(n *node, until time.Duration, then func()) {
 	runID := 0
 	var poll func()
@@ -223,7 +224,8 @@
 	poll()
 }
 
-// retire takes a machine away in order, once its successor has had its time.
+// retire drains a machine and removes it. It tries other machines, up to 100 times, if the one chosen
+// is already leaving or is the newest.
 func (sim *cluster) retire(f failure, tries int) {
 	targets := sim.failureTargets(f)
 	if len(targets) == 0 || targets[0].leaving || targets[0].id == sim.ids[len(sim.ids)-1] {
@@ -245,7 +247,7 @@
 	})
 }
 
-// ownerOf is the node that owns a key; nil: none does.
+// ownerOf returns the node that owns a partition; nil if none does.
 func (sim *cluster) ownerOf(key string) *node {
 	for _, id := range sim.ids {
 		if n := sim.nodes[id]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[key] != nil && n.replica.partitions[key].role == roleOwner {
@@ -255,7 +257,8 @@
 	return nil
 }
 
-// waitForOwner runs a world until the test key has an owner, and returns it.
+// waitForOwner runs the simulation until the test partition has an owner with all its changes
+// committed, and returns it.
 func (sim *cluster) waitForOwner(t *testing.T) *node {
 	t.Helper()
 	for end := sim.now + 20*time.Second; sim.now < end; {
@@ -266,11 +269,11 @@
 			}
 		}
 	}
-	t.Fatal("the key has no owner")
+	t.Fatal("the test partition has no owner")
 	return nil
 }
 
-// healthy lists the machines that are there and in no failure.
+// healthy returns the running machines that don't count as lost.
 func (sim *cluster) healthy() (out []*node) {
 	for _, id := range sim.ids {
 		if n := sim.nodes[id]; n.up && !sim.countsAsLost(n) {
@@ -280,7 +283,7 @@
 	return out
 }
 
-// machinesExcept lists the machines that are there, except some.
+// machinesExcept returns all machines but the given ones.
 func (sim *cluster) machinesExcept(except ...*node) (out []*node) {
 	for _, id := range sim.ids {
 		if n := sim.nodes[id]; !slices.Contains(except, n) {
@@ -290,26 +293,26 @@
 	return out
 }
 
-// lastMachineExcept is the last of the others.
+// lastMachineExcept returns the last machine that isn't one of the given ones.
 func (sim *cluster) lastMachineExcept(except ...*node) *node {
 	others := sim.machinesExcept(except...)
 	return others[len(others)-1]
 }
 
-// freeze lets a process stand still for a while, which others notice.
+// freeze suspends a process for a while; others see it as unreachable.
 func (sim *cluster) freeze(n *node, d time.Duration) {
 	n.frozenUntil, n.unreachableSince = sim.now+d, sim.now
 }
 
-// unfreeze ends that.
+// unfreeze resumes a frozen process.
 func (sim *cluster) unfreeze(n *node) {
 	n.frozenUntil, n.unreachableSince = sim.now, 0
 }
 
-// separateOwners runs until the roster has another owner than the test key, and returns
-// both. Until then whoever owns the roster gives it away.
+// separateOwners runs until the voter set and the test partition have different owners, and returns
+// both. Until then the owner of the voter set transfers it to another member.
 func (sim *cluster) separateOwners() (owner, voterSetOwner *node) {
-	sim.waitFor("the roster has another owner than the test key", 40*time.Second, func() string {
+	sim.waitFor("the voter set and the test partition have different owners", 40*time.Second, func() string {
 		owner, voterSetOwner = sim.ownerOf(testPartition), sim.ownerOf(RosterKey)
 		if owner != nil && voterSetOwner != nil && owner != voterSetOwner {
 			return ""
@@ -322,7 +325,7 @@
 				part.noElectionUntil = sim.clock(voterSetOwner) + time.Minute
 			})
 		}
-		return "it is the same"
+		return "they have the same owner, or one has none"
 	})
 	return owner, voterSetOwner
 }
--- a/internal/replication/cluster_operators_test.go
+++ b/internal/replication/cluster_operators_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds those who change and read records.
+// This file holds the simulated operators, which change and read records.
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// recordNames are those of all records that are changed.
+// recordNames are the names of all records that operators change.
 var recordNames = []string{"x", "y", "z", "s0", "s1", "s2", "s3"}
 
-var errConflict = fmt.Errorf("another version stands")
+var errConflict = fmt.Errorf("another version is stored")
 
 type ack struct {
 	name  string
@@ -19,8 +19,8 @@
 	at    time.Duration
 }
 
-// proposeVersion runs a proposal at a node that compares versions as the catalogue does. told
-// hears what the node answered and which version stands.
+// proposeVersion runs a proposal at a node that compares versions as the catalogue does. done is
+// called with the answer and the version that is stored.
 func (sim *cluster) proposeVersion(id, key, name string, version uint64, data string, done func(current uint64, err error)) {
 	n := sim.nodes[id]
 	minVersion := sim.minVersions[key+"/"+name]
@@ -35,7 +35,7 @@
 			case stands.Gen >= version:
 				return nil, errConflict
 			}
-			// Versions may be skipped, as the catalogue lets them be.
+			// Versions may be skipped, as in the catalogue.
 			stands = Record{Name: name, Gen: version, Data: []byte(data)}
 			return []Record{stands}, nil
 		}, func(err error) {
@@ -49,7 +49,7 @@
 					sim.acks = append(sim.acks, ack{name, version, sim.now})
 				}
 				for _, fn := range sim.onAck {
-					// The fault strikes once the answer is out.
+					// The failure begins once the answer has been sent.
 					sim.after(0, fn)
 				}
 				sim.onAck = nil
@@ -59,7 +59,7 @@
 	})
 }
 
-// readPartition reads a key at a node.
+// readPartition reads a partition at a node.
 func (sim *cluster) readPartition(id, key string, done func(error)) {
 	n := sim.nodes[id]
 	minVersions := map[string]uint64{}
@@ -75,7 +75,7 @@
 				sim.answeredReads++
 				got, _, ok := n.replica.Committed(key)
 				if !ok {
-					sim.fatal("at %v %s read %s with nothing committed to show", sim.now, id, key)
+					sim.fatal("at %v %s answered a read of %s without a committed copy", sim.now, id, key)
 				}
 				read(got)
 				for _, name := range recordNames {
@@ -87,7 +87,7 @@
 	})
 }
 
-// put proposes a value at a node and runs until it is answered.
+// put proposes a value at a node and runs until it is answered, at most 3 s.
 func (sim *cluster) put(n *node, name string, v uint64) (err error) {
 	answered := false
 	sim.runOn(n.id, n.runID, func() {
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// runOperator sends changes of a key, each with the version after the one it knows, and
-// sends each again until it has a clear answer.
+// runOperator sends changes of a partition, each with the version after the last one known, and
+// retries each until it is accepted or refused.
 func (sim *cluster) runOperator(name, key string) {
 	known := map[string]uint64{}
 	count := 0
@@ -154,7 +154,7 @@
 				answered = true
 				known[rec] = stands
 				if err == nil && sim.rng.Intn(5) == 0 {
-					sim.after(time.Millisecond, func() { send(rec, version, data) }) // once more
+					sim.after(time.Millisecond, func() { send(rec, version, data) }) // a duplicate request
 					return
 				}
 				sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, next)
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -8,46 +8,46 @@
 	"madderwing/internal/replication/replicationtest"
 )
 
-// cluster is a simulated set of members: a network that delays, reorders, drops,
-// repeats and cuts, disks that take time, and processes that crash, freeze, lose
-// their disks or are replaced.
+// cluster is a simulated cluster: a network that delays, reorders, drops and duplicates messages
+// and that can be cut, disks with a latency, and processes that crash, freeze, lose their disks or
+// are replaced.
 type cluster struct {
 	fatal      func(format string, args ...any)
 	rng        *rand.Rand
 	now        time.Duration
 	queue      replicationtest.Queue
 	nodes      map[string]*node
-	ids        []string // the machines that are there, and those that are to come back
-	cutLinks   map[[2]string]int
+	ids        []string          // addresses of the machines, also of those that are down and will start again
+	cutLinks   map[[2]string]int // by sender and receiver: how many failures cut the link
 	lastRunID  uint64
 	partitions []string
 	seeds      []string
-	duplicates bool          // messages are also repeated, seconds later at times
-	noisyUntil time.Duration // messages are lost and late until then
-	lossless   bool          // none is lost
-	noDelays   bool          // none is late
+	duplicates bool          // some messages are delivered again, up to 5 s later
+	noisyUntil time.Duration // until then many messages are lost or delayed
+	lossless   bool          // no messages are lost at random
+	noDelays   bool          // no messages are delayed by more than 2 ms
 
 	faults     int
-	olderEvery int // every so manieth machine runs a version without heartbeats; 0: none
+	olderEvery int // every olderEvery-th machine runs a version without heartbeats; 0: none does
 	zones      map[string]string
 
-	minVersions     map[string]uint64            // key/name -> the highest version that anybody was told of
-	contents        map[string]string            // key/name/version -> what it is
-	committed       map[string]map[string]Record // key -> the newest records that were shown as committed
+	minVersions     map[string]uint64            // by partition/record: the newest version returned to a client
+	contents        map[string]string            // by partition/record/version
+	committed       map[string]map[string]Record // by partition: the newest records that a member reported as committed
 	committedAt     map[string]Position
-	initialRecords  map[string]map[Epoch]map[string]Record // key -> owner -> what it began with
-	shown           map[string]map[Position]string         // key -> position -> contents
+	initialRecords  map[string]map[Epoch]map[string]Record // by partition and owner's epoch: the records when the ownership began
+	shown           map[string]map[Position]string         // by partition and position: the committed records
 	changesSent     uint64
 	answeredChanges int
 	answeredReads   int
 
 	acks             []ack
-	confirmedAt      map[Epoch]time.Duration // until when each owner was sure of itself
-	predecessorUntil map[Epoch]time.Duration // and until when it took others to have been
+	confirmedAt      map[Epoch]time.Duration // by owner's epoch: when the ownership was last confirmed
+	predecessorUntil map[Epoch]time.Duration // by owner's epoch: until when it takes earlier owners to have been confirmed
 	freshnessClaims  int
 
-	skipContents  bool    // too much to compare at every step
-	linkRate      float64 // bytes a second of each link; 0: no limit
+	skipContents  bool    // the records are too large to be compared at every step
+	linkRate      float64 // bytes per second of each link; 0: no limit
 	linkBusyUntil map[[2]string]time.Duration
 	bytesSentTo   map[string]int
 	drop          func(from string, e Envelope) bool
@@ -55,15 +55,15 @@
 	history       history
 
 	schedule         schedule
-	nextFailure      int  // of the schedule
-	pendingFailures  int  // failures that are to begin, and machines to be switched off or to leave
-	operatorsStopped bool // operators ask for no more changes
-	newestMachine    int  // number of the machine that was added last
+	nextFailure      int  // index in the schedule
+	pendingFailures  int  // failures that have not begun yet, and machines that are still to be shut down or drained
+	operatorsStopped bool // the simulated operators send no more changes
+	newestMachine    int  // number of the newest machine, part of its address
 }
 
 const testPartition = "catalogue"
 
-// Times of the tests, as the settings' bounds have them.
+// Times as derived from the default bounds in the settings.
 const (
 	testHeartbeat       = 500 * time.Millisecond
 	testElectionTimeout = 1200 * time.Millisecond
@@ -82,7 +82,7 @@
 	return newClusterInZones(t, seed, n, 1, 0)
 }
 
-// newClusterInZones makes a world of n members in some zones that bears some losses.
+// newClusterInZones bootstraps a cluster of n members that tolerates the given number of faults.
 func newClusterInZones(t *testing.T, seed int64, n, faults, zones int) *cluster {
 	sim := newEmptyCluster(seed, faults)
 	sim.fatal = t.Fatalf
@@ -90,17 +90,17 @@
 	return sim
 }
 
-// newClusterWithVoters is a world whose members have their seats, without operators.
+// newClusterWithVoters returns a cluster, without operators, whose members are all voters.
 func newClusterWithVoters(t *testing.T, seed int64, members, faults, zones int) *cluster {
 	t.Helper()
 	sim := newClusterInZones(t, seed, members, faults, zones)
 	sim.schedule, sim.newestMachine = schedule{seed: seed, members: members, faults: faults, zones: zones}, members
-	sim.waitFor("all members have their seats", 8*time.Second, sim.voterSetProblem)
+	sim.waitFor("all members are voters", 8*time.Second, sim.voterSetProblem)
 	return sim
 }
 
-// newLosslessCluster is such a world without troubles of its own, in which x has been put, a while after that, and the owner
-// of the key.
+// newLosslessCluster returns such a cluster with a network that loses nothing, and the owner of the
+// test partition. Record x has been written, and the given time has passed since.
 func newLosslessCluster(t *testing.T, seed int64, members, faults, zones int, after time.Duration) (*cluster, *node) {
 	t.Helper()
 	sim := newClusterWithVoters(t, seed, members, faults, zones)
@@ -128,7 +128,7 @@
 	sim.queue.Run(&sim.now, until)
 }
 
-// waitFor runs waitFor a state is reached that why finds nothing amiss with.
+// waitFor runs the simulation until problem returns an empty string.
 func (sim *cluster) waitFor(what string, limit time.Duration, problem func() string) {
 	begin := sim.now
 	for sim.now < begin+limit {
@@ -138,6 +138,6 @@
 		sim.runUntil(sim.now + 50*time.Millisecond)
 	}
 	if last := problem(); last != "" {
-		sim.fatal("at %v, after %v, it doesn't hold that %s: %s", sim.now, limit, what, last)
+		sim.fatal("at %v: after %v the condition %q is not met: %s", sim.now, limit, what, last)
 	}
 }
