--- a/internal/replication/bootstrap_test.go
+++ b/internal/replication/bootstrap_test.go
@@ -11,17 +11,17 @@
 	"madderwing/internal/replication/replicationtest"
 )
 
-// mayBootstrapFrom says whether a disk tells of a system's first start, or of its roster.
+// mayBootstrapFrom reports whether a disk holds the seeds of a system's first start, or a voter set.
 func mayBootstrapFrom(disk replicationtest.Disk) bool {
 	var v nodeValue
 	return cbor.Unmarshal(disk[nodeEntryKey], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+RosterKey] != nil)
 }
 
-// bootstrapRun starts four machines, three of which are seeds, and kills some of them at
-// one step of the founding. They start again with the settings of that moment.
+// bootstrapRun starts four machines, three of which are seeds, and kills some of them at one step of
+// the bootstrap. They start again with the given bootstrap setting.
 type bootstrapRun struct {
-	step      int // messages that have been sent before
-	killed    int // which machines, as bits
+	step      int // number of messages sent before the kill
+	killed    int // bit set of the machines
 	bootstrap bool
 	seed      int64
 }
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("machines %03b killed at step %d, started again with bootstrap %v, seed %d", r.killed, r.step, r.bootstrap, r.seed)
 }
 
-// run returns what is broken, and whether the founding had that many steps.
+// run returns what is wrong, and whether the bootstrap had that many steps.
 func (r bootstrapRun) run(t *testing.T) (broken string, reached bool) {
 	sim := newEmptyCluster(r.seed, 1)
 	sim.fatal = t.Fatalf
@@ -55,20 +55,20 @@
 	switch {
 	case cannotBootstrap || !reached:
 	case sim.ownerOf(testPartition) == nil:
-		return "the system isn't founded", reached
+		return "the bootstrap did not finish", reached
 	case len(proposedEpochs) > 1:
-		return fmt.Sprintf("%d founding rosters were proposed", len(proposedEpochs)), reached
+		return fmt.Sprintf("%d initial voter sets were proposed", len(proposedEpochs)), reached
 	default:
 		sim.runUntil(sim.now + 6*time.Second)
 		if at := sim.voterSetProblem(); at != "" {
-			return "founded, but " + at, reached
+			return "bootstrapped, but " + at, reached
 		}
 	}
 	return "", reached
 }
 
-// kill kills the machines of a run. It is hopeless if no disk of a seed tells that the system
-// starts for the first time, and no setting does.
+// kill kills the machines of a run. The bootstrap cannot go on if the bootstrap setting is off and
+// no seed is running or has the seeds of the first start, or a voter set, on its disk.
 func (r bootstrapRun) kill(sim *cluster) (cannotBootstrap bool) {
 	cannotBootstrap = !r.bootstrap
 	for i, id := range sim.ids {
@@ -103,8 +103,8 @@
 	}
 }
 
-// A seed that has lost its disk, or was killed before its first write, takes part in the founding
-// that another seed proposes, and proposes none.
+// A seed that has lost its disk, or was killed before its first write, takes part in the bootstrap
+// that another seed proposes but proposes none itself.
 func TestPassiveSeedDoesNotProposeBootstrap(t *testing.T) {
 	for passive := range 3 {
 		sim := newEmptyCluster(int64(passive)+1, 1)
@@ -125,13 +125,13 @@
 		}
 		sim.waitForOwner(t)
 		if proposers[sim.ids[passive]] || len(proposers) != 1 {
-			t.Errorf("seed %d is passive, %v propose", passive, proposers)
+			t.Errorf("seed %d is passive; initial voter sets were proposed by %v", passive, proposers)
 		}
 	}
 }
 
-// TestBootstrapWithRelaySeeds has some or all seeds be processes without a disk.
-// The first of them appoints whoever asks it first, if all are such.
+// TestBootstrapWithRelaySeeds has some or all seeds be processes without a disk (relays). If all
+// are, the first of them appoints the first member that asks it.
 func TestBootstrapWithRelaySeeds(t *testing.T) {
 	for _, relays := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 2}, {1, 2}, {0, 1, 2}} {
 		for seed := int64(1); seed <= 5; seed++ {
@@ -166,11 +166,11 @@
 				return true
 			}
 			for _, id := range sim.ids {
-				// All start within 0.3 s of each other.
+				// All machines start within 0.3 s of each other.
 				sim.after(time.Duration(sim.rng.Intn(300))*time.Millisecond, func() { sim.start(id) })
 			}
 			sim.runUntil(400 * time.Millisecond)
-			sim.waitFor(fmt.Sprintf("relays %v, seed %d: all have their seats", relays, seed), 8*time.Second, sim.voterSetProblem)
+			sim.waitFor(fmt.Sprintf("relays %v, seed %d: all members are voters", relays, seed), 8*time.Second, sim.voterSetProblem)
 			sim.mustPut(t, "x", 1)
 			sim.runUntil(sim.now + 2*time.Second)
 			if got := sim.machinesWithCopy("x", 1); len(got) != len(sim.ids) {
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds members that catch up.
+// This file holds tests of members that catch up.
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"madderwing/internal/antientropy"
 )
 
-// TestFollowerShowsCommittedChangesUnderLoad loses a part of all copies under an
-// unbroken stream of changes: a follower still shows what was committed a short while ago.
+// TestFollowerShowsCommittedChangesUnderLoad drops a part of all appends and heartbeats under a
+// continuous stream of changes: followers must still show changes soon after they are committed.
 func TestFollowerShowsCommittedChangesUnderLoad(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		sim := newClusterWithVoters(t, seed, 4, 1, 4)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSnapshotIsAppliedOnlyIfDigestsMatch hands a follower chunks that don't make up
-// what the owner had.
+// TestSnapshotIsAppliedOnlyIfDigestsMatch sends a follower chunks that don't add up to the owner's
+// state.
 func TestSnapshotIsAppliedOnlyIfDigestsMatch(t *testing.T) {
 	all := []Record{{Name: "x", Gen: 7}, {Name: "y", Gen: 8}, {Name: "z", Gen: 9}}
 	for _, c := range []struct {
@@ -63,9 +63,9 @@
 		ok      bool
 	}{
 		{"whole", [][]Record{all[:2], all[2:]}, []int{0, 1}, true},
-		{"one twice", [][]Record{all[:2], all[:2], all[2:]}, []int{0, 0, 1}, true},
-		{"one missing", [][]Record{all[:2], nil}, []int{0, 1}, false},
-		{"another one", [][]Record{all[:2], {{Name: "z", Gen: 1}}}, []int{0, 1}, false},
+		{"one chunk twice", [][]Record{all[:2], all[:2], all[2:]}, []int{0, 0, 1}, true},
+		{"a record missing", [][]Record{all[:2], nil}, []int{0, 1}, false},
+		{"a different record", [][]Record{all[:2], {{Name: "z", Gen: 1}}}, []int{0, 1}, false},
 	} {
 		sim := newClusterWithVoters(t, 3, 4, 1, 4)
 		sim.mustPut(t, "x", 1)
@@ -90,14 +90,14 @@
 			applied = applied || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).OK && bodyAs[*AppendAck](e.Msg).At == at
 		}
 		if applied != c.ok || (part.position == at) != c.ok || !c.ok && part.position != before {
-			t.Errorf("%s: answered as held: %v, at %v", c.name, applied, part.position)
+			t.Errorf("%s: acknowledged: %v, at %v", c.name, applied, part.position)
 		}
 	}
 }
 
-// TestCatchUpWithLargeCatalogue changes a catalogue near its limit 3,000 times while
-// members restart, lose their disks, are replaced and cut off, over links on which a
-// chunk takes longer than a beat. Each catches up within a stated time and bytes.
+// TestCatchUpWithLargeCatalogue changes a catalogue near its size limit 3,000 times while a member
+// restarts, is cut off, freezes, loses its disk or is replaced, over links on which a chunk takes
+// longer than a heartbeat interval. The member must catch up within a bound on time and bytes.
 func TestCatchUpWithLargeCatalogue(t *testing.T) {
 	const records, size = 300, 8 << 10
 	for _, kind := range []failureKind{restart, cutOff, freeze, wipe, replace} {
@@ -153,19 +153,19 @@
 			sim.waitFor("the member holds everything", limit, func() string {
 				o := sim.ownerOf(testPartition)
 				if o == nil {
-					return "the key has no owner"
+					return "the partition has no owner"
 				}
 				_, at, ok := n.replica.Committed(testPartition)
 				_, newest, _ := o.replica.Committed(testPartition)
 				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !n.replica.mayOwn() {
-					return fmt.Sprintf("it shows %v of %v, with a seat: %v", at, newest, n.replica.mayOwn())
+					return fmt.Sprintf("it shows %v of %v, is a voter: %v", at, newest, n.replica.mayOwn())
 				}
 				return ""
 			})
 			bytes := float64(sim.bytesSentTo[n.id] - bytesBefore)
-			t.Logf("caught up after %v with %.2f of the whole in bytes", sim.now-backAt, bytes/catalogueBytes)
+			t.Logf("caught up after %v with %.2f times the bytes of the catalogue", sim.now-backAt, bytes/catalogueBytes)
 			if bytes > 1.25*catalogueBytes {
-				t.Fatalf("%.2f times the whole were sent", bytes/catalogueBytes)
+				t.Fatalf("%.2f times the bytes of the catalogue were sent", bytes/catalogueBytes)
 			}
 			sim.runUntil(begin + 62*time.Second)
 			if sim.answeredChanges-answered < 2900 {
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -50,7 +50,7 @@
 
 var targetNames = [...]string{"anyMachine", "owner", "voterSetOwner", "newcomer"}
 
-// failure describes one failure. It begins once the fault budget has allowed it for delay.
+// failure describes one failure. It begins delay after the fault budget allows it.
 type failure struct {
 	kind         failureKind
 	target       failureTarget
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -63,7 +63,7 @@
 
 const testPartition = "catalogue"
 
-// Times as derived from the default bounds in the settings.
+// Times of the tests, as derived from the bounds in the settings.
 const (
 	testHeartbeat       = 500 * time.Millisecond
 	testElectionTimeout = 1200 * time.Millisecond
--- a/internal/replication/erased_records_test.go
+++ b/internal/replication/erased_records_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// A follower that was cut off or lost its disk while names were dropped and their records
-// erased ends without them, whether it gets the steps since or a snapshot.
+// A follower that was cut off, frozen or lost its disk while records were erased ends up without
+// them, whether it catches up by log entries or by a snapshot.
 func TestErasedRecordsStayErased(t *testing.T) {
 	const namesPerStep, size = 20, 4 << 10
-	for _, steps := range []int{5, 100} { // fewer and more than the steps kept for those who lag
+	for _, steps := range []int{5, 100} { // fewer and more than the log entries kept for lagging members
 		for _, kind := range []failureKind{cutOff, wipe, freeze} {
 			sim := newClusterWithVoters(t, int64(kind)+1, 4, 1, 4)
 			sim.lossless, sim.skipContents = true, true
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// traffic counts what members send.
+// traffic counts the messages that members send.
 type traffic struct {
 	messages, bytes                 int
 	full, partial, notices, acks    int
@@ -49,7 +49,8 @@
 	}
 }
 
-// newClusterWithPartitions is a world of members with many keys, all owned, that loses nothing.
+// newClusterWithPartitions returns a cluster with a lossless network in which many partitions are
+// owned by their first successors.
 func newClusterWithPartitions(t *testing.T, members, partitions int) *cluster {
 	t.Helper()
 	sim := newEmptyCluster(1, 1)
@@ -60,7 +61,7 @@
 	sim.bootstrap(members, 0)
 	for sim.notAtFirstSuccessor() > 0 {
 		if sim.now > time.Minute {
-			t.Fatalf("%d keys are not with their first heirs", sim.notAtFirstSuccessor())
+			t.Fatalf("%d partitions are not owned by their first successors", sim.notAtFirstSuccessor())
 		}
 		sim.runUntil(sim.now + testHeartbeat)
 	}
@@ -68,7 +69,7 @@
 	return sim
 }
 
-// notAtFirstSuccessor counts the keys that their first heirs don't own.
+// notAtFirstSuccessor counts the partitions that their first successors don't own.
 func (sim *cluster) notAtFirstSuccessor() (n int) {
 	for _, key := range append([]string{RosterKey}, sim.partitions...) {
 		if h := sim.ownerOf(key); h == nil || h.replica.Heirs(key)[0] != h.id || len(h.replica.Roster()) < len(sim.ids) {
@@ -78,7 +79,7 @@
 	return n
 }
 
-// What owners say in calm depends on how many members there are, not on how many keys.
+// The heartbeat traffic of idle owners depends on the number of members, not of partitions.
 func TestHeartbeatCostIsIndependentOfPartitionCount(t *testing.T) {
 	const intervals = 10
 	baseline := 0
@@ -88,20 +89,20 @@
 		sim.drop = func(_ string, e Envelope) bool { c.count(t, e.Msg); return false }
 		sim.runUntil(sim.now + intervals*testHeartbeat)
 		pairs := 5 * 4
-		t.Logf("%d keys: %d messages and %d bytes in %d beats, %+v", partitions, c.messages, c.bytes, intervals, c)
+		t.Logf("%d partitions: %d messages and %d bytes in %d heartbeat intervals, %+v", partitions, c.messages, c.bytes, intervals, c)
 		if c.full > pairs*(intervals+1) || c.messages > 2*c.full {
-			t.Errorf("%d keys: %+v, with %d ways and %d beats", partitions, c, pairs, intervals)
+			t.Errorf("%d partitions: %+v, with %d links and %d heartbeat intervals", partitions, c, pairs, intervals)
 		}
 		if baseline == 0 {
 			baseline = c.bytes
 		}
 		if c.bytes > baseline*3/2 {
-			t.Errorf("%d keys take %d bytes, 10 take %d", partitions, c.bytes, baseline)
+			t.Errorf("%d partitions take %d bytes, 10 take %d", partitions, c.bytes, baseline)
 		}
 	}
 }
 
-// Keys that are committed at one time share one notice, and no member answers one.
+// Partitions with commits at the same time share one commit notice, which no member answers.
 func TestCommitNoticeIsSharedAndNotAnswered(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 100)
 	owner := sim.ownerOf(testPartition)
@@ -121,7 +122,7 @@
 		}
 		return false
 	}
-	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 150*time.Millisecond) // between two beats
+	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 150*time.Millisecond) // between two heartbeats
 	c = traffic{}
 	answered := 0
 	sim.runOn(owner.id, owner.runID, func() {
@@ -136,19 +137,19 @@
 		}
 	})
 	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat - 10*time.Millisecond)
-	t.Logf("%d keys: %+v", len(owned), c)
+	t.Logf("%d partitions: %+v", len(owned), c)
 	if c.notices > 3*len(owned) || c.acks > 0 {
-		t.Errorf("%d keys: %+v", len(owned), c)
+		t.Errorf("%d partitions: %+v", len(owned), c)
 	}
 	owner.replica.Take()
 	for _, key := range owned {
 		owner.replica.scheduleCommitNotice(owner.replica.partitions[key])
 	}
 	if sent := owner.replica.Take().Send; len(sent) != 3 || len(bodyAs[*Heartbeat](sent[0].Msg).Keys) != len(owned) {
-		t.Errorf("%d keys committed at once: %+v", len(owned), sent)
+		t.Errorf("%d partitions committed at once: %+v", len(owned), sent)
 	}
 	if answered != len(owned) || c.noticeAcks != 0 {
-		t.Errorf("%d of %d answered, %d notices were", answered, len(owned), c.noticeAcks)
+		t.Errorf("%d of %d proposals were answered, and %d commit notices", answered, len(owned), c.noticeAcks)
 	}
 	for _, id := range sim.ids {
 		for _, key := range owned {
@@ -159,12 +160,12 @@
 	}
 }
 
-// A member that has missed a step says so when it hears that the step was committed.
+// A member that has missed a change reports that on the notice that the change was committed.
 func TestMissedAppendIsRepairedBeforeNextHeartbeat(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 2)
 	owner := sim.ownerOf(testPartition)
 	follower := sim.lastMachineExcept(owner)
-	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 10*time.Millisecond) // just after a beat
+	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 10*time.Millisecond) // just after a heartbeat
 	lost := 0
 	sim.drop = func(_ string, e Envelope) bool {
 		if e.To == follower.id && bodyAs[*Append](e.Msg) != nil && lost == 0 {
@@ -178,12 +179,12 @@
 	}
 	sim.runUntil(sim.now + testHeartbeat/4)
 	if records, _, _ := follower.replica.Committed(testPartition); lost != 1 || records["x"].Gen != 1 {
-		t.Fatalf("it shows %+v, with %d steps lost", records, lost)
+		t.Fatalf("the follower shows %+v, with %d appends lost", records, lost)
 	}
 }
 
-// The answers to an owner's own heartbeats depose it, of the key alone that a member has
-// promised to another.
+// An answer to a heartbeat deposes the owner only of the partition for which the member has voted for
+// another one.
 func TestHeartbeatAckDeposesOwnerOfOnePartition(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 30)
 	owner := sim.ownerOf(testPartition)
@@ -198,7 +199,7 @@
 		successor = sim.nodes[owner.replica.Heirs(testPartition)[0]]
 	}
 	epochBefore, otherEpoch := owner.replica.partitions[testPartition].ownEpoch, owner.replica.partitions[other].ownEpoch
-	sim.drop = func(_ string, e Envelope) bool { // the owner hears nothing of its successor's election
+	sim.drop = func(_ string, e Envelope) bool { // the owner receives nothing from its successor's election
 		return e.To == owner.id && (bodyAs[*VoteRequest](e.Msg) != nil || bodyAs[*Append](e.Msg) != nil || bodyAs[*Heartbeat](e.Msg) != nil)
 	}
 	sim.runOn(successor.id, successor.runID, func() {
@@ -206,18 +207,18 @@
 	})
 	sim.runUntil(sim.now + testHeartbeat + 100*time.Millisecond)
 	if part := successor.replica.partitions[testPartition]; part.role != roleOwner || !epochBefore.Less(part.ownEpoch) {
-		t.Fatalf("%s did not take the key over", successor.id)
+		t.Fatalf("%s did not take the partition over", successor.id)
 	}
 	if part := owner.replica.partitions[testPartition]; part.role == roleOwner {
-		t.Errorf("the old owner holds on to %v", part.ownEpoch)
+		t.Errorf("the old owner still acts under %v", part.ownEpoch)
 	}
 	if part := owner.replica.partitions[other]; part.role != roleOwner || part.ownEpoch != otherEpoch {
-		t.Errorf("it lost %s as well", other)
+		t.Errorf("the owner also lost %s", other)
 	}
 }
 
-// electByVotes makes a member the owner of a key by the promises of all others; its
-// heartbeats since reach nobody.
+// electByVotes makes a member the owner of a partition by the votes of the others, and drops all its
+// other messages.
 func (sim *cluster) electByVotes(n *node, key string) *partition {
 	sim.drop = func(from string, e Envelope) bool {
 		return (from == n.id || e.To == n.id) && bodyAs[*VoteRequest](e.Msg) == nil && bodyAs[*Vote](e.Msg) == nil
@@ -231,7 +232,7 @@
 	return n.replica.partitions[key]
 }
 
-// Answers to rounds that began before a key was won confirm nothing of it.
+// Answers to rounds that began before the election of an owner don't confirm its ownership.
 func TestRoundBeforeElectionDoesNotConfirm(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 30)
 	n := sim.nodes[sim.ids[1]]
@@ -240,7 +241,7 @@
 	}
 	part := sim.electByVotes(n, testPartition)
 	if part.role != roleOwner || part.firstRound < 2 {
-		t.Fatalf("%s does not own the key: %+v", n.id, part)
+		t.Fatalf("%s does not own the partition: %+v", n.id, part)
 	}
 	for _, id := range sim.ids {
 		if o := sim.nodes[id]; o != n {
@@ -249,7 +250,7 @@
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
-		t.Errorf("it is sure of a key as of %v, won at %v", part.confirmedAt, part.ownerSince)
+		t.Errorf("the ownership is confirmed as of %v, it began at %v", part.confirmedAt, part.ownerSince)
 	}
 	for _, id := range sim.ids {
 		if o := sim.nodes[id]; o != n {
@@ -258,12 +259,12 @@
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
-		t.Error("answers to another process made it sure")
+		t.Error("answers to another process run confirmed the ownership")
 	}
 }
 
-// A member that promises a key to another, after a heartbeat came and before its answer
-// could go, doesn't confirm the key.
+// A member that votes for another owner between the arrival of a heartbeat and its answer doesn't
+// confirm the partition in that answer.
 func TestHeartbeatAckReportsPromiseMadeBeforeIt(t *testing.T) {
 	for _, stepsBehind := range []uint64{0, 1} {
 		testPromiseBeforeHeartbeatAck(t, stepsBehind)
@@ -277,7 +278,7 @@
 	part := follower.replica.partitions[testPartition]
 	m, now := follower.replica, sim.clock(follower)
 	m.Take()
-	m.write(nil, nil) // the disk is at work
+	m.write(nil, nil) // a write is pending
 	heartbeatEpoch := part.promised
 	heartbeat := &Heartbeat{Round: 7, Roster: m.partitions[RosterKey].position, Partial: true,
 		Keys: []KeyStatus{{Key: testPartition, Epoch: part.promised.N, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
@@ -286,7 +287,7 @@
 	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, Life: owner.replica.cfg.Life, Protocol: protocolHeartbeat,
 		Body: &VoteRequest{Key: testPartition, Epoch: newer, Roster: m.partitions[RosterKey].position, At: part.position}})
 	if part.promised != newer {
-		t.Fatalf("it promised %v", part.promised)
+		t.Fatalf("the follower promised %v", part.promised)
 	}
 	m.Durable(now, m.lastWrite)
 	reported, confirmed := false, false
@@ -299,34 +300,34 @@
 		}
 	}
 	if !reported || confirmed {
-		t.Errorf("%d steps behind: told of the promise %v, confirmed the epoch before %v", stepsBehind, reported, confirmed)
+		t.Errorf("%d changes behind: reported the promise: %v, confirmed the previous epoch: %v", stepsBehind, reported, confirmed)
 	}
 }
 
-// A list that isn't the owner's any more is found by its digest and sent anew; one of
-// an older version is left alone.
+// A list that no longer matches the owner's is detected by its digest and requested anew; a heartbeat
+// with an older version of the list is ignored.
 func TestOwnerListIsAppliedOnlyToItsBase(t *testing.T) {
 	full := []KeyStatus{{Key: "a", Epoch: 1, Seq: 2, Commit: 2}, {Key: "b", Epoch: 1, Seq: 1}}
 	digest := full[0].digest() ^ full[1].digest()
 	changed := KeyStatus{Key: "b", Epoch: 1, Seq: 5, Commit: 5}
 	after := full[0].digest() ^ changed.digest()
 	m := &Replica{ownerLists: map[string]*ownerList{}}
-	for _, c := range []struct { // one after the other, at one member
+	for _, c := range []struct { // applied one by one at the same member
 		name  string
 		h     Heartbeat
 		life  uint64
 		state listState
 	}{
-		{"nothing is there to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
-		{"the whole", Heartbeat{Version: 2, Digest: digest, Keys: full}, 1, listApplied},
+		{"no list to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
+		{"the whole list", Heartbeat{Version: 2, Digest: digest, Keys: full}, 1, listApplied},
 		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listApplied},
-		{"steps are missing", Heartbeat{Base: 3, Version: 4, Digest: after, Keys: []KeyStatus{changed}}, 1, listMissing},
-		{"another process", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 2, listMissing},
+		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: after, Keys: []KeyStatus{changed}}, 1, listMissing},
+		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 2, listMissing},
 		{"a change", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 1, listApplied},
 		{"late", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listStale},
-		{"a key goes", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listApplied},
-		{"another digest", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
-		{"and so it is forgotten", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
+		{"a partition is removed", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listApplied},
+		{"digest mismatch", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
+		{"the list was dropped after the mismatch", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
 	} {
 		if _, state := m.applyList("o", c.life, &c.h); state != c.state {
 			t.Errorf("%s: %v, want %v", c.name, state, c.state)
@@ -334,8 +335,8 @@
 	}
 }
 
-// Members of a version without heartbeats work with those that have them: every key is
-// owned, changed and dated, whichever version its owner runs.
+// Members of a version without heartbeats work with those that have them: every partition has an
+// owner, accepts changes and reports its freshness, whichever version its owner runs.
 func TestMembersWithoutHeartbeats(t *testing.T) {
 	sim := newEmptyCluster(3, 1)
 	sim.fatal, sim.lossless, sim.noDelays, sim.olderEvery = t.Fatalf, true, true, 2
@@ -363,13 +364,13 @@
 		}
 	}
 	if ownedWithout == 0 || ownedWith == 0 {
-		t.Fatalf("%d keys are owned by members without heartbeats, %d by others", ownedWithout, ownedWith)
+		t.Fatalf("%d partitions are owned by members without heartbeats, %d by others", ownedWithout, ownedWith)
 	}
 	for end := sim.now + 4*testHeartbeat; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 		for _, id := range sim.ids {
 			n := sim.nodes[id]
 			if at, ok := n.replica.Current(testPartition); !ok || sim.clock(n)-at > 3*testHeartbeat {
-				t.Fatalf("%s (older %v) takes its copy for current at %v (%v), at %v", id, n.withoutHeartbeats, at, ok, sim.clock(n))
+				t.Fatalf("%s (without heartbeats: %v) reports its copy as fresh as of %v (%v), at %v", id, n.withoutHeartbeats, at, ok, sim.clock(n))
 			}
 		}
 	}
@@ -382,20 +383,20 @@
 	}
 	sim.runUntil(sim.now + 4*testHeartbeat)
 	if c.full == 0 || c.appends > 0 {
-		t.Errorf("between members that know heartbeats: %+v", c)
+		t.Errorf("between members with heartbeats: %+v", c)
 	}
 }
 
-// A heartbeat takes no key for surer than its owner is of that key.
+// A heartbeat never reports a partition's ownership as confirmed later than it was.
 func TestConfirmationAgeIsPerPartition(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 30)
 	m := sim.ownerOf(testPartition).replica
 	partitions := m.ownedPartitions()[:4]
 	m.heartbeats.sent[m.heartbeats.confirmedRound] = sentRound{at: m.now - 300*time.Millisecond}
 	for _, c := range [][]time.Duration{
-		{100, 200, 250, 300}, // all in the round that a quorum has confirmed for the list, or later
-		{100, 200, 250, 400}, // one was not in it
-		{100, 200, 250, -1},  // one has been won since
+		{100, 200, 250, 300}, // all confirmed in the round that a quorum has confirmed for the list, or later
+		{100, 200, 250, 400}, // one was not confirmed in that round
+		{100, 200, 250, -1},  // the ownership of one began after it
 		{50, -1, 50, -1},     // reads have confirmed the others since
 		{-1, -1, -1, -1},
 	} {
@@ -416,14 +417,14 @@
 					reported = h.Sure.Age
 				}
 				if part.confirmedAt == neverConfirmed && reported >= 0 && h.Sure != nil || part.confirmedAt != neverConfirmed && (reported < m.now-part.confirmedAt || reported > m.now-part.confirmedAt+300*time.Millisecond) {
-					t.Errorf("%v partial %v: %s, sure %v ago, is told as %v", c, partial, part.name, m.now-part.confirmedAt, reported)
+					t.Errorf("%v partial %v: %s was confirmed %v ago, reported as %v", c, partial, part.name, m.now-part.confirmedAt, reported)
 				}
 			}
 		}
 	}
 }
 
-// An answer counts for where the keys stood when the heartbeat was sent, not for a step since.
+// An answer counts for the positions at the time when the heartbeat was sent, not for later changes.
 func TestHeartbeatAckCountsForSentPosition(t *testing.T) {
 	for _, partial := range []bool{false, true} {
 		sim := newClusterWithPartitions(t, 4, 3)
@@ -444,7 +445,7 @@
 		m.heartbeats.dueAll = true
 		sim.runOn(n.id, n.runID, func() {})
 		if l := m.heartbeats.listed[testPartition]; !before.Less(part.position) || l.Seq != part.position.Seq || l.version <= version {
-			t.Fatalf("the step is not listed: %+v, at %v", l, part.position)
+			t.Fatalf("the change is not listed: %+v, at %v", l, part.position)
 		}
 		for _, id := range sim.ids {
 			if o := sim.nodes[id]; o != n {
@@ -456,12 +457,12 @@
 			}
 		}
 		if answered {
-			t.Errorf("partial %v: a change that nobody else holds was acknowledged", partial)
+			t.Errorf("partial %v: a change that no other member holds was acknowledged", partial)
 		}
 	}
 }
 
-// A member that is alone owns its keys all along, and knows how old its copies are, though
+// A single member stays the owner of its partitions, and knows how fresh its copies are, although
 // nobody answers its heartbeats.
 func TestSingleMemberStaysOwner(t *testing.T) {
 	sim := newClusterWithPartitions(t, 1, 3)
@@ -474,7 +475,7 @@
 				epochs[key] = term.Epoch
 			}
 			if at, current := member.replica.Current(key); !ok || term.Epoch != epochs[key] || !current || sim.clock(member)-at > 2*testHeartbeat {
-				t.Fatalf("%v: %s is owned: %v, under %v, %v at first; current: %v, as of %v", sim.clock(member), key, ok, term.Epoch, epochs[key], current, at)
+				t.Fatalf("%v: %s is owned: %v, under %v, at first %v; fresh: %v, as of %v", sim.clock(member), key, ok, term.Epoch, epochs[key], current, at)
 			}
 		}
 	}
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -13,47 +13,47 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// This file holds the history of operators' calls, and the check that it is linearizable:
-// that each call could have happened at one moment between its question and its answer.
+// This file holds the history of operators' calls and the check that it is linearizable: that each
+// call could have taken effect at one moment between its request and its answer.
 
-// recordValue is one record as an operator sees it.
+// recordValue is a record as operators see it.
 type recordValue struct {
 	gen  uint64
 	data string
 }
 
-// partitionState is all records of a key, in the order of names.
+// partitionState holds all records of a partition, in the order of recordNames.
 type partitionState [7]recordValue
 
-// outcome is what came of a call.
+// outcome is the outcome of a call.
 type outcome int
 
 const (
-	unknown outcome = iota // no answer, or none that says whether it was carried out
+	unknown outcome = iota // no answer, or one that leaves open whether the change was made
 	accepted
-	refused // another content stands under that generation, or a higher one
+	refused // another content is stored under that generation, or a higher generation is
 )
 
-// operatorCall is an operator's operatorCall: a change of one record, or a read of all.
+// operatorCall is an operator's call: a change of one record, or a read of all.
 type operatorCall struct {
 	read      bool
-	nameIndex int // index into names
+	nameIndex int // index into recordNames
 	proposed  recordValue
 
 	outcome outcome
-	current recordValue    // for a change that was refused: what stands
-	records partitionState // for a read: what it brought
+	current recordValue    // of a refused change: the stored value
+	records partitionState // of a read: the result
 }
 
 func (c *operatorCall) String() string {
 	if c.read {
 		return fmt.Sprintf("read: %v", c.records)
 	}
-	return fmt.Sprintf("%s=%v: %v, stands %v", recordNames[c.nameIndex], c.proposed, [...]string{"unknown", "taken", "refused"}[c.outcome], c.current)
+	return fmt.Sprintf("%s=%v: %v, stored %v", recordNames[c.nameIndex], c.proposed, [...]string{"unknown", "accepted", "refused"}[c.outcome], c.current)
 }
 
-// apply is the sequential specification: what a call does to a key, and whether it could
-// have had this outcome there.
+// apply is the sequential specification: whether a call can have this outcome in a state, and the
+// state after it.
 func (c *operatorCall) apply(s partitionState) (bool, partitionState) {
 	if c.read {
 		return s == c.records, s
@@ -81,7 +81,7 @@
 	r    recordValue
 }
 
-// writtenContents lists what a call with an answer writtenContents to have been written.
+// writtenContents returns the contents that an answered call proves to have been written.
 func (c *operatorCall) writtenContents() (out []writtenContent) {
 	switch {
 	case c.read:
@@ -96,10 +96,10 @@
 	return out
 }
 
-// allNames stands for all records of a key.
+// allNames stands for all records of a partition.
 const allNames = -1
 
-// restrictTo is what a call says of one record, or of all; nil: nothing.
+// restrictTo returns the part of a call that concerns one record, or all; nil if none does.
 func (c *operatorCall) restrictTo(name int) *operatorCall {
 	switch {
 	case name == allNames || !c.read && c.nameIndex == name:
@@ -113,17 +113,17 @@
 	return &one
 }
 
-// history is what was called and answered, key by key. Its clock counts questions and answers;
-// the world is sequential, so that is their real order.
+// history holds the calls and answers of each partition. Its clock counts requests and answers; the
+// simulation is sequential, so that is their real order.
 type history struct {
 	clock int64
 	calls map[string][]*porcupine.Operation
 }
 
-// unanswered is the time of an answer that has not come.
+// unanswered is the time of an answer that has not arrived.
 const unanswered = math.MaxInt64
 
-// begin notes a call's question; the function that it returns notes the answer.
+// begin records a call's request; the function that it returns records the answer.
 func (h *history) begin(key string, c *operatorCall) (answered func()) {
 	if h.calls == nil {
 		h.calls = map[string][]*porcupine.Operation{}
@@ -137,9 +137,10 @@
 	}
 }
 
-// callsUntil lists the calls of a key up to a time as they are checked, at most those of one record
-// if name isn't allNames. A read without an answer says nothing. A change without one counts if somebody saw it, once for each content, and happened before
-// the first who saw it had its answer; so few calls are open at any time.
+// callsUntil returns the calls of a partition up to a time in the form in which they are checked,
+// restricted to one record unless name is allNames. A read without an answer is left out. A change
+// without an answer counts only if an answered call saw its content, once for each content, and is
+// taken to end at the first such answer; so few calls are open at any time.
 func (h *history) callsUntil(end int64, key string, name int) (out []porcupine.Operation) {
 	seen := map[writtenContent]int64{} // when the first call that saw it was answered
 	var unanswered []porcupine.Operation
@@ -177,16 +178,17 @@
 	return out
 }
 
-// dropRedundant leaves out calls on one record that decide nothing. All that saw one content come after
-// whoever wrote it and before what replaced it, since generations only rise; so of these the
-// one that was answered first and the one that was asked last stand for the others.
+// dropRedundant leaves out calls on one record that don't affect the result. All calls that saw one
+// content come after the call that wrote it and before the one that replaced it, since generations
+// only rise; so the one that was answered first and the one that was requested last represent the
+// others.
 func dropRedundant(ops []porcupine.Operation, name int) (out []porcupine.Operation) {
 	type group struct{ writer, first, last *porcupine.Operation }
 	groups := map[recordValue]*group{}
 	for i := range ops {
 		op, c := &ops[i], ops[i].Input.(*operatorCall)
 		if !c.isPossible() {
-			return ops // it is wrong whatever the others say
+			return ops // the history is wrong whatever the other calls are
 		}
 		saw := c.endContent(name)
 		g := groups[saw]
@@ -218,7 +220,7 @@
 	return out
 }
 
-// endContent is the content of a record that stands as a call ends.
+// endContent returns the content that a record has when a call takes effect.
 func (c *operatorCall) endContent(name int) recordValue {
 	switch {
 	case c.read:
@@ -229,20 +231,20 @@
 	return c.proposed
 }
 
-// isPossible says whether a call's outcome could be right at all.
+// isPossible reports whether a call's outcome is possible in any state.
 func (c *operatorCall) isPossible() bool {
 	return c.read || c.outcome != refused || c.current.gen >= c.proposed.gen && c.current != c.proposed
 }
 
-// Bounds of the check of one record. Sound histories take milliseconds.
+// Time limits for the check of one record. Linearizable histories take milliseconds.
 const (
 	checkTime   = 20 * time.Second
-	explainTime = 2 * time.Second // of one step on the way to the first answer that can't be
+	explainTime = 2 * time.Second // for each step of the search for the first impossible answer
 )
 
-// check says what is wrong with the history; empty: nothing. Each record is checked by itself,
-// since for whole keys the search takes too long; what reads show of records together has a
-// check of its own.
+// check returns what is wrong with the history; empty if nothing is. Each record is checked by
+// itself, since the search takes too long for whole partitions; checkSnapshots checks what reads
+// show of several records.
 func (h *history) check() string {
 	for key := range h.calls {
 		for name := range recordNames {
@@ -263,18 +265,18 @@
 	case porcupine.Ok:
 		return ""
 	case porcupine.Illegal:
-		return fmt.Sprintf("%d calls are not linearizable; the last ones up to there: %v", len(ops), h.lastCalls(key, name))
+		return fmt.Sprintf("%d calls are not linearizable; the last ones up to the first impossible answer: %v", len(ops), h.lastCalls(key, name))
 	}
-	return fmt.Sprintf("whether %d calls are linearizable was not found out in %v; the last ones up to where it takes long: %v", len(ops), checkTime, h.lastCalls(key, name))
+	return fmt.Sprintf("the check whether %d calls are linearizable did not finish in %v; the last ones up to where it takes long: %v", len(ops), checkTime, h.lastCalls(key, name))
 }
 
-// checkSnapshots checks what reads show of several records together: that all of them fit
-// into one order, in which records only rise, and that whoever sees a change of one record
-// sees what had been acknowledged of the others before that change was asked for.
+// checkSnapshots checks what reads show of several records together: that all reads fit into one
+// order in which generations only rise, and that a read that sees a change of one record also sees
+// what had been acknowledged of the others before that change was requested.
 func (h *history) checkSnapshots(key string) string {
 	var reads []*operatorCall
-	asked := map[writtenContent]int64{}                        // when a content was first asked for
-	acknowledged := [len(partitionState{})][]acknowledgement{} // by record, in the order of time, rising
+	asked := map[writtenContent]int64{}                        // when a content was first proposed
+	acknowledged := [len(partitionState{})][]acknowledgement{} // by record, in order of time, with rising generations
 	ops := h.callsUntil(h.clock, key, allNames)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 	for _, op := range ops {
@@ -320,8 +322,8 @@
 	gen uint64
 }
 
-// generations sums up what a read shows; of two reads that fit into one order the later one
-// shows more.
+// generations returns the sum of the generations that a read shows. Of two reads that fit into one
+// order the later one has the higher sum.
 func (c *operatorCall) generations() (sum uint64) {
 	for _, r := range c.records {
 		sum += r.gen
@@ -329,7 +331,7 @@
 	return sum
 }
 
-// lastCalls are the calls that were answered up to the first answer that can't be.
+// lastCalls returns the last calls answered up to the first impossible answer.
 func (h *history) lastCalls(key string, name int) (out []*operatorCall) {
 	bad := int64(sort.Search(int(h.clock), func(end int) bool {
 		return porcupine.CheckOperationsTimeout(partitionModel, h.callsUntil(int64(end), key, name), explainTime) != porcupine.Ok
@@ -342,7 +344,7 @@
 	return out
 }
 
-// recordChange notes a recordChange that is asked for; the function that it returns notes what came of it.
+// recordChange records the request of a change; the function that it returns records the outcome.
 func (h *history) recordChange(key, name string, version uint64, data string) func(stands Record, err error) {
 	c := &operatorCall{nameIndex: slices.Index(recordNames, name), proposed: recordValue{version, data}}
 	answered := h.begin(key, c)
@@ -359,7 +361,7 @@
 	}
 }
 
-// recordRead notes a read; the function that it returns notes what it brought.
+// recordRead records the request of a read; the function that it returns records the result.
 func (h *history) recordRead(key string) func(map[string]Record) {
 	c := &operatorCall{read: true}
 	answered := h.begin(key, c)
@@ -376,7 +378,7 @@
 	return s
 }
 
-// The check finds what it is there for.
+// The check accepts linearizable histories and rejects others.
 func TestHistoryCheck(t *testing.T) {
 	a, b, c := recordValue{1, "a"}, recordValue{1, "b"}, recordValue{2, "c"}
 	change := func(r recordValue, what outcome, stood recordValue) *operatorCall {
@@ -389,33 +391,34 @@
 		return c
 	}
 	second := func(r recordValue) *operatorCall { return &operatorCall{nameIndex: 1, proposed: r, outcome: accepted} }
-	// Each string names calls by their letters, "(" being the question and ")" the answer.
+	// In each order string the first occurrence of a letter is the request of that call and the second
+	// one its answer.
 	for name, tc := range map[string]struct {
 		order string
 		calls map[rune]*operatorCall
 		fine  bool
 	}{
-		"one after the other":                    {"xxyyzz", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(c, accepted, none), 'z': read(c)}, true},
-		"two contents under one generation":      {"xyxy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, accepted, none)}, false},
-		"the second is refused":                  {"xyxy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, refused, a)}, true},
-		"it is refused for what came later":      {"yyxx", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, refused, a)}, false},
-		"refused, though its own content stands": {"xxyy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(a, refused, a)}, false},
+		"sequential changes":                         {"xxyyzz", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(c, accepted, none), 'z': read(c)}, true},
+		"two contents under one generation":          {"xyxy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, accepted, none)}, false},
+		"the second content is refused":              {"xyxy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, refused, a)}, true},
+		"refused because of a later change":          {"yyxx", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, refused, a)}, false},
+		"refused although its own content is stored": {"xxyy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(a, refused, a)}, false},
 		"reads see two records in two orders": {"xyzwxyzw", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': second(b),
 			'z': read(a, none), 'w': read(none, b)}, false},
 		"reads see two records in one order": {"xyzwxyzw", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': second(b),
 			'z': read(a, none), 'w': read(a, b)}, true},
-		"a read sees the later of two records only": {"zxxyyz", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': second(b),
+		"a read sees only the later of two changes": {"zxxyyz", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': second(b),
 			'z': read(none, b)}, false},
-		"a lost change":                                {"xxzz", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none)}, false},
-		"a read leaves out a change beside it":         {"zxxz", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none)}, true},
-		"and the next one after it does too":           {"zxxzww", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none), 'w': read(none)}, false},
-		"a read goes back":                             {"xzzwwx", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(a), 'w': read(none)}, false},
-		"a change without an answer is seen":           {"xzz", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a)}, true},
-		"it is not seen":                               {"xzz", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(none)}, true},
-		"it is seen, and then it is not":               {"xzzww", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a), 'w': read(none)}, false},
-		"it is seen before it was asked for":           {"zzx", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a)}, false},
-		"a rival takes the place of a lost change":     {"xyyww", map[rune]*operatorCall{'x': change(a, unknown, none), 'y': change(b, accepted, none), 'w': read(b)}, true},
-		"a rival takes the place of one that was seen": {"xzzyyww", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a), 'y': change(b, accepted, none), 'w': read(b)}, false},
+		"a lost change":                                   {"xxzz", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none)}, false},
+		"a read misses a concurrent change":               {"zxxz", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none)}, true},
+		"a read after the change misses it too":           {"zxxzww", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(none), 'w': read(none)}, false},
+		"a read goes back":                                {"xzzwwx", map[rune]*operatorCall{'x': change(a, accepted, none), 'z': read(a), 'w': read(none)}, false},
+		"a change without an answer is seen":              {"xzz", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a)}, true},
+		"a change without an answer is not seen":          {"xzz", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(none)}, true},
+		"a change without an answer is seen and then not": {"xzzww", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a), 'w': read(none)}, false},
+		"a change is seen before its request":             {"zzx", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a)}, false},
+		"another content replaces a change that was lost": {"xyyww", map[rune]*operatorCall{'x': change(a, unknown, none), 'y': change(b, accepted, none), 'w': read(b)}, true},
+		"another content replaces one that was seen":      {"xzzyyww", map[rune]*operatorCall{'x': change(a, unknown, none), 'z': read(a), 'y': change(b, accepted, none), 'w': read(b)}, false},
 	} {
 		h := &history{}
 		answers := map[rune]func(){}
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// The owner loses its power, or its disk, the moment it has answered.
+// The owner loses power, or its disk, right after it has answered.
 func TestOwnerLostRightAfterAcknowledgement(t *testing.T) {
 	for _, wipe := range []bool{false, true} {
 		for seed := int64(1); seed <= 25; seed++ {
@@ -39,8 +39,8 @@
 	}
 }
 
-// A member that has lost its disk is another member: its word counts for nothing, and
-// so does all that its former life said, until the roster gives it a seat.
+// A member that has lost its disk is another member: until the voter set includes it, neither its
+// answers nor those of its former identity count.
 func TestMemberWithNewDiskDoesNotCountUntilItIsVoter(t *testing.T) {
 	sim := newCluster(t, 2, 4)
 	sim.runUntil(6 * time.Second)
@@ -54,7 +54,7 @@
 	sim.runUntil(sim.now + 5*time.Second)
 	n := sim.nodes[id]
 	if n.replica.self == formerIdentity || n.replica.Voting() {
-		t.Fatalf("it is still %s, or votes", formerIdentity)
+		t.Fatalf("the member still is %s, or votes", formerIdentity)
 	}
 	for _, m := range []Message{
 		{Body: &VoteRequest{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
@@ -69,18 +69,18 @@
 			}
 		}
 	}
-	for i, o := range sim.ids[:2] { // two of four seats, and the wiped member's word
+	for i, o := range sim.ids[:2] { // two of four voters, and the wiped member
 		if err := sim.put(sim.nodes[o], "x", uint64(8+i)); err == nil {
-			t.Fatalf("%s acknowledged without a majority of the seats", o)
+			t.Fatalf("%s acknowledged without a majority of the voters", o)
 		}
 		if s := sim.nodes[o].replica.voterSet(); slices.Contains(s.all(), n.replica.self) || !slices.Contains(s.newVoters, formerIdentity) {
-			t.Fatalf("%s has the roster %+v", o, s)
+			t.Fatalf("%s has the voter set %+v", o, s)
 		}
 	}
 	sim.start(down)
 	sim.runUntil(sim.now + 6*time.Second)
 	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen < 7 || slices.Contains(n.replica.voterSet().all(), formerIdentity) {
-		t.Fatalf("it did not get its seat back: %s %+v %+v", n.replica.self, n.replica.voterSet(), n.replica.partitions[testPartition].Records)
+		t.Fatalf("the member did not become a voter again: %s %+v %+v", n.replica.self, n.replica.voterSet(), n.replica.partitions[testPartition].Records)
 	}
 }
 
@@ -92,7 +92,7 @@
 		sim.runUntil(sim.now + 500*time.Millisecond)
 		sim.mustPut(t, "x", 2)
 		sim.runUntil(frozen.frozenUntil - time.Millisecond)
-		// The first thing it hears when it wakes is an order.
+		// The first message that it processes when it resumes is a proposal.
 		if err := sim.put(frozen, "x", 1); err == nil {
 			t.Fatalf("seed %d: the old owner acknowledged", seed)
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// A copy that has silently gone bad is found by its digests and mended.
+// A silently corrupted copy is detected by its digests and repaired.
 func TestDigestsRepairCorruptCopy(t *testing.T) {
 	sim := newCluster(t, 6, 4)
 	sim.mustPut(t, "x", 5)
@@ -156,7 +156,7 @@
 func TestOnlyFirstStartBootstraps(t *testing.T) {
 	sim := newCluster(t, 3, 4)
 	sim.runUntil(5 * time.Second)
-	for _, id := range sim.ids { // all disks are lost, which is beyond any budget
+	for _, id := range sim.ids { // all disks are lost, which exceeds any fault budget
 		sim.crash(id, true)
 	}
 	sim.runUntil(sim.now + time.Second)
@@ -166,7 +166,7 @@
 	sim.runUntil(sim.now + 10*time.Second)
 	for _, id := range sim.ids {
 		if sim.nodes[id].replica.Voting() || len(sim.nodes[id].replica.Roster()) > 0 {
-			t.Fatalf("%s founded anew over a system that had a past", id)
+			t.Fatalf("%s bootstrapped again although the system had existed before", id)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		t.Fatalf("%s owns the key after %v", n.id, sim.now-begin)
 	}
 	if n.replica.partitions[testPartition].Records["x"].Gen != 1 {
-		t.Fatal("lost on the way")
+		t.Fatal("x=1 was lost in the transfer")
 	}
 }
 
@@ -193,17 +193,17 @@
 		for n := 0; n <= c.members; n++ {
 			has := func(id string) bool { return int(id[0]-'a') < n }
 			if got := hasQuorumOf(ids[:c.members], false, has); got != (n >= c.promise) {
-				t.Errorf("%d of %d promise: %v", n, c.members, got)
+				t.Errorf("quorum for a vote by %d of %d: %v", n, c.members, got)
 			}
 			if got := hasQuorumOf(ids[:c.members], true, has); got != (n >= c.durable) {
-				t.Errorf("%d of %d durable: %v", n, c.members, got)
+				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, c.members, got)
 			}
 		}
 	}
 }
 
-// A member that is gone for good is retired; another takes its seat, and the
-// system again bears the loss of any one.
+// A member that has failed for good is retired and replaced by another voter; then the system again
+// tolerates the loss of any one member.
 func TestRetireLostMember(t *testing.T) {
 	sim := newCluster(t, 12, 4)
 	sim.runUntil(6 * time.Second)
@@ -216,7 +216,7 @@
 				owner = sim.ownerOf(RosterKey)
 			}
 			if owner == nil {
-				t.Fatal("the roster has no owner")
+				t.Fatal("the voter set has no owner")
 			}
 			err = ErrNoQuorum
 			sim.runOn(owner.id, owner.runID, func() { owner.replica.Retire(sim.now, id, func(e error) { err = e }) })
@@ -228,26 +228,26 @@
 		return err
 	}
 	if err := retire(lost); !errors.Is(err, ErrAlive) {
-		t.Fatalf("a member at work: %v", err)
+		t.Fatalf("retiring a running member: %v", err)
 	}
 	if err := retire("10.9.9.9:1"); !errors.Is(err, ErrUnknown) {
-		t.Fatalf("an unknown member: %v", err)
+		t.Fatalf("retiring an unknown member: %v", err)
 	}
 	sim.crash(lost, true)
-	sim.runUntil(sim.now + 4*testHeartbeat) // before others know, it counts as being at work
+	sim.runUntil(sim.now + 4*testHeartbeat) // before the failure is detected, the member counts as running
 	if err := retire(lost); err != nil {
 		t.Fatal(err)
 	}
 	sim.runUntil(sim.now + time.Second)
 	for _, id := range sim.ids {
 		if id != lost && len(sim.nodes[id].replica.Roster()) != 3 {
-			t.Fatalf("%s holds the roster %v", id, sim.nodes[id].replica.Roster())
+			t.Fatalf("%s has the voter set %v", id, sim.nodes[id].replica.Roster())
 		}
 	}
 	other := sim.ids[3]
 	sim.crash(other, false)
 	if err := retire(other); !errors.Is(err, ErrTooFew) {
-		t.Fatalf("a third member: %v", err)
+		t.Fatalf("retiring a member of three: %v", err)
 	}
 	sim.start(other)
 	replacement := "10.0.0.9:7661"
@@ -256,33 +256,33 @@
 	sim.start(replacement)
 	sim.runUntil(sim.now + 6*time.Second)
 	if !sim.nodes[replacement].replica.Voting() {
-		t.Fatal("the newcomer has no seat")
+		t.Fatal("the replacement is not a voter")
 	}
 	sim.crash(sim.ids[0], false)
 	sim.mustPut(t, "x", 2)
 	if got := sim.machinesWithCopy("x", 2); len(got) < 3 {
 		t.Fatalf("copies at %v", got)
 	}
-	// The retired one comes back after all, with its old disk or without.
+	// The retired machine starts again after all, without its old disk.
 	sim.start(sim.ids[0])
 	sim.start(lost)
 	sim.runUntil(sim.now + 8*time.Second)
 	if n := sim.nodes[lost]; !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
-		t.Fatal("it did not come back as a new member")
+		t.Fatal("the retired machine did not rejoin as a new member")
 	}
 }
 
-// A retired member whose disk is whole believes in a roster of its own past.
+// A retired member whose disk is intact starts with an outdated voter set.
 func TestRetiredMemberRejoinsAsNewMember(t *testing.T) {
 	sim := newCluster(t, 13, 4)
-	sim.runUntil(6 * time.Second) // all four have their seats
+	sim.runUntil(6 * time.Second) // all four are voters
 	sim.mustPut(t, "x", 1)
 	retired := sim.ids[1]
 	sim.crash(retired, false)
 	ok := false
 	for ; !ok; sim.runUntil(sim.now + 500*time.Millisecond) {
 		if sim.now > time.Minute {
-			t.Fatal("never retired")
+			t.Fatal("the member was not retired within a minute")
 		}
 		for _, id := range sim.ids {
 			if n := sim.nodes[id]; n.up && n.replica.partitions[RosterKey].role == roleOwner {
@@ -295,12 +295,12 @@
 	sim.runUntil(sim.now + 10*time.Second)
 	n := sim.nodes[retired]
 	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 || len(sim.waitForOwner(t).replica.Roster()) != 4 {
-		t.Fatalf("voting %v, x=%d, roster %v", n.replica.Voting(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Roster())
+		t.Fatalf("voting %v, x=%d, voter set %v", n.replica.Voting(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Roster())
 	}
 }
 
-// Keys that a failure has gathered go back to their first heir, but only after
-// a long calm, and nothing is lost on the way.
+// Partitions that a failure has concentrated at one member return to their first successor, but only
+// after a long stable period, and without losing anything.
 func TestPartitionsReturnToFirstSuccessor(t *testing.T) {
 	sim := newCluster(t, 21, 4)
 	sim.runUntil(6 * time.Second)
@@ -315,7 +315,7 @@
 		}
 	}
 	if back < 4*time.Second {
-		t.Fatalf("the key went back after %v (0: never)", back)
+		t.Fatalf("the partition returned after %v (0: never)", back)
 	}
 	sim.mustPut(t, "x", 2)
 	if n := sim.waitForOwner(t); n.id != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
@@ -323,8 +323,8 @@
 	}
 }
 
-// The disks of a version that knew no identities: seats are addresses. They go on
-// working, and are renewed without a person's hand.
+// With the disks of a version without identities, voters are addresses. They go on working and are
+// renewed automatically.
 func TestVotersWithoutIdentitiesAreRenewed(t *testing.T) {
 	sim := newCluster(t, 31, 4)
 	sim.runUntil(6 * time.Second)
@@ -353,15 +353,15 @@
 	for _, id := range sim.ids {
 		s := sim.nodes[id].replica.voterSet()
 		if len(s.newVoters) != 4 || s.joint || !slices.Contains(s.newVoters, sim.nodes[id].replica.self) {
-			t.Fatalf("%s has the roster %+v", id, s)
+			t.Fatalf("%s has the voter set %+v", id, s)
 		}
 	}
-	sim.crash(sim.ids[1], true) // a wiped one counts for nothing, as ever
+	sim.crash(sim.ids[1], true) // a wiped member must not count here either
 	sim.mustPut(t, "x", 3)
 }
 
-// After everything has stopped at once, those who kept their disks do not wait for a first
-// heir that has come back without its own: it may own nothing yet.
+// After all members have stopped at once, those with their disks don't wait for a first successor
+// that has restarted without its own: it must not own anything yet.
 func TestElectionDoesNotWaitForWipedFirstSuccessor(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		sim := newCluster(t, seed, 5)
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestDiskLossAfterReplacements replaces three machines one after the other, with a
-// planned replacement that crosses them, each as soon as the budget allows. Then as many
-// disks as it allows are lost right after an acknowledgement, and all others lose power.
+// TestDiskLossAfterReplacements replaces three machines one by one, with a planned replacement in
+// between, each as soon as the fault budget allows. Then as many disks as it allows are lost right
+// after an acknowledgement, and all other machines lose power.
 func TestDiskLossAfterReplacements(t *testing.T) {
 	for _, c := range []struct {
 		members, faults, zones int
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestFrozenOwnerServesNoStaleReads asks an owner for a read the moment it wakes, after
-// another has taken its place.
+// TestFrozenOwnerServesNoStaleReads sends a read to an owner at the moment it resumes, after another
+// member has taken over.
 func TestFrozenOwnerServesNoStaleReads(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		sim := newClusterWithVoters(t, seed, 4, 1, 4)
@@ -52,15 +52,15 @@
 		sim.runUntil(frozen.frozenUntil - time.Millisecond)
 		sim.readPartition(frozen.id, testPartition, func(err error) {
 			if err == nil {
-				t.Fatalf("seed %d: it was answered", seed)
+				t.Fatalf("seed %d: the stale read was answered", seed)
 			}
 		})
 		sim.runUntil(sim.now + 2*time.Second)
 	}
 }
 
-// TestWipedVotersLoseNoAcknowledgedChange has a change on just three of five disks. Two
-// of them are lost, everything loses power, and the third comes back last.
+// TestWipedVotersLoseNoAcknowledgedChange has a change on only three of five disks. Two of them are
+// lost, all machines lose power, and the one with the third disk starts last.
 func TestWipedVotersLoseNoAcknowledgedChange(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		sim, owner := newLosslessCluster(t, seed, 5, 2, 5, time.Second)
@@ -83,19 +83,19 @@
 		}
 		for end := sim.now + 4*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 			if n := sim.ownerOf(testPartition); n != nil {
-				t.Fatalf("seed %d: %s owns the key, with two disks that are new", seed, n.id)
+				t.Fatalf("seed %d: %s owns the partition although two of the disks are new", seed, n.id)
 			}
 		}
 		sim.start(owner.id)
-		sim.waitFor("all hold everything", 12*time.Second, sim.voterSetProblem)
+		sim.waitFor("all members hold everything", 12*time.Second, sim.voterSetProblem)
 		if n := sim.waitForOwner(t); n.replica.partitions[testPartition].Records["x"].Gen != 2 {
 			t.Fatalf("seed %d: lost", seed)
 		}
 	}
 }
 
-// TestFrozenOwnerWhileVoterIsReplaced freezes an owner with a change under way. A
-// member loses its disk meanwhile and gets its seat anew.
+// TestFrozenOwnerWhileVoterIsReplaced freezes an owner with a change in progress. Meanwhile another
+// member loses its disk and becomes a voter again with a new identity.
 func TestFrozenOwnerWhileVoterIsReplaced(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		sim := newClusterWithVoters(t, seed, 5, 2, 5)
@@ -123,7 +123,7 @@
 		sim.start(wiped.id)
 		sim.runUntil(sim.now + 6*time.Second)
 		if !wiped.replica.Voting() {
-			t.Fatalf("seed %d: the member that lost its disk has no seat", seed)
+			t.Fatalf("seed %d: the member that lost its disk is not a voter", seed)
 		}
 		n := sim.mustPut(t, "x", 3)
 		if n == owner {
@@ -131,16 +131,16 @@
 		}
 		sim.runUntil(sim.now + 15*time.Second)
 		if acknowledged && sim.contents[testPartition+"/x/2"] != "old" {
-			t.Fatalf("seed %d: told of what was never committed", seed)
+			t.Fatalf("seed %d: a change was acknowledged but never committed", seed)
 		}
-		sim.waitFor("all hold everything", 10*time.Second, sim.voterSetProblem)
+		sim.waitFor("all members hold everything", 10*time.Second, sim.voterSetProblem)
 		if got := sim.waitForOwner(t).replica.partitions[testPartition].Records["x"].Gen; got != 3 {
 			t.Fatalf("seed %d: x=%d", seed, got)
 		}
 	}
 }
 
-// TestNewMemberBecomesVoterSoon starts a member in calm, and under a storm of changes.
+// TestNewMemberBecomesVoterSoon adds a member to an idle cluster, and under a stream of changes.
 func TestNewMemberBecomesVoterSoon(t *testing.T) {
 	for _, underLoad := range []bool{false, true} {
 		for _, members := range []int{4, 5, 8} {
@@ -152,7 +152,7 @@
 				}
 				sim.runUntil(sim.now + 3*time.Second)
 				n := sim.startReplacement()
-				sim.waitFor(fmt.Sprintf("the newcomer of %d (seed %d, storm %v) has its seat", members, seed, underLoad), 3*time.Second, func() string {
+				sim.waitFor(fmt.Sprintf("the member added to %d (seed %d, under load: %v) is a voter", members, seed, underLoad), 3*time.Second, func() string {
 					if n.replica.mayOwn() && !n.replica.voterSet().joint && n.replica.partitions[RosterKey].commit == n.replica.partitions[RosterKey].position {
 						return ""
 					}
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestOneWayCutDoesNotDeposeHealthyOwner cuts one member off one way for 20 s.
+// TestOneWayCutDoesNotDeposeHealthyOwner cuts one member off in one direction for 20 s.
 func TestOneWayCutDoesNotDeposeHealthyOwner(t *testing.T) {
 	for _, kind := range []failureKind{cutOutgoing, cutIncoming} {
 		for index := 0; index < 4; index++ {
@@ -200,7 +200,8 @@
 	}
 }
 
-// TestLeavingMemberWaitsForReplication lets nobody take what a leaving member holds.
+// TestLeavingMemberWaitsForReplication blocks all copies of what a leaving member holds: it must not
+// report that it can be shut down until enough others have it.
 func TestLeavingMemberWaitsForReplication(t *testing.T) {
 	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 5; seed++ {
@@ -216,29 +217,29 @@
 			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
 			for end := sim.now + 3*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 				if n.replica.MayGo(sim.clock(n)) && n.replica.isVoter() {
-					t.Fatalf("%d members, seed %d: it may go with x=2 at %v", c.members, seed, sim.machinesWithCopy("x", 2))
+					t.Fatalf("%d members, seed %d: the member may leave with x=2 at %v", c.members, seed, sim.machinesWithCopy("x", 2))
 				}
 			}
 			sim.drop = nil
 			begin := sim.now
-			sim.waitFor("the member may go", 5*time.Second, func() string {
+			sim.waitFor("the member may leave", 5*time.Second, func() string {
 				if n.replica.MayGo(sim.clock(n)) {
 					return ""
 				}
 				return fmt.Sprint(*n.replica.voterSet())
 			})
 			if took := sim.now - begin; took > 4*time.Second {
-				t.Fatalf("%d members, seed %d: it waits for %v", c.members, seed, took)
+				t.Fatalf("%d members, seed %d: the member waited for %v", c.members, seed, took)
 			}
 			if s := sim.ownerOf(RosterKey); s != nil && len(s.replica.voterSet().newVoters) > s.replica.minVoters() && slices.Contains(s.replica.voterSet().newVoters, n.replica.self) {
-				t.Fatalf("%d members, seed %d: it may go with a seat that isn't needed", c.members, seed)
+				t.Fatalf("%d members, seed %d: the member may leave as a voter, although the others have enough voters", c.members, seed)
 			}
 		}
 	}
 }
 
-// TestMemberLeavesSoonWithoutFailures also has its seat taken if the others need it
-// less than they would mind its silence.
+// TestMemberLeavesSoonWithoutFailures drains a member in a healthy cluster. If there are more than
+// minVoters voters, it is removed from the voter set first.
 func TestMemberLeavesSoonWithoutFailures(t *testing.T) {
 	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 1}, {5, 2}, {6, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 8; seed++ {
@@ -249,7 +250,7 @@
 			n := sim.nodes[sim.ids[int(seed)%c.members]]
 			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
 			begin := sim.now
-			sim.waitFor("the member may go", 2*time.Second, func() string {
+			sim.waitFor("the member may leave", 2*time.Second, func() string {
 				if n.replica.MayGo(sim.clock(n)) {
 					return ""
 				}
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// schedule is all that a run of the model depends on.
+// schedule is the complete input of a simulation run.
 type schedule struct {
 	seed                   int64
 	members, faults, zones int
-	olderEvery             int  // see world
-	competing              bool // operators race each other: see rivals_test.go
+	olderEvery             int  // see cluster
+	competing              bool // operators compete: see cluster_competing_operators_test.go
 	failures               []failure
 	lastFailure            *failure
 }
@@ -54,7 +54,7 @@
 	return b.String() + "}"
 }
 
-// randomSchedule draws the schedule of a seed.
+// randomSchedule returns the schedule of a seed.
 func randomSchedule(seed int64) schedule {
 	r := rand.New(rand.NewSource(seed))
 	ms := func(least, spread int) time.Duration { return time.Duration(least+r.Intn(spread)) * time.Millisecond }
@@ -106,7 +106,7 @@
 			for i := 0; i < s.members; i++ {
 				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: ms(300, 1200)})
 			}
-		case cutOff, cutOutgoing, cutIncoming, cutPair: // many in a row
+		case cutOff, cutOutgoing, cutIncoming, cutPair: // several in a row
 			for i := 1 + r.Intn(3); i > 0; i-- {
 				s.failures = append(s.failures, randomFailure([]failureKind{cutOff, cutOutgoing, cutIncoming, cutPair}[r.Intn(4)]))
 			}
@@ -122,10 +122,10 @@
 	return s
 }
 
-// brokenRule is a broken rule.
+// brokenRule is the panic value for a violated invariant.
 type brokenRule string
 
-// runSchedule runs a schedule and says which rule broke, if any.
+// runSchedule runs a schedule and returns which invariant was violated; empty if none was.
 func runSchedule(s schedule) (broken string, sim *cluster) {
 	defer func() {
 		switch f := recover().(type) {
@@ -143,7 +143,7 @@
 	sim.partitions = []string{testPartition, "evacuation/a", "evacuation/b"}
 	sim.schedule, sim.newestMachine = s, s.members
 	sim.bootstrap(s.members, s.zones)
-	sim.waitFor("all members have their seats", 8*time.Second, sim.voterSetProblem)
+	sim.waitFor("all members are voters", 8*time.Second, sim.voterSetProblem)
 	sim.runOperator("one", testPartition)
 	sim.runOperator("two", testPartition)
 	sim.runOperator("three", "evacuation/a")
@@ -155,18 +155,18 @@
 	sim.nextFailures()
 	for sim.nextFailure < len(s.failures) || sim.remainingFaults() < sim.faults || len(sim.onAck) > 0 || sim.pendingFailures > 0 || sim.now < 10*time.Second {
 		if sim.now > 20*time.Minute {
-			sim.fatal("the failures don't end")
+			sim.fatal("the failures had not ended after 20 min")
 		}
 		sim.runUntil(sim.now + 10*time.Millisecond)
 	}
 	if s.lastFailure != nil {
 		sim.injectLast(*s.lastFailure)
 	}
-	sim.waitFor("every key has an owner that answers", 10*time.Second, sim.ownershipProblem)
+	sim.waitFor("every partition has an owner that commits", 10*time.Second, sim.ownershipProblem)
 	for i := 0; sim.remainingFaults() < sim.faults && i < 10000; i++ {
 		sim.runUntil(sim.now + 10*time.Millisecond)
 	}
-	sim.waitFor("the seats are those of the members at work, and all hold everything", 15*time.Second, func() string {
+	sim.waitFor("the voters are the running members, and all hold everything", 15*time.Second, func() string {
 		if problem := sim.ownershipProblem(); problem != "" {
 			return problem
 		}
@@ -190,9 +190,9 @@
 	}
 	sim.runUntil(sim.now + 4*time.Second)
 	if proposed < 36 || sim.answeredChanges-before < proposed*95/100 {
-		sim.fatal("at %v only %d of %d changes answered after the failures", sim.now, sim.answeredChanges-before, proposed)
+		sim.fatal("at %v only %d of %d changes were answered after the failures", sim.now, sim.answeredChanges-before, proposed)
 	}
-	sim.waitFor("all hold everything", 3*time.Second, sim.voterSetProblem)
+	sim.waitFor("all members hold everything", 3*time.Second, sim.voterSetProblem)
 	if why := sim.history.check(); why != "" {
 		sim.fatal("%s", why)
 	}
@@ -202,12 +202,12 @@
 		}
 	}
 	if sim.freshnessClaims < 500 {
-		sim.fatal("only %d claims of a current copy were checked", sim.freshnessClaims)
+		sim.fatal("only %d freshness claims were checked", sim.freshnessClaims)
 	}
 	return "", sim
 }
 
-// shrink leaves out failures as long as the schedule still fails.
+// shrink removes failures from a schedule as long as it still fails.
 func shrink(s schedule) schedule {
 	fails := func(s schedule) bool { broken, _ := runSchedule(s); return broken != "" }
 	for changed := true; changed; {
@@ -231,9 +231,9 @@
 	return s
 }
 
-// TestRandomSchedules runs members through drawn failures, as many at once as the fault
-// budget allows, and checks every rule all the time. REPLICATION_SEEDS says how many
-// schedules, REPLICATION_FIRST which seed comes first.
+// TestRandomSchedules runs random schedules of failures, as many at once as the fault budget allows,
+// and checks all invariants at every step. REPLICATION_SEEDS is the number of schedules,
+// REPLICATION_FIRST the first seed.
 func TestRandomSchedules(t *testing.T) {
 	seeds, first := 150, 1
 	if v, err := strconv.Atoi(os.Getenv("REPLICATION_SEEDS")); err == nil {
@@ -261,28 +261,27 @@
 	}
 }
 
-// TestSchedulesThatOnceFailed holds schedules as they were printed, shrunk, when a fault
-// was found by them.
+// TestSchedulesThatOnceFailed runs shrunk schedules that have exposed faults.
 func TestSchedulesThatOnceFailed(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		schedule
 	}{
-		{"two planned replacements cross", schedule{seed: 319, members: 5, faults: 2, zones: 3, failures: []failure{
+		{"two planned replacements overlap", schedule{seed: 319, members: 5, faults: 2, zones: 3, failures: []failure{
 			{kind: plannedReplacement, target: anyMachine, index: 87, count: 1, delay: 211 * time.Millisecond, duration: 3288 * time.Millisecond},
 			{kind: plannedReplacement, target: anyMachine, index: 78, count: 1, duration: 1519 * time.Millisecond},
 		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 36, count: 2, duration: 1537 * time.Millisecond, replaceAfter: 4388 * time.Millisecond}}},
-		{"a replaced machine wakes, takes a seat and goes", schedule{seed: 301, members: 5, faults: 2, zones: 4, failures: []failure{
+		{"a replaced machine resumes, becomes a voter and is shut down", schedule{seed: 301, members: 5, faults: 2, zones: 4, failures: []failure{
 			{kind: wipe, target: anyMachine, index: 36, count: 1, delay: 563 * time.Millisecond, duration: 852 * time.Millisecond},
 			{kind: replaceFrozen, target: owner, index: 90, count: 1, duration: 11176 * time.Millisecond, replaceAfter: 2648 * time.Millisecond},
 			{kind: wipeAndPowerLoss, target: anyMachine, index: 90, count: 2, delay: 2301 * time.Millisecond, duration: 2335 * time.Millisecond, replaceAfter: 1851 * time.Millisecond},
 		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 30, count: 2, duration: 973 * time.Millisecond, replaceAfter: 12464 * time.Millisecond}}},
-		{"two replaced machines wake after a kill of all", schedule{seed: 340, members: 5, faults: 2, zones: 4, failures: []failure{
+		{"two replaced machines resume after all were killed", schedule{seed: 340, members: 5, faults: 2, zones: 4, failures: []failure{
 			{kind: killAll, target: owner, index: 20, count: 1, duration: 2384 * time.Millisecond},
 			{kind: replaceFrozen, target: anyMachine, index: 71, count: 2, delay: 1634 * time.Millisecond, duration: 8712 * time.Millisecond, replaceAfter: 2891 * time.Millisecond},
 			{kind: restart, target: newcomer, index: 5, count: 2, delay: 2566 * time.Millisecond, duration: 2701 * time.Millisecond},
 		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 8, count: 2, duration: 1445 * time.Millisecond, replaceAfter: 7727 * time.Millisecond}}},
-		{"an owner loses its seat in a rolling restart", schedule{seed: 158, members: 6, faults: 2, zones: 5, failures: []failure{
+		{"an owner is removed from the voter set in a rolling restart", schedule{seed: 158, members: 6, faults: 2, zones: 5, failures: []failure{
 			{kind: plannedReplacement, target: anyMachine, index: 92, count: 2, delay: 680 * time.Millisecond, duration: 3126 * time.Millisecond},
 			{kind: plannedReplacement, target: newcomer, index: 75, count: 1, duration: 1388 * time.Millisecond},
 			{kind: wipe, target: anyMachine, index: 42, count: 1, duration: 881 * time.Millisecond},
--- a/internal/replication/voter_set_change_test.go
+++ b/internal/replication/voter_set_change_test.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds changes of the roster under way, and members that have lost their seats.
+// This file holds tests of changes of the voter set and of members removed from it.
 
 import (
 	"fmt"
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// TestOwnerThatMissedTwoVoterSetsCannotAcknowledge has an owner hear of neither of two
-// changes of the roster. With the two members that those took away it is a majority of
-// the roster that it knows.
+// TestOwnerThatMissedTwoVoterSetsCannotAcknowledge has an owner miss two changes of the voter set.
+// Together with the two members that these removed it is a majority of the voter set that it knows.
 func TestOwnerThatMissedTwoVoterSetsCannotAcknowledge(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		sim := newClusterWithVoters(t, seed, 5, 2, 5)
@@ -19,7 +18,7 @@
 		sim.mustPut(t, "x", 1)
 		owner, voterSetOwner := sim.separateOwners()
 		others := sim.machinesExcept(owner, voterSetOwner)
-		// No word of the roster reaches the owner.
+		// The owner receives nothing about the voter set.
 		noVoterSet := true
 		sim.drop = func(_ string, e Envelope) bool {
 			m := e.Msg
@@ -31,14 +30,14 @@
 		for _, n := range removed {
 			sim.freeze(n, time.Hour)
 			sim.remove(n, time.Second)
-			n.failures++ // so that the count of remove ends at none
+			n.failures++ // remove decrements the count later
 			sim.runUntil(sim.now + 9*time.Second)
 		}
 		newer := sim.committedAt[RosterKey]
 		if got := owner.replica.partitions[RosterKey].position; !got.Less(newer) || len(owner.replica.voterSet().newVoters) != 5 || !slices.Contains(owner.replica.voterSet().newVoters, removed[0].replica.self) {
-			t.Fatalf("seed %d: the owner has heard of the roster %v", seed, *owner.replica.voterSet())
+			t.Fatalf("seed %d: the owner has learned of the voter set %v", seed, *owner.replica.voterSet())
 		}
-		// It meets those two and nobody else.
+		// It can reach only those two.
 		sim.changeCuts([]*node{owner, removed[0], removed[1]}, true, true, 1)
 		for _, n := range removed {
 			sim.unfreeze(n)
@@ -47,21 +46,21 @@
 		for end := sim.now + 6*time.Second; sim.now < end; {
 			for _, n := range append(removed, owner) {
 				if err := sim.put(n, "x", 100); err == nil {
-					t.Fatalf("seed %d: %s acknowledged with members that were taken away", seed, n.id)
+					t.Fatalf("seed %d: %s acknowledged with removed members", seed, n.id)
 				}
 			}
 			sim.runUntil(sim.now + 50*time.Millisecond)
 		}
 		for _, n := range append(removed, owner) {
 			if n.replica.partitions[testPartition].role == roleOwner || n.replica.partitions[RosterKey].role == roleOwner {
-				t.Fatalf("seed %d: %s owns a key among members that were taken away", seed, n.id)
+				t.Fatalf("seed %d: %s owns a partition among removed members", seed, n.id)
 			}
 		}
 	}
 }
 
-// TestRemovedMembersFormNoQuorum wakes three members whose seats were
-// taken one after the other while they stood still: a majority of the first roster.
+// TestRemovedMembersFormNoQuorum resumes three members that were removed from the voter set one by
+// one while they were frozen: a majority of the first voter set.
 func TestRemovedMembersFormNoQuorum(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		sim := newClusterWithVoters(t, seed, 5, 2, 5)
@@ -75,7 +74,7 @@
 			n.failures++
 			removed = append(removed, n)
 			sim.runUntil(sim.now + 6*time.Second)
-			sim.waitFor("its seat is taken", 3*time.Second, sim.voterSetProblem)
+			sim.waitFor("the voter is removed", 3*time.Second, sim.voterSetProblem)
 		}
 		sim.changeCuts(removed, true, true, 1)
 		for _, n := range removed {
@@ -105,14 +104,14 @@
 	}
 }
 
-// voterSetChange is a voterSetChange of the roster in the making: x and y, which stand still, are to be
-// replaced by two newcomers at once. o owns the test key and keeps the roster.
+// voterSetChange is a change of the voter set in progress: failed1 and failed2, which are frozen, are
+// to be replaced by two new members at once. owner owns the test partition, setOwner the voter set.
 type voterSetChange struct {
 	*cluster
 	owner, remaining, setOwner, failed1, failed2 *node
 	replacements                                 []*node
-	joint                                        bool                               // the keeper has the joint roster
-	drops                                        func(from string, e Envelope) bool // what is lost beside that
+	joint                                        bool                               // setOwner has the joint voter set
+	drops                                        func(from string, e Envelope) bool // further messages to drop
 }
 
 func newVoterSetChange(t *testing.T, seed int64) *voterSetChange {
@@ -130,7 +129,7 @@
 	enrol := sim.now + 4*time.Second
 	sim.drop = func(from string, e Envelope) bool {
 		c.joint = c.joint || c.setOwner.replica.voterSet().joint
-		// Both newcomers are known to hold all before anything is changed.
+		// Both new members are known to hold everything before the change begins.
 		early := sim.now < enrol && bodyAs[*Join](e.Msg) != nil || sim.now < enrol+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == c.owner.id || from == c.remaining.id)
 		return early || c.drops != nil && c.drops(from, e)
 	}
@@ -138,9 +137,9 @@
 	return c
 }
 
-// untilJoint runs until the keeper has the joint roster.
+// untilJoint runs until setOwner has the joint voter set.
 func (c *voterSetChange) untilJoint() {
-	c.waitFor("the roster is a joint one", 10*time.Second, func() string {
+	c.waitFor("the voter set is joint", 10*time.Second, func() string {
 		if c.joint {
 			return ""
 		}
@@ -148,8 +147,8 @@
 	})
 }
 
-// TestJointVoterSetNeedsBothMajorities cuts the keeper of the roster and two newcomers,
-// a majority of the seats to come, off from the majority of the seats before.
+// TestJointVoterSetNeedsBothMajorities cuts the owner of the voter set and two new members, a
+// majority of the new voters, off from the majority of the old voters.
 func TestJointVoterSetNeedsBothMajorities(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		c := newVoterSetChange(t, seed)
@@ -164,24 +163,24 @@
 		}
 		c.untilJoint()
 		if s := c.setOwner.replica.voterSet(); len(s.newVoters) != 5 || slices.Contains(s.newVoters, c.failed1.replica.self) || slices.Contains(s.newVoters, c.failed2.replica.self) {
-			t.Fatalf("seed %d: another change than was meant: %v", seed, *s)
+			t.Fatalf("seed %d: not the intended change: %v", seed, *s)
 		}
 		if err := c.put(c.owner, "x", 2); err != nil {
-			t.Fatalf("seed %d: a majority of the roster before: %v", seed, err)
+			t.Fatalf("seed %d: a majority of the old voters does not acknowledge: %v", seed, err)
 		}
 		for end := c.now + 8*time.Second; c.now < end; c.runUntil(c.now + 50*time.Millisecond) {
 			for _, n := range append(c.replacements, c.setOwner) {
 				if n.replica.partitions[testPartition].role == roleOwner || !n.replica.voterSet().joint && len(n.replica.voterSet().newVoters) > 0 && !slices.Contains(n.replica.voterSet().newVoters, c.failed1.replica.self) {
-					t.Fatalf("seed %d: %s decides without the seats before: %v", seed, n.id, *n.replica.voterSet())
+					t.Fatalf("seed %d: %s decides without the old voters: %v", seed, n.id, *n.replica.voterSet())
 				}
 			}
 		}
 	}
 }
 
-// TestJointVoterSetEndsOnlyWhenNewVotersHoldEverything has a change acknowledged under the
-// roster before while the joint one is on its way. The majority of the seats to come
-// that lacks it must not come to decide.
+// TestJointVoterSetEndsOnlyWhenNewVotersHoldEverything has a change acknowledged under the old voter
+// set while the joint one is being replicated. A majority of the new voters lacks that change and
+// must not get to decide alone.
 func TestJointVoterSetEndsOnlyWhenNewVotersHoldEverything(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		c := newVoterSetChange(t, seed)
@@ -200,20 +199,20 @@
 			case crossesCut([]*node{c.owner, c.remaining, c.failed1}, from, e.To) && (from == c.failed1.id || e.To == c.failed1.id):
 				return true
 			case c.now < jointSince+time.Second && crossesCut(lacking, from, e.To):
-				return true // the joint roster is late
+				return true // the joint voter set is delayed
 			}
 			return slices.ContainsFunc(lacking, func(n *node) bool { return n.id == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Key == testPartition || bodyAs[*SnapshotChunk](m) != nil)
 		}
 		c.untilJoint()
 		if err := c.put(c.owner, "x", 2); err != nil {
-			t.Fatalf("seed %d: a majority of the roster before: %v", seed, err)
+			t.Fatalf("seed %d: a majority of the old voters does not acknowledge: %v", seed, err)
 		}
 		c.runUntil(c.now + 5*time.Second)
 		if s := c.setOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, c.failed1.replica.self) {
-			t.Errorf("seed %d: the joint roster ended with x=2 at %v", seed, c.machinesWithCopy("x", 2))
+			t.Errorf("seed %d: the joint voter set ended with x=2 at %v", seed, c.machinesWithCopy("x", 2))
 		}
 		c.drops = func(from string, e Envelope) bool { return crossesCut(lacking, from, e.To) }
-		// Whoever becomes owner now lacks a change that was acknowledged.
+		// A member that became owner now would lack an acknowledged change.
 		c.runUntil(c.now + 8*time.Second)
 		c.drops = nil
 		c.unfreeze(c.failed2)
@@ -224,16 +223,16 @@
 	}
 }
 
-// TestRemovedVoterLosesOwnership takes the seat of an owner by the ordinary copies
-// of the roster, without which nobody copies to it any more.
+// TestRemovedVoterLosesOwnership removes an owner from the voter set. The owner learns of that from
+// the ordinary replication of the voter set; afterwards nothing is replicated to it any more.
 func TestRemovedVoterLosesOwnership(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, time.Second)
 		owner, voterSetOwner := sim.separateOwners()
-		voterSetOwner.replica.leavers[owner.replica.self] = sim.clock(voterSetOwner) // as if it had said that it goes
+		voterSetOwner.replica.leavers[owner.replica.self] = sim.clock(voterSetOwner) // as if it had announced that it leaves
 		sim.drop = func(from string, e Envelope) bool { return bodyAs[*Join](e.Msg) != nil }
 		begin := sim.now
-		sim.waitFor("its seat is taken and the key has another owner", 2*time.Second, func() string {
+		sim.waitFor("the voter is removed and the partition has another owner", 2*time.Second, func() string {
 			if n := sim.ownerOf(testPartition); n == nil || n == owner || slices.Contains(voterSetOwner.replica.voterSet().all(), owner.replica.self) && !voterSetOwner.replica.voterSet().joint {
 				return fmt.Sprint(*voterSetOwner.replica.voterSet())
 			}
@@ -245,8 +244,8 @@
 	}
 }
 
-// TestVotesForRemovedVoterElectNoOwner has a member lose its seat between its
-// question and the answers.
+// TestVotesForRemovedVoterElectNoOwner has a candidate removed from the voter set between its vote
+// request and the votes.
 func TestVotesForRemovedVoterElectNoOwner(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		sim := newClusterWithVoters(t, 5, 5, 2, 5)
@@ -271,13 +270,13 @@
 			m.Handle(sim.clock(n), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Key: testPartition, Epoch: part.ownEpoch, OK: true, Promised: part.ownEpoch, At: part.position}})
 		}
 		if (part.role == roleOwner) == removed {
-			t.Errorf("loses its seat: %v, owns the key: %v", removed, part.role == roleOwner)
+			t.Errorf("removed: %v, owns the partition: %v", removed, part.role == roleOwner)
 		}
 	}
 }
 
-// TestDelayedMessagesDoNotKeepFailedVoterAlive repeats the last words of a machine long
-// after it has gone, as a network may that holds messages back.
+// TestDelayedMessagesDoNotKeepFailedVoterAlive delivers the last messages of a machine again long
+// after it has failed, as a network that delays messages may do.
 func TestDelayedMessagesDoNotKeepFailedVoterAlive(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, 3*time.Second)
@@ -299,7 +298,7 @@
 				sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), n.id, e.Msg) })
 			})
 		}
-		sim.waitFor("its seat is taken", 2*testElectionTimeout+2*testHeartbeat, func() string {
+		sim.waitFor("the voter is removed", 2*testElectionTimeout+2*testHeartbeat, func() string {
 			if s := voterSetOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, n.replica.self) {
 				return ""
 			}
--- a/internal/replication/wire_test.go
+++ b/internal/replication/wire_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Each kind of message has its number on the wire, which older versions know it by.
+// Each message type has a fixed number on the wire, by which older versions know it.
 func TestMessagesOnTheWire(t *testing.T) {
 	for body, number := range map[Body]uint64{
 		&VoteRequest{Key: "k"}: 1, &Vote{Key: "k"}: 2, &Append{Key: "k"}: 3, &AppendAck{Key: "k"}: 4, &Found{}: 7, &Founded{}: 8,
@@ -31,8 +31,8 @@
 	}
 }
 
-// The bytes that the version before typed messages wrote, and a kind that only a later
-// one knows.
+// Messages as encoded by the version before typed messages, and a type that only a later version
+// knows.
 func TestMessagesOfOtherVersions(t *testing.T) {
 	for text, want := range map[string]Message{
 		"a309a101616b0b050e06":     {Life: 5, Identity: 6, Body: &Transfer{Key: "k"}},
