--- a/internal/replication/bootstrap_test.go
+++ b/internal/replication/bootstrap_test.go
@@ -37,8 +37,8 @@
 	steps, proposedEpochs := 0, map[Epoch]bool{}
 	cannotBootstrap := false
 	sim.drop = func(from string, e Envelope) bool {
-		if f := bodyAs[*Found](e.Msg); f != nil && len(f.Records) > 0 {
-			proposedEpochs[f.At.Epoch] = true
+		if request := bodyAs[*Found](e.Msg); request != nil && len(request.Records) > 0 {
+			proposedEpochs[request.At.Epoch] = true
 		}
 		if steps == r.step {
 			reached = true
@@ -91,10 +91,10 @@
 				t.Parallel()
 				for step, reached := 0, true; reached && step < 60; step++ {
 					for seed := int64(1); seed <= 3; seed++ {
-						r := bootstrapRun{step, killed, bootstrap, seed}
+						run := bootstrapRun{step, killed, bootstrap, seed}
 						var broken string
-						if broken, reached = r.run(t); broken != "" {
-							t.Fatalf("%s: %s", r, broken)
+						if broken, reached = run.run(t); broken != "" {
+							t.Fatalf("%s: %s", run, broken)
 						}
 					}
 				}
@@ -138,8 +138,8 @@
 			sim := newEmptyCluster(seed, 1)
 			sim.fatal = t.Fatalf
 			appointed := map[string]string{}
-			for i := 0; i < 6; i++ {
-				sim.addMachine(i+1, 3, true)
+			for index := 0; index < 6; index++ {
+				sim.addMachine(index+1, 3, true)
 			}
 			sim.seeds = slices.Clone(sim.ids[:3])
 			for _, i := range relays {
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -56,7 +56,7 @@
 // state.
 func TestSnapshotIsAppliedOnlyIfDigestsMatch(t *testing.T) {
 	all := []Record{{Name: "x", Gen: 7}, {Name: "y", Gen: 8}, {Name: "z", Gen: 9}}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name    string
 		records [][]Record // by chunk
 		index   []int
@@ -80,17 +80,17 @@
 		}
 		at := Position{part.promised, part.position.Seq + 5}
 		follower.replica.Take()
-		for i, records := range c.records {
+		for i, records := range tc.records {
 			follower.replica.Handle(sim.clock(follower), owner.id, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Key: testPartition, Epoch: part.promised,
-				Roster: follower.replica.partitions[RosterKey].position, At: at, Sums: set.Sums, Index: c.index[i], Count: 2, Ranges: allRanges, Records: records}})
+				Roster: follower.replica.partitions[RosterKey].position, At: at, Sums: set.Sums, Index: tc.index[i], Count: 2, Ranges: allRanges, Records: records}})
 		}
 		follower.replica.Durable(sim.clock(follower), follower.replica.lastWrite)
 		applied := false
 		for _, e := range follower.replica.Take().Send {
 			applied = applied || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).OK && bodyAs[*AppendAck](e.Msg).At == at
 		}
-		if applied != c.ok || (part.position == at) != c.ok || !c.ok && part.position != before {
-			t.Errorf("%s: acknowledged: %v, at %v", c.name, applied, part.position)
+		if applied != tc.ok || (part.position == at) != tc.ok || !tc.ok && part.position != before {
+			t.Errorf("%s: acknowledged: %v, at %v", tc.name, applied, part.position)
 		}
 	}
 }
--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -27,8 +27,8 @@
 			sim.initialRecords[name] = map[Epoch]map[string]Record{}
 		}
 		records := map[string]Record{}
-		for r, v := range part.Records {
-			records[r] = v
+		for recordName, record := range part.Records {
+			records[recordName] = record
 		}
 		sim.initialRecords[name][part.ownEpoch] = records
 		if sim.committedAt[name].Epoch.Less(part.ownEpoch) {
@@ -38,14 +38,14 @@
 }
 
 // checkHolds checks that the records in have are at least as new as those in want.
-func (sim *cluster) checkHolds(who, key string, have, want map[string]Record) {
-	if key == RosterKey {
+func (sim *cluster) checkHolds(member, partition string, have, want map[string]Record) {
+	if partition == RosterKey {
 		return // records of the voter set are erased; its contents are compared by position
 	}
 	for name, r := range want {
 		h, ok := have[name]
 		if !ok || h.Gen < r.Gen || h.Gen == r.Gen && !bytes.Equal(h.Data, r.Data) {
-			sim.fatal("at %v %s holds %s=%d %s, committed was %d %s", sim.now, who, name, h.Gen, h.Data, r.Gen, r.Data)
+			sim.fatal("at %v %s holds %s=%d %s, committed was %d %s", sim.now, member, name, h.Gen, h.Data, r.Gen, r.Data)
 		}
 	}
 }
@@ -67,69 +67,69 @@
 		return
 	}
 	sim.confirmedAt[term.Epoch], sim.predecessorUntil[term.Epoch] = max(sim.confirmedAt[term.Epoch], n.startedAt+term.Sure), n.startedAt+term.Free
-	for o, free := range sim.predecessorUntil {
-		if term.Epoch.Less(o) && sim.confirmedAt[term.Epoch] > free {
-			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, term.Epoch, sim.confirmedAt[term.Epoch], o, free)
+	for later, predecessorUntil := range sim.predecessorUntil {
+		if term.Epoch.Less(later) && sim.confirmedAt[term.Epoch] > predecessorUntil {
+			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, term.Epoch, sim.confirmedAt[term.Epoch], later, predecessorUntil)
 		}
 	}
-	for e, sure := range sim.confirmedAt {
-		if e.Less(term.Epoch) && sure > n.startedAt+term.Free {
-			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, e, sure, term.Epoch, n.startedAt+term.Free)
+	for earlier, confirmedAt := range sim.confirmedAt {
+		if earlier.Less(term.Epoch) && confirmedAt > n.startedAt+term.Free {
+			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, earlier, confirmedAt, term.Epoch, n.startedAt+term.Free)
 		}
 	}
 }
 
 // checkSameContents checks that a version of a record has the same contents at all members.
-func (sim *cluster) checkSameContents(who, key string, r Record) {
-	id := fmt.Sprintf("%s/%s/%d", key, r.Name, r.Gen)
-	if was, ok := sim.contents[id]; !ok {
+func (sim *cluster) checkSameContents(member, partition string, r Record) {
+	id := fmt.Sprintf("%s/%s/%d", partition, r.Name, r.Gen)
+	if previous, ok := sim.contents[id]; !ok {
 		sim.contents[id] = string(r.Data)
-	} else if was != string(r.Data) {
-		sim.fatal("at %v %s has %s as %q, it was %q", sim.now, who, id, r.Data, was)
+	} else if previous != string(r.Data) {
+		sim.fatal("at %v %s has %s as %q, it was %q", sim.now, member, id, r.Data, previous)
 	}
 }
 
 // checkCommitted checks what a member reports as committed: its position never goes back within a
 // process run, no two members have different contents at one position, and the ownership of each
 // later owner began with it.
-func (sim *cluster) checkCommitted(n *node, key string) {
-	records, pos, ok := n.replica.Committed(key)
+func (sim *cluster) checkCommitted(n *node, partition string) {
+	records, position, ok := n.replica.Committed(partition)
 	if !ok {
 		return
 	}
-	if pos.Less(n.lastPosition[key]) {
-		sim.fatal("at %v %s went back from %v to %v of %s", sim.now, n.id, n.lastPosition[key], pos, key)
+	if position.Less(n.lastPosition[partition]) {
+		sim.fatal("at %v %s went back from %v to %v of %s", sim.now, n.id, n.lastPosition[partition], position, partition)
 	}
-	n.lastPosition[key] = pos
+	n.lastPosition[partition] = position
 	if sim.skipContents {
 		return // the contents are compared at the end of the test
 	}
 	var text bytes.Buffer
 	for _, r := range sortedRecords(records) {
 		fmt.Fprintf(&text, "%s=%d/%v/%s ", r.Name, r.Gen, r.Dropped, r.Data)
-		if key != RosterKey {
-			sim.checkSameContents(n.id, key, r)
+		if partition != RosterKey {
+			sim.checkSameContents(n.id, partition, r)
 		}
 	}
-	if sim.shown[key] == nil {
-		sim.shown[key] = map[Position]string{}
+	if sim.shown[partition] == nil {
+		sim.shown[partition] = map[Position]string{}
 	}
-	if was, ok := sim.shown[key][pos]; !ok {
-		sim.shown[key][pos] = text.String()
-	} else if was != text.String() {
-		sim.fatal("at %v %s has two contents at %v: %v and %v", sim.now, key, pos, was, text.String())
+	if previous, ok := sim.shown[partition][position]; !ok {
+		sim.shown[partition][position] = text.String()
+	} else if previous != text.String() {
+		sim.fatal("at %v %s has two contents at %v: %v and %v", sim.now, partition, position, previous, text.String())
 	}
-	if !sim.committedAt[key].Less(pos) {
+	if !sim.committedAt[partition].Less(position) {
 		return
 	}
-	sim.checkHolds(fmt.Sprintf("%s at %v of %s", n.id, pos, key), key, records, sim.committed[key])
-	sim.committedAt[key], sim.committed[key] = pos, map[string]Record{}
+	sim.checkHolds(fmt.Sprintf("%s at %v of %s", n.id, position, partition), partition, records, sim.committed[partition])
+	sim.committedAt[partition], sim.committed[partition] = position, map[string]Record{}
 	for name, r := range records {
-		sim.committed[key][name] = r
+		sim.committed[partition][name] = r
 	}
-	for e, base := range sim.initialRecords[key] {
-		if pos.Epoch.Less(e) {
-			sim.checkHolds(fmt.Sprintf("the later owner %v of %s", e, key), key, base, records)
+	for e, base := range sim.initialRecords[partition] {
+		if position.Epoch.Less(e) {
+			sim.checkHolds(fmt.Sprintf("the later owner %v of %s", e, partition), partition, base, records)
 		}
 	}
 }
@@ -137,29 +137,29 @@
 // checkVersion records a version that was returned to a client. It must not be older than any
 // version returned before the request was sent. As versions only rise, linearizability requires
 // nothing else of a single register.
-func (sim *cluster) checkVersion(who, key, name string, minVersion uint64, r Record) {
+func (sim *cluster) checkVersion(member, partition, name string, minVersion uint64, r Record) {
 	if r.Gen < minVersion {
-		sim.fatal("at %v %s returned %s/%s=%d, %d was returned before the request", sim.now, who, key, name, r.Gen, minVersion)
+		sim.fatal("at %v %s returned %s/%s=%d, %d was returned before the request", sim.now, member, partition, name, r.Gen, minVersion)
 	}
 	if r.Gen > 0 {
-		sim.checkSameContents(who, key, r)
+		sim.checkSameContents(member, partition, r)
 	}
-	id := key + "/" + name
+	id := partition + "/" + name
 	sim.minVersions[id] = max(sim.minVersions[id], r.Gen)
 }
 
 // ownershipProblem names a partition that doesn't have exactly one owner that has committed in its
 // term; empty if there is none.
 func (sim *cluster) ownershipProblem() string {
-	for _, key := range append([]string{RosterKey}, sim.partitions...) {
+	for _, partition := range append([]string{RosterKey}, sim.partitions...) {
 		n := 0
 		for _, id := range sim.ids {
-			if part := sim.nodes[id].replica.partitions[key]; sim.nodes[id].up && part.role == roleOwner && part.commit == part.position || sim.nodes[id].up && part.role == roleOwner && part.commit.Epoch == part.ownEpoch {
+			if part := sim.nodes[id].replica.partitions[partition]; sim.nodes[id].up && part.role == roleOwner && part.commit == part.position || sim.nodes[id].up && part.role == roleOwner && part.commit.Epoch == part.ownEpoch {
 				n++
 			}
 		}
 		if n != 1 {
-			return fmt.Sprintf("%s has %d owners", key, n)
+			return fmt.Sprintf("%s has %d owners", partition, n)
 		}
 	}
 	return ""
@@ -168,10 +168,10 @@
 // voterSetProblem describes where a voter set differs from the running members, or which committed
 // state a member lacks; empty if all is well.
 func (sim *cluster) voterSetProblem() string {
-	var live []string
+	var running []string
 	for _, id := range sim.ids {
 		if n := sim.nodes[id]; n.up {
-			live = append(live, n.replica.self)
+			running = append(running, n.replica.self)
 		} else {
 			return id + " is down"
 		}
@@ -179,28 +179,28 @@
 	for _, id := range sim.ids {
 		n := sim.nodes[id]
 		s := n.replica.voterSet()
-		if s.joint || len(s.newVoters) != min(len(live), maxVoters) {
-			return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, live)
+		if s.joint || len(s.newVoters) != min(len(running), maxVoters) {
+			return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, running)
 		}
-		for _, seat := range s.newVoters {
-			if !slices.Contains(live, seat) {
-				return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, live)
+		for _, voter := range s.newVoters {
+			if !slices.Contains(running, voter) {
+				return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, running)
 			}
 		}
-		for _, key := range append([]string{RosterKey}, sim.partitions...) {
-			have, pos, ok := n.replica.Committed(key)
+		for _, partition := range append([]string{RosterKey}, sim.partitions...) {
+			have, pos, ok := n.replica.Committed(partition)
 			if !ok || pos.Seq == 0 {
-				return fmt.Sprintf("%s has no committed copy of %s", id, key)
+				return fmt.Sprintf("%s has no committed copy of %s", id, partition)
 			}
-			if pos.Epoch != sim.committedAt[key].Epoch {
-				return fmt.Sprintf("%s has %s committed up to %v, the newest position is %v", id, key, pos, sim.committedAt[key])
+			if pos.Epoch != sim.committedAt[partition].Epoch {
+				return fmt.Sprintf("%s has %s committed up to %v, the newest position is %v", id, partition, pos, sim.committedAt[partition])
 			}
-			if sim.operatorsStopped && len(have) != len(sim.committed[key]) {
-				return fmt.Sprintf("%s has %d records of %s, %d are committed", id, len(have), key, len(sim.committed[key]))
+			if sim.operatorsStopped && len(have) != len(sim.committed[partition]) {
+				return fmt.Sprintf("%s has %d records of %s, %d are committed", id, len(have), partition, len(sim.committed[partition]))
 			}
-			for name, r := range sim.committed[key] {
-				if sim.operatorsStopped && key != RosterKey && have[name].Gen != r.Gen {
-					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", id, key, name, have[name].Gen, r.Gen)
+			for name, r := range sim.committed[partition] {
+				if sim.operatorsStopped && partition != RosterKey && have[name].Gen != r.Gen {
+					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", id, partition, name, have[name].Gen, r.Gen)
 				}
 			}
 		}
@@ -209,9 +209,9 @@
 }
 
 // ownersRecords returns the committed records at the owner of a partition.
-func (sim *cluster) ownersRecords(key string) map[string]Record {
-	if o := sim.ownerOf(key); o != nil {
-		have, _, _ := o.replica.Committed(key)
+func (sim *cluster) ownersRecords(partition string) map[string]Record {
+	if o := sim.ownerOf(partition); o != nil {
+		have, _, _ := o.replica.Committed(partition)
 		return have
 	}
 	return nil
--- a/internal/replication/cluster_competing_operators_test.go
+++ b/internal/replication/cluster_competing_operators_test.go
@@ -21,13 +21,13 @@
 // competitionProblem reports too few conflicts or reads; empty if there were enough.
 func (sim *cluster) competitionProblem() string {
 	refusals, reads := 0, 0
-	for _, op := range sim.history.calls[testPartition] {
-		c := op.Input.(*operatorCall)
+	for _, operation := range sim.history.calls[testPartition] {
+		call := operation.Input.(*operatorCall)
 		switch {
-		case op.Return == unanswered:
-		case c.read:
+		case operation.Return == unanswered:
+		case call.read:
 			reads++
-		case c.outcome == refused && c.current.gen == c.proposed.gen:
+		case call.outcome == refused && call.current.gen == call.proposed.gen:
 			refusals++
 		}
 	}
@@ -92,9 +92,9 @@
 		return
 	}
 	answered := false
-	if to := sim.ownerByAnyNode(); to != "" {
+	if owner := sim.ownerByAnyNode(); owner != "" {
 		answerLost := sim.rng.Intn(5) == 0
-		sim.proposeVersion(to, testPartition, proposal.name, proposal.version, proposal.data, func(_ uint64, err error) {
+		sim.proposeVersion(owner, testPartition, proposal.name, proposal.version, proposal.data, func(_ uint64, err error) {
 			answered = answered || !answerLost && (err == nil || err == errConflict)
 		})
 	}
@@ -108,16 +108,16 @@
 // readAroundChange reads all records as control nodes do for operators, proposes a change while the
 // round that confirms the read is in progress, and reads again.
 func (sim *cluster) readAroundChange() {
-	to := sim.ownerByAnyNode()
-	if to == "" {
+	owner := sim.ownerByAnyNode()
+	if owner == "" {
 		return
 	}
-	sim.readAll(to)
+	sim.readAll(owner)
 	sim.after(time.Duration(sim.rng.Intn(3000))*time.Microsecond, func() {
 		name := []string{"x", "y", "z"}[sim.rng.Intn(3)]
 		sim.changesSent++
-		sim.proposeVersion(to, testPartition, name, sim.minVersions[testPartition+"/"+name]+1, fmt.Sprint("beside", sim.changesSent), func(uint64, error) {})
-		sim.after(time.Duration(sim.rng.Intn(3000))*time.Microsecond, func() { sim.readAll(to) })
+		sim.proposeVersion(owner, testPartition, name, sim.minVersions[testPartition+"/"+name]+1, fmt.Sprint("beside", sim.changesSent), func(uint64, error) {})
+		sim.after(time.Duration(sim.rng.Intn(3000))*time.Microsecond, func() { sim.readAll(owner) })
 	})
 }
 
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -131,7 +131,7 @@
 			sim.onAck = append(sim.onAck, sim.repeatLastAck)
 		}
 	}
-	all := func(fn func(n *node)) {
+	forAll := func(fn func(n *node)) {
 		for _, id := range slices.Clone(sim.ids) {
 			fn(sim.nodes[id])
 		}
@@ -143,7 +143,7 @@
 	}
 	switch f.kind {
 	case killAll:
-		all(powerOff)
+		forAll(powerOff)
 		return
 	case lossyNetwork:
 		sim.noisyUntil = sim.now + f.duration
@@ -168,9 +168,9 @@
 		return
 	case plannedReplacement:
 		sim.beginFailure(sim.startReplacement())
-		s := sim.nodes[sim.ids[len(sim.ids)-1]]
-		s.unreachableSince = 0
-		sim.endFailure(s)
+		added := sim.nodes[sim.ids[len(sim.ids)-1]]
+		added.unreachableSince = 0
+		sim.endFailure(added)
 		sim.pendingFailures++
 		sim.after(testCatchUp, func() { sim.retire(f, 0) })
 		return
@@ -178,13 +178,13 @@
 		// The budget may have been used up by the time of the acknowledgement.
 		sim.onAck = append(sim.onAck, func() {
 			f.count = min(f.count, sim.remainingFaults())
-			lose := sim.failureTargets(f)
-			all(func(n *node) {
-				if !slices.Contains(lose, n) {
+			wiped := sim.failureTargets(f)
+			forAll(func(n *node) {
+				if !slices.Contains(wiped, n) {
 					powerOff(n)
 				}
 			})
-			for _, n := range lose {
+			for _, n := range wiped {
 				sim.loseDisk(n, f.replaceAfter)
 			}
 		})
@@ -194,7 +194,7 @@
 	for _, n := range targets {
 		sim.beginFailure(n)
 	}
-	after := func(d time.Duration, fn func(n *node)) {
+	afterwards := func(d time.Duration, fn func(n *node)) {
 		for _, n := range targets {
 			sim.after(d, func() { fn(n) })
 		}
@@ -204,17 +204,17 @@
 		for _, n := range targets {
 			sim.crash(n.id, false)
 		}
-		after(f.duration, sim.recover)
+		afterwards(f.duration, sim.recover)
 	case wipe:
 		for _, n := range targets {
 			sim.crash(n.id, true)
 		}
-		after(f.duration, sim.recover)
+		afterwards(f.duration, sim.recover)
 	case freeze:
 		for _, n := range targets {
 			n.frozenUntil = sim.now + f.duration
 		}
-		after(f.duration, sim.endFailure)
+		afterwards(f.duration, sim.endFailure)
 	case cutOff, cutOutgoing, cutIncoming:
 		sim.changeCuts(targets, f.kind != cutIncoming, f.kind != cutOutgoing, 1)
 		others := slices.Collect(maps.Keys(sim.nodes))
@@ -228,21 +228,25 @@
 	case cutPair:
 		for _, n := range targets {
 			n.unreachableSince = 0 // others can still reach it
-			o := sim.ids[(f.index/7+1)%len(sim.ids)]
-			sim.cutLinks[[2]string{n.id, o}]++
-			sim.cutLinks[[2]string{o, n.id}]++
-			sim.after(f.duration, func() { sim.cutLinks[[2]string{n.id, o}]--; sim.cutLinks[[2]string{o, n.id}]--; sim.endFailure(n) })
+			other := sim.ids[(f.index/7+1)%len(sim.ids)]
+			sim.cutLinks[[2]string{n.id, other}]++
+			sim.cutLinks[[2]string{other, n.id}]++
+			sim.after(f.duration, func() {
+				sim.cutLinks[[2]string{n.id, other}]--
+				sim.cutLinks[[2]string{other, n.id}]--
+				sim.endFailure(n)
+			})
 		}
 	case stall:
 		for _, n := range targets {
 			n.stalledUntil, n.unreachableSince = sim.now+f.duration, 0
 		}
-		after(f.duration, sim.endFailure)
+		afterwards(f.duration, sim.endFailure)
 	case refuse:
 		for _, n := range targets {
 			n.writesToRefuse, n.unreachableSince = 1+f.index%4, 0
 		}
-		after(f.duration, sim.endFailure)
+		afterwards(f.duration, sim.endFailure)
 	case replace:
 		for _, n := range targets {
 			sim.crash(n.id, true)
@@ -254,10 +258,10 @@
 			sim.remove(n, f.replaceAfter)
 			sim.pendingFailures++
 		}
-		after(f.duration, func(n *node) { n.unreachableSince = 0 })
+		afterwards(f.duration, func(n *node) { n.unreachableSince = 0 })
 		// It runs for a while and may become a voter. Then it is shut down, which counts as a loss
 		// like any other.
-		after(f.duration+4*time.Second, sim.shutDownForGood)
+		afterwards(f.duration+4*time.Second, sim.shutDownForGood)
 	case drain:
 		for _, n := range targets {
 			sim.drain(n, sim.now+3*time.Second, func() {
@@ -268,8 +272,8 @@
 	}
 }
 
-// nextFailures begins the failures of the schedule one by one, each as soon as the budget allows.
-func (sim *cluster) nextFailures() {
+// beginNextFailure begins the failures of the schedule one by one, each as soon as the budget allows.
+func (sim *cluster) beginNextFailure() {
 	if sim.nextFailure == len(sim.schedule.failures) {
 		return
 	}
@@ -279,7 +283,7 @@
 		need = 0
 	}
 	if need > sim.remainingFaults() && need > 0 || len(sim.onAck) > 0 {
-		sim.after(20*time.Millisecond, sim.nextFailures)
+		sim.after(20*time.Millisecond, sim.beginNextFailure)
 		return
 	}
 	sim.nextFailure++
@@ -289,7 +293,7 @@
 		if need <= sim.remainingFaults() || need == 0 {
 			sim.injectFailure(f)
 		}
-		sim.after(10*time.Millisecond, sim.nextFailures)
+		sim.after(10*time.Millisecond, sim.beginNextFailure)
 	})
 }
 
@@ -311,7 +315,7 @@
 	default:
 		sim.injectFailure(f)
 	}
-	for begin := sim.now; len(sim.onAck) > 0 && sim.now < begin+10*time.Second; {
+	for start := sim.now; len(sim.onAck) > 0 && sim.now < start+10*time.Second; {
 		sim.runUntil(sim.now + time.Millisecond)
 	}
 	if len(sim.onAck) > 0 {
--- a/internal/replication/cluster_network_test.go
+++ b/internal/replication/cluster_network_test.go
@@ -26,13 +26,13 @@
 		delay += time.Duration(sim.rng.Intn(4000)) * time.Millisecond
 	}
 	if sim.linkRate > 0 {
-		b, err := cbor.Marshal(envelope.Msg)
+		encoded, err := cbor.Marshal(envelope.Msg)
 		if err != nil {
 			sim.fatal("%v", err)
 		}
 		link := [2]string{from, envelope.To}
-		sim.bytesSentTo[envelope.To] += len(b)
-		sim.linkBusyUntil[link] = max(sim.linkBusyUntil[link], sim.now) + time.Duration(float64(len(b))/sim.linkRate*float64(time.Second))
+		sim.bytesSentTo[envelope.To] += len(encoded)
+		sim.linkBusyUntil[link] = max(sim.linkBusyUntil[link], sim.now) + time.Duration(float64(len(encoded))/sim.linkRate*float64(time.Second))
 		delay += sim.linkBusyUntil[link] - sim.now
 	}
 	if sender, to := sim.nodes[from], sim.nodes[envelope.To]; sender != nil && to != nil && (sender.withoutHeartbeats || to.withoutHeartbeats) {
@@ -54,22 +54,22 @@
 
 // changeCuts cuts (by 1) or restores (by -1) the links from some machines to all others (out), the
 // links from the others to them (in), or both.
-func (sim *cluster) changeCuts(from []*node, out, in bool, by int) {
-	sim.changeCutsTo(slices.Collect(maps.Keys(sim.nodes)), from, out, in, by)
+func (sim *cluster) changeCuts(machines []*node, out, in bool, delta int) {
+	sim.changeCutsTo(slices.Collect(maps.Keys(sim.nodes)), machines, out, in, delta)
 }
 
 // changeCutsTo is changeCuts for the given other machines only.
-func (sim *cluster) changeCutsTo(others []string, from []*node, out, in bool, by int) {
-	for _, n := range from {
+func (sim *cluster) changeCutsTo(others []string, machines []*node, out, in bool, delta int) {
+	for _, n := range machines {
 		for _, id := range others {
-			if slices.Contains(from, sim.nodes[id]) {
+			if slices.Contains(machines, sim.nodes[id]) {
 				continue
 			}
 			if out {
-				sim.cutLinks[[2]string{n.id, id}] += by
+				sim.cutLinks[[2]string{n.id, id}] += delta
 			}
 			if in {
-				sim.cutLinks[[2]string{id, n.id}] += by
+				sim.cutLinks[[2]string{id, n.id}] += delta
 			}
 		}
 	}
--- a/internal/replication/cluster_nodes_test.go
+++ b/internal/replication/cluster_nodes_test.go
@@ -38,13 +38,13 @@
 }
 
 // addMachine adds a machine without starting it.
-func (sim *cluster) addMachine(i, zones int, boot bool) string {
-	id := fmt.Sprintf("10.0.0.%02d:7661", i)
+func (sim *cluster) addMachine(number, zones int, bootstrap bool) string {
+	id := fmt.Sprintf("10.0.0.%02d:7661", number)
 	sim.ids = append(sim.ids, id)
 	if zones > 0 {
-		sim.zones[id] = fmt.Sprintf("zone-%d", i%zones)
+		sim.zones[id] = fmt.Sprintf("zone-%d", number%zones)
 	}
-	sim.nodes[id] = &node{id: id, disk: replicationtest.Disk{}, bootstrap: boot, withoutHeartbeats: sim.olderEvery > 0 && i%sim.olderEvery == 0}
+	sim.nodes[id] = &node{id: id, disk: replicationtest.Disk{}, bootstrap: bootstrap, withoutHeartbeats: sim.olderEvery > 0 && number%sim.olderEvery == 0}
 	return id
 }
 
@@ -65,11 +65,11 @@
 		Beat: testHeartbeat, Vacant: testElectionTimeout, Patience: 900 * time.Millisecond, HandBack: 4 * time.Second, Sure: []string{testPartition},
 		Alive: func(o string) bool { return sim.seesAlive(id, o) }}
 	n.bootstrap = false
-	m, err := NewReplica(cfg, n.disk)
+	replica, err := NewReplica(cfg, n.disk)
 	if err != nil {
 		sim.fatal("%v", err)
 	}
-	n.replica = m
+	n.replica = replica
 	sim.tick(id, n.runID)
 }
 
@@ -110,18 +110,18 @@
 		entries, upTo := n.replica.Snapshot()
 		sim.write(n, runID, &pendingWrite{entries, true}, upTo)
 	}
-	for _, key := range effects.Committed {
-		sim.checkCommitted(n, key)
+	for _, partition := range effects.Committed {
+		sim.checkCommitted(n, partition)
 	}
 }
 
 // seesAlive reports whether a member believes another one to be alive. A failure is noticed after 1 s.
-func (sim *cluster) seesAlive(viewer, o string) bool {
+func (sim *cluster) seesAlive(viewer, other string) bool {
 	unreachable := func(id string) bool {
 		n := sim.nodes[id]
 		return n != nil && (n.removed && !n.up || n.unreachableSince > 0 && sim.now-n.unreachableSince > time.Second)
 	}
-	return !unreachable(o) && !unreachable(viewer)
+	return !unreachable(other) && !unreachable(viewer)
 }
 
 // crash kills a process and, with wipe, erases its disk. A prefix of the pending writes may have
@@ -163,19 +163,19 @@
 }
 
 // loseDisk crashes a machine, which starts again with an empty disk after the given time.
-func (sim *cluster) loseDisk(n *node, after time.Duration) {
+func (sim *cluster) loseDisk(n *node, downFor time.Duration) {
 	sim.beginFailure(n)
 	sim.crash(n.id, true)
-	sim.after(after, func() { sim.recover(n) })
+	sim.after(downFor, func() { sim.recover(n) })
 }
 
 // remove removes a machine for good; its replacement starts after the given time.
-func (sim *cluster) remove(n *node, after time.Duration) {
+func (sim *cluster) remove(n *node, replaceAfter time.Duration) {
 	n.removed = true
 	sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { return id == n.id })
-	sim.after(after, func() {
-		s := sim.startReplacement()
-		sim.after(testCatchUp, func() { n.failures--; _ = s })
+	sim.after(replaceAfter, func() {
+		replacement := sim.startReplacement()
+		sim.after(testCatchUp, func() { n.failures--; _ = replacement })
 	})
 }
 
@@ -248,9 +248,9 @@
 }
 
 // ownerOf returns the node that owns a partition; nil if none does.
-func (sim *cluster) ownerOf(key string) *node {
+func (sim *cluster) ownerOf(partition string) *node {
 	for _, id := range sim.ids {
-		if n := sim.nodes[id]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[key] != nil && n.replica.partitions[key].role == roleOwner {
+		if n := sim.nodes[id]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
 			return n
 		}
 	}
@@ -300,8 +300,8 @@
 }
 
 // freeze suspends a process for a while; others see it as unreachable.
-func (sim *cluster) freeze(n *node, d time.Duration) {
-	n.frozenUntil, n.unreachableSince = sim.now+d, sim.now
+func (sim *cluster) freeze(n *node, duration time.Duration) {
+	n.frozenUntil, n.unreachableSince = sim.now+duration, sim.now
 }
 
 // unfreeze resumes a frozen process.
--- a/internal/replication/cluster_operators_test.go
+++ b/internal/replication/cluster_operators_test.go
@@ -21,13 +21,13 @@
 
 // proposeVersion runs a proposal at a node that compares versions as the catalogue does. done is
 // called with the answer and the version that is stored.
-func (sim *cluster) proposeVersion(id, key, name string, version uint64, data string, done func(current uint64, err error)) {
+func (sim *cluster) proposeVersion(id, partition, name string, version uint64, data string, done func(current uint64, err error)) {
 	n := sim.nodes[id]
-	minVersion := sim.minVersions[key+"/"+name]
+	minVersion := sim.minVersions[partition+"/"+name]
 	var stands Record
-	answered := sim.history.recordChange(key, name, version, data)
+	answered := sim.history.recordChange(partition, name, version, data)
 	sim.runOn(id, n.runID, func() {
-		n.replica.Propose(sim.clock(n), key, func(have map[string]Record) ([]Record, error) {
+		n.replica.Propose(sim.clock(n), partition, func(have map[string]Record) ([]Record, error) {
 			stands = have[name]
 			switch {
 			case stands.Gen == version && string(stands.Data) == data:
@@ -41,11 +41,11 @@
 		}, func(err error) {
 			answered(stands, err)
 			if err == nil || err == errConflict {
-				sim.checkVersion(id, key, name, minVersion, stands)
+				sim.checkVersion(id, partition, name, minVersion, stands)
 			}
 			if err == nil {
 				sim.answeredChanges++
-				if key == testPartition {
+				if partition == testPartition {
 					sim.acks = append(sim.acks, ack{name, version, sim.now})
 				}
 				for _, fn := range sim.onAck {
@@ -60,26 +60,26 @@
 }
 
 // readPartition reads a partition at a node.
-func (sim *cluster) readPartition(id, key string, done func(error)) {
+func (sim *cluster) readPartition(id, partition string, done func(error)) {
 	n := sim.nodes[id]
 	minVersions := map[string]uint64{}
 	for _, name := range recordNames {
-		if f := sim.minVersions[key+"/"+name]; f > 0 {
+		if f := sim.minVersions[partition+"/"+name]; f > 0 {
 			minVersions[name] = f
 		}
 	}
-	read := sim.history.recordRead(key)
+	read := sim.history.recordRead(partition)
 	sim.runOn(id, n.runID, func() {
-		n.replica.Read(sim.clock(n), key, func(err error) {
+		n.replica.Read(sim.clock(n), partition, func(err error) {
 			if err == nil {
 				sim.answeredReads++
-				got, _, ok := n.replica.Committed(key)
+				got, _, ok := n.replica.Committed(partition)
 				if !ok {
-					sim.fatal("at %v %s answered a read of %s without a committed copy", sim.now, id, key)
+					sim.fatal("at %v %s answered a read of %s without a committed copy", sim.now, id, partition)
 				}
 				read(got)
 				for _, name := range recordNames {
-					sim.checkVersion(id, key, name, minVersions[name], got[name])
+					sim.checkVersion(id, partition, name, minVersions[name], got[name])
 				}
 			}
 			done(err)
@@ -88,11 +88,11 @@
 }
 
 // put proposes a value at a node and runs until it is answered, at most 3 s.
-func (sim *cluster) put(n *node, name string, v uint64) (err error) {
+func (sim *cluster) put(n *node, name string, version uint64) (err error) {
 	answered := false
 	sim.runOn(n.id, n.runID, func() {
 		n.replica.Propose(sim.now, testPartition, func(map[string]Record) ([]Record, error) {
-			return []Record{{Name: name, Gen: v}}, nil
+			return []Record{{Name: name, Gen: version}}, nil
 		}, func(e error) { err, answered = e, true })
 	})
 	for end := sim.now + 3*time.Second; !answered && sim.now < end; {
@@ -104,21 +104,21 @@
 	return err
 }
 
-func (sim *cluster) mustPut(t *testing.T, name string, v uint64) *node {
+func (sim *cluster) mustPut(t *testing.T, name string, version uint64) *node {
 	t.Helper()
 	for i := 0; i < 20; i++ {
 		n := sim.waitForOwner(t)
-		if sim.put(n, name, v) == nil {
+		if sim.put(n, name, version) == nil {
 			return n
 		}
 	}
-	t.Fatalf("%s=%d was never acknowledged", name, v)
+	t.Fatalf("%s=%d was never acknowledged", name, version)
 	return nil
 }
 
 // runOperator sends changes of a partition, each with the version after the last one known, and
 // retries each until it is accepted or refused.
-func (sim *cluster) runOperator(name, key string) {
+func (sim *cluster) runOperator(name, partition string) {
 	known := map[string]uint64{}
 	count := 0
 	var next func()
@@ -135,8 +135,8 @@
 		n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
 		to := ""
 		if n.up && n.frozenUntil <= sim.now {
-			if to = n.replica.Owner(sim.clock(n), key); to == "" {
-				to = n.replica.Founder(sim.clock(n), key)
+			if to = n.replica.Owner(sim.clock(n), partition); to == "" {
+				to = n.replica.Founder(sim.clock(n), partition)
 			}
 		}
 		if sim.operatorsStopped {
@@ -147,7 +147,7 @@
 			return
 		}
 		answerLost := sim.rng.Intn(10) == 0
-		sim.proposeVersion(to, key, rec, version, data, func(stands uint64, err error) {
+		sim.proposeVersion(to, partition, rec, version, data, func(stands uint64, err error) {
 			switch {
 			case answerLost || answered:
 			case err == nil || err == errConflict:
@@ -171,9 +171,9 @@
 		if sim.rng.Intn(3) == 0 {
 			n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
 			if n.up {
-				sim.readPartition(n.id, key, func(error) {})
-				if o := n.replica.Owner(sim.clock(n), key); o != "" && sim.nodes[o] != nil {
-					sim.readPartition(o, key, func(error) {})
+				sim.readPartition(n.id, partition, func(error) {})
+				if o := n.replica.Owner(sim.clock(n), partition); o != "" && sim.nodes[o] != nil {
+					sim.readPartition(o, partition, func(error) {})
 				}
 			}
 		}
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -78,15 +78,15 @@
 		linkBusyUntil: map[[2]string]time.Duration{}, bytesSentTo: map[string]int{}}
 }
 
-func newCluster(t *testing.T, seed int64, n int) *cluster {
-	return newClusterInZones(t, seed, n, 1, 0)
+func newCluster(t *testing.T, seed int64, members int) *cluster {
+	return newClusterInZones(t, seed, members, 1, 0)
 }
 
 // newClusterInZones bootstraps a cluster of n members that tolerates the given number of faults.
-func newClusterInZones(t *testing.T, seed int64, n, faults, zones int) *cluster {
+func newClusterInZones(t *testing.T, seed int64, members, faults, zones int) *cluster {
 	sim := newEmptyCluster(seed, faults)
 	sim.fatal = t.Fatalf
-	sim.bootstrap(n, zones)
+	sim.bootstrap(members, zones)
 	return sim
 }
 
@@ -110,18 +110,18 @@
 	return sim, sim.waitForOwner(t)
 }
 
-func (sim *cluster) bootstrap(n, zones int) {
-	for i := 0; i < n; i++ {
+func (sim *cluster) bootstrap(members, zones int) {
+	for i := 0; i < members; i++ {
 		sim.addMachine(i+1, zones, true)
 	}
-	sim.seeds = append([]string(nil), sim.ids[:min(3, n)]...)
+	sim.seeds = append([]string(nil), sim.ids[:min(3, members)]...)
 	for _, id := range sim.ids {
 		sim.start(id)
 	}
 }
 
-func (sim *cluster) after(d time.Duration, fn func()) {
-	sim.queue.Add(sim.now+d, fn)
+func (sim *cluster) after(delay time.Duration, run func()) {
+	sim.queue.Add(sim.now+delay, run)
 }
 
 func (sim *cluster) runUntil(until time.Duration) {
@@ -129,15 +129,15 @@
 }
 
 // waitFor runs the simulation until problem returns an empty string.
-func (sim *cluster) waitFor(what string, limit time.Duration, problem func() string) {
-	begin := sim.now
-	for sim.now < begin+limit {
+func (sim *cluster) waitFor(condition string, limit time.Duration, problem func() string) {
+	start := sim.now
+	for sim.now < start+limit {
 		if problem() == "" {
 			return
 		}
 		sim.runUntil(sim.now + 50*time.Millisecond)
 	}
-	if last := problem(); last != "" {
-		sim.fatal("at %v: after %v the condition %q is not met: %s", sim.now, limit, what, last)
+	if unmet := problem(); unmet != "" {
+		sim.fatal("at %v: after %v the condition %q is not met: %s", sim.now, limit, condition, unmet)
 	}
 }
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -71,8 +71,8 @@
 
 // notAtFirstSuccessor counts the partitions that their first successors don't own.
 func (sim *cluster) notAtFirstSuccessor() (n int) {
-	for _, key := range append([]string{RosterKey}, sim.partitions...) {
-		if h := sim.ownerOf(key); h == nil || h.replica.Heirs(key)[0] != h.id || len(h.replica.Roster()) < len(sim.ids) {
+	for _, partition := range append([]string{RosterKey}, sim.partitions...) {
+		if h := sim.ownerOf(partition); h == nil || h.replica.Heirs(partition)[0] != h.id || len(h.replica.Roster()) < len(sim.ids) {
 			n++
 		}
 	}
@@ -85,19 +85,19 @@
 	baseline := 0
 	for _, partitions := range []int{10, 100, 590} {
 		sim := newClusterWithPartitions(t, 5, partitions)
-		var c traffic
-		sim.drop = func(_ string, e Envelope) bool { c.count(t, e.Msg); return false }
+		var sent traffic
+		sim.drop = func(_ string, e Envelope) bool { sent.count(t, e.Msg); return false }
 		sim.runUntil(sim.now + intervals*testHeartbeat)
 		pairs := 5 * 4
-		t.Logf("%d partitions: %d messages and %d bytes in %d heartbeat intervals, %+v", partitions, c.messages, c.bytes, intervals, c)
-		if c.full > pairs*(intervals+1) || c.messages > 2*c.full {
-			t.Errorf("%d partitions: %+v, with %d links and %d heartbeat intervals", partitions, c, pairs, intervals)
+		t.Logf("%d partitions: %d messages and %d bytes in %d heartbeat intervals, %+v", partitions, sent.messages, sent.bytes, intervals, sent)
+		if sent.full > pairs*(intervals+1) || sent.messages > 2*sent.full {
+			t.Errorf("%d partitions: %+v, with %d links and %d heartbeat intervals", partitions, sent, pairs, intervals)
 		}
 		if baseline == 0 {
-			baseline = c.bytes
+			baseline = sent.bytes
 		}
-		if c.bytes > baseline*3/2 {
-			t.Errorf("%d partitions take %d bytes, 10 take %d", partitions, c.bytes, baseline)
+		if sent.bytes > baseline*3/2 {
+			t.Errorf("%d partitions take %d bytes, 10 take %d", partitions, sent.bytes, baseline)
 		}
 	}
 }
@@ -115,19 +115,19 @@
 	if len(owned) < 10 {
 		t.Fatalf("%s owns only %v", owner.id, owned)
 	}
-	var c traffic
+	var sent traffic
 	sim.drop = func(from string, e Envelope) bool {
 		if from == owner.id || e.To == owner.id {
-			c.count(t, e.Msg)
+			sent.count(t, e.Msg)
 		}
 		return false
 	}
 	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 150*time.Millisecond) // between two heartbeats
-	c = traffic{}
+	sent = traffic{}
 	answered := 0
 	sim.runOn(owner.id, owner.runID, func() {
-		for _, key := range owned {
-			owner.replica.Propose(sim.clock(owner), key, func(map[string]Record) ([]Record, error) {
+		for _, partition := range owned {
+			owner.replica.Propose(sim.clock(owner), partition, func(map[string]Record) ([]Record, error) {
 				return []Record{{Name: "x", Gen: 1}}, nil
 			}, func(err error) {
 				if err == nil {
@@ -137,24 +137,24 @@
 		}
 	})
 	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat - 10*time.Millisecond)
-	t.Logf("%d partitions: %+v", len(owned), c)
-	if c.notices > 3*len(owned) || c.acks > 0 {
-		t.Errorf("%d partitions: %+v", len(owned), c)
+	t.Logf("%d partitions: %+v", len(owned), sent)
+	if sent.notices > 3*len(owned) || sent.acks > 0 {
+		t.Errorf("%d partitions: %+v", len(owned), sent)
 	}
 	owner.replica.Take()
-	for _, key := range owned {
-		owner.replica.scheduleCommitNotice(owner.replica.partitions[key])
+	for _, partition := range owned {
+		owner.replica.scheduleCommitNotice(owner.replica.partitions[partition])
 	}
 	if sent := owner.replica.Take().Send; len(sent) != 3 || len(bodyAs[*Heartbeat](sent[0].Msg).Keys) != len(owned) {
 		t.Errorf("%d partitions committed at once: %+v", len(owned), sent)
 	}
-	if answered != len(owned) || c.noticeAcks != 0 {
-		t.Errorf("%d of %d proposals were answered, and %d commit notices", answered, len(owned), c.noticeAcks)
+	if answered != len(owned) || sent.noticeAcks != 0 {
+		t.Errorf("%d of %d proposals were answered, and %d commit notices", answered, len(owned), sent.noticeAcks)
 	}
 	for _, id := range sim.ids {
-		for _, key := range owned {
-			if records, _, ok := sim.nodes[id].replica.Committed(key); !ok || records["x"].Gen != 1 {
-				t.Errorf("%s shows %+v of %s", id, records, key)
+		for _, partition := range owned {
+			if records, _, ok := sim.nodes[id].replica.Committed(partition); !ok || records["x"].Gen != 1 {
+				t.Errorf("%s shows %+v of %s", id, records, partition)
 			}
 		}
 	}
@@ -219,43 +219,43 @@
 
 // electByVotes makes a member the owner of a partition by the votes of the others, and drops all its
 // other messages.
-func (sim *cluster) electByVotes(n *node, key string) *partition {
+func (sim *cluster) electByVotes(n *node, partition string) *partition {
 	sim.drop = func(from string, e Envelope) bool {
 		return (from == n.id || e.To == n.id) && bodyAs[*VoteRequest](e.Msg) == nil && bodyAs[*Vote](e.Msg) == nil
 	}
 	sim.runOn(n.id, n.runID, func() {
-		n.replica.Handle(sim.clock(n), n.id, Message{Body: &Transfer{key}, Identity: n.replica.identity})
+		n.replica.Handle(sim.clock(n), n.id, Message{Body: &Transfer{partition}, Identity: n.replica.identity})
 	})
-	for end := sim.now + testHeartbeat; n.replica.partitions[key].role != roleOwner && sim.now < end; {
+	for end := sim.now + testHeartbeat; n.replica.partitions[partition].role != roleOwner && sim.now < end; {
 		sim.runUntil(sim.now + time.Millisecond)
 	}
-	return n.replica.partitions[key]
+	return n.replica.partitions[partition]
 }
 
 // Answers to rounds that began before the election of an owner don't confirm its ownership.
 func TestRoundBeforeElectionDoesNotConfirm(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 30)
-	n := sim.nodes[sim.ids[1]]
-	if n == sim.ownerOf(testPartition) {
-		n = sim.nodes[sim.ids[2]]
+	owner := sim.nodes[sim.ids[1]]
+	if owner == sim.ownerOf(testPartition) {
+		owner = sim.nodes[sim.ids[2]]
 	}
-	part := sim.electByVotes(n, testPartition)
+	part := sim.electByVotes(owner, testPartition)
 	if part.role != roleOwner || part.firstRound < 2 {
-		t.Fatalf("%s does not own the partition: %+v", n.id, part)
+		t.Fatalf("%s does not own the partition: %+v", owner.id, part)
 	}
 	for _, id := range sim.ids {
-		if o := sim.nodes[id]; o != n {
-			n.replica.Handle(sim.clock(n), id, Message{Identity: o.replica.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: n.replica.cfg.Life, Round: part.firstRound - 1, Version: n.replica.heartbeats.version}})
+		if other := sim.nodes[id]; other != owner {
+			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: 1, Protocol: protocolHeartbeat,
+				Body: &HeartbeatAck{Life: owner.replica.cfg.Life, Round: part.firstRound - 1, Version: owner.replica.heartbeats.version}})
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
 		t.Errorf("the ownership is confirmed as of %v, it began at %v", part.confirmedAt, part.ownerSince)
 	}
 	for _, id := range sim.ids {
-		if o := sim.nodes[id]; o != n {
-			n.replica.Handle(sim.clock(n), id, Message{Identity: o.replica.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: n.replica.cfg.Life + 1, Round: n.replica.heartbeats.round, Version: n.replica.heartbeats.version}})
+		if o := sim.nodes[id]; o != owner {
+			owner.replica.Handle(sim.clock(owner), id, Message{Identity: o.replica.identity, Life: 1, Protocol: protocolHeartbeat,
+				Body: &HeartbeatAck{Life: owner.replica.cfg.Life + 1, Round: owner.replica.heartbeats.round, Version: owner.replica.heartbeats.version}})
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
@@ -310,9 +310,9 @@
 	full := []KeyStatus{{Key: "a", Epoch: 1, Seq: 2, Commit: 2}, {Key: "b", Epoch: 1, Seq: 1}}
 	digest := full[0].digest() ^ full[1].digest()
 	changed := KeyStatus{Key: "b", Epoch: 1, Seq: 5, Commit: 5}
-	after := full[0].digest() ^ changed.digest()
-	m := &Replica{ownerLists: map[string]*ownerList{}}
-	for _, c := range []struct { // applied one by one at the same member
+	changedDigest := full[0].digest() ^ changed.digest()
+	member := &Replica{ownerLists: map[string]*ownerList{}}
+	for _, tc := range []struct { // applied one by one at the same member
 		name  string
 		h     Heartbeat
 		life  uint64
@@ -321,16 +321,16 @@
 		{"no list to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
 		{"the whole list", Heartbeat{Version: 2, Digest: digest, Keys: full}, 1, listApplied},
 		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listApplied},
-		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: after, Keys: []KeyStatus{changed}}, 1, listMissing},
-		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 2, listMissing},
-		{"a change", Heartbeat{Base: 2, Version: 3, Digest: after, Keys: []KeyStatus{changed}}, 1, listApplied},
+		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: changedDigest, Keys: []KeyStatus{changed}}, 1, listMissing},
+		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []KeyStatus{changed}}, 2, listMissing},
+		{"a change", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []KeyStatus{changed}}, 1, listApplied},
 		{"late", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listStale},
 		{"a partition is removed", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listApplied},
 		{"digest mismatch", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
 		{"the list was dropped after the mismatch", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
 	} {
-		if _, state := m.applyList("o", c.life, &c.h); state != c.state {
-			t.Errorf("%s: %v, want %v", c.name, state, c.state)
+		if _, state := member.applyList("o", tc.life, &tc.h); state != tc.state {
+			t.Errorf("%s: %v, want %v", tc.name, state, tc.state)
 		}
 	}
 }
@@ -346,21 +346,21 @@
 	sim.bootstrap(4, 0)
 	sim.runUntil(10 * time.Second)
 	ownedWithout, ownedWith := 0, 0
-	for _, key := range sim.partitions {
-		n := sim.ownerOf(key)
-		if n == nil {
-			t.Fatalf("%s has no owner", key)
+	for _, partition := range sim.partitions {
+		owner := sim.ownerOf(partition)
+		if owner == nil {
+			t.Fatalf("%s has no owner", partition)
 		}
-		if n.withoutHeartbeats {
+		if owner.withoutHeartbeats {
 			ownedWithout++
 		} else {
 			ownedWith++
 		}
 		answered := false
-		sim.proposeVersion(n.id, key, "x", 1, "one", func(_ uint64, err error) { answered = err == nil })
+		sim.proposeVersion(owner.id, partition, "x", 1, "one", func(_ uint64, err error) { answered = err == nil })
 		sim.runUntil(sim.now + testHeartbeat/5)
 		if !answered {
-			t.Errorf("a change of %s at %s was not answered", key, n.id)
+			t.Errorf("a change of %s at %s was not answered", partition, owner.id)
 		}
 	}
 	if ownedWithout == 0 || ownedWith == 0 {
@@ -374,16 +374,16 @@
 			}
 		}
 	}
-	var c traffic
+	var sent traffic
 	sim.drop = func(from string, e Envelope) bool {
 		if !sim.nodes[from].withoutHeartbeats && !sim.nodes[e.To].withoutHeartbeats {
-			c.count(t, e.Msg)
+			sent.count(t, e.Msg)
 		}
 		return false
 	}
 	sim.runUntil(sim.now + 4*testHeartbeat)
-	if c.full == 0 || c.appends > 0 {
-		t.Errorf("between members with heartbeats: %+v", c)
+	if sent.full == 0 || sent.appends > 0 {
+		t.Errorf("between members with heartbeats: %+v", sent)
 	}
 }
 
@@ -393,31 +393,31 @@
 	m := sim.ownerOf(testPartition).replica
 	partitions := m.ownedPartitions()[:4]
 	m.heartbeats.sent[m.heartbeats.confirmedRound] = sentRound{at: m.now - 300*time.Millisecond}
-	for _, c := range [][]time.Duration{
+	for _, ages := range [][]time.Duration{
 		{100, 200, 250, 300}, // all confirmed in the round that a quorum has confirmed for the list, or later
 		{100, 200, 250, 400}, // one was not confirmed in that round
 		{100, 200, 250, -1},  // the ownership of one began after it
 		{50, -1, 50, -1},     // reads have confirmed the others since
 		{-1, -1, -1, -1},
 	} {
-		for i, age := range c {
+		for i, age := range ages {
 			if partitions[i].confirmedAt = m.now - age*time.Millisecond; age < 0 {
 				partitions[i].confirmedAt = neverConfirmed
 			}
 		}
 		for _, partial := range []bool{false, true} {
-			h := &Heartbeat{Partial: partial}
-			m.setAges(h, partitions)
+			heartbeat := &Heartbeat{Partial: partial}
+			m.setAges(heartbeat, partitions)
 			for _, part := range partitions {
-				i := slices.IndexFunc(h.Ages, func(a KeyAge) bool { return a.Key == part.name })
+				i := slices.IndexFunc(heartbeat.Ages, func(a KeyAge) bool { return a.Key == part.name })
 				reported := time.Duration(-1)
 				if i >= 0 {
-					reported = h.Ages[i].Age
-				} else if h.Sure != nil {
-					reported = h.Sure.Age
+					reported = heartbeat.Ages[i].Age
+				} else if heartbeat.Sure != nil {
+					reported = heartbeat.Sure.Age
 				}
-				if part.confirmedAt == neverConfirmed && reported >= 0 && h.Sure != nil || part.confirmedAt != neverConfirmed && (reported < m.now-part.confirmedAt || reported > m.now-part.confirmedAt+300*time.Millisecond) {
-					t.Errorf("%v partial %v: %s was confirmed %v ago, reported as %v", c, partial, part.name, m.now-part.confirmedAt, reported)
+				if part.confirmedAt == neverConfirmed && reported >= 0 && heartbeat.Sure != nil || part.confirmedAt != neverConfirmed && (reported < m.now-part.confirmedAt || reported > m.now-part.confirmedAt+300*time.Millisecond) {
+					t.Errorf("%v partial %v: %s was confirmed %v ago, reported as %v", ages, partial, part.name, m.now-part.confirmedAt, reported)
 				}
 			}
 		}
@@ -428,31 +428,31 @@
 func TestHeartbeatAckCountsForSentPosition(t *testing.T) {
 	for _, partial := range []bool{false, true} {
 		sim := newClusterWithPartitions(t, 4, 3)
-		n := sim.ownerOf(testPartition)
-		m, part := n.replica, n.replica.partitions[testPartition]
-		sim.drop = func(from string, e Envelope) bool { return from == n.id || e.To == n.id }
+		owner := sim.ownerOf(testPartition)
+		m, part := owner.replica, owner.replica.partitions[testPartition]
+		sim.drop = func(from string, e Envelope) bool { return from == owner.id || e.To == owner.id }
 		sim.runUntil(sim.now + 20*time.Millisecond)
 		if partial {
 			m.scheduleConfirm(part)
 		} else {
 			m.heartbeats.dueAll = true
 		}
-		sim.runOn(n.id, n.runID, func() {})
+		sim.runOn(owner.id, owner.runID, func() {})
 		round, version, before := m.heartbeats.round, m.heartbeats.version, part.position
 		answered := false
-		sim.proposeVersion(n.id, testPartition, "x", 1, "one", func(uint64, error) { answered = true })
+		sim.proposeVersion(owner.id, testPartition, "x", 1, "one", func(uint64, error) { answered = true })
 		sim.runUntil(sim.now + 20*time.Millisecond)
 		m.heartbeats.dueAll = true
-		sim.runOn(n.id, n.runID, func() {})
+		sim.runOn(owner.id, owner.runID, func() {})
 		if l := m.heartbeats.listed[testPartition]; !before.Less(part.position) || l.Seq != part.position.Seq || l.version <= version {
 			t.Fatalf("the change is not listed: %+v, at %v", l, part.position)
 		}
 		for _, id := range sim.ids {
-			if o := sim.nodes[id]; o != n {
-				m.Handle(sim.clock(n), id, Message{Identity: o.replica.identity, Life: o.replica.cfg.Life, Protocol: protocolHeartbeat,
+			if other := sim.nodes[id]; other != owner {
+				m.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: other.replica.cfg.Life, Protocol: protocolHeartbeat,
 					Body: &HeartbeatAck{Life: m.cfg.Life, Round: round, Partial: partial, Version: version}})
-				if part.confirmedRounds[o.replica.self] != round || part.acks[o.replica.self] != before {
-					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, part.confirmedRounds[o.replica.self], part.acks[o.replica.self], round, before)
+				if part.confirmedRounds[other.replica.self] != round || part.acks[other.replica.self] != before {
+					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, part.confirmedRounds[other.replica.self], part.acks[other.replica.self], round, before)
 				}
 			}
 		}
@@ -469,13 +469,13 @@
 	member := sim.nodes[sim.ids[0]]
 	epochs := map[string]Epoch{}
 	for end := sim.now + 20*member.replica.cfg.Vacant; sim.now < end; sim.runUntil(sim.now + testHeartbeat/2) {
-		for _, key := range sim.partitions {
-			term, ok := member.replica.Tenure(sim.clock(member), key)
-			if _, seen := epochs[key]; !seen {
-				epochs[key] = term.Epoch
+		for _, partition := range sim.partitions {
+			term, ok := member.replica.Tenure(sim.clock(member), partition)
+			if _, seen := epochs[partition]; !seen {
+				epochs[partition] = term.Epoch
 			}
-			if at, current := member.replica.Current(key); !ok || term.Epoch != epochs[key] || !current || sim.clock(member)-at > 2*testHeartbeat {
-				t.Fatalf("%v: %s is owned: %v, under %v, at first %v; fresh: %v, as of %v", sim.clock(member), key, ok, term.Epoch, epochs[key], current, at)
+			if at, current := member.replica.Current(partition); !ok || term.Epoch != epochs[partition] || !current || sim.clock(member)-at > 2*testHeartbeat {
+				t.Fatalf("%v: %s is owned: %v, under %v, at first %v; fresh: %v, as of %v", sim.clock(member), partition, ok, term.Epoch, epochs[partition], current, at)
 			}
 		}
 	}
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -124,13 +124,13 @@
 const unanswered = math.MaxInt64
 
 // begin records a call's request; the function that it returns records the answer.
-func (h *history) begin(key string, c *operatorCall) (answered func()) {
+func (h *history) begin(partition string, c *operatorCall) (answered func()) {
 	if h.calls == nil {
 		h.calls = map[string][]*porcupine.Operation{}
 	}
 	h.clock++
 	op := &porcupine.Operation{Input: c, Call: h.clock, Return: unanswered}
-	h.calls[key] = append(h.calls[key], op)
+	h.calls[partition] = append(h.calls[partition], op)
 	return func() {
 		h.clock++
 		op.Return = h.clock
@@ -141,10 +141,10 @@
 // restricted to one record unless name is allNames. A read without an answer is left out. A change
 // without an answer counts only if an answered call saw its content, once for each content, and is
 // taken to end at the first such answer; so few calls are open at any time.
-func (h *history) callsUntil(end int64, key string, name int) (out []porcupine.Operation) {
+func (h *history) callsUntil(end int64, partition string, name int) (out []porcupine.Operation) {
 	seen := map[writtenContent]int64{} // when the first call that saw it was answered
 	var unanswered []porcupine.Operation
-	for _, op := range h.calls[key] {
+	for _, op := range h.calls[partition] {
 		c := op.Input.(*operatorCall).restrictTo(name)
 		switch {
 		case c == nil || op.Call > end:
@@ -246,38 +246,38 @@
 // itself, since the search takes too long for whole partitions; checkSnapshots checks what reads
 // show of several records.
 func (h *history) check() string {
-	for key := range h.calls {
+	for partition := range h.calls {
 		for name := range recordNames {
-			if why := h.checkRecord(key, name); why != "" {
-				return fmt.Sprintf("%s/%s: %s", key, recordNames[name], why)
+			if why := h.checkRecord(partition, name); why != "" {
+				return fmt.Sprintf("%s/%s: %s", partition, recordNames[name], why)
 			}
 		}
-		if why := h.checkSnapshots(key); why != "" {
-			return fmt.Sprintf("%s: %s", key, why)
+		if why := h.checkSnapshots(partition); why != "" {
+			return fmt.Sprintf("%s: %s", partition, why)
 		}
 	}
 	return ""
 }
 
-func (h *history) checkRecord(key string, name int) string {
-	ops := h.callsUntil(h.clock, key, name)
+func (h *history) checkRecord(partition string, name int) string {
+	ops := h.callsUntil(h.clock, partition, name)
 	switch porcupine.CheckOperationsTimeout(partitionModel, ops, checkTime) {
 	case porcupine.Ok:
 		return ""
 	case porcupine.Illegal:
-		return fmt.Sprintf("%d calls are not linearizable; the last ones up to the first impossible answer: %v", len(ops), h.lastCalls(key, name))
+		return fmt.Sprintf("%d calls are not linearizable; the last ones up to the first impossible answer: %v", len(ops), h.lastCalls(partition, name))
 	}
-	return fmt.Sprintf("the check whether %d calls are linearizable did not finish in %v; the last ones up to where it takes long: %v", len(ops), checkTime, h.lastCalls(key, name))
+	return fmt.Sprintf("the check whether %d calls are linearizable did not finish in %v; the last ones up to where it takes long: %v", len(ops), checkTime, h.lastCalls(partition, name))
 }
 
 // checkSnapshots checks what reads show of several records together: that all reads fit into one
 // order in which generations only rise, and that a read that sees a change of one record also sees
 // what had been acknowledged of the others before that change was requested.
-func (h *history) checkSnapshots(key string) string {
+func (h *history) checkSnapshots(partition string) string {
 	var reads []*operatorCall
 	asked := map[writtenContent]int64{}                        // when a content was first proposed
 	acknowledged := [len(partitionState{})][]acknowledgement{} // by record, in order of time, with rising generations
-	ops := h.callsUntil(h.clock, key, allNames)
+	ops := h.callsUntil(h.clock, partition, allNames)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 	for _, op := range ops {
 		c := op.Input.(*operatorCall)
@@ -332,11 +332,11 @@
 }
 
 // lastCalls returns the last calls answered up to the first impossible answer.
-func (h *history) lastCalls(key string, name int) (out []*operatorCall) {
+func (h *history) lastCalls(partition string, name int) (out []*operatorCall) {
 	bad := int64(sort.Search(int(h.clock), func(end int) bool {
-		return porcupine.CheckOperationsTimeout(partitionModel, h.callsUntil(int64(end), key, name), explainTime) != porcupine.Ok
+		return porcupine.CheckOperationsTimeout(partitionModel, h.callsUntil(int64(end), partition, name), explainTime) != porcupine.Ok
 	}))
-	ops := h.callsUntil(bad, key, name)
+	ops := h.callsUntil(bad, partition, name)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 	for _, op := range ops[max(0, len(ops)-8):] {
 		out = append(out, op.Input.(*operatorCall))
@@ -345,9 +345,9 @@
 }
 
 // recordChange records the request of a change; the function that it returns records the outcome.
-func (h *history) recordChange(key, name string, version uint64, data string) func(stands Record, err error) {
+func (h *history) recordChange(partition, name string, version uint64, data string) func(stands Record, err error) {
 	c := &operatorCall{nameIndex: slices.Index(recordNames, name), proposed: recordValue{version, data}}
-	answered := h.begin(key, c)
+	answered := h.begin(partition, c)
 	return func(stands Record, err error) {
 		switch {
 		case err == nil:
@@ -362,9 +362,9 @@
 }
 
 // recordRead records the request of a read; the function that it returns records the result.
-func (h *history) recordRead(key string) func(map[string]Record) {
+func (h *history) recordRead(partition string) func(map[string]Record) {
 	c := &operatorCall{read: true}
-	answered := h.begin(key, c)
+	answered := h.begin(partition, c)
 	return func(got map[string]Record) {
 		c.records = stateOfPartition(got)
 		answered()
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -11,10 +11,10 @@
 
 func TestAcknowledgedChangeIsOnThreeDisks(t *testing.T) {
 	sim := newCluster(t, 5, 4)
-	for v := uint64(1); v <= 40; v++ {
-		n := sim.mustPut(t, "x", v)
-		if got := sim.machinesWithCopy("x", v); len(got) < 3 {
-			t.Fatalf("x=%d was acknowledged by %s with copies at %v", v, n.id, got)
+	for version := uint64(1); version <= 40; version++ {
+		n := sim.mustPut(t, "x", version)
+		if got := sim.machinesWithCopy("x", version); len(got) < 3 {
+			t.Fatalf("x=%d was acknowledged by %s with copies at %v", version, n.id, got)
 		}
 	}
 }
@@ -105,12 +105,12 @@
 
 func TestStalledDiskTransfersPartitions(t *testing.T) {
 	sim := newCluster(t, 9, 4)
-	old := sim.mustPut(t, "x", 1)
-	old.stalledUntil = sim.now + 10*time.Second
+	stalled := sim.mustPut(t, "x", 1)
+	stalled.stalledUntil = sim.now + 10*time.Second
 	begin := sim.now
-	_ = sim.put(old, "x", 2)
+	_ = sim.put(stalled, "x", 2)
 	n := sim.mustPut(t, "x", 3)
-	if n == old || sim.now-begin > 3*time.Second {
+	if n == stalled || sim.now-begin > 3*time.Second {
 		t.Fatalf("%s acknowledged after %v", n.id, sim.now-begin)
 	}
 }
@@ -173,12 +173,12 @@
 
 func TestLeavingTransfersPartitionsAtOnce(t *testing.T) {
 	sim := newCluster(t, 8, 4)
-	old := sim.mustPut(t, "x", 1)
-	sim.runOn(old.id, old.runID, func() { old.replica.Leave(sim.now) })
+	leaving := sim.mustPut(t, "x", 1)
+	sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.now) })
 	begin := sim.now
 	n := sim.waitForOwner(t)
-	if n == old || sim.now-begin > 600*time.Millisecond {
-		t.Fatalf("%s owns the key after %v", n.id, sim.now-begin)
+	if n == leaving || sim.now-begin > 600*time.Millisecond {
+		t.Fatalf("%s owns the partition after %v", n.id, sim.now-begin)
 	}
 	if n.replica.partitions[testPartition].Records["x"].Gen != 1 {
 		t.Fatal("x=1 was lost in the transfer")
@@ -187,16 +187,16 @@
 
 func TestQuorums(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g"}
-	for _, c := range []struct{ members, promise, durable int }{
+	for _, tc := range []struct{ members, promise, durable int }{
 		{1, 1, 1}, {2, 2, 2}, {3, 2, 3}, {4, 3, 3}, {5, 3, 3}, {6, 4, 4}, {7, 4, 4},
 	} {
-		for n := 0; n <= c.members; n++ {
+		for n := 0; n <= tc.members; n++ {
 			has := func(id string) bool { return int(id[0]-'a') < n }
-			if got := hasQuorumOf(ids[:c.members], false, has); got != (n >= c.promise) {
-				t.Errorf("quorum for a vote by %d of %d: %v", n, c.members, got)
+			if got := hasQuorumOf(ids[:tc.members], false, has); got != (n >= tc.promise) {
+				t.Errorf("quorum for a vote by %d of %d: %v", n, tc.members, got)
 			}
-			if got := hasQuorumOf(ids[:c.members], true, has); got != (n >= c.durable) {
-				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, c.members, got)
+			if got := hasQuorumOf(ids[:tc.members], true, has); got != (n >= tc.durable) {
+				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, tc.members, got)
 			}
 		}
 	}
@@ -308,14 +308,14 @@
 	sim.crash(successor, false)
 	sim.mustPut(t, "x", 1)
 	sim.start(successor)
-	back := time.Duration(0)
-	for begin := sim.now; back == 0 && sim.now < begin+30*time.Second; sim.runUntil(sim.now + 100*time.Millisecond) {
+	returnedAfter := time.Duration(0)
+	for begin := sim.now; returnedAfter == 0 && sim.now < begin+30*time.Second; sim.runUntil(sim.now + 100*time.Millisecond) {
 		if sim.nodes[successor].replica.partitions[testPartition].role == roleOwner {
-			back = sim.now - begin
+			returnedAfter = sim.now - begin
 		}
 	}
-	if back < 4*time.Second {
-		t.Fatalf("the partition returned after %v (0: never)", back)
+	if returnedAfter < 4*time.Second {
+		t.Fatalf("the partition returned after %v (0: never)", returnedAfter)
 	}
 	sim.mustPut(t, "x", 2)
 	if n := sim.waitForOwner(t); n.id != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
@@ -377,7 +377,7 @@
 		begin := sim.now
 		n := sim.waitForOwner(t)
 		if took := sim.now - begin; n.id == successor || took > testHeartbeat {
-			t.Errorf("seed %d: %s owns the key after %v", seed, n.id, took)
+			t.Errorf("seed %d: %s owns the partition after %v", seed, n.id, took)
 		}
 	}
 }
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -11,7 +11,7 @@
 // between, each as soon as the fault budget allows. Then as many disks as it allows are lost right
 // after an acknowledgement, and all other machines lose power.
 func TestDiskLossAfterReplacements(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		members, faults, zones int
 		target                 failureTarget
 	}{
@@ -19,16 +19,16 @@
 		{8, 2, 4, anyMachine}, {8, 2, 4, owner}, {8, 2, 4, newcomer},
 		{6, 2, 3, voterSetOwner}, {4, 1, 3, anyMachine}, {4, 1, 4, owner}, {4, 1, 4, newcomer},
 	} {
-		t.Run(fmt.Sprintf("%d of %d in %d zones, %s", c.faults, c.members, c.zones, targetNames[c.target]), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d of %d in %d zones, %s", tc.faults, tc.members, tc.zones, targetNames[tc.target]), func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 8; seed++ {
-				s := schedule{seed: seed, members: c.members, faults: c.faults, zones: c.zones}
+				schedule := schedule{seed: seed, members: tc.members, faults: tc.faults, zones: tc.zones}
 				for i, kind := range []failureKind{replace, replace, plannedReplacement, replace} {
-					s.failures = append(s.failures, failure{kind: kind, target: failureTarget((int(seed) + i) % int(failureTargetCount)), index: int(seed) + i, count: 1, replaceAfter: time.Duration(seed) * 300 * time.Millisecond})
+					schedule.failures = append(schedule.failures, failure{kind: kind, target: failureTarget((int(seed) + i) % int(failureTargetCount)), index: int(seed) + i, count: 1, replaceAfter: time.Duration(seed) * 300 * time.Millisecond})
 				}
-				s.lastFailure = &failure{kind: wipeAndPowerLoss, target: c.target, index: int(seed), count: c.faults, duration: time.Second, replaceAfter: 12 * time.Second}
-				if broken, _ := runSchedule(s); broken != "" {
-					t.Fatalf("%s\n%v", broken, s)
+				schedule.lastFailure = &failure{kind: wipeAndPowerLoss, target: tc.target, index: int(seed), count: tc.faults, duration: time.Second, replaceAfter: 12 * time.Second}
+				if broken, _ := runSchedule(schedule); broken != "" {
+					t.Fatalf("%s\n%v", broken, schedule)
 				}
 			}
 		})
@@ -151,12 +151,12 @@
 					sim.injectFailure(failure{kind: changeStream, duration: 20 * time.Second})
 				}
 				sim.runUntil(sim.now + 3*time.Second)
-				n := sim.startReplacement()
+				added := sim.startReplacement()
 				sim.waitFor(fmt.Sprintf("the member added to %d (seed %d, under load: %v) is a voter", members, seed, underLoad), 3*time.Second, func() string {
-					if n.replica.mayOwn() && !n.replica.voterSet().joint && n.replica.partitions[RosterKey].commit == n.replica.partitions[RosterKey].position {
+					if added.replica.mayOwn() && !added.replica.voterSet().joint && added.replica.partitions[RosterKey].commit == added.replica.partitions[RosterKey].position {
 						return ""
 					}
-					return fmt.Sprint(*n.replica.voterSet())
+					return fmt.Sprint(*added.replica.voterSet())
 				})
 			}
 		}
@@ -171,27 +171,27 @@
 				sim, _ := newLosslessCluster(t, int64(index+1), 4, 1, 4, 3*time.Second)
 				partitions := append([]string{RosterKey}, sim.partitions...)
 				before := map[string]Epoch{}
-				for _, key := range partitions {
-					before[key] = sim.ownerOf(key).replica.partitions[key].ownEpoch
+				for _, partition := range partitions {
+					before[partition] = sim.ownerOf(partition).replica.partitions[partition].ownEpoch
 				}
 				cut := sim.nodes[sim.ids[index]]
 				sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 20 * time.Second})
 				unservedFor := map[string]time.Duration{}
 				for begin := sim.now; sim.now < begin+22*time.Second; sim.runUntil(sim.now + 50*time.Millisecond) {
-					for _, key := range partitions {
+					for _, partition := range partitions {
 						served := false
 						for _, id := range sim.ids {
 							n := sim.nodes[id]
-							part := n.replica.partitions[key]
+							part := n.replica.partitions[partition]
 							served = served || part.role == roleOwner && sim.clock(n)-part.quorumAt <= testElectionTimeout && part.commit.Epoch == part.ownEpoch
 						}
 						if !served {
-							if unservedFor[key] += 50 * time.Millisecond; unservedFor[key] > 2*testElectionTimeout {
-								t.Fatalf("%s had no owner for %v", key, unservedFor[key])
+							if unservedFor[partition] += 50 * time.Millisecond; unservedFor[partition] > 2*testElectionTimeout {
+								t.Fatalf("%s had no owner for %v", partition, unservedFor[partition])
 							}
 						}
-						if o := sim.ownerOf(key); before[key].Owner != cut.id && o != nil && o.replica.partitions[key].ownEpoch != before[key] && sim.now < begin+20*time.Second {
-							t.Fatalf("%v of %s was deposed by %v", before[key], key, o.replica.partitions[key].ownEpoch)
+						if o := sim.ownerOf(partition); before[partition].Owner != cut.id && o != nil && o.replica.partitions[partition].ownEpoch != before[partition] && sim.now < begin+20*time.Second {
+							t.Fatalf("%v of %s was deposed by %v", before[partition], partition, o.replica.partitions[partition].ownEpoch)
 						}
 					}
 				}
@@ -203,36 +203,36 @@
 // TestLeavingMemberWaitsForReplication blocks all copies of what a leaving member holds: it must not
 // report that it can be shut down until enough others have it.
 func TestLeavingMemberWaitsForReplication(t *testing.T) {
-	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 2}, {8, 2}} {
+	for _, tc := range []struct{ members, faults int }{{4, 1}, {5, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 5; seed++ {
-			sim := newClusterWithVoters(t, seed, c.members, c.faults, 4)
+			sim := newClusterWithVoters(t, seed, tc.members, tc.faults, 4)
 			sim.lossless = true
 			sim.mustPut(t, "x", 1)
-			n := sim.waitForOwner(t)
+			leaving := sim.waitForOwner(t)
 			sim.runUntil(sim.now + time.Second)
 			sim.drop = func(from string, e Envelope) bool {
 				return bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Key == testPartition || bodyAs[*SnapshotChunk](e.Msg) != nil || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).Key == testPartition
 			}
-			_ = sim.put(n, "x", 2) // only the leaving member may hold it
-			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
+			_ = sim.put(leaving, "x", 2) // only the leaving member may hold it
+			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			for end := sim.now + 3*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
-				if n.replica.MayGo(sim.clock(n)) && n.replica.isVoter() {
-					t.Fatalf("%d members, seed %d: the member may leave with x=2 at %v", c.members, seed, sim.machinesWithCopy("x", 2))
+				if leaving.replica.MayGo(sim.clock(leaving)) && leaving.replica.isVoter() {
+					t.Fatalf("%d members, seed %d: the member may leave with x=2 at %v", tc.members, seed, sim.machinesWithCopy("x", 2))
 				}
 			}
 			sim.drop = nil
 			begin := sim.now
 			sim.waitFor("the member may leave", 5*time.Second, func() string {
-				if n.replica.MayGo(sim.clock(n)) {
+				if leaving.replica.MayGo(sim.clock(leaving)) {
 					return ""
 				}
-				return fmt.Sprint(*n.replica.voterSet())
+				return fmt.Sprint(*leaving.replica.voterSet())
 			})
 			if took := sim.now - begin; took > 4*time.Second {
-				t.Fatalf("%d members, seed %d: the member waited for %v", c.members, seed, took)
+				t.Fatalf("%d members, seed %d: the member waited for %v", tc.members, seed, took)
 			}
-			if s := sim.ownerOf(RosterKey); s != nil && len(s.replica.voterSet().newVoters) > s.replica.minVoters() && slices.Contains(s.replica.voterSet().newVoters, n.replica.self) {
-				t.Fatalf("%d members, seed %d: the member may leave as a voter, although the others have enough voters", c.members, seed)
+			if setOwner := sim.ownerOf(RosterKey); setOwner != nil && len(setOwner.replica.voterSet().newVoters) > setOwner.replica.minVoters() && slices.Contains(setOwner.replica.voterSet().newVoters, leaving.replica.self) {
+				t.Fatalf("%d members, seed %d: the member may leave as a voter, although the others have enough voters", tc.members, seed)
 			}
 		}
 	}
@@ -241,22 +241,22 @@
 // TestMemberLeavesSoonWithoutFailures drains a member in a healthy cluster. If there are more than
 // minVoters voters, it is removed from the voter set first.
 func TestMemberLeavesSoonWithoutFailures(t *testing.T) {
-	for _, c := range []struct{ members, faults int }{{4, 1}, {5, 1}, {5, 2}, {6, 2}, {8, 2}} {
+	for _, tc := range []struct{ members, faults int }{{4, 1}, {5, 1}, {5, 2}, {6, 2}, {8, 2}} {
 		for seed := int64(1); seed <= 8; seed++ {
-			sim := newClusterWithVoters(t, seed, c.members, c.faults, 4)
+			sim := newClusterWithVoters(t, seed, tc.members, tc.faults, 4)
 			sim.lossless = true
 			sim.mustPut(t, "x", 1)
 			sim.runUntil(sim.now + time.Second)
-			n := sim.nodes[sim.ids[int(seed)%c.members]]
-			sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
+			leaving := sim.nodes[sim.ids[int(seed)%tc.members]]
+			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			begin := sim.now
 			sim.waitFor("the member may leave", 2*time.Second, func() string {
-				if n.replica.MayGo(sim.clock(n)) {
+				if leaving.replica.MayGo(sim.clock(leaving)) {
 					return ""
 				}
-				return fmt.Sprint(c, seed, *n.replica.voterSet())
+				return fmt.Sprint(tc, seed, *leaving.replica.voterSet())
 			})
-			t.Logf("%+v seed %d: after %v", c, seed, sim.now-begin)
+			t.Logf("%+v seed %d: after %v", tc, seed, sim.now-begin)
 		}
 	}
 }
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -31,12 +31,12 @@
 	if s.competing {
 		b.WriteString(", competing: true")
 	}
-	put := func(t failure) string {
-		out := "{" + fmt.Sprintf("kind: %s, target: %s, index: %d, count: %d", kindNames[t.kind], targetNames[t.target], t.index, t.count)
+	failureText := func(f failure) string {
+		out := "{" + fmt.Sprintf("kind: %s, target: %s, index: %d, count: %d", kindNames[f.kind], targetNames[f.target], f.index, f.count)
 		for _, d := range []struct {
 			name string
 			d    time.Duration
-		}{{"delay", t.delay}, {"duration", t.duration}, {"replaceAfter", t.replaceAfter}} {
+		}{{"delay", f.delay}, {"duration", f.duration}, {"replaceAfter", f.replaceAfter}} {
 			if d.d > 0 {
 				out += fmt.Sprintf(", %s: %d * time.Millisecond", d.name, d.d/time.Millisecond)
 			}
@@ -44,12 +44,12 @@
 		return out + "}"
 	}
 	b.WriteString(", failures: []failure{")
-	for _, t := range s.failures {
-		b.WriteString("\n\t" + put(t) + ",")
+	for _, f := range s.failures {
+		b.WriteString("\n\t" + failureText(f) + ",")
 	}
 	b.WriteString("\n}")
 	if s.lastFailure != nil {
-		b.WriteString(", lastFailure: &failure" + put(*s.lastFailure))
+		b.WriteString(", lastFailure: &failure" + failureText(*s.lastFailure))
 	}
 	return b.String() + "}"
 }
@@ -57,7 +57,7 @@
 // randomSchedule returns the schedule of a seed.
 func randomSchedule(seed int64) schedule {
 	r := rand.New(rand.NewSource(seed))
-	ms := func(least, spread int) time.Duration { return time.Duration(least+r.Intn(spread)) * time.Millisecond }
+	milliseconds := func(least, spread int) time.Duration { return time.Duration(least+r.Intn(spread)) * time.Millisecond }
 	s := schedule{seed: seed, members: 4, faults: 1, zones: 3 + r.Intn(3)}
 	switch r.Intn(6) {
 	case 0:
@@ -74,37 +74,37 @@
 		s.olderEvery = 2
 	}
 	s.competing = seed%2 == 0
-	randomFailure := func(k failureKind) failure {
-		t := failure{kind: k, index: r.Intn(100), count: 1 + r.Intn(s.faults), duration: ms(300, 3500)}
+	randomFailure := func(kind failureKind) failure {
+		f := failure{kind: kind, index: r.Intn(100), count: 1 + r.Intn(s.faults), duration: milliseconds(300, 3500)}
 		if r.Intn(2) == 0 {
-			t.target = failureTarget(r.Intn(int(failureTargetCount)))
+			f.target = failureTarget(r.Intn(int(failureTargetCount)))
 		}
 		if r.Intn(2) == 0 {
-			t.delay = ms(1, 3000)
+			f.delay = milliseconds(1, 3000)
 		}
-		switch k {
+		switch kind {
 		case cutOff, cutOutgoing, cutIncoming, cutPair, freeze:
 			if r.Intn(3) == 0 {
-				t.duration = ms(8000, 15000)
+				f.duration = milliseconds(8000, 15000)
 			}
 		case replace:
-			t.replaceAfter = ms(200, 6000)
+			f.replaceAfter = milliseconds(200, 6000)
 		case replaceFrozen:
-			t.duration, t.replaceAfter = ms(4000, 12000), ms(200, 4000)
+			f.duration, f.replaceAfter = milliseconds(4000, 12000), milliseconds(200, 4000)
 		case changeStream:
-			t.duration = ms(2000, 6000)
+			f.duration = milliseconds(2000, 6000)
 		case lossyNetwork:
-			t.duration = ms(500, 2500)
+			f.duration = milliseconds(500, 2500)
 		case wipeAndPowerLoss:
-			t.replaceAfter = ms(500, 4000)
+			f.replaceAfter = milliseconds(500, 4000)
 		}
-		return t
+		return f
 	}
 	for n := 5 + r.Intn(6); len(s.failures) < n; {
 		switch k := failureKind(r.Intn(int(failureKinds))); k {
 		case drain: // a rolling restart
 			for i := 0; i < s.members; i++ {
-				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: ms(300, 1200)})
+				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: milliseconds(300, 1200)})
 			}
 		case cutOff, cutOutgoing, cutIncoming, cutPair: // several in a row
 			for i := 1 + r.Intn(3); i > 0; i-- {
@@ -116,7 +116,7 @@
 	}
 	if r.Intn(5) > 0 {
 		last := randomFailure([]failureKind{killAll, wipe, wipeAndPowerLoss, wipeAndPowerLoss}[r.Intn(4)])
-		last.delay, last.count, last.replaceAfter, last.duration = 0, s.faults, ms(500, 12000), ms(300, 1500)
+		last.delay, last.count, last.replaceAfter, last.duration = 0, s.faults, milliseconds(500, 12000), milliseconds(300, 1500)
 		s.lastFailure = &last
 	}
 	return s
@@ -128,12 +128,12 @@
 // runSchedule runs a schedule and returns which invariant was violated; empty if none was.
 func runSchedule(s schedule) (broken string, sim *cluster) {
 	defer func() {
-		switch f := recover().(type) {
+		switch violation := recover().(type) {
 		case nil:
 		case brokenRule:
-			broken = string(f)
+			broken = string(violation)
 		default:
-			panic(f)
+			panic(violation)
 		}
 	}()
 	sim = newEmptyCluster(s.seed, s.faults)
@@ -152,7 +152,7 @@
 	if s.competing {
 		sim.runCompetingOperators()
 	}
-	sim.nextFailures()
+	sim.beginNextFailure()
 	for sim.nextFailure < len(s.failures) || sim.remainingFaults() < sim.faults || len(sim.onAck) > 0 || sim.pendingFailures > 0 || sim.now < 10*time.Second {
 		if sim.now > 20*time.Minute {
 			sim.fatal("the failures had not ended after 20 min")
@@ -175,14 +175,14 @@
 	sim.operatorsStopped, sim.lossless = true, true
 	sim.runUntil(sim.now + 3*time.Second)
 	before, proposed := sim.answeredChanges, 0
-	for _, key := range append(sim.partitions, "rollout/c") {
+	for _, partition := range append(sim.partitions, "rollout/c") {
 		for i := 0; i < 10; i++ {
 			sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, func() {
 				for _, id := range sim.ids {
-					if n := sim.nodes[id]; n.replica.partitions[key] != nil && n.replica.partitions[key].role == roleOwner {
+					if n := sim.nodes[id]; n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
 						proposed++
 						sim.changesSent++
-						sim.proposeVersion(id, key, "s0", sim.minVersions[key+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
+						sim.proposeVersion(id, partition, "s0", sim.minVersions[partition+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
 					}
 				}
 			})
@@ -263,7 +263,7 @@
 
 // TestSchedulesThatOnceFailed runs shrunk schedules that have exposed faults.
 func TestSchedulesThatOnceFailed(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
 		schedule
 	}{
@@ -297,10 +297,10 @@
 			{kind: drain, target: anyMachine, index: 5, count: 1, duration: 1462 * time.Millisecond},
 		}}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			if broken, _ := runSchedule(c.schedule); broken != "" {
-				t.Fatalf("%s\n%v", broken, c.schedule)
+			if broken, _ := runSchedule(tc.schedule); broken != "" {
+				t.Fatalf("%s\n%v", broken, tc.schedule)
 			}
 		})
 	}
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -194,15 +194,15 @@
 	sv.required = map[string]Stand{}
 	for _, voter := range m.voterSet().all() {
 		if id := m.voterIdentity(voter); reported(id) {
-			for _, s := range sv.replies[id].Keys {
-				need := sv.required[s.Key]
-				if need.At.Less(s.At) {
-					need.At = s.At
+			for _, reported := range sv.replies[id].Keys {
+				need := sv.required[reported.Key]
+				if need.At.Less(reported.At) {
+					need.At = reported.At
 				}
-				if need.Promised.Less(s.Promised) {
-					need.Promised = s.Promised
+				if need.Promised.Less(reported.Promised) {
+					need.Promised = reported.Promised
 				}
-				sv.required[s.Key] = need
+				sv.required[reported.Key] = need
 			}
 		}
 	}
@@ -219,8 +219,8 @@
 	for _, s := range report.Keys {
 		have[s.Key] = s
 	}
-	for key, need := range sv.required {
-		if held := have[key]; held.At.Less(need.At) || held.Promised.Less(need.Promised) {
+	for partition, need := range sv.required {
+		if held := have[partition]; held.At.Less(need.At) || held.Promised.Less(need.Promised) {
 			return false
 		}
 	}
--- a/internal/replication/voter_set_change_test.go
+++ b/internal/replication/voter_set_change_test.go
@@ -86,9 +86,9 @@
 				if err := sim.put(n, "x", 50); err == nil {
 					t.Fatalf("seed %d: %s acknowledged", seed, n.id)
 				}
-				for _, key := range []string{testPartition, RosterKey} {
-					if n.replica.partitions[key].role == roleOwner && n.replica.partitions[key].ownerSince >= begin-n.startedAt {
-						t.Fatalf("seed %d: %s owns %s", seed, n.id, key)
+				for _, partition := range []string{testPartition, RosterKey} {
+					if n.replica.partitions[partition].role == roleOwner && n.replica.partitions[partition].ownerSince >= begin-n.startedAt {
+						t.Fatalf("seed %d: %s owns %s", seed, n.id, partition)
 					}
 				}
 			}
@@ -119,22 +119,22 @@
 	sim := newClusterWithVoters(t, seed, 5, 2, 5)
 	sim.lossless = true
 	sim.mustPut(t, "x", 1)
-	c := &voterSetChange{cluster: sim}
-	c.owner, c.setOwner = sim.separateOwners()
-	others := sim.machinesExcept(c.owner, c.setOwner)
-	c.remaining, c.failed1, c.failed2 = others[0], others[1], others[2]
+	change := &voterSetChange{cluster: sim}
+	change.owner, change.setOwner = sim.separateOwners()
+	others := sim.machinesExcept(change.owner, change.setOwner)
+	change.remaining, change.failed1, change.failed2 = others[0], others[1], others[2]
 	for _, n := range others[1:] {
 		sim.freeze(n, time.Hour)
 	}
-	enrol := sim.now + 4*time.Second
+	joinAfter := sim.now + 4*time.Second
 	sim.drop = func(from string, e Envelope) bool {
-		c.joint = c.joint || c.setOwner.replica.voterSet().joint
+		change.joint = change.joint || change.setOwner.replica.voterSet().joint
 		// Both new members are known to hold everything before the change begins.
-		early := sim.now < enrol && bodyAs[*Join](e.Msg) != nil || sim.now < enrol+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == c.owner.id || from == c.remaining.id)
-		return early || c.drops != nil && c.drops(from, e)
+		tooEarly := sim.now < joinAfter && bodyAs[*Join](e.Msg) != nil || sim.now < joinAfter+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == change.owner.id || from == change.remaining.id)
+		return tooEarly || change.drops != nil && change.drops(from, e)
 	}
-	c.replacements = []*node{sim.startReplacement(), sim.startReplacement()}
-	return c
+	change.replacements = []*node{sim.startReplacement(), sim.startReplacement()}
+	return change
 }
 
 // untilJoint runs until setOwner has the joint voter set.
@@ -252,10 +252,10 @@
 		sim.mustPut(t, "x", 1)
 		sim.runUntil(sim.now + 2*time.Second)
 		owner, voterSetOwner := sim.waitForOwner(t), sim.ownerOf(RosterKey)
-		n := sim.lastMachineExcept(owner, voterSetOwner)
-		m, part, voterSet := n.replica, n.replica.partitions[testPartition], n.replica.partitions[RosterKey]
+		candidate := sim.lastMachineExcept(owner, voterSetOwner)
+		m, part, voterSet := candidate.replica, candidate.replica.partitions[testPartition], candidate.replica.partitions[RosterKey]
 		m.startElection(part, true)
-		m.Durable(sim.clock(n), m.lastWrite)
+		m.Durable(sim.clock(candidate), m.lastWrite)
 		if removed {
 			next := map[string]voterState{}
 			for _, voter := range m.voterSet().newVoters {
@@ -263,11 +263,11 @@
 					next[voter] = voterLeaving
 				}
 			}
-			m.Handle(sim.clock(n), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Key: RosterKey, Epoch: voterSet.promised,
+			m.Handle(sim.clock(candidate), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Key: RosterKey, Epoch: voterSet.promised,
 				Base: voterSet.position, Seq: voterSet.position.Seq + 1, Roster: Position{voterSet.promised, voterSet.position.Seq + 1}, Changes: voterSetRecords(voterSet.Records, next)}})
 		}
 		for _, id := range sim.ids {
-			m.Handle(sim.clock(n), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Key: testPartition, Epoch: part.ownEpoch, OK: true, Promised: part.ownEpoch, At: part.position}})
+			m.Handle(sim.clock(candidate), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Key: testPartition, Epoch: part.ownEpoch, OK: true, Promised: part.ownEpoch, At: part.position}})
 		}
 		if (part.role == roleOwner) == removed {
 			t.Errorf("removed: %v, owns the partition: %v", removed, part.role == roleOwner)
@@ -281,25 +281,25 @@
 	for seed := int64(1); seed <= 5; seed++ {
 		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, 3*time.Second)
 		voterSetOwner := sim.ownerOf(RosterKey)
-		n := sim.lastMachineExcept(voterSetOwner)
-		var last []Envelope
+		failed := sim.lastMachineExcept(voterSetOwner)
+		var lastMessages []Envelope
 		sim.drop = func(from string, e Envelope) bool {
-			if from == n.id && e.To == voterSetOwner.id {
-				last = append(last, e)
+			if from == failed.id && e.To == voterSetOwner.id {
+				lastMessages = append(lastMessages, e)
 			}
 			return false
 		}
 		sim.runUntil(sim.now + time.Second)
-		sim.beginFailure(n)
-		sim.crash(n.id, true)
+		sim.beginFailure(failed)
+		sim.crash(failed.id, true)
 		for i := 0; i < 100; i++ {
-			e := last[i%len(last)]
+			e := lastMessages[i%len(lastMessages)]
 			sim.after(time.Duration(i)*50*time.Millisecond, func() {
-				sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), n.id, e.Msg) })
+				sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), failed.id, e.Msg) })
 			})
 		}
 		sim.waitFor("the voter is removed", 2*testElectionTimeout+2*testHeartbeat, func() string {
-			if s := voterSetOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, n.replica.self) {
+			if s := voterSetOwner.replica.voterSet(); !s.joint && !slices.Contains(s.newVoters, failed.replica.self) {
 				return ""
 			}
 			return fmt.Sprint(*voterSetOwner.replica.voterSet())
