--- a/internal/replication/bootstrap_test.go
+++ b/internal/replication/bootstrap_test.go
@@ -31,7 +31,7 @@
 }
 
 // run returns what is wrong, and whether the bootstrap had that many steps.
-func (r bootstrapRun) run(t *testing.T) (broken string, reached bool) {
+func (r bootstrapRun) run(t *testing.T) (problem string, reached bool) {
 	sim := newEmptyCluster(r.seed, 1)
 	sim.fatal = t.Fatalf
 	steps, proposedEpochs := 0, map[Epoch]bool{}
@@ -60,8 +60,8 @@
 		return fmt.Sprintf("%d initial voter sets were proposed", len(proposedEpochs)), reached
 	default:
 		sim.runUntil(sim.now + 6*time.Second)
-		if at := sim.voterSetProblem(); at != "" {
-			return "bootstrapped, but " + at, reached
+		if problem := sim.voterSetProblem(); problem != "" {
+			return "bootstrapped, but " + problem, reached
 		}
 	}
 	return "", reached
@@ -92,9 +92,9 @@
 				for step, reached := 0, true; reached && step < 60; step++ {
 					for seed := int64(1); seed <= 3; seed++ {
 						run := bootstrapRun{step, killed, bootstrap, seed}
-						var broken string
-						if broken, reached = run.run(t); broken != "" {
-							t.Fatalf("%s: %s", run, broken)
+						var problem string
+						if problem, reached = run.run(t); problem != "" {
+							t.Fatalf("%s: %s", run, problem)
 						}
 					}
 				}
@@ -142,9 +142,9 @@
 				sim.addMachine(index+1, 3, true)
 			}
 			sim.seeds = slices.Clone(sim.ids[:3])
-			for _, i := range relays {
-				appointed[sim.seeds[i]] = ""
-				delete(sim.nodes, sim.seeds[i])
+			for _, number := range relays {
+				appointed[sim.seeds[number]] = ""
+				delete(sim.nodes, sim.seeds[number])
 			}
 			sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { _, ok := appointed[id]; return ok })
 			sim.drop = func(from string, e Envelope) bool {
--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -57,8 +57,8 @@
 		have, _, _ := n.replica.Committed(testPartition)
 		sim.freshnessClaims++
 		for i := len(sim.acks) - 1; i >= 0 && i > len(sim.acks)-40; i-- {
-			if a := sim.acks[i]; a.at < n.startedAt+at && have[a.name].Gen < a.value {
-				sim.fatal("at %v %s reports its copy to be the newest as of %v, but it lacks %s=%d of %v", sim.now, n.id, n.startedAt+at, a.name, a.value, a.at)
+			if a := sim.acks[i]; a.at < n.startedAt+at && have[a.name].Gen < a.version {
+				sim.fatal("at %v %s reports its copy to be the newest as of %v, but it lacks %s=%d of %v", sim.now, n.id, n.startedAt+at, a.name, a.version, a.at)
 			}
 		}
 	}
--- a/internal/replication/cluster_competing_operators_test.go
+++ b/internal/replication/cluster_competing_operators_test.go
@@ -27,7 +27,7 @@
 		case operation.Return == unanswered:
 		case call.read:
 			reads++
-		case call.outcome == refused && call.current.gen == call.proposed.gen:
+		case call.outcome == refused && call.stored.gen == call.proposed.gen:
 			refusals++
 		}
 	}
@@ -78,8 +78,8 @@
 	}
 	last := sim.acks[len(sim.acks)-1]
 	sim.changesSent++
-	same := contentProposal{last.name, last.value, sim.contents[fmt.Sprintf("%s/%s/%d", testPartition, last.name, last.value)]}
-	other := contentProposal{last.name, last.value, fmt.Sprint("rival", sim.changesSent)}
+	same := contentProposal{last.name, last.version, sim.contents[fmt.Sprintf("%s/%s/%d", testPartition, last.name, last.version)]}
+	other := contentProposal{last.name, last.version, fmt.Sprint("rival", sim.changesSent)}
 	for _, r := range []contentProposal{other, same} {
 		sim.after(time.Duration(sim.rng.Intn(3000))*time.Millisecond, func() { sim.retryContent(r, competingTries) })
 	}
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -44,11 +44,11 @@
 	anyMachine    failureTarget = iota
 	owner                       // the owner of the test partition
 	voterSetOwner               // the owner of the voter set
-	newcomer                    // the machine that was added last
+	newest                      // the machine that was added last
 	failureTargetCount
 )
 
-var targetNames = [...]string{"anyMachine", "owner", "voterSetOwner", "newcomer"}
+var targetNames = [...]string{"anyMachine", "owner", "voterSetOwner", "newest"}
 
 // failure describes one failure. It begins delay after the fault budget allows it.
 type failure struct {
@@ -111,7 +111,7 @@
 		switch {
 		case f.target == owner && n.replica.partitions[testPartition].role == roleOwner, f.target == voterSetOwner && n.replica.partitions[RosterKey].role == roleOwner:
 			first = i
-		case f.target == newcomer && n.id == sim.ids[len(sim.ids)-1]:
+		case f.target == newest && n.id == sim.ids[len(sim.ids)-1]:
 			first = i
 		}
 	}
--- a/internal/replication/cluster_operators_test.go
+++ b/internal/replication/cluster_operators_test.go
@@ -14,34 +14,34 @@
 var errConflict = fmt.Errorf("another version is stored")
 
 type ack struct {
-	name  string
-	value uint64
-	at    time.Duration
+	name    string
+	version uint64
+	at      time.Duration
 }
 
 // proposeVersion runs a proposal at a node that compares versions as the catalogue does. done is
 // called with the answer and the version that is stored.
-func (sim *cluster) proposeVersion(id, partition, name string, version uint64, data string, done func(current uint64, err error)) {
+func (sim *cluster) proposeVersion(id, partition, name string, version uint64, data string, done func(stored uint64, err error)) {
 	n := sim.nodes[id]
 	minVersion := sim.minVersions[partition+"/"+name]
-	var stands Record
+	var stored Record
 	answered := sim.history.recordChange(partition, name, version, data)
 	sim.runOn(id, n.runID, func() {
 		n.replica.Propose(sim.clock(n), partition, func(have map[string]Record) ([]Record, error) {
-			stands = have[name]
+			stored = have[name]
 			switch {
-			case stands.Gen == version && string(stands.Data) == data:
+			case stored.Gen == version && string(stored.Data) == data:
 				return nil, nil
-			case stands.Gen >= version:
+			case stored.Gen >= version:
 				return nil, errConflict
 			}
 			// Versions may be skipped, as in the catalogue.
-			stands = Record{Name: name, Gen: version, Data: []byte(data)}
-			return []Record{stands}, nil
+			stored = Record{Name: name, Gen: version, Data: []byte(data)}
+			return []Record{stored}, nil
 		}, func(err error) {
-			answered(stands, err)
+			answered(stored, err)
 			if err == nil || err == errConflict {
-				sim.checkVersion(id, partition, name, minVersion, stands)
+				sim.checkVersion(id, partition, name, minVersion, stored)
 			}
 			if err == nil {
 				sim.answeredChanges++
@@ -54,7 +54,7 @@
 				}
 				sim.onAck = nil
 			}
-			done(stands.Gen, err)
+			done(stored.Gen, err)
 		})
 	})
 }
@@ -122,39 +122,39 @@
 	known := map[string]uint64{}
 	count := 0
 	var next func()
-	var send func(record string, version uint64, data string)
-	send = func(rec string, version uint64, data string) {
+	var send func(recordName string, version uint64, data string)
+	send = func(recordName string, version uint64, data string) {
 		answered := false
 		sendAgain := func(d time.Duration) {
 			if answered {
 				return
 			}
 			answered = true
-			sim.after(d, func() { send(rec, version, data) })
+			sim.after(d, func() { send(recordName, version, data) })
 		}
-		n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
-		to := ""
-		if n.up && n.frozenUntil <= sim.now {
-			if to = n.replica.Owner(sim.clock(n), partition); to == "" {
-				to = n.replica.Founder(sim.clock(n), partition)
+		asked := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+		owner := ""
+		if asked.up && asked.frozenUntil <= sim.now {
+			if owner = asked.replica.Owner(sim.clock(asked), partition); owner == "" {
+				owner = asked.replica.Founder(sim.clock(asked), partition)
 			}
 		}
 		if sim.operatorsStopped {
 			return
 		}
-		if to == "" || sim.nodes[to] == nil {
+		if owner == "" || sim.nodes[owner] == nil {
 			sendAgain(200 * time.Millisecond)
 			return
 		}
 		answerLost := sim.rng.Intn(10) == 0
-		sim.proposeVersion(to, partition, rec, version, data, func(stands uint64, err error) {
+		sim.proposeVersion(owner, partition, recordName, version, data, func(stored uint64, err error) {
 			switch {
 			case answerLost || answered:
 			case err == nil || err == errConflict:
 				answered = true
-				known[rec] = stands
+				known[recordName] = stored
 				if err == nil && sim.rng.Intn(5) == 0 {
-					sim.after(time.Millisecond, func() { send(rec, version, data) }) // a duplicate request
+					sim.after(time.Millisecond, func() { send(recordName, version, data) }) // a duplicate request
 					return
 				}
 				sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, next)
@@ -178,8 +178,8 @@
 			}
 		}
 		count++
-		rec := []string{"x", "y", "z"}[sim.rng.Intn(3)]
-		send(rec, known[rec]+1, fmt.Sprintf("%s.%d", name, count))
+		recordName := []string{"x", "y", "z"}[sim.rng.Intn(3)]
+		send(recordName, known[recordName]+1, fmt.Sprintf("%s.%d", name, count))
 	}
 	next()
 }
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -72,7 +72,7 @@
 // notAtFirstSuccessor counts the partitions that their first successors don't own.
 func (sim *cluster) notAtFirstSuccessor() (n int) {
 	for _, partition := range append([]string{RosterKey}, sim.partitions...) {
-		if h := sim.ownerOf(partition); h == nil || h.replica.Heirs(partition)[0] != h.id || len(h.replica.Roster()) < len(sim.ids) {
+		if owner := sim.ownerOf(partition); owner == nil || owner.replica.Heirs(partition)[0] != owner.id || len(owner.replica.Roster()) < len(sim.ids) {
 			n++
 		}
 	}
@@ -219,17 +219,17 @@
 
 // electByVotes makes a member the owner of a partition by the votes of the others, and drops all its
 // other messages.
-func (sim *cluster) electByVotes(n *node, partition string) *partition {
+func (sim *cluster) electByVotes(n *node, name string) *partition {
 	sim.drop = func(from string, e Envelope) bool {
 		return (from == n.id || e.To == n.id) && bodyAs[*VoteRequest](e.Msg) == nil && bodyAs[*Vote](e.Msg) == nil
 	}
 	sim.runOn(n.id, n.runID, func() {
-		n.replica.Handle(sim.clock(n), n.id, Message{Body: &Transfer{partition}, Identity: n.replica.identity})
+		n.replica.Handle(sim.clock(n), n.id, Message{Body: &Transfer{name}, Identity: n.replica.identity})
 	})
-	for end := sim.now + testHeartbeat; n.replica.partitions[partition].role != roleOwner && sim.now < end; {
+	for end := sim.now + testHeartbeat; n.replica.partitions[name].role != roleOwner && sim.now < end; {
 		sim.runUntil(sim.now + time.Millisecond)
 	}
-	return n.replica.partitions[partition]
+	return n.replica.partitions[name]
 }
 
 // Answers to rounds that began before the election of an owner don't confirm its ownership.
@@ -253,8 +253,8 @@
 		t.Errorf("the ownership is confirmed as of %v, it began at %v", part.confirmedAt, part.ownerSince)
 	}
 	for _, id := range sim.ids {
-		if o := sim.nodes[id]; o != owner {
-			owner.replica.Handle(sim.clock(owner), id, Message{Identity: o.replica.identity, Life: 1, Protocol: protocolHeartbeat,
+		if other := sim.nodes[id]; other != owner {
+			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: 1, Protocol: protocolHeartbeat,
 				Body: &HeartbeatAck{Life: owner.replica.cfg.Life + 1, Round: owner.replica.heartbeats.round, Version: owner.replica.heartbeats.version}})
 		}
 	}
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -13,9 +13,9 @@
 	m.sendSurvey(m.otherVoters())
 }
 
-// MayGo reports whether a leaving member is no longer needed. That is so if it is not a voter, or
-// if the others can do without its vote and, for each partition, there is another owner and a
-// majority without this member holds everything that this member holds.
+// MayGo reports whether a leaving member is no longer needed. That is so if it is not a voter. It is
+// also so if it may leave as a voter that then counts as lost and, for each partition, there is
+// another owner and a majority without this member holds everything that this member holds.
 func (m *Replica) MayGo(now time.Duration) bool {
 	m.now = now
 	if !m.leaving || !m.isVoter() {
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -41,7 +41,7 @@
 	proposed  recordValue
 
 	outcome outcome
-	current recordValue    // of a refused change: the stored value
+	stored  recordValue    // of a refused change: the stored value
 	records partitionState // of a read: the result
 }
 
@@ -49,7 +49,7 @@
 	if c.read {
 		return fmt.Sprintf("read: %v", c.records)
 	}
-	return fmt.Sprintf("%s=%v: %v, stored %v", recordNames[c.nameIndex], c.proposed, [...]string{"unknown", "accepted", "refused"}[c.outcome], c.current)
+	return fmt.Sprintf("%s=%v: %v, stored %v", recordNames[c.nameIndex], c.proposed, [...]string{"unknown", "accepted", "refused"}[c.outcome], c.stored)
 }
 
 // apply is the sequential specification: whether a call can have this outcome in a state, and the
@@ -58,16 +58,16 @@
 	if c.read {
 		return s == c.records, s
 	}
-	stands := s[c.nameIndex]
-	newer := stands.gen < c.proposed.gen
+	stored := s[c.nameIndex]
+	newer := stored.gen < c.proposed.gen
 	switch {
 	case c.outcome == refused:
-		return !newer && stands != c.proposed && stands == c.current, s
+		return !newer && stored != c.proposed && stored == c.stored, s
 	case newer:
 		s[c.nameIndex] = c.proposed
 		return true, s
 	}
-	return c.outcome == unknown || stands == c.proposed, s
+	return c.outcome == unknown || stored == c.proposed, s
 }
 
 var partitionModel = porcupine.Model{
@@ -89,7 +89,7 @@
 			out = append(out, writtenContent{name, r})
 		}
 	case c.outcome == refused:
-		out = append(out, writtenContent{c.nameIndex, c.current})
+		out = append(out, writtenContent{c.nameIndex, c.stored})
 	case c.outcome == accepted:
 		out = append(out, writtenContent{c.nameIndex, c.proposed})
 	}
@@ -226,14 +226,14 @@
 	case c.read:
 		return c.records[name]
 	case c.outcome == refused:
-		return c.current
+		return c.stored
 	}
 	return c.proposed
 }
 
 // isPossible reports whether a call's outcome is possible in any state.
 func (c *operatorCall) isPossible() bool {
-	return c.read || c.outcome != refused || c.current.gen >= c.proposed.gen && c.current != c.proposed
+	return c.read || c.outcome != refused || c.stored.gen >= c.proposed.gen && c.stored != c.proposed
 }
 
 // Time limits for the check of one record. Linearizable histories take milliseconds.
@@ -248,12 +248,12 @@
 func (h *history) check() string {
 	for partition := range h.calls {
 		for name := range recordNames {
-			if why := h.checkRecord(partition, name); why != "" {
-				return fmt.Sprintf("%s/%s: %s", partition, recordNames[name], why)
+			if problem := h.checkRecord(partition, name); problem != "" {
+				return fmt.Sprintf("%s/%s: %s", partition, recordNames[name], problem)
 			}
 		}
-		if why := h.checkSnapshots(partition); why != "" {
-			return fmt.Sprintf("%s: %s", partition, why)
+		if problem := h.checkSnapshots(partition); problem != "" {
+			return fmt.Sprintf("%s: %s", partition, problem)
 		}
 	}
 	return ""
@@ -345,7 +345,7 @@
 }
 
 // recordChange records the request of a change; the function that it returns records the outcome.
-func (h *history) recordChange(partition, name string, version uint64, data string) func(stands Record, err error) {
+func (h *history) recordChange(partition, name string, version uint64, data string) func(stored Record, err error) {
 	c := &operatorCall{nameIndex: slices.Index(recordNames, name), proposed: recordValue{version, data}}
 	answered := h.begin(partition, c)
 	return func(stands Record, err error) {
@@ -353,7 +353,7 @@
 		case err == nil:
 			c.outcome = accepted
 		case errors.Is(err, errConflict):
-			c.outcome, c.current = refused, recordValue{stands.Gen, string(stands.Data)}
+			c.outcome, c.stored = refused, recordValue{stands.Gen, string(stands.Data)}
 		default:
 			return
 		}
@@ -382,7 +382,7 @@
 func TestHistoryCheck(t *testing.T) {
 	a, b, c := recordValue{1, "a"}, recordValue{1, "b"}, recordValue{2, "c"}
 	change := func(r recordValue, what outcome, stood recordValue) *operatorCall {
-		return &operatorCall{proposed: r, outcome: what, current: stood}
+		return &operatorCall{proposed: r, outcome: what, stored: stood}
 	}
 	none := recordValue{}
 	read := func(r ...recordValue) *operatorCall {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -279,14 +279,14 @@
 	sim.mustPut(t, "x", 1)
 	retired := sim.ids[1]
 	sim.crash(retired, false)
-	ok := false
-	for ; !ok; sim.runUntil(sim.now + 500*time.Millisecond) {
+	done := false
+	for ; !done; sim.runUntil(sim.now + 500*time.Millisecond) {
 		if sim.now > time.Minute {
 			t.Fatal("the member was not retired within a minute")
 		}
 		for _, id := range sim.ids {
 			if n := sim.nodes[id]; n.up && n.replica.partitions[RosterKey].role == roleOwner {
-				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { ok = ok || e == nil }) })
+				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { done = done || e == nil }) })
 			}
 		}
 	}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -15,9 +15,9 @@
 		members, faults, zones int
 		target                 failureTarget
 	}{
-		{5, 2, 3, anyMachine}, {5, 2, 5, owner}, {5, 2, 4, newcomer},
-		{8, 2, 4, anyMachine}, {8, 2, 4, owner}, {8, 2, 4, newcomer},
-		{6, 2, 3, voterSetOwner}, {4, 1, 3, anyMachine}, {4, 1, 4, owner}, {4, 1, 4, newcomer},
+		{5, 2, 3, anyMachine}, {5, 2, 5, owner}, {5, 2, 4, newest},
+		{8, 2, 4, anyMachine}, {8, 2, 4, owner}, {8, 2, 4, newest},
+		{6, 2, 3, voterSetOwner}, {4, 1, 3, anyMachine}, {4, 1, 4, owner}, {4, 1, 4, newest},
 	} {
 		t.Run(fmt.Sprintf("%d of %d in %d zones, %s", tc.faults, tc.members, tc.zones, targetNames[tc.target]), func(t *testing.T) {
 			t.Parallel()
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -32,16 +32,16 @@
 		b.WriteString(", competing: true")
 	}
 	failureText := func(f failure) string {
-		out := "{" + fmt.Sprintf("kind: %s, target: %s, index: %d, count: %d", kindNames[f.kind], targetNames[f.target], f.index, f.count)
+		text := "{" + fmt.Sprintf("kind: %s, target: %s, index: %d, count: %d", kindNames[f.kind], targetNames[f.target], f.index, f.count)
 		for _, d := range []struct {
 			name string
 			d    time.Duration
 		}{{"delay", f.delay}, {"duration", f.duration}, {"replaceAfter", f.replaceAfter}} {
 			if d.d > 0 {
-				out += fmt.Sprintf(", %s: %d * time.Millisecond", d.name, d.d/time.Millisecond)
+				text += fmt.Sprintf(", %s: %d * time.Millisecond", d.name, d.d/time.Millisecond)
 			}
 		}
-		return out + "}"
+		return text + "}"
 	}
 	b.WriteString(", failures: []failure{")
 	for _, f := range s.failures {
@@ -101,7 +101,7 @@
 		return f
 	}
 	for n := 5 + r.Intn(6); len(s.failures) < n; {
-		switch k := failureKind(r.Intn(int(failureKinds))); k {
+		switch kind := failureKind(r.Intn(int(failureKinds))); kind {
 		case drain: // a rolling restart
 			for i := 0; i < s.members; i++ {
 				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: milliseconds(300, 1200)})
@@ -111,7 +111,7 @@
 				s.failures = append(s.failures, randomFailure([]failureKind{cutOff, cutOutgoing, cutIncoming, cutPair}[r.Intn(4)]))
 			}
 		default:
-			s.failures = append(s.failures, randomFailure(k))
+			s.failures = append(s.failures, randomFailure(kind))
 		}
 	}
 	if r.Intn(5) > 0 {
@@ -122,22 +122,22 @@
 	return s
 }
 
-// brokenRule is the panic value for a violated invariant.
-type brokenRule string
+// invariantViolation is the panic value for a violated invariant.
+type invariantViolation string
 
 // runSchedule runs a schedule and returns which invariant was violated; empty if none was.
-func runSchedule(s schedule) (broken string, sim *cluster) {
+func runSchedule(s schedule) (problem string, sim *cluster) {
 	defer func() {
 		switch violation := recover().(type) {
 		case nil:
-		case brokenRule:
-			broken = string(violation)
+		case invariantViolation:
+			problem = string(violation)
 		default:
 			panic(violation)
 		}
 	}()
 	sim = newEmptyCluster(s.seed, s.faults)
-	sim.fatal = func(format string, args ...any) { panic(brokenRule(fmt.Sprintf(format, args...))) }
+	sim.fatal = func(format string, args ...any) { panic(invariantViolation(fmt.Sprintf(format, args...))) }
 	sim.duplicates = true
 	sim.olderEvery = s.olderEvery
 	sim.partitions = []string{testPartition, "evacuation/a", "evacuation/b"}
@@ -193,12 +193,12 @@
 		sim.fatal("at %v only %d of %d changes were answered after the failures", sim.now, sim.answeredChanges-before, proposed)
 	}
 	sim.waitFor("all members hold everything", 3*time.Second, sim.voterSetProblem)
-	if why := sim.history.check(); why != "" {
-		sim.fatal("%s", why)
+	if problem := sim.history.check(); problem != "" {
+		sim.fatal("%s", problem)
 	}
 	if s.competing {
-		if why := sim.competitionProblem(); why != "" {
-			sim.fatal("%s", why)
+		if problem := sim.competitionProblem(); problem != "" {
+			sim.fatal("%s", problem)
 		}
 	}
 	if sim.freshnessClaims < 500 {
@@ -222,10 +222,10 @@
 		}
 	}
 	if s.lastFailure != nil {
-		less := s
-		less.lastFailure = nil
-		if fails(less) {
-			s = less
+		smaller := s
+		smaller.lastFailure = nil
+		if fails(smaller) {
+			s = smaller
 		}
 	}
 	return s
@@ -247,16 +247,16 @@
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			s := randomSchedule(int64(seed))
-			broken, _ := runSchedule(s)
-			if broken == "" {
+			violation, _ := runSchedule(s)
+			if violation == "" {
 				return
 			}
 			if shrunk.Add(1) > 5 {
-				t.Fatalf("%s\n%v", broken, s) // shrinking takes long
+				t.Fatalf("%s\n%v", violation, s) // shrinking takes long
 			}
-			short := shrink(s)
-			why, _ := runSchedule(short)
-			t.Fatalf("%s\nshrunk: %s\n%v", broken, why, short)
+			shrunkSchedule := shrink(s)
+			shrunkViolation, _ := runSchedule(shrunkSchedule)
+			t.Fatalf("%s\nshrunk: %s\n%v", violation, shrunkViolation, shrunkSchedule)
 		})
 	}
 }
@@ -279,11 +279,11 @@
 		{"two replaced machines resume after all were killed", schedule{seed: 340, members: 5, faults: 2, zones: 4, failures: []failure{
 			{kind: killAll, target: owner, index: 20, count: 1, duration: 2384 * time.Millisecond},
 			{kind: replaceFrozen, target: anyMachine, index: 71, count: 2, delay: 1634 * time.Millisecond, duration: 8712 * time.Millisecond, replaceAfter: 2891 * time.Millisecond},
-			{kind: restart, target: newcomer, index: 5, count: 2, delay: 2566 * time.Millisecond, duration: 2701 * time.Millisecond},
+			{kind: restart, target: newest, index: 5, count: 2, delay: 2566 * time.Millisecond, duration: 2701 * time.Millisecond},
 		}, lastFailure: &failure{kind: wipeAndPowerLoss, target: anyMachine, index: 8, count: 2, duration: 1445 * time.Millisecond, replaceAfter: 7727 * time.Millisecond}}},
 		{"an owner is removed from the voter set in a rolling restart", schedule{seed: 158, members: 6, faults: 2, zones: 5, failures: []failure{
 			{kind: plannedReplacement, target: anyMachine, index: 92, count: 2, delay: 680 * time.Millisecond, duration: 3126 * time.Millisecond},
-			{kind: plannedReplacement, target: newcomer, index: 75, count: 1, duration: 1388 * time.Millisecond},
+			{kind: plannedReplacement, target: newest, index: 75, count: 1, duration: 1388 * time.Millisecond},
 			{kind: wipe, target: anyMachine, index: 42, count: 1, duration: 881 * time.Millisecond},
 			{kind: cutOutgoing, target: anyMachine, index: 78, count: 2, delay: 1676 * time.Millisecond, duration: 13427 * time.Millisecond},
 			{kind: cutPair, target: anyMachine, index: 66, count: 2, delay: 2256 * time.Millisecond, duration: 21361 * time.Millisecond},
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -77,8 +77,8 @@
 		return true, true
 	}
 	// Every voter is sent a heartbeat at each interval, so silence is strong evidence, even if
-	// no other member watches that voter. If others don't see it alive either, less
-	// silence is enough.
+	// no other member watches that voter. If others don't see it alive either, less silence is
+	// enough.
 	failed = silence > m.cfg.Vacant && !m.cfg.Alive(address) || silence > 2*m.cfg.Vacant
 	return failed, failed && silence > 2*m.cfg.Vacant
 }
