--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -37,9 +37,9 @@
 				if !ok {
 					pos = sim.nodes[id].lastPosition[testPartition] // what it showed last
 				}
-				i := slices.IndexFunc(history, func(h observation) bool { return pos.Less(h.pos) })
-				if i >= 0 {
-					behind[id] = max(behind[id], sim.now-history[i].when)
+				index := slices.IndexFunc(history, func(h observation) bool { return pos.Less(h.pos) })
+				if index >= 0 {
+					behind[id] = max(behind[id], sim.now-history[index].when)
 				}
 			}
 		}
@@ -105,9 +105,9 @@
 			t.Parallel()
 			sim := newClusterWithVoters(t, int64(kind)+1, 4, 1, 4)
 			sim.lossless, sim.skipContents = true, true
-			change := func(name string, v uint64, data string) {
+			change := func(name string, version uint64, data string) {
 				if o := sim.ownerOf(testPartition); o != nil {
-					sim.proposeVersion(o.id, testPartition, name, v, data, func(uint64, error) {})
+					sim.proposeVersion(o.id, testPartition, name, version, data, func(uint64, error) {})
 				}
 			}
 			filler := strings.Repeat("f", size)
@@ -118,8 +118,8 @@
 				}
 			}
 			sim.runUntil(sim.now + 3*time.Second)
-			if n := len(sim.ownersRecords(testPartition)); n < records {
-				t.Fatalf("%d records", n)
+			if member := len(sim.ownersRecords(testPartition)); member < records {
+				t.Fatalf("%d records", member)
 			}
 			sim.linkRate = float64(maxChunkBytes) / (1.2 * testHeartbeat.Seconds())
 			catalogueBytes := float64(records * size)
@@ -131,21 +131,21 @@
 				})
 			}
 			sim.runUntil(sim.now + 5*time.Second)
-			var n *node
+			var member *node
 			for _, id := range sim.ids {
 				if o := sim.nodes[id]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[RosterKey].role != roleOwner {
-					n = o
+					member = o
 				}
 			}
-			index := slices.IndexFunc(sim.healthy(), func(o *node) bool { return o == n })
+			index := slices.IndexFunc(sim.healthy(), func(o *node) bool { return o == member })
 			sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 15 * time.Second, replaceAfter: 5 * time.Second})
 			if kind == replace {
 				sim.runUntil(sim.now + 5100*time.Millisecond)
-				n = sim.nodes[sim.ids[len(sim.ids)-1]]
+				member = sim.nodes[sim.ids[len(sim.ids)-1]]
 			} else {
 				sim.runUntil(sim.now + 15100*time.Millisecond)
 			}
-			backAt, bytesBefore := sim.now, sim.bytesSentTo[n.id]
+			backAt, bytesBefore := sim.now, sim.bytesSentTo[member.id]
 			limit := testCatchUp
 			if kind == wipe || kind == replace {
 				limit = copyTime*3/2 + 2*testElectionTimeout
@@ -155,14 +155,14 @@
 				if o == nil {
 					return "the partition has no owner"
 				}
-				_, at, ok := n.replica.Committed(testPartition)
+				_, at, ok := member.replica.Committed(testPartition)
 				_, newest, _ := o.replica.Committed(testPartition)
-				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !n.replica.mayOwn() {
-					return fmt.Sprintf("it shows %v of %v, is a voter: %v", at, newest, n.replica.mayOwn())
+				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !member.replica.mayOwn() {
+					return fmt.Sprintf("it shows %v of %v, is a voter: %v", at, newest, member.replica.mayOwn())
 				}
 				return ""
 			})
-			bytes := float64(sim.bytesSentTo[n.id] - bytesBefore)
+			bytes := float64(sim.bytesSentTo[member.id] - bytesBefore)
 			t.Logf("caught up after %v with %.2f times the bytes of the catalogue", sim.now-backAt, bytes/catalogueBytes)
 			if bytes > 1.25*catalogueBytes {
 				t.Fatalf("%.2f times the bytes of the catalogue were sent", bytes/catalogueBytes)
--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -210,8 +210,8 @@
 
 // ownersRecords returns the committed records at the owner of a partition.
 func (sim *cluster) ownersRecords(partition string) map[string]Record {
-	if o := sim.ownerOf(partition); o != nil {
-		have, _, _ := o.replica.Committed(partition)
+	if owner := sim.ownerOf(partition); owner != nil {
+		have, _, _ := owner.replica.Committed(partition)
 		return have
 	}
 	return nil
--- a/internal/replication/cluster_competing_operators_test.go
+++ b/internal/replication/cluster_competing_operators_test.go
@@ -65,8 +65,8 @@
 	version := max(1, sim.minVersions[testPartition+"/"+name]+uint64(sim.rng.Intn(2)))
 	for range 2 {
 		sim.changesSent++
-		r := contentProposal{name, version, fmt.Sprint("rival", sim.changesSent)}
-		sim.after(time.Duration(sim.rng.Intn(40))*time.Millisecond, func() { sim.retryContent(r, competingTries) })
+		proposal := contentProposal{name, version, fmt.Sprint("rival", sim.changesSent)}
+		sim.after(time.Duration(sim.rng.Intn(40))*time.Millisecond, func() { sim.retryContent(proposal, competingTries) })
 	}
 }
 
@@ -80,8 +80,8 @@
 	sim.changesSent++
 	same := contentProposal{last.name, last.version, sim.contents[fmt.Sprintf("%s/%s/%d", testPartition, last.name, last.version)]}
 	other := contentProposal{last.name, last.version, fmt.Sprint("rival", sim.changesSent)}
-	for _, r := range []contentProposal{other, same} {
-		sim.after(time.Duration(sim.rng.Intn(3000))*time.Millisecond, func() { sim.retryContent(r, competingTries) })
+	for _, proposal := range []contentProposal{other, same} {
+		sim.after(time.Duration(sim.rng.Intn(3000))*time.Millisecond, func() { sim.retryContent(proposal, competingTries) })
 	}
 }
 
@@ -153,9 +153,9 @@
 	if !n.up || n.frozenUntil > sim.now {
 		return ""
 	}
-	to := n.replica.Owner(sim.clock(n), testPartition)
-	if sim.nodes[to] == nil {
+	owner := n.replica.Owner(sim.clock(n), testPartition)
+	if sim.nodes[owner] == nil {
 		return ""
 	}
-	return to
+	return owner
 }
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -158,8 +158,8 @@
 			sim.changesSent++
 			for _, id := range sim.ids {
 				if n := sim.nodes[id]; n.up && n.replica.partitions[testPartition].role == roleOwner {
-					v := sim.changesSent
-					sim.proposeVersion(id, testPartition, "s"+strconv.Itoa(int(v%4)), v, fmt.Sprint("storm", v), func(uint64, error) {})
+					version := sim.changesSent
+					sim.proposeVersion(id, testPartition, "s"+strconv.Itoa(int(version%4)), version, fmt.Sprint("storm", version), func(uint64, error) {})
 				}
 			}
 			sim.after(15*time.Millisecond, next)
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -315,7 +315,7 @@
 	for _, tc := range []struct { // applied one by one at the same member
 		name  string
 		h     Heartbeat
-		life  uint64
+		runID uint64
 		state listState
 	}{
 		{"no list to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
@@ -329,7 +329,7 @@
 		{"digest mismatch", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
 		{"the list was dropped after the mismatch", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
 	} {
-		if _, state := member.applyList("o", tc.life, &tc.h); state != tc.state {
+		if _, state := member.applyList("o", tc.runID, &tc.h); state != tc.state {
 			t.Errorf("%s: %v, want %v", tc.name, state, tc.state)
 		}
 	}
@@ -444,8 +444,8 @@
 		sim.runUntil(sim.now + 20*time.Millisecond)
 		m.heartbeats.dueAll = true
 		sim.runOn(owner.id, owner.runID, func() {})
-		if l := m.heartbeats.listed[testPartition]; !before.Less(part.position) || l.Seq != part.position.Seq || l.version <= version {
-			t.Fatalf("the change is not listed: %+v, at %v", l, part.position)
+		if entry := m.heartbeats.listed[testPartition]; !before.Less(part.position) || entry.Seq != part.position.Seq || entry.version <= version {
+			t.Fatalf("the change is not listed: %+v, at %v", entry, part.position)
 		}
 		for _, id := range sim.ids {
 			if other := sim.nodes[id]; other != owner {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -24,15 +24,15 @@
 	for _, wipe := range []bool{false, true} {
 		for seed := int64(1); seed <= 25; seed++ {
 			sim := newCluster(t, seed, 4)
-			n := sim.mustPut(t, "x", 1)
-			sim.crash(n.id, wipe)
-			sim.after(3*time.Second, func() { sim.start(n.id) })
+			lost := sim.mustPut(t, "x", 1)
+			sim.crash(lost.id, wipe)
+			sim.after(3*time.Second, func() { sim.start(lost.id) })
 			next := sim.waitForOwner(t)
 			if got := next.replica.partitions[testPartition].Records["x"].Gen; got != 1 {
 				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.id, got)
 			}
 			sim.runUntil(sim.now + 8*time.Second)
-			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[n.id].replica.Voting() {
+			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.id].replica.Voting() {
 				t.Fatalf("seed %d: the lost member did not catch up", seed)
 			}
 		}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -190,8 +190,8 @@
 								t.Fatalf("%s had no owner for %v", partition, unservedFor[partition])
 							}
 						}
-						if o := sim.ownerOf(partition); before[partition].Owner != cut.id && o != nil && o.replica.partitions[partition].ownEpoch != before[partition] && sim.now < begin+20*time.Second {
-							t.Fatalf("%v of %s was deposed by %v", before[partition], partition, o.replica.partitions[partition].ownEpoch)
+						if owner := sim.ownerOf(partition); before[partition].Owner != cut.id && owner != nil && owner.replica.partitions[partition].ownEpoch != before[partition] && sim.now < begin+20*time.Second {
+							t.Fatalf("%v of %s was deposed by %v", before[partition], partition, owner.replica.partitions[partition].ownEpoch)
 						}
 					}
 				}
