--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -348,12 +348,12 @@
 func (h *history) recordChange(partition, name string, version uint64, data string) func(stored Record, err error) {
 	c := &operatorCall{nameIndex: slices.Index(recordNames, name), proposed: recordValue{version, data}}
 	answered := h.begin(partition, c)
-	return func(stands Record, err error) {
+	return func(stored Record, err error) {
 		switch {
 		case err == nil:
 			c.outcome = accepted
 		case errors.Is(err, errConflict):
-			c.outcome, c.stored = refused, recordValue{stands.Gen, string(stands.Data)}
+			c.outcome, c.stored = refused, recordValue{stored.Gen, string(stored.Data)}
 		default:
 			return
 		}
@@ -381,8 +381,8 @@
 // The check accepts linearizable histories and rejects others.
 func TestHistoryCheck(t *testing.T) {
 	a, b, c := recordValue{1, "a"}, recordValue{1, "b"}, recordValue{2, "c"}
-	change := func(r recordValue, what outcome, stood recordValue) *operatorCall {
-		return &operatorCall{proposed: r, outcome: what, stored: stood}
+	change := func(r recordValue, what outcome, stored recordValue) *operatorCall {
+		return &operatorCall{proposed: r, outcome: what, stored: stored}
 	}
 	none := recordValue{}
 	read := func(r ...recordValue) *operatorCall {
@@ -396,7 +396,7 @@
 	for name, tc := range map[string]struct {
 		order string
 		calls map[rune]*operatorCall
-		fine  bool
+		valid bool
 	}{
 		"sequential changes":                         {"xxyyzz", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(c, accepted, none), 'z': read(c)}, true},
 		"two contents under one generation":          {"xyxy", map[rune]*operatorCall{'x': change(a, accepted, none), 'y': change(b, accepted, none)}, false},
@@ -429,7 +429,7 @@
 				answers[r] = h.begin(testPartition, tc.calls[r])
 			}
 		}
-		if why := h.check(); (why == "") != tc.fine {
+		if why := h.check(); (why == "") != tc.valid {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
