--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -8,43 +8,43 @@
 // leaves.
 func (m *Replica) tickLeaving() {
 	if m.survey == nil {
-		m.survey = &survey{roster: m.keys[RosterKey].position, replies: map[string]*StateReport{}}
+		m.survey = &survey{voterSet: m.partitions[RosterKey].position, replies: map[string]*StateReport{}}
 	}
-	m.sendSurvey(m.seatedOthers())
+	m.sendSurvey(m.otherVoters())
 }
 
-// MayGo reports whether a leaving member is no longer needed. That is so if it has no seat, or
-// if it can leave its seat behind as a lost one and, for each key, there is another owner and a
-// majority without this member holds everything that this member holds.
+// MayGo reports whether a leaving member is no longer needed. That is so if it is not a voter. It is
+// also so if it may leave as a voter that then counts as lost and, for each partition, there is
+// another owner and a majority without this member holds everything that this member holds.
 func (m *Replica) MayGo(now time.Duration) bool {
 	m.now = now
-	if !m.leaving || !m.hasSeat() {
+	if !m.leaving || !m.isVoter() {
 		return true
 	}
-	if s := m.seats(); s.joint || m.mustLoseSeatFirst(len(s.newSeats)) {
-		return false // wait until the roster's owner has taken the seat away
+	if s := m.voterSet(); s.joint || m.mustBeRemovedFirst(len(s.newVoters)) {
+		return false // wait until the voter set's owner has removed this member
 	}
 	for _, name := range m.names {
-		k := m.keys[name]
-		if k.position.Seq == 0 {
+		part := m.partitions[name]
+		if part.position.Seq == 0 {
 			continue
 		}
-		if k.role != roleFollower || k.promised.Owner == m.cfg.Self || !k.hasOwner {
+		if part.role != roleFollower || part.promised.Owner == m.cfg.Self || !part.hasOwner {
 			return false
 		}
-		holds := func(seat string) bool {
-			id := m.holder(seat)
+		holds := func(voter string) bool {
+			id := m.voterIdentity(voter)
 			if id == m.self || m.survey == nil || m.survey.replies[id] == nil {
 				return false
 			}
 			for _, s := range m.survey.replies[id].Keys {
 				if s.Key == name {
-					return !s.At.Less(k.position)
+					return !s.At.Less(part.position)
 				}
 			}
 			return false
 		}
-		if !hasQuorumOf(m.seats().newSeats, false, holds) {
+		if !hasQuorumOf(m.voterSet().newVoters, false, holds) {
 			return false
 		}
 	}
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -9,332 +9,332 @@
 	"madderwing/internal/antientropy"
 )
 
-func TestAnAnswerMeansThreeDisks(t *testing.T) {
-	w := newWorld(t, 5, 4)
-	for v := uint64(1); v <= 40; v++ {
-		n := w.mustPut(t, "x", v)
-		if got := w.holders("x", v); len(got) < 3 {
-			t.Fatalf("x=%d was acknowledged by %s with copies at %v", v, n.id, got)
+func TestAcknowledgedChangeIsOnThreeDisks(t *testing.T) {
+	sim := newCluster(t, 5, 4)
+	for version := uint64(1); version <= 40; version++ {
+		n := sim.mustPut(t, "x", version)
+		if got := sim.machinesWithCopy("x", version); len(got) < 3 {
+			t.Fatalf("x=%d was acknowledged by %s with copies at %v", version, n.id, got)
 		}
 	}
 }
 
-// The owner loses its power, or its disk, the moment it has answered.
-func TestTheAnswererIsLostAtOnce(t *testing.T) {
+// The owner loses power, or its disk, right after it has answered.
+func TestOwnerLostRightAfterAcknowledgement(t *testing.T) {
 	for _, wipe := range []bool{false, true} {
 		for seed := int64(1); seed <= 25; seed++ {
-			w := newWorld(t, seed, 4)
-			n := w.mustPut(t, "x", 1)
-			w.crash(n.id, wipe)
-			w.at(3*time.Second, func() { w.start(n.id) })
-			next := w.settle(t)
-			if got := next.m.keys[testKey].Records["x"].Gen; got != 1 {
+			sim := newCluster(t, seed, 4)
+			lost := sim.mustPut(t, "x", 1)
+			sim.crash(lost.id, wipe)
+			sim.after(3*time.Second, func() { sim.start(lost.id) })
+			next := sim.waitForOwner(t)
+			if got := next.replica.partitions[testPartition].Records["x"].Gen; got != 1 {
 				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.id, got)
 			}
-			w.run(w.now + 8*time.Second)
-			if len(w.holders("x", 1)) != 4 || !w.nodes[n.id].m.Voting() {
+			sim.runUntil(sim.now + 8*time.Second)
+			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.id].replica.Voting() {
 				t.Fatalf("seed %d: the lost member did not catch up", seed)
 			}
 		}
 	}
 }
 
-// A member that has lost its disk is another member: its word counts for nothing, and
-// so does all that its former life said, until the roster gives it a seat.
-func TestAWipedMemberCountsForNothingUntilItHasASeat(t *testing.T) {
-	w := newWorld(t, 2, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 7)
-	id, down := w.ids[3], w.ids[2]
-	former := w.nodes[id].m.self
-	w.crash(id, true)
-	w.crash(down, false)
-	w.run(w.now + 2*time.Second)
-	w.start(id)
-	w.run(w.now + 5*time.Second)
-	n := w.nodes[id]
-	if n.m.self == former || n.m.Voting() {
-		t.Fatalf("it is still %s, or votes", former)
+// A member that has lost its disk is another member: until the voter set includes it, neither its
+// answers nor those of its former identity count.
+func TestMemberWithNewDiskDoesNotCountUntilItIsVoter(t *testing.T) {
+	sim := newCluster(t, 2, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 7)
+	id, down := sim.ids[3], sim.ids[2]
+	formerIdentity := sim.nodes[id].replica.self
+	sim.crash(id, true)
+	sim.crash(down, false)
+	sim.runUntil(sim.now + 2*time.Second)
+	sim.start(id)
+	sim.runUntil(sim.now + 5*time.Second)
+	n := sim.nodes[id]
+	if n.replica.self == formerIdentity || n.replica.Voting() {
+		t.Fatalf("the member still is %s, or votes", formerIdentity)
 	}
 	for _, m := range []Message{
-		{Body: &VoteRequest{Key: testKey, Epoch: Epoch{99, w.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
-		{Body: &Append{Key: testKey, Epoch: Epoch{99, w.ids[0], 1}, Base: Position{Epoch{99, w.ids[0], 1}, 5}, Seq: 6, Roster: Position{Epoch: Epoch{N: 99}}}},
+		{Body: &VoteRequest{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
+		{Body: &Append{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Base: Position{Epoch{99, sim.ids[0], 1}, 5}, Seq: 6, Roster: Position{Epoch: Epoch{N: 99}}}},
 		{Body: &StateQuery{Round: 1}},
 	} {
-		n.m.Take()
-		n.m.Handle(w.clock(n), w.ids[0], m)
-		for _, e := range n.m.Take().Send {
-			if said := idOf(id, e.Msg.Identity); said == former {
-				t.Fatalf("it answered %+v as %s", m, said)
+		n.replica.Take()
+		n.replica.Handle(sim.clock(n), sim.ids[0], m)
+		for _, e := range n.replica.Take().Send {
+			if sender := idOf(id, e.Msg.Identity); sender == formerIdentity {
+				t.Fatalf("it answered %+v as %s", m, sender)
 			}
 		}
 	}
-	for i, o := range w.ids[:2] { // two of four seats, and the wiped member's word
-		if err := w.put(w.nodes[o], "x", uint64(8+i)); err == nil {
-			t.Fatalf("%s acknowledged without a majority of the seats", o)
+	for i, o := range sim.ids[:2] { // two of four voters, and the wiped member
+		if err := sim.put(sim.nodes[o], "x", uint64(8+i)); err == nil {
+			t.Fatalf("%s acknowledged without a majority of the voters", o)
 		}
-		if s := w.nodes[o].m.seats(); slices.Contains(s.all(), n.m.self) || !slices.Contains(s.newSeats, former) {
-			t.Fatalf("%s has the roster %+v", o, s)
+		if s := sim.nodes[o].replica.voterSet(); slices.Contains(s.all(), n.replica.self) || !slices.Contains(s.newVoters, formerIdentity) {
+			t.Fatalf("%s has the voter set %+v", o, s)
 		}
 	}
-	w.start(down)
-	w.run(w.now + 6*time.Second)
-	if !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen < 7 || slices.Contains(n.m.seats().all(), former) {
-		t.Fatalf("it did not get its seat back: %s %+v %+v", n.m.self, n.m.seats(), n.m.keys[testKey].Records)
+	sim.start(down)
+	sim.runUntil(sim.now + 6*time.Second)
+	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen < 7 || slices.Contains(n.replica.voterSet().all(), formerIdentity) {
+		t.Fatalf("the member did not become a voter again: %s %+v %+v", n.replica.self, n.replica.voterSet(), n.replica.partitions[testPartition].Records)
 	}
 }
 
-func TestAFrozenOwnerIsFenced(t *testing.T) {
+func TestFrozenOwnerIsFenced(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		w := newWorld(t, seed, 4)
-		old := w.mustPut(t, "x", 1)
-		old.frozen = w.now + 8*time.Second // longer than any election takes
-		w.run(w.now + 500*time.Millisecond)
-		w.mustPut(t, "x", 2)
-		w.run(old.frozen - time.Millisecond)
-		// The first thing it hears when it wakes is an order.
-		if err := w.put(old, "x", 1); err == nil {
+		sim := newCluster(t, seed, 4)
+		frozen := sim.mustPut(t, "x", 1)
+		frozen.frozenUntil = sim.now + 8*time.Second // longer than any election takes
+		sim.runUntil(sim.now + 500*time.Millisecond)
+		sim.mustPut(t, "x", 2)
+		sim.runUntil(frozen.frozenUntil - time.Millisecond)
+		// The first message that it processes when it resumes is a proposal.
+		if err := sim.put(frozen, "x", 1); err == nil {
 			t.Fatalf("seed %d: the old owner acknowledged", seed)
 		}
-		w.run(w.now + 3*time.Second)
-		if got := w.settle(t).m.keys[testKey].Records["x"].Gen; got != 2 {
+		sim.runUntil(sim.now + 3*time.Second)
+		if got := sim.waitForOwner(t).replica.partitions[testPartition].Records["x"].Gen; got != 2 {
 			t.Fatalf("seed %d: x=%d", seed, got)
 		}
 	}
 }
 
-func TestAStalledDiskHandsItsKeysOver(t *testing.T) {
-	w := newWorld(t, 9, 4)
-	old := w.mustPut(t, "x", 1)
-	old.stall = w.now + 10*time.Second
-	begin := w.now
-	_ = w.put(old, "x", 2)
-	n := w.mustPut(t, "x", 3)
-	if n == old || w.now-begin > 3*time.Second {
-		t.Fatalf("%s acknowledged after %v", n.id, w.now-begin)
+func TestStalledDiskTransfersPartitions(t *testing.T) {
+	sim := newCluster(t, 9, 4)
+	stalled := sim.mustPut(t, "x", 1)
+	stalled.stalledUntil = sim.now + 10*time.Second
+	begin := sim.now
+	_ = sim.put(stalled, "x", 2)
+	n := sim.mustPut(t, "x", 3)
+	if n == stalled || sim.now-begin > 3*time.Second {
+		t.Fatalf("%s acknowledged after %v", n.id, sim.now-begin)
 	}
 }
 
-func TestRefusedWritesAreWrittenAgain(t *testing.T) {
-	w := newWorld(t, 4, 4)
-	n := w.mustPut(t, "x", 1)
-	for _, id := range w.ids {
-		w.nodes[id].refuse = 2
-	}
-	_ = w.put(n, "x", 2)
-	w.mustPut(t, "x", 3)
-	w.run(w.now + 2*time.Second)
-	if got := w.holders("x", 3); len(got) != 4 {
+func TestRefusedWritesAreRetried(t *testing.T) {
+	sim := newCluster(t, 4, 4)
+	n := sim.mustPut(t, "x", 1)
+	for _, id := range sim.ids {
+		sim.nodes[id].writesToRefuse = 2
+	}
+	_ = sim.put(n, "x", 2)
+	sim.mustPut(t, "x", 3)
+	sim.runUntil(sim.now + 2*time.Second)
+	if got := sim.machinesWithCopy("x", 3); len(got) != 4 {
 		t.Fatalf("copies at %v", got)
 	}
 }
 
-// A copy that has silently gone bad is found by its digests and mended.
-func TestDigestsFindAndMendABadCopy(t *testing.T) {
-	w := newWorld(t, 6, 4)
-	w.mustPut(t, "x", 5)
-	w.mustPut(t, "y", 6)
-	w.run(w.now + time.Second)
-	owner := w.settle(t)
-	for _, id := range w.ids {
+// A silently corrupted copy is detected by its digests and repaired.
+func TestDigestsRepairCorruptCopy(t *testing.T) {
+	sim := newCluster(t, 6, 4)
+	sim.mustPut(t, "x", 5)
+	sim.mustPut(t, "y", 6)
+	sim.runUntil(sim.now + time.Second)
+	owner := sim.waitForOwner(t)
+	for _, id := range sim.ids {
 		if id == owner.id {
 			continue
 		}
-		k := w.nodes[id].m.keys[testKey]
-		k.Records["x"] = Record{Name: "x", Gen: 4, Data: []byte("rotten")}
-		k.Sums = antientropy.Digest(k.Records)
+		part := sim.nodes[id].replica.partitions[testPartition]
+		part.Records["x"] = Record{Name: "x", Gen: 4, Data: []byte("rotten")}
+		part.Sums = antientropy.Digest(part.Records)
 		break
 	}
-	w.run(w.now + 2*time.Second)
-	for _, id := range w.ids {
-		if r := w.nodes[id].m.keys[testKey].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
+	sim.runUntil(sim.now + 2*time.Second)
+	for _, id := range sim.ids {
+		if r := sim.nodes[id].replica.partitions[testPartition].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
 			t.Fatalf("%s holds %+v", id, r)
 		}
 	}
 }
 
-func TestOnlyTheFirstStartFounds(t *testing.T) {
-	w := newWorld(t, 3, 4)
-	w.run(5 * time.Second)
-	for _, id := range w.ids { // all disks are lost, which is beyond any budget
-		w.crash(id, true)
-	}
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		w.start(id)
-	}
-	w.run(w.now + 10*time.Second)
-	for _, id := range w.ids {
-		if w.nodes[id].m.Voting() || len(w.nodes[id].m.Roster()) > 0 {
-			t.Fatalf("%s founded anew over a system that had a past", id)
+func TestOnlyFirstStartBootstraps(t *testing.T) {
+	sim := newCluster(t, 3, 4)
+	sim.runUntil(5 * time.Second)
+	for _, id := range sim.ids { // all disks are lost, which exceeds any fault budget
+		sim.crash(id, true)
+	}
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		sim.start(id)
+	}
+	sim.runUntil(sim.now + 10*time.Second)
+	for _, id := range sim.ids {
+		if sim.nodes[id].replica.Voting() || len(sim.nodes[id].replica.Roster()) > 0 {
+			t.Fatalf("%s bootstrapped again although the system had existed before", id)
 		}
 	}
 }
 
-func TestLeavingHandsOverAtOnce(t *testing.T) {
-	w := newWorld(t, 8, 4)
-	old := w.mustPut(t, "x", 1)
-	w.on(old.id, old.life, func() { old.m.Leave(w.now) })
-	begin := w.now
-	n := w.settle(t)
-	if n == old || w.now-begin > 600*time.Millisecond {
-		t.Fatalf("%s owns the key after %v", n.id, w.now-begin)
-	}
-	if n.m.keys[testKey].Records["x"].Gen != 1 {
-		t.Fatal("lost on the way")
+func TestLeavingTransfersPartitionsAtOnce(t *testing.T) {
+	sim := newCluster(t, 8, 4)
+	leaving := sim.mustPut(t, "x", 1)
+	sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.now) })
+	begin := sim.now
+	n := sim.waitForOwner(t)
+	if n == leaving || sim.now-begin > 600*time.Millisecond {
+		t.Fatalf("%s owns the partition after %v", n.id, sim.now-begin)
+	}
+	if n.replica.partitions[testPartition].Records["x"].Gen != 1 {
+		t.Fatal("x=1 was lost in the transfer")
 	}
 }
 
 func TestQuorums(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g"}
-	for _, c := range []struct{ members, promise, durable int }{
+	for _, tc := range []struct{ members, promise, durable int }{
 		{1, 1, 1}, {2, 2, 2}, {3, 2, 3}, {4, 3, 3}, {5, 3, 3}, {6, 4, 4}, {7, 4, 4},
 	} {
-		for n := 0; n <= c.members; n++ {
+		for n := 0; n <= tc.members; n++ {
 			has := func(id string) bool { return int(id[0]-'a') < n }
-			if got := hasQuorumOf(ids[:c.members], false, has); got != (n >= c.promise) {
-				t.Errorf("%d of %d promise: %v", n, c.members, got)
+			if got := hasQuorumOf(ids[:tc.members], false, has); got != (n >= tc.promise) {
+				t.Errorf("quorum for a vote by %d of %d: %v", n, tc.members, got)
 			}
-			if got := hasQuorumOf(ids[:c.members], true, has); got != (n >= c.durable) {
-				t.Errorf("%d of %d durable: %v", n, c.members, got)
+			if got := hasQuorumOf(ids[:tc.members], true, has); got != (n >= tc.durable) {
+				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, tc.members, got)
 			}
 		}
 	}
 }
 
-// A member that is gone for good is retired; another takes its seat, and the
-// system again bears the loss of any one.
-func TestRetiringALostMember(t *testing.T) {
-	w := newWorld(t, 12, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 1)
-	gone := w.ids[2]
+// A member that has failed for good is retired and replaced by another voter; then the system again
+// tolerates the loss of any one member.
+func TestRetireLostMember(t *testing.T) {
+	sim := newCluster(t, 12, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 1)
+	lost := sim.ids[2]
 	retire := func(id string) (err error) {
 		for i := 0; i < 10; i++ {
 			var owner *node
-			for w.run(w.now + 200*time.Millisecond); owner == nil && w.now < time.Minute; w.run(w.now + 100*time.Millisecond) {
-				owner = w.holder(RosterKey)
+			for sim.runUntil(sim.now + 200*time.Millisecond); owner == nil && sim.now < time.Minute; sim.runUntil(sim.now + 100*time.Millisecond) {
+				owner = sim.ownerOf(RosterKey)
 			}
 			if owner == nil {
-				t.Fatal("the roster has no owner")
+				t.Fatal("the voter set has no owner")
 			}
 			err = ErrNoQuorum
-			w.on(owner.id, owner.life, func() { owner.m.Retire(w.now, id, func(e error) { err = e }) })
-			w.run(w.now + 1500*time.Millisecond)
+			sim.runOn(owner.id, owner.runID, func() { owner.replica.Retire(sim.now, id, func(e error) { err = e }) })
+			sim.runUntil(sim.now + 1500*time.Millisecond)
 			if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNotOwner) {
 				return err
 			}
 		}
 		return err
 	}
-	if err := retire(gone); !errors.Is(err, ErrAlive) {
-		t.Fatalf("a member at work: %v", err)
+	if err := retire(lost); !errors.Is(err, ErrAlive) {
+		t.Fatalf("retiring a running member: %v", err)
 	}
 	if err := retire("10.9.9.9:1"); !errors.Is(err, ErrUnknown) {
-		t.Fatalf("an unknown member: %v", err)
+		t.Fatalf("retiring an unknown member: %v", err)
 	}
-	w.crash(gone, true)
-	w.run(w.now + 4*testBeat) // before others know, it counts as being at work
-	if err := retire(gone); err != nil {
+	sim.crash(lost, true)
+	sim.runUntil(sim.now + 4*testHeartbeat) // before the failure is detected, the member counts as running
+	if err := retire(lost); err != nil {
 		t.Fatal(err)
 	}
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		if id != gone && len(w.nodes[id].m.Roster()) != 3 {
-			t.Fatalf("%s holds the roster %v", id, w.nodes[id].m.Roster())
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		if id != lost && len(sim.nodes[id].replica.Roster()) != 3 {
+			t.Fatalf("%s has the voter set %v", id, sim.nodes[id].replica.Roster())
 		}
 	}
-	other := w.ids[3]
-	w.crash(other, false)
+	other := sim.ids[3]
+	sim.crash(other, false)
 	if err := retire(other); !errors.Is(err, ErrTooFew) {
-		t.Fatalf("a third member: %v", err)
-	}
-	w.start(other)
-	fresh := "10.0.0.9:7661"
-	w.ids = append(w.ids, fresh)
-	w.nodes[fresh] = &node{id: fresh, disk: map[string][]byte{}}
-	w.start(fresh)
-	w.run(w.now + 6*time.Second)
-	if !w.nodes[fresh].m.Voting() {
-		t.Fatal("the newcomer has no seat")
-	}
-	w.crash(w.ids[0], false)
-	w.mustPut(t, "x", 2)
-	if got := w.holders("x", 2); len(got) < 3 {
+		t.Fatalf("retiring a member of three: %v", err)
+	}
+	sim.start(other)
+	replacement := "10.0.0.9:7661"
+	sim.ids = append(sim.ids, replacement)
+	sim.nodes[replacement] = &node{id: replacement, disk: map[string][]byte{}}
+	sim.start(replacement)
+	sim.runUntil(sim.now + 6*time.Second)
+	if !sim.nodes[replacement].replica.Voting() {
+		t.Fatal("the replacement is not a voter")
+	}
+	sim.crash(sim.ids[0], false)
+	sim.mustPut(t, "x", 2)
+	if got := sim.machinesWithCopy("x", 2); len(got) < 3 {
 		t.Fatalf("copies at %v", got)
 	}
-	// The retired one comes back after all, with its old disk or without.
-	w.start(w.ids[0])
-	w.start(gone)
-	w.run(w.now + 8*time.Second)
-	if n := w.nodes[gone]; !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen != 2 {
-		t.Fatal("it did not come back as a new member")
+	// The retired machine starts again after all, without its old disk.
+	sim.start(sim.ids[0])
+	sim.start(lost)
+	sim.runUntil(sim.now + 8*time.Second)
+	if n := sim.nodes[lost]; !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+		t.Fatal("the retired machine did not rejoin as a new member")
 	}
 }
 
-// A retired member whose disk is whole believes in a roster of its own past.
-func TestARetiredMemberWithItsDiskStartsOver(t *testing.T) {
-	w := newWorld(t, 13, 4)
-	w.run(6 * time.Second) // all four have their seats
-	w.mustPut(t, "x", 1)
-	gone := w.ids[1]
-	w.crash(gone, false)
-	ok := false
-	for ; !ok; w.run(w.now + 500*time.Millisecond) {
-		if w.now > time.Minute {
-			t.Fatal("never retired")
+// A retired member whose disk is intact starts with an outdated voter set.
+func TestRetiredMemberRejoinsAsNewMember(t *testing.T) {
+	sim := newCluster(t, 13, 4)
+	sim.runUntil(6 * time.Second) // all four are voters
+	sim.mustPut(t, "x", 1)
+	retired := sim.ids[1]
+	sim.crash(retired, false)
+	done := false
+	for ; !done; sim.runUntil(sim.now + 500*time.Millisecond) {
+		if sim.now > time.Minute {
+			t.Fatal("the member was not retired within a minute")
 		}
-		for _, id := range w.ids {
-			if n := w.nodes[id]; n.up && n.m.keys[RosterKey].role == roleOwner {
-				w.on(id, n.life, func() { n.m.Retire(w.now, gone, func(e error) { ok = ok || e == nil }) })
+		for _, id := range sim.ids {
+			if n := sim.nodes[id]; n.up && n.replica.partitions[RosterKey].role == roleOwner {
+				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { done = done || e == nil }) })
 			}
 		}
 	}
-	w.mustPut(t, "x", 2)
-	w.start(gone)
-	w.run(w.now + 10*time.Second)
-	n := w.nodes[gone]
-	if !n.m.Voting() || n.m.keys[testKey].Records["x"].Gen != 2 || len(w.settle(t).m.Roster()) != 4 {
-		t.Fatalf("voting %v, x=%d, roster %v", n.m.Voting(), n.m.keys[testKey].Records["x"].Gen, n.m.Roster())
+	sim.mustPut(t, "x", 2)
+	sim.start(retired)
+	sim.runUntil(sim.now + 10*time.Second)
+	n := sim.nodes[retired]
+	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 || len(sim.waitForOwner(t).replica.Roster()) != 4 {
+		t.Fatalf("voting %v, x=%d, voter set %v", n.replica.Voting(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Roster())
 	}
 }
 
-// Keys that a failure has gathered go back to their first heir, but only after
-// a long calm, and nothing is lost on the way.
-func TestKeysGoBackToTheirFirstHeir(t *testing.T) {
-	w := newWorld(t, 21, 4)
-	w.run(6 * time.Second)
-	heir := w.settle(t).m.Heirs(testKey)[0]
-	w.crash(heir, false)
-	w.mustPut(t, "x", 1)
-	w.start(heir)
-	back := time.Duration(0)
-	for begin := w.now; back == 0 && w.now < begin+30*time.Second; w.run(w.now + 100*time.Millisecond) {
-		if w.nodes[heir].m.keys[testKey].role == roleOwner {
-			back = w.now - begin
+// Partitions that a failure has concentrated at one member return to their first successor, but only
+// after a long stable period, and without losing anything.
+func TestPartitionsReturnToFirstSuccessor(t *testing.T) {
+	sim := newCluster(t, 21, 4)
+	sim.runUntil(6 * time.Second)
+	successor := sim.waitForOwner(t).replica.Heirs(testPartition)[0]
+	sim.crash(successor, false)
+	sim.mustPut(t, "x", 1)
+	sim.start(successor)
+	returnedAfter := time.Duration(0)
+	for begin := sim.now; returnedAfter == 0 && sim.now < begin+30*time.Second; sim.runUntil(sim.now + 100*time.Millisecond) {
+		if sim.nodes[successor].replica.partitions[testPartition].role == roleOwner {
+			returnedAfter = sim.now - begin
 		}
 	}
-	if back < 4*time.Second {
-		t.Fatalf("the key went back after %v (0: never)", back)
+	if returnedAfter < 4*time.Second {
+		t.Fatalf("the partition returned after %v (0: never)", returnedAfter)
 	}
-	w.mustPut(t, "x", 2)
-	if n := w.settle(t); n.id != heir || n.m.keys[testKey].Records["x"].Gen != 2 {
-		t.Fatalf("%s owns x=%d", n.id, n.m.keys[testKey].Records["x"].Gen)
+	sim.mustPut(t, "x", 2)
+	if n := sim.waitForOwner(t); n.id != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+		t.Fatalf("%s owns x=%d", n.id, n.replica.partitions[testPartition].Records["x"].Gen)
 	}
 }
 
-// The disks of a version that knew no identities: seats are addresses. They go on
-// working, and are renewed without a person's hand.
-func TestSeatsWithoutIdentitiesAreRenewed(t *testing.T) {
-	w := newWorld(t, 31, 4)
-	w.run(6 * time.Second)
-	w.mustPut(t, "x", 1)
-	w.run(w.now + time.Second)
-	for _, id := range w.ids {
-		w.crash(id, false)
-	}
-	for _, id := range w.ids {
-		disk := w.nodes[id].disk
+// With the disks of a version without identities, voters are addresses. They go on working and are
+// renewed automatically.
+func TestVotersWithoutIdentitiesAreRenewed(t *testing.T) {
+	sim := newCluster(t, 31, 4)
+	sim.runUntil(6 * time.Second)
+	sim.mustPut(t, "x", 1)
+	sim.runUntil(sim.now + time.Second)
+	for _, id := range sim.ids {
+		sim.crash(id, false)
+	}
+	for _, id := range sim.ids {
+		disk := sim.nodes[id].disk
 		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
@@ -346,38 +346,38 @@
 				}
 			}
 		}
-		w.start(id)
-	}
-	w.mustPut(t, "x", 2)
-	w.run(w.now + 8*time.Second)
-	for _, id := range w.ids {
-		s := w.nodes[id].m.seats()
-		if len(s.newSeats) != 4 || s.joint || !slices.Contains(s.newSeats, w.nodes[id].m.self) {
-			t.Fatalf("%s has the roster %+v", id, s)
+		sim.start(id)
+	}
+	sim.mustPut(t, "x", 2)
+	sim.runUntil(sim.now + 8*time.Second)
+	for _, id := range sim.ids {
+		s := sim.nodes[id].replica.voterSet()
+		if len(s.newVoters) != 4 || s.joint || !slices.Contains(s.newVoters, sim.nodes[id].replica.self) {
+			t.Fatalf("%s has the voter set %+v", id, s)
 		}
 	}
-	w.crash(w.ids[1], true) // a wiped one counts for nothing, as ever
-	w.mustPut(t, "x", 3)
+	sim.crash(sim.ids[1], true) // a wiped member must not count here either
+	sim.mustPut(t, "x", 3)
 }
 
-// After everything has stopped at once, those who kept their disks do not wait for a first
-// heir that has come back without its own: it may own nothing yet.
-func TestAWipedFirstHeirIsNotWaitedFor(t *testing.T) {
+// After all members have stopped at once, those with their disks don't wait for a first successor
+// that has restarted without its own: it must not own anything yet.
+func TestElectionDoesNotWaitForWipedFirstSuccessor(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		w := newWorld(t, seed, 5)
-		w.run(6 * time.Second)
-		heir := w.mustPut(t, "x", 1).m.Heirs(testKey)[0]
-		for _, id := range w.ids {
-			w.crash(id, id == heir)
+		sim := newCluster(t, seed, 5)
+		sim.runUntil(6 * time.Second)
+		successor := sim.mustPut(t, "x", 1).replica.Heirs(testPartition)[0]
+		for _, id := range sim.ids {
+			sim.crash(id, id == successor)
 		}
-		w.run(w.now + time.Second)
-		for _, id := range w.ids {
-			w.start(id)
+		sim.runUntil(sim.now + time.Second)
+		for _, id := range sim.ids {
+			sim.start(id)
 		}
-		begin := w.now
-		n := w.settle(t)
-		if took := w.now - begin; n.id == heir || took > testBeat {
-			t.Errorf("seed %d: %s owns the key after %v", seed, n.id, took)
+		begin := sim.now
+		n := sim.waitForOwner(t)
+		if took := sim.now - begin; n.id == successor || took > testHeartbeat {
+			t.Errorf("seed %d: %s owns the partition after %v", seed, n.id, took)
 		}
 	}
 }
