--- a/internal/controlplane/configuration_test.go
+++ b/internal/controlplane/configuration_test.go
@@ -7,9 +7,10 @@
 	"madderwing/internal/config"
 )
 
-// What is shown never goes back to an older record, and only what is newer is passed on.
+// merge never replaces a published record by an older one, and returns only the records that are
+// newer than the published ones.
 func TestConfigurationMergesOnlyNewerRecords(t *testing.T) {
-	c := newConfiguration()
+	published := newConfiguration()
 	record := func(name string, gen uint64, dropped bool) config.Record {
 		return config.Record{Name: name, Gen: gen, Dropped: dropped}
 	}
@@ -24,18 +25,18 @@
 		{[]config.Record{record(south, 3, false)}, []string{south}},
 	} {
 		var got []string
-		for _, r := range c.merge(test.give) {
+		for _, r := range published.merge(test.give) {
 			got = append(got, r.Name)
 		}
 		if !slices.Equal(got, test.want) {
-			t.Errorf("of %v taken: %v, want %v", test.give, got, test.want)
+			t.Errorf("merge(%v) returned %v, want %v", test.give, got, test.want)
 		}
 	}
-	if got := c.evacuated(); !slices.Equal(got, []string{"north", "south"}) {
+	if got := published.evacuated(); !slices.Equal(got, []string{"north", "south"}) {
 		t.Errorf("evacuated: %v", got)
 	}
-	c.merge([]config.Record{record(north, 3, true)})
-	if got := c.evacuated(); !slices.Equal(got, []string{"south"}) {
-		t.Errorf("evacuated, after one is taken back: %v", got)
+	published.merge([]config.Record{record(north, 3, true)})
+	if got := published.evacuated(); !slices.Equal(got, []string{"south"}) {
+		t.Errorf("evacuated after one withdrawal: %v", got)
 	}
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	testContactS = 3 * time.Second
-	testHeartbeatInterval     = testContactS / 6
-	testMaxAge    = time.Duration(contactFraction * float64(testContactS))
-	testStep     = 10 * time.Millisecond
+	testContactS          = 3 * time.Second
+	testHeartbeatInterval = testContactS / 6
+	testMaxAge            = time.Duration(contactFraction * float64(testContactS))
+	testStep              = 10 * time.Millisecond
 )
 
-// simulatedCluster is a world of control nodes' members and of what each knows of its contact. Cuts
-// work one way.
+// simulatedCluster simulates the replicas of some control nodes and their contact tracking. A cut
+// link drops the messages of one direction.
 type simulatedCluster struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   time.Duration
-	ids   []string
-	nodes map[string]*simulatedNode
-	cutLinks   map[[2]string]bool
-	inFlight  []delayedMessage
-	ackedAt []time.Duration // when the value of this index was acknowledged
+	t        *testing.T
+	rng      *rand.Rand
+	now      time.Duration
+	ids      []string
+	nodes    map[string]*simulatedNode
+	cutLinks map[[2]string]bool
+	inFlight []delayedMessage
+	ackedAt  []time.Duration // when the value of this index was acknowledged; -1: not yet
 }
 
 type simulatedNode struct {
-	runID   uint64
+	runID        uint64
 	replica      *replication.Replica
 	contact      *contact
-	disk   map[string][]byte
-	frozen bool
-	backlog   []delayedMessage
-	lastMajority  time.Duration // since then it has not heard a majority
-	committed  map[string]replication.Record
+	disk         map[string][]byte
+	frozen       bool
+	backlog      []delayedMessage
+	lastMajority time.Duration // when it could last receive from a majority
+	committed    map[string]replication.Record
 }
 
 type delayedMessage struct {
-	arrivesAt       time.Duration
-	from, to string
-	msg      replication.Message
+	arrivesAt time.Duration
+	from, to  string
+	msg       replication.Message
 }
 
 func newSimulatedCluster(t *testing.T, size int) *simulatedCluster {
@@ -76,7 +76,7 @@
 	n.replica, n.contact, n.backlog = replica, newContact(testMaxAge, keys), nil
 }
 
-// isolate cuts both ways between those named and all others.
+// isolate cuts both directions between the named nodes and all others.
 func (c *simulatedCluster) isolate(ids ...string) {
 	for _, a := range ids {
 		for _, b := range c.ids {
@@ -89,8 +89,8 @@
 
 func (c *simulatedCluster) restoreLinks() { c.cutLinks = map[[2]string]bool{} }
 
-// hearsMajority says whether a node hearsMajority more than half of all. One that is not heard itself
-// still gets what is new.
+// hearsMajority reports whether a node can receive from more than half of all nodes, itself
+// included. A node that can only receive still gets new records.
 func (c *simulatedCluster) hearsMajority(id string) bool {
 	n := 0
 	for _, b := range c.ids {
@@ -126,8 +126,9 @@
 	n.contact.update(n.replica.Current)
 }
 
-// run lets time pass. A change is proposed to whoever owns the configuration ten times a
-// second; whoever says that it is fresh must have what was acknowledged long enough ago.
+// run advances the simulation. Every owner of the configuration proposes a change ten times a
+// second. A node whose contact is fresh must have every change that was acknowledged more than
+// testMaxAge ago.
 func (c *simulatedCluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; c.now += testStep {
 		var later []delayedMessage
@@ -182,12 +183,12 @@
 		return
 	}
 	if c.now-n.lastMajority > testMaxAge {
-		c.t.Errorf("%v: %s is fresh, without a majority for %v", c.now, id, c.now-n.lastMajority)
+		c.t.Errorf("%v: %s is fresh after %v without a majority", c.now, id, c.now-n.lastMajority)
 	}
 	records := n.committed
 	for value, at := range c.ackedAt {
 		if at >= 0 && at < c.now-testMaxAge && records["r"].Gen < uint64(value+1) {
-			c.t.Errorf("%v: %s is fresh with %d, and %d was acknowledged at %v", c.now, id, records["r"].Gen, value+1, at)
+			c.t.Errorf("%v: %s is fresh with generation %d, although %d was acknowledged at %v", c.now, id, records["r"].Gen, value+1, at)
 		}
 	}
 }
@@ -203,8 +204,8 @@
 
 func TestContactNeedsAMajority(t *testing.T) {
 	const faultDuration = 20 * time.Second
-	// One that is not heard is followed by nobody for long; so that only its hearing
-	// counts, it is one that owns no key.
+	// An owner that nobody receives from soon has no followers. The test is about what a node
+	// receives, so it cuts off a node that owns no partition.
 	cutOutgoing := func(cluster *simulatedCluster) {
 		for _, id := range cluster.ids {
 			if cluster.nodes["n0"].replica.Owner(cluster.now, config.Key) == id || cluster.nodes["n0"].replica.Owner(cluster.now, config.EvacuationPrefix+"z") == id {
@@ -217,7 +218,7 @@
 			}
 			return
 		}
-		cluster.t.Fatal("everybody owns a key")
+		cluster.t.Fatal("every node owns a partition")
 	}
 	cutIncoming := func(cluster *simulatedCluster) {
 		for _, b := range cluster.ids[1:] {
@@ -227,32 +228,32 @@
 	all := "n0 n1 n2 n3 n4"
 	for name, test := range map[string]struct {
 		injectFault func(cluster *simulatedCluster)
-		wantFresh    string // who is fresh after a while of that
+		wantFresh   string // the nodes that are fresh at the end of the fault
 	}{
-		"one alone":        {func(cluster *simulatedCluster) { cluster.isolate("n0") }, "n1 n2 n3 n4"},
-		"two alone":        {func(cluster *simulatedCluster) { cluster.isolate("n0", "n1") }, "n2 n3 n4"},
-		"nobody has any":   {func(cluster *simulatedCluster) { cluster.isolate("n0", "n1"); cluster.isolate("n2", "n3") }, ""},
-		"it is not heard":  {cutOutgoing, all},
-		"it hears nothing": {cutIncoming, "n1 n2 n3 n4"},
-		"frozen, and its mail waits": {func(cluster *simulatedCluster) {
+		"one isolated":           {func(cluster *simulatedCluster) { cluster.isolate("n0") }, "n1 n2 n3 n4"},
+		"two isolated":           {func(cluster *simulatedCluster) { cluster.isolate("n0", "n1") }, "n2 n3 n4"},
+		"no node has a majority": {func(cluster *simulatedCluster) { cluster.isolate("n0", "n1"); cluster.isolate("n2", "n3") }, ""},
+		"one cannot send":        {cutOutgoing, all},
+		"one cannot receive":     {cutIncoming, "n1 n2 n3 n4"},
+		"frozen, then isolated with queued messages": {func(cluster *simulatedCluster) {
 			cluster.nodes["n0"].frozen = true
 			cluster.run(testContactS)
 			cluster.isolate("n0")
 			cluster.run(testContactS)
 			cluster.nodes["n0"].frozen = false
 		}, "n1 n2 n3 n4"},
-		"started again while cut off": {func(cluster *simulatedCluster) {
+		"restarted while isolated": {func(cluster *simulatedCluster) {
 			cluster.isolate("n0", "n1")
 			cluster.start("n0", false)
 			cluster.start("n1", false)
 		}, "n2 n3 n4"},
-		"all started again, few come up": {func(cluster *simulatedCluster) {
+		"all restarted, a minority comes up": {func(cluster *simulatedCluster) {
 			for i, id := range cluster.ids {
 				cluster.start(id, false)
 				cluster.nodes[id].frozen = i > 1
 			}
 		}, ""},
-		"many in a row": {func(cluster *simulatedCluster) {
+		"many short faults": {func(cluster *simulatedCluster) {
 			for range 12 {
 				cluster.isolate(cluster.ids[cluster.rng.IntN(5)])
 				cluster.run(time.Duration(cluster.rng.IntN(2000)) * time.Millisecond)
@@ -261,7 +262,7 @@
 			}
 			cluster.isolate("n0")
 		}, "n1 n2 n3 n4"},
-		"one joins as the next is cut": {func(cluster *simulatedCluster) {
+		"isolated in turn": {func(cluster *simulatedCluster) {
 			for i := range 10 {
 				cluster.restoreLinks()
 				cluster.isolate(cluster.ids[i%5], cluster.ids[(i+1)%5])
@@ -275,7 +276,7 @@
 			cluster := newSimulatedCluster(t, 5)
 			cluster.run(6 * time.Second)
 			if got := strings.Join(cluster.fresh(), " "); got != all {
-				t.Fatalf("before: %s", got)
+				t.Fatalf("fresh before the fault: %s", got)
 			}
 			test.injectFault(cluster)
 			cluster.run(faultDuration)
@@ -289,7 +290,7 @@
 			}
 			cluster.run(2 * testContactS)
 			if got := strings.Join(cluster.fresh(), " "); got != all {
-				t.Errorf("after the join: %q", got)
+				t.Errorf("fresh after the links were restored: %q", got)
 			}
 		})
 	}
@@ -297,7 +298,7 @@
 
 func TestContactChangesAreLoggedOnce(t *testing.T) {
 	var text bytes.Buffer
-	c := newContact(time.Second, []string{"a", "b"})
+	tracker := newContact(time.Second, []string{"a", "b"})
 	logger := slog.New(slog.NewTextHandler(&text, nil))
 	at := map[string]time.Duration{}
 	current := func(key string) (time.Duration, bool) { d, ok := at[key]; return d, ok }
@@ -307,11 +308,11 @@
 		age       time.Duration
 		lines     int
 	}{
-		{2 * time.Second, 0, 0, false, 2 * time.Second, 0},               // as old as the process at least
-		{3 * time.Second, 3 * time.Second, 0, false, 3 * time.Second, 0}, // one key only
+		{2 * time.Second, 0, 0, false, 2 * time.Second, 0},               // at least as old as the process
+		{3 * time.Second, 3 * time.Second, 0, false, 3 * time.Second, 0}, // one key is still unconfirmed
 		{3 * time.Second, 3 * time.Second, 2500 * time.Millisecond, true, time.Second / 2, 1},
 		{4 * time.Second, 3900 * time.Millisecond, 3 * time.Second, true, time.Second, 1},
-		{5 * time.Second, 4900 * time.Millisecond, 0, false, 2 * time.Second, 2}, // cannot be told now: what was known counts
+		{5 * time.Second, 4900 * time.Millisecond, 0, false, 2 * time.Second, 2}, // unknown now: the last confirmation counts
 		{9 * time.Second, 0, 0, false, 6 * time.Second, 2},
 		{9 * time.Second, 9 * time.Second, 9 * time.Second, true, 0, 3},
 	} {
@@ -322,11 +323,11 @@
 		if step.b > 0 {
 			at["b"] = step.b
 		}
-		c.update(current)
-		c.logChange(step.now, logger)
-		age, known := c.age(step.now)
-		if lines := strings.Count(text.String(), "\n"); c.fresh(step.now) != step.fresh || known && age != step.age || !known && step.fresh || lines != step.lines {
-			t.Errorf("%v: fresh %v, age %v, %d lines; want %+v", step.now, c.fresh(step.now), age, lines, step)
+		tracker.update(current)
+		tracker.logChange(step.now, logger)
+		age, known := tracker.age(step.now)
+		if lines := strings.Count(text.String(), "\n"); tracker.fresh(step.now) != step.fresh || known && age != step.age || !known && step.fresh || lines != step.lines {
+			t.Errorf("%v: fresh %v, age %v, %d lines; want %+v", step.now, tracker.fresh(step.now), age, lines, step)
 		}
 	}
 	if !strings.Contains(text.String(), `msg="in contact with a majority" afterS=3`) || !strings.Contains(text.String(), "msg=\"out of contact with a majority\" itemsAgeS=2\n") {
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -15,13 +15,13 @@
 	"madderwing/internal/rollout"
 )
 
-// Calls that cannot be meant are refused, saying what is wrong.
+// Invalid calls are refused with a message that names the fault.
 func TestCoordinationCallsAreChecked(t *testing.T) {
 	large := strings.Repeat("x", maxValue+1)
 	for _, test := range []struct {
 		method, path, body string
 		status             int
-		wantText               string
+		wantText           string
 	}{
 		{"POST", "/v1/locks/l", `{"owner":"a","holdS":3}`, 0, ""},
 		{"POST", "/v1/locks/l", `{"owner":"a","holdS":3`, 400, "body"},
@@ -58,7 +58,7 @@
 	for _, test := range []struct {
 		method, path string
 		status       int
-		wantText         string
+		wantText     string
 	}{
 		{"GET", "/v1/watch/g.?after=3&waitMs=20", 0, ""},
 		{"GET", "/v1/watch/g.", 0, ""},
@@ -79,13 +79,14 @@
 	t.Helper()
 	switch {
 	case err == nil && status != 0:
-		t.Errorf("%s is taken, want %d", call, status)
+		t.Errorf("%s is accepted, want %d", call, status)
 	case err != nil && (apierror.AnswerFor(apierror.KindOf(err)).Status != status || !strings.Contains(err.Error(), wantText)):
 		t.Errorf("%s: %v, want %d and %q", call, err, status, wantText)
 	}
 }
 
-// A relay redirects a call to the owner of its partition, as a node forwards it.
+// A relay derives the partition of a call from its path as a control node does, so that it redirects
+// the call to the owner.
 func TestRelayPartitionOfACall(t *testing.T) {
 	for path, call := range map[string]coordination.Call{
 		"/v1/locks/l1f":  {Operation: coordination.Release, Name: "l1f"},
@@ -102,7 +103,8 @@
 	}
 }
 
-// What came while a process stood still is refused, as its caller may have gone on.
+// Calls that arrived during a stall of the process are refused, since their callers may have tried
+// another node meanwhile.
 func TestStallDetectorNoticesStalls(t *testing.T) {
 	now := time.Minute
 	detector := &stallDetector{clock: func() time.Duration { return now }}
@@ -110,110 +112,112 @@
 	tick()
 	now += stallLimit / 2
 	if detector.stalled() {
-		t.Error("a tick that is late by little")
+		t.Error("a slightly late tick counts as a stall")
 	}
 	tick()
 	now += 2 * stallLimit
 	if !detector.stalled() {
-		t.Error("before the tick after a stall")
+		t.Error("no stall before the next tick")
 	}
 	tick()
 	now += resumeWindow / 2
 	if !detector.stalled() {
-		t.Error("a moment after the stall")
+		t.Error("no stall shortly after the next tick")
 	}
 	now += resumeWindow
 	if detector.stalled() {
-		t.Error("later")
+		t.Error("the stall does not end")
 	}
 }
 
-// soleOwnerReplica owns everything and is always sure of it.
+// soleOwnerReplica owns every partition, always with a confirmed ownership term.
 type soleOwnerReplica struct{}
 
 func (soleOwnerReplica) Propose(_ time.Duration, _ string, fn func(map[string]replication.Record) ([]replication.Record, error), done func(error)) {
 	_, err := fn(nil)
 	done(err)
 }
-func (soleOwnerReplica) Tenure(time.Duration, string) (t replication.Tenure, sure bool) { return t, true }
-func (soleOwnerReplica) Owner(time.Duration, string) string                             { return "self" }
+func (soleOwnerReplica) Tenure(time.Duration, string) (t replication.Tenure, sure bool) {
+	return t, true
+}
+func (soleOwnerReplica) Owner(time.Duration, string) string { return "self" }
 func (soleOwnerReplica) Committed(string) (r map[string]replication.Record, p replication.Position, known bool) {
 	return r, p, true
 }
 func (soleOwnerReplica) Current(string) (time.Duration, bool) { return time.Minute, true }
 
-// noOwners knows no owner of any partition.
+// noOwners reports no owner for any partition.
 type noOwners struct{}
 
 func (noOwners) Owner(time.Duration, string) string   { return "" }
 func (noOwners) Founder(time.Duration, string) string { return "" }
 
-// A call is not tried again once its caller has left.
+// A call is not tried again after its caller's context ended.
 func TestCallIsNotRetriedWithoutItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		attempts := 0
-		c := &coordinator{owners: noOwners{}, pause: time.Millisecond, clock: func() time.Duration { return time.Since(begin) },
+		coordinator := &coordinator{owners: noOwners{}, pause: time.Millisecond, clock: func() time.Duration { return time.Since(begin) },
 			enqueue: func(fn func(time.Duration)) { attempts++; fn(time.Since(begin)) }}
 		caller, cancel := context.WithTimeout(t.Context(), coordinationLimit/4)
 		defer cancel()
-		result := c.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
+		result := coordinator.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
 		if took := time.Since(begin); result.Effect != coordination.NotDone || took != coordinationLimit/4 {
 			t.Errorf("%v after %v", result.Effect, took)
 		}
 		attempts = 0
-		c.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
+		coordinator.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
 		if attempts != 1 {
-			t.Errorf("%d attempts for one that has left", attempts)
+			t.Errorf("%d attempts for a caller that had already left, want 1", attempts)
 		}
 	})
 }
 
-// A call that has not begun when its caller leaves never does.
+// A queued call is not executed if its caller leaves before its turn.
 func TestCallDoesNotStartWithoutItsCaller(t *testing.T) {
 	var queue []func(time.Duration)
-	c := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
+	coordinator := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
 		server: coordination.NewServer(coordination.ServerConfig{Self: "self", Life: 1, Clock: func() time.Duration { return time.Minute },
 			Log: slog.New(slog.DiscardHandler), Limits: coordination.Limits{Bytes: 1 << 20, HistoryBytes: 1 << 20, History: time.Minute}}, soleOwnerReplica{})}
 	draw := coordination.Call{Operation: coordination.Draw, Name: "n"}
 	deadline := coordination.ClockReading{Life: 1, Time: 2 * time.Minute}
 	caller, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := c.execute(caller, draw, deadline); got.Effect != coordination.NotDone {
+	if got := coordinator.execute(caller, draw, deadline); got.Effect != coordination.NotDone {
 		t.Errorf("%+v", got)
 	}
 	results := make(chan coordination.Result, 1)
-	c.enqueue(func(now time.Duration) {
-		c.server.Execute(now, coordination.NewExecution(draw, deadline, func(r coordination.Result) { results <- r }))
+	coordinator.enqueue(func(now time.Duration) {
+		coordinator.server.Execute(now, coordination.NewExecution(draw, deadline, func(r coordination.Result) { results <- r }))
 	})
 	for _, fn := range queue {
 		fn(time.Minute)
 	}
 	if got := <-results; got.Effect != coordination.Answered || got.Answer.Number != 1 {
-		t.Errorf("the next caller gets %+v", got)
+		t.Errorf("the next caller gets %+v, want the number 1", got)
 	}
 }
 
 func TestWatchesEndWhenTheNodeShutsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retryAfter: time.Second,
+		coordinator := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retryAfter: time.Second,
 			server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, soleOwnerReplica{})}
 		answers := make(chan *httptest.ResponseRecorder, 1)
 		watch := func() {
 			w := httptest.NewRecorder()
-			c.ServeHTTP(w, httptest.NewRequest("GET", "/v1/watch/g.?after=7&waitMs=30000", nil))
+			coordinator.ServeHTTP(w, httptest.NewRequest("GET", "/v1/watch/g.?after=7&waitMs=30000", nil))
 			answers <- w
 		}
 		begin := time.Now()
 		go watch()
 		time.Sleep(time.Second)
-		c.close()
+		coordinator.close()
 		if w := <-answers; w.Code != 200 || w.Body.String() != `{"events":[],"revision":7}` || time.Since(begin) > time.Second {
-			t.Errorf("a watch that waits: %d %s after %v", w.Code, w.Body, time.Since(begin))
+			t.Errorf("a waiting watch: %d %s after %v", w.Code, w.Body, time.Since(begin))
 		}
 		watch()
 		if w := <-answers; w.Code != 503 || w.Header().Get("Retry-After") == "" {
-			t.Errorf("a further one: %d", w.Code)
+			t.Errorf("a watch after the shutdown began: %d", w.Code)
 		}
 	})
 }
--- a/internal/controlplane/coordination_process_test.go
+++ b/internal/controlplane/coordination_process_test.go
@@ -10,12 +10,12 @@
 	"madderwing/internal/controlplane"
 )
 
-// Every call is answered at every control node, and what one is told holds at all.
+// Every control node answers every kind of call, and each sees the effects of calls to the others.
 func TestCoordinationAtEveryControlNode(t *testing.T) {
-	c := newControlCluster(t)
+	cluster := newControlCluster(t)
 	callUntil := func(status, node int, method, path, body string) string {
 		t.Helper()
-		return c.callUntil(t, status, method, c.controlAddresses[node]+path, body)
+		return cluster.callUntil(t, status, method, cluster.controlAddresses[node]+path, body)
 	}
 	field := func(text, name string) uint64 {
 		t.Helper()
@@ -29,26 +29,26 @@
 
 	fence := field(callUntil(200, 0, "POST", "/v1/locks/l1", `{"owner":"a","holdS":30}`), "fence")
 	if again := field(callUntil(200, 1, "POST", "/v1/locks/l1", `{"owner":"a","holdS":30}`), "fence"); again != fence || fence == 0 {
-		t.Errorf("token %d, then %d", fence, again)
+		t.Errorf("fencing token %d, then %d for the same owner", fence, again)
 	}
 	callUntil(409, 2, "POST", "/v1/locks/l1", `{"owner":"b","holdS":30}`)
 	lockBody := func(owner string) string { return fmt.Sprintf(`{"owner":%q,"fence":%d,"holdS":30}`, owner, fence) }
 	callUntil(200, 3, "PUT", "/v1/locks/l1", lockBody("a"))
 	callUntil(409, 0, "PUT", "/v1/locks/l1", lockBody("b"))
-	if state := c.lockHolder(t, "l1"); state.Owner != "a" || state.Fence != fence {
-		t.Errorf("the administration API shows %+v", state)
+	if state := cluster.lockHolder(t, "l1"); state.Owner != "a" || state.Fence != fence {
+		t.Errorf("the administration API shows the lock as %+v", state)
 	}
 	callUntil(200, 1, "DELETE", "/v1/locks/l1", lockBody("a"))
 	callUntil(200, 2, "DELETE", "/v1/locks/l1", lockBody("a"))
 	if next := field(callUntil(200, 3, "POST", "/v1/locks/l1", `{"owner":"b","holdS":30}`), "fence"); next <= fence {
-		t.Errorf("token %d after %d", next, fence)
+		t.Errorf("fencing token %d after %d", next, fence)
 	}
 
 	last := uint64(0)
-	for node := range c.controlAddresses {
+	for node := range cluster.controlAddresses {
 		value := field(callUntil(200, node, "POST", "/v1/numbers/n1", `{}`), "value")
 		if value <= last {
-			t.Errorf("%d after %d", value, last)
+			t.Errorf("value %d after %d", value, last)
 		}
 		last = value
 	}
@@ -58,23 +58,23 @@
 		t.Errorf("revision %d of an empty group", got)
 	}
 	if got := field(callUntil(200, 0, "PUT", "/v1/cells/g1.a", `{"value":"x","enabled":0}`), "revision"); got != 1 {
-		t.Errorf("revision %d", got)
+		t.Errorf("the first write gets revision %d", got)
 	}
 	if got := field(callUntil(412, 1, "PUT", "/v1/cells/g1.a", `{"value":"y","enabled":0}`), "revision"); got != 1 {
-		t.Errorf("refused for revision %d", got)
+		t.Errorf("refused with revision %d, want 1", got)
 	}
 	watched := make(chan string, 1)
 	go func() {
-		_, body := c.call(t, "GET", c.controlAddresses[3]+"/v1/watch/g1.?after=1&waitMs=20000", "")
+		_, body := cluster.call(t, "GET", cluster.controlAddresses[3]+"/v1/watch/g1.?after=1&waitMs=20000", "")
 		watched <- body
 	}()
 	time.Sleep(100 * time.Millisecond)
 	callUntil(200, 1, "PUT", "/v1/cells/g1.b", `{"value":"z"}`)
 	const event = `{"events":[{"name":"g1.b","value":"z","revision":2}],"revision":2}`
 	if got := <-watched; got != event {
-		t.Errorf("a watch that waited: %s", got)
+		t.Errorf("a waiting watch: %s", got)
 	}
-	for node := range c.controlAddresses {
+	for node := range cluster.controlAddresses {
 		if got := callUntil(200, node, "GET", "/v1/watch/g1.?after=1&waitMs=2000", ""); got != event {
 			t.Errorf("a watch at node %d: %s", node, got)
 		}
@@ -90,13 +90,13 @@
 	}
 }
 
-// lockView is a lock as the administration API shows it.
+// lockView is the part of the administration API's view of a lock that these tests check.
 type lockView struct {
 	Name, Owner string
 	Fence       uint64
 }
 
-// lockHolder finds a lock at the owner of its partition.
+// lockHolder returns a lock as the owner of its partition shows it.
 func (c *controlCluster) lockHolder(t *testing.T, lock string) lockView {
 	t.Helper()
 	for i := range c.controlAddresses {
@@ -115,26 +115,27 @@
 	return lockView{}
 }
 
-// A control node that is cut off promises nothing: what may have been done is not answered 503.
+// An isolated control node grants nothing and answers in time: 503 for a call that was not executed,
+// 504 for one that may have been.
 func TestCoordinationAtAnIsolatedControlNode(t *testing.T) {
-	c := newControlCluster(t)
-	c.callUntil(t, 200, "PUT", c.controlAddresses[1]+"/v1/cells/g1.a", `{"value":"x"}`)
-	c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/watch/g1.?after=1&waitMs=10", "")
+	cluster := newControlCluster(t)
+	cluster.callUntil(t, 200, "PUT", cluster.controlAddresses[1]+"/v1/cells/g1.a", `{"value":"x"}`)
+	cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/watch/g1.?after=1&waitMs=10", "")
 	for i := 1; i < 4; i++ {
-		controlplane.CutLink(c.peerAddresses[i], c.peerAddresses[0])
-		controlplane.CutLink(c.peerAddresses[0], c.peerAddresses[i])
+		controlplane.CutLink(cluster.peerAddresses[i], cluster.peerAddresses[0])
+		controlplane.CutLink(cluster.peerAddresses[0], cluster.peerAddresses[i])
 	}
 	for _, call := range [][2]string{{"POST", "/v1/locks/l1"}, {"POST", "/v1/numbers/n1"}, {"PUT", "/v1/cells/g1.b"}} {
-		begin := time.Now()
-		status, _ := c.call(t, call[0], c.controlAddresses[0]+call[1], `{"owner":"a","holdS":3,"value":"y"}`)
-		if status != 503 && status != 504 || time.Since(begin) > time.Second {
-			t.Errorf("cut off: %s %s: %d after %v", call[0], call[1], status, time.Since(begin))
+		start := time.Now()
+		status, _ := cluster.call(t, call[0], cluster.controlAddresses[0]+call[1], `{"owner":"a","holdS":3,"value":"y"}`)
+		if status != 503 && status != 504 || time.Since(start) > time.Second {
+			t.Errorf("isolated: %s %s: %d after %v", call[0], call[1], status, time.Since(start))
 		}
 	}
-	if status, _ := c.call(t, "GET", c.controlAddresses[0]+"/v1/cells/g1.a", ""); status != 503 {
+	if status, _ := cluster.call(t, "GET", cluster.controlAddresses[0]+"/v1/cells/g1.a", ""); status != 503 {
 		t.Errorf("a read: %d", status)
 	}
-	c.callUntil(t, 503, "GET", c.controlAddresses[0]+"/v1/watch/g1.?after=1&waitMs=10000", "")
+	cluster.callUntil(t, 503, "GET", cluster.controlAddresses[0]+"/v1/watch/g1.?after=1&waitMs=10000", "")
 	controlplane.RestoreLinks()
-	c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/cells/g1.a", "")
+	cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/cells/g1.a", "")
 }
--- a/internal/controlplane/delivery_test.go
+++ b/internal/controlplane/delivery_test.go
@@ -10,15 +10,16 @@
 	"madderwing/internal/upstream"
 )
 
-// items: the word that it has them counts, whichever comes first.
+// A gateway reports to several control nodes. One report that it has the newest items is enough,
+// whether an older or newer report of another digest comes before or after it.
 func TestGatewayIsCurrentIfAnyReportSaysSo(t *testing.T) {
 	shown := newConfiguration()
 	shown.merge([]config.Record{{Name: "route/r", Gen: 1}})
 	newest := shown.published.Sums.Fold()
 	for _, digests := range [][2]uint64{{newest, newest + 1}, {newest + 1, newest}} {
-		c := &deliveryController{configuration: shown, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
+		controller := &deliveryController{configuration: shown, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
 		for _, digest := range digests {
-			c.addReport(delivery.Told{Holds: map[string]uint64{"10.0.0.1:1": digest}})
+			controller.addReport(delivery.Told{Holds: map[string]uint64{"10.0.0.1:1": digest}})
 		}
 		list := &membership.List{Nodes: []membership.Node{
 			{Address: "10.0.0.1:1", Name: "g1", Zone: "north", Plane: membership.Data},
@@ -27,7 +28,7 @@
 			{Address: "10.0.0.4:1", Name: "c1", Zone: "south", Plane: membership.Control},
 		}}
 		want := []Delivery{{"g1", "north", true, true}, {"g2", "south", false, false}}
-		if got := c.states(list); !reflect.DeepEqual(got, want) {
+		if got := controller.states(list); !reflect.DeepEqual(got, want) {
 			t.Errorf("%v: %+v, want %+v", digests, got, want)
 		}
 	}
--- a/internal/controlplane/disk_room_test.go
+++ b/internal/controlplane/disk_room_test.go
@@ -14,9 +14,9 @@
 	"madderwing/internal/storage"
 )
 
-// Records come and go at random until many calls were refused for want of room. The
-// file can be rewritten all the while, what makes the state smaller is always taken,
-// and then there is room again.
+// Records are replaced at random until many calls were refused for lack of room. Throughout, the
+// file can be rewritten. Changes that shrink the state are always admitted, and then there is room
+// again.
 func TestDiskRoomLeavesRoomForRewrites(t *testing.T) {
 	const diskBytes = 1 << 20
 	for seed := range uint64(6) {
@@ -42,7 +42,7 @@
 				}
 				refused++
 				if store.Live() > diskBytes/2 {
-					t.Fatalf("seed %d: refused only at %d bytes", seed, store.Live())
+					t.Fatalf("seed %d: first refused at %d bytes, too late for a rewrite", seed, store.Live())
 				}
 				continue
 			}
@@ -51,7 +51,7 @@
 			room.update(store)
 		}
 		if store.Live() < diskBytes/4 {
-			t.Errorf("seed %d: refused at %d bytes already", seed, store.Live())
+			t.Errorf("seed %d: refused at %d bytes, too early", seed, store.Live())
 		}
 		for _, name := range slices.Sorted(maps.Keys(have))[:len(have)/2] {
 			r := replication.Record{Name: name, Erased: true}
@@ -68,7 +68,8 @@
 	}
 }
 
-// memoryDir is a folder in memory, where there is one: the test waits for its syncs.
+// memoryDir returns a directory in memory where the system has one, because the test waits for
+// many syncs.
 func memoryDir(t *testing.T) string {
 	dir, err := os.MkdirTemp("/dev/shm", "storage")
 	if err != nil {
@@ -78,7 +79,7 @@
 	return dir
 }
 
-// writeRecords writes a record as the replica does, and the whole state when that is due.
+// writeRecords writes a record as the replica does, and the whole state when a rewrite is due.
 func writeRecords(t *testing.T, store *storage.Store, have records, r replication.Record) {
 	t.Helper()
 	entry := func(r replication.Record) storage.Entry {
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -11,19 +11,19 @@
 	"madderwing/internal/storage"
 )
 
-// memoryStore is a store in memory that refuses what it is told to.
+// memoryStore is a store in memory whose writes fail with err if that is set.
 type memoryStore struct {
-	t      *testing.T
-	state  map[string]string
-	err error
-	full   bool
-	writeRefused    bool
-	log    []string
+	t            *testing.T
+	state        map[string]string
+	err          error
+	full         bool
+	writeRefused bool
+	log          []string
 }
 
 func (s *memoryStore) Write(entries []storage.Entry) error {
 	if s.writeRefused {
-		s.t.Error("a batch is written after a refusal")
+		s.t.Error("a batch is written after a failed write")
 	}
 	return s.apply("write", entries)
 }
@@ -73,11 +73,11 @@
 	}
 	errRefused := errors.New("refused")
 	type step struct {
-		jobs   []writeJob
-		refuse error
-		full   bool
-		wantLog    string
-		want   writeOutcome
+		jobs    []writeJob
+		refuse  error
+		full    bool
+		wantLog string
+		want    writeOutcome
 	}
 	ok := func(id uint64, wantLog string, jobs ...writeJob) step {
 		return step{jobs, nil, false, wantLog, writeOutcome{durable: id}}
@@ -87,42 +87,42 @@
 		steps []step
 	}{
 		{"one batch", []step{ok(1, "write a", job(1, "a"))}},
-		{"batches that waited", []step{ok(3, "write a b a", job(1, "a"), job(2, "b"), job(3, "a"))}},
-		{"the whole state takes the place of what was put before it", []step{
+		{"queued batches", []step{ok(3, "write a b a", job(1, "a"), job(2, "b"), job(3, "a"))}},
+		{"the whole state replaces what was queued before it", []step{
 			ok(2, "rewrite a b", job(1, "a"), job(2, "b"), rewriteJob(2, "a", "b"))}},
-		{"what was put after it is written with it", []step{
+		{"what was queued after the whole state is written with it", []step{
 			ok(3, "rewrite a b c", job(1, "a"), rewriteJob(2, "a", "b"), job(3, "c"))}},
-		{"the newer of two", []step{ok(4, "rewrite a c d", rewriteJob(1, "a"), job(2, "b"), rewriteJob(3, "a", "c"), job(4, "d"))}},
-		{"refused, and nothing durable before the whole state", []step{
+		{"the newer of two whole states", []step{ok(4, "rewrite a c d", rewriteJob(1, "a"), job(2, "b"), rewriteJob(3, "a", "c"), job(4, "d"))}},
+		{"after a failure nothing is durable before the whole state", []step{
 			{[]writeJob{job(1, "a")}, errRefused, false, "write a", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(2, "b")}, nil, false, "", writeOutcome{}},
 			{[]writeJob{job(3, "c")}, nil, true, "", writeOutcome{}},
 			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c")),
 			ok(4, "write d", job(4, "d"))}},
-		{"refused again and again", []step{
+		{"repeated failures", []step{
 			{[]writeJob{job(1, "a")}, errRefused, false, "write a", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{rewriteJob(1, "a"), job(2, "b")}, errRefused, false, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
 			{[]writeJob{rewriteJob(3, "a", "b", "c")}, errRefused, false, "rewrite a b c", writeOutcome{0, rewriteLater, errRefused}},
 			ok(5, "rewrite a b c d e", job(4, "d"), rewriteJob(4, "a", "b", "c", "d"), job(5, "e"))}},
-		{"a state that was put before a refused batch does not stand for it", []step{
+		{"a whole state queued before a failed batch does not cover it", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
 			ok(1, "rewrite a", rewriteJob(1, "a")),
 			{[]writeJob{job(2, "b")}, errRefused, false, "write b", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
 			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c"))}},
-		{"no room: the whole state at once", []step{
+		{"no room: the whole state is requested at once", []step{
 			{[]writeJob{job(1, "a")}, storage.ErrRoom, false, "write a", writeOutcome{0, rewriteNow, storage.ErrRoom}},
 			ok(1, "rewrite a", rewriteJob(1, "a"))}},
-		{"full: asked for once", []step{
+		{"full: the whole state is requested once", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
 			{[]writeJob{job(2, "b")}, nil, true, "write b", writeOutcome{2, noRewrite, nil}},
 			{[]writeJob{job(3, "c")}, errRefused, true, "write c", writeOutcome{0, noRewrite, errRefused}},
 			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c")),
 			{[]writeJob{job(4, "d")}, nil, true, "write d", writeOutcome{4, rewriteNow, nil}}}},
-		{"full though just rewritten: not again before a change", []step{
+		{"full after a rewrite: no further request before a change", []step{
 			{[]writeJob{rewriteJob(1, "a")}, nil, true, "rewrite a", writeOutcome{1, noRewrite, nil}}}},
-		{"a rewrite that was to make room is refused", []step{
+		{"a rewrite to make room fails", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
 			{[]writeJob{rewriteJob(1, "a"), job(2, "b")}, errRefused, true, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
 			ok(2, "rewrite a b", rewriteJob(2, "a", "b"))}},
@@ -132,15 +132,14 @@
 		for i, step := range test.steps {
 			store.err, store.full, store.log = step.refuse, step.full, nil
 			if got := diskWriter.write(step.jobs); got != step.want || strings.Join(store.log, ", ") != step.wantLog {
-				t.Errorf("%s, step %d: %+v and %q, not %+v and %q", test.name, i, got, store.log, step.want, step.wantLog)
+				t.Errorf("%s, step %d: %+v and %q, want %+v and %q", test.name, i, got, store.log, step.want, step.wantLog)
 			}
 		}
 	}
 }
 
-// Whatever is refused and however jobs come together: when a job is reported,
-// the store holds just what had been asked for up to it; and once nothing is
-// refused any more, everything is reported.
+// Writes fail at random and jobs are batched at random. When a job is reported as durable, the store
+// holds exactly the state up to that job. Once writes no longer fail, every job is reported.
 func TestWriterReportsOnlyDurableJobs(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 19))
@@ -185,7 +184,7 @@
 			}
 			if done.durable > 0 {
 				if last = done.durable; !maps.Equal(store.state, states[last]) {
-					t.Fatalf("seed %d: job %d is reported, but %v stands, not %v", seed, last, store.state, states[last])
+					t.Fatalf("seed %d: job %d is reported, but the store holds %v, not %v", seed, last, store.state, states[last])
 				}
 			}
 		}
--- a/internal/controlplane/erased_items_test.go
+++ b/internal/controlplane/erased_items_test.go
@@ -11,8 +11,8 @@
 	"madderwing/internal/replication"
 )
 
-// What the owner has forgotten is no longer shown to gateways, whether a control node hears of
-// each change, or only of where it all led; what is not the configuration's stays.
+// Records that the owner has erased are no longer published to gateways, whether a control node
+// learns of every change or only of the final state. Records of other partitions stay.
 func TestErasedItemsAreNotPublished(t *testing.T) {
 	const id = "10.0.0.1:1"
 	kept := replication.Record{Name: config.EvacuationPrefix + "z", Gen: 3}
@@ -33,7 +33,7 @@
 		node.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
 		published := node.configuration.published
 		published.Put(kept)
-		applyEffects := func(show bool) {
+		applyEffects := func(publishNow bool) {
 			for fx := replica.Take(); len(fx.Writes)+len(fx.Committed) > 0; fx = replica.Take() {
 				for _, w := range fx.Writes {
 					replica.Durable(5, w.ID)
@@ -42,7 +42,7 @@
 					switch {
 					case everyChange:
 						node.publish(key, fx.Changed[key])
-					case show:
+					case publishNow:
 						node.publish(key, nil)
 					}
 				}
@@ -52,7 +52,7 @@
 		applyEffects(true)
 		for i, change := range changes {
 			done := false
-			for !done { // the first asking makes the owner
+			for !done { // the first proposal makes the replica the owner
 				replica.Propose(5, config.Key, func(map[string]replication.Record) ([]replication.Record, error) { return change, nil },
 					func(err error) { done = err == nil })
 				applyEffects(everyChange || i == len(changes)-1)
@@ -62,7 +62,7 @@
 				want = maps.Clone(want)
 				want[kept.Name] = kept
 				if published.Sums != antientropy.Digest(want) || len(published.Records) != len(want) {
-					t.Errorf("every change %v, after %d: shown are %v, not %v", everyChange, i, published.Records, want)
+					t.Errorf("every change %v, after change %d: published %v, want %v", everyChange, i, published.Records, want)
 				}
 			}
 		}
--- a/internal/controlplane/evacuations_test.go
+++ b/internal/controlplane/evacuations_test.go
@@ -14,27 +14,27 @@
 	"madderwing/internal/settings"
 )
 
-// What an owner makes of orders: one that comes within ackS of one like it may be the same, also for an owner
-// that has only copied that one.
+// An order that an owner receives within ackS of an equal one may be a retry of it, also where the
+// owner only replicated the first one.
 func TestEvacuationOrdersAndRetries(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	type step struct {
-		owner     int // which control node carries it out; the other one copies
+		owner     int // the control node that executes the order; the other one replicates
 		evacuate  bool
 		at        time.Duration
 		evacuated bool
 		inDoubt   bool
 	}
 	for name, steps := range map[string][]step{
-		"two operators, one after the other": {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 8 * s, true, false}, {0, false, 15 * s, false, false}},
-		"two operators, soon after another":  {{0, true, 0, true, false}, {0, true, 3500 * ms, true, false}, {0, false, 10 * s, true, true}},
-		"sent again":                         {{0, true, 0, true, false}, {0, true, 2500 * ms, true, false}, {0, false, 9 * s, true, true}},
-		"a withdrawal sent again":            {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 8 * s, true, false}, {0, false, 9 * s, true, true}},
-		"withdrawn, evacuated soon after":    {{0, true, 0, true, false}, {0, false, s, false, false}, {0, true, 2 * s, true, false}},
-		"another owner, long after":          {{0, true, 0, true, false}, {1, true, 7 * s, true, false}, {1, false, 8 * s, true, false}, {1, false, 15 * s, false, false}},
-		"another owner, sent again":          {{0, true, 0, true, false}, {1, true, 2 * s, true, false}, {1, false, 9 * s, true, true}},
-		"another owner, one order":           {{0, true, 0, true, false}, {1, false, s, false, false}},
-		"another owner, withdrawn again":     {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 14 * s, true, false}, {1, false, 14500 * ms, true, true}},
+		"two operators, far apart":        {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 8 * s, true, false}, {0, false, 15 * s, false, false}},
+		"two operators, close together":   {{0, true, 0, true, false}, {0, true, 3500 * ms, true, false}, {0, false, 10 * s, true, true}},
+		"an order sent again":             {{0, true, 0, true, false}, {0, true, 2500 * ms, true, false}, {0, false, 9 * s, true, true}},
+		"a withdrawal sent again":         {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 8 * s, true, false}, {0, false, 9 * s, true, true}},
+		"withdrawn, evacuated soon after": {{0, true, 0, true, false}, {0, false, s, false, false}, {0, true, 2 * s, true, false}},
+		"another owner, long after":       {{0, true, 0, true, false}, {1, true, 7 * s, true, false}, {1, false, 8 * s, true, false}, {1, false, 15 * s, false, false}},
+		"another owner, sent again":       {{0, true, 0, true, false}, {1, true, 2 * s, true, false}, {1, false, 9 * s, true, true}},
+		"another owner, one order":        {{0, true, 0, true, false}, {1, false, s, false, false}},
+		"another owner, withdrawn again":  {{0, true, 0, true, false}, {0, true, 7 * s, true, false}, {0, false, 14 * s, true, false}, {1, false, 14500 * ms, true, true}},
 	} {
 		owners := []*evacuations{newEvacuations(settings.Bounds{AckS: 5}), newEvacuations(settings.Bounds{AckS: 5})}
 		records := map[string]config.Record{}
@@ -57,43 +57,44 @@
 	}
 }
 
-// The time of a doubt begins anew with each order, and ends it once.
+// takeOverdue returns a doubt once it is old enough, and again after callerTimeout until it has ended.
+// A further order restarts the time.
 func TestDoubtExpires(t *testing.T) {
 	const s = time.Second
 	const name = config.EvacuationPrefix + "z"
-	e := newEvacuations(settings.Bounds{AckS: 5, RecoveryS: 15})
+	tracker := newEvacuations(settings.Bounds{AckS: 5, RecoveryS: 15})
 	doubtful := config.Record{Name: name, Gen: 4, Data: []byte{1, 0}} // possible, not certain
-	e.recordPublished(0, doubtful)
-	for _, c := range []struct {
+	tracker.recordPublished(0, doubtful)
+	for _, test := range []struct {
 		at    time.Duration
 		ended bool
 	}{{11 * s, false}, {12 * s, true}, {12*s + time.Millisecond, false}, {13 * s, true}} {
-		if _, ended := e.takeOverdue(c.at)[name]; ended != c.ended {
-			t.Errorf("at %v: ended is %v", c.at, ended)
+		if _, ended := tracker.takeOverdue(test.at)[name]; ended != test.ended {
+			t.Errorf("at %v: ended is %v", test.at, ended)
 		}
 	}
 	doubtful.Gen = 5
-	e.recordPublished(14*s, doubtful)
-	if len(e.takeOverdue(25*s)) > 0 || e.takeOverdue(26 * s)[name] != 5 {
-		t.Error("a further order does not begin the time anew")
+	tracker.recordPublished(14*s, doubtful)
+	if len(tracker.takeOverdue(25*s)) > 0 || tracker.takeOverdue(26 * s)[name] != 5 {
+		t.Error("a further order does not restart the time of the doubt")
 	}
-	e.recordPublished(27*s, config.Record{Name: name, Gen: 6, Dropped: true})
-	if len(e.takeOverdue(60*s)) > 0 {
-		t.Error("what is taken back is in doubt")
+	tracker.recordPublished(27*s, config.Record{Name: name, Gen: 6, Dropped: true})
+	if len(tracker.takeOverdue(60*s)) > 0 {
+		t.Error("a withdrawn evacuation is still in doubt")
 	}
 }
 
-// zoneSimulation is operators who give orders on one zone to control nodes that stand still at times,
-// over ways on which calls and answers are late or lost.
+// zoneSimulation simulates operators who evacuate one zone through control nodes that stall at times.
+// Calls and answers may be late or lost.
 type zoneSimulation struct {
-	rng  *rand.Rand
-	now     time.Duration
-	record  map[string]config.Record // as committed
-	nodes   []*zoneNode
-	owner   int
-	inFlight []*zoneCall
-	operators  []*zoneOperator
-	log     []string
+	rng       *rand.Rand
+	now       time.Duration
+	record    map[string]config.Record // as committed
+	nodes     []*zoneNode
+	owner     int
+	inFlight  []*zoneCall
+	operators []*zoneOperator
+	log       []string
 }
 
 type zoneNode struct {
@@ -104,24 +105,24 @@
 
 // zoneOperator evacuates, waits, withdraws, and begins again.
 type zoneOperator struct {
-	evacuate  bool // the order under way
-	attempts     int
-	firstSent      time.Duration // first try of it
-	nextAttempt   time.Duration
-	acked     bool
-	inForce  bool // an evacuation of this operator's was acknowledged and not withdrawn
-	idleUntil time.Duration
+	evacuate    bool // the current order
+	attempts    int
+	firstSent   time.Duration // first attempt of the current order
+	nextAttempt time.Duration
+	acked       bool
+	inForce     bool // an evacuation of this operator was acknowledged and not withdrawn
+	idleUntil   time.Duration
 }
 
-// zoneCall is one try on its way.
+// zoneCall is one attempt of an order, in flight or executing.
 type zoneCall struct {
-	operator       *zoneOperator
-	order    config.EvacuationOrder
-	orderSent     time.Duration // of the order that it is a try of
-	node     int
-	arrives  time.Duration
-	executes time.Duration // 0: not taken up yet
-	answerLost     bool          // its answer
+	operator   *zoneOperator
+	order      config.EvacuationOrder
+	orderSent  time.Duration // firstSent of its order
+	node       int
+	arrives    time.Duration
+	executes   time.Duration // 0: not accepted by the node yet
+	answerLost bool
 }
 
 const zoneName = config.EvacuationPrefix + "z"
@@ -145,14 +146,14 @@
 	s.log = append(s.log, fmt.Sprintf("%6.2f ", s.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// step lets a moment pass.
+// step advances the simulation by 10 ms.
 func (s *zoneSimulation) step() {
 	s.now += 10 * time.Millisecond
 	for _, n := range s.nodes {
 		if s.now >= n.stoppedUntil {
 			if s.rng.Float64() < 0.002 {
 				n.stoppedUntil = s.now + s.randomDuration(200*time.Millisecond, 6*time.Second)
-			} else if s.rng.Float64() < 0.3 { // news is a little late
+			} else if s.rng.Float64() < 0.3 { // replication lags a little
 				n.known = s.record[zoneName]
 				n.evacuations.recordPublished(s.now, n.known)
 			}
@@ -168,7 +169,8 @@
 	s.endDoubt()
 }
 
-// deliverCalls has calls that are due taken up by the node that they went to, and carried out by the owner.
+// deliverCalls has due calls accepted by the node that they were sent to, and then executed by the
+// owner.
 func (s *zoneSimulation) deliverCalls() {
 	due := slices.Clone(s.inFlight)
 	slices.SortFunc(due, func(a, b *zoneCall) int { return cmp.Compare(a.arrives, b.arrives) })
@@ -184,7 +186,7 @@
 			c.order.Basis = &generation
 			c.executes = s.now + s.randomDuration(time.Millisecond, 20*time.Millisecond)
 			if s.rng.Float64() < 0.1 {
-				c.executes += s.randomDuration(0, 3*time.Second) // it waits in an owner that stands still
+				c.executes += s.randomDuration(0, 3*time.Second) // queued at a stalled owner
 			}
 		case c.executes > 0 && s.now >= c.executes && s.now >= s.nodes[s.owner].stoppedUntil:
 			s.execute(c)
@@ -209,22 +211,22 @@
 		s.nodes[s.owner].known = r
 		owner.recordPublished(s.now, r)
 	}
-	s.logf("carried out: evacuate %v, generation %d, in doubt %v", c.order.Evacuate, s.record[zoneName].Gen, config.InDoubt(s.record[zoneName]))
+	s.logf("executed: evacuate %v, generation %d, in doubt %v", c.order.Evacuate, s.record[zoneName].Gen, config.InDoubt(s.record[zoneName]))
 	if !c.answerLost && c.operator.firstSent == c.orderSent && s.now-c.arrives < callerTimeout {
 		c.operator.acked = true
 	}
 }
 
-// advanceOperator has an operator go on.
-func (s *zoneSimulation) advanceOperator(i int, operator *zoneOperator) {
+// advanceOperator has an operator send, retry or finish its order.
+func (s *zoneSimulation) advanceOperator(number int, operator *zoneOperator) {
 	switch {
 	case operator.acked:
-		s.logf("operator %d: acknowledged, evacuate %v", i, operator.evacuate)
+		s.logf("operator %d: acknowledged, evacuate %v", number, operator.evacuate)
 		operator.inForce = operator.evacuate
 		s.nextOrder(operator)
 	case s.now < operator.idleUntil || s.now < operator.nextAttempt:
 	case operator.attempts > 0 && s.now-operator.firstSent > 5*time.Second:
-		s.logf("operator %d: given up, evacuate %v", i, operator.evacuate)
+		s.logf("operator %d: abandoned, evacuate %v", number, operator.evacuate)
 		s.nextOrder(operator)
 	default:
 		if operator.attempts == 0 {
@@ -238,12 +240,13 @@
 			orderSent: operator.firstSent, node: s.rng.IntN(len(s.nodes)), arrives: s.now + time.Millisecond, answerLost: lost})
 		operator.nextAttempt = s.now + callerTimeout + 50*time.Millisecond
 		if lost && s.rng.Float64() < 0.5 {
-			operator.nextAttempt = s.now + 100*time.Millisecond // its connection ends
+			operator.nextAttempt = s.now + 100*time.Millisecond // the connection breaks
 		}
 	}
 }
 
-// nextOrder has an operator go over to the nextOrder order after a while: it withdraws what it was told is in force.
+// nextOrder has an operator start its next order after a while: a withdrawal if its evacuation was
+// acknowledged, else an evacuation.
 func (s *zoneSimulation) nextOrder(operator *zoneOperator) {
 	idle := s.randomDuration(0, 15*time.Second)
 	if !operator.evacuate {
@@ -271,9 +274,9 @@
 	return ok && !r.Dropped
 }
 
-// An evacuation that was acknowledged stands until its operator withdraws it, whatever of one operator's
-// orders and answers is late or lost. Of several operators' it stands until orders have rested for
-// as long as a doubt lasts.
+// With one operator, an acknowledged evacuation holds until that operator withdraws it, whichever
+// orders and answers are late or lost. With several operators it may also end when a doubt expires
+// because no order came for that long.
 func TestEvacuationsHoldUntilWithdrawn(t *testing.T) {
 	for seed := range uint64(400) {
 		operators := 1 + int(seed%3)
@@ -287,7 +290,7 @@
 			inForce := slices.ContainsFunc(simulation.operators, func(p *zoneOperator) bool { return p.inForce })
 			maxDoubt := simulation.nodes[0].evacuations.maxDoubt
 			if inForce && !simulation.evacuated() && (operators == 1 || !slices.ContainsFunc(simulation.log, func(l string) bool { return strings.HasSuffix(l, "doubt is ended") })) {
-				t.Errorf("seed %d, %d operators: the zone is open while an evacuation stands:\n%s", seed, operators, strings.Join(simulation.log, "\n"))
+				t.Errorf("seed %d, %d operators: the zone is open while an evacuation is in force:\n%s", seed, operators, strings.Join(simulation.log, "\n"))
 			}
 			if r := simulation.record[zoneName]; operators == 1 && inForce && config.InDoubt(r) {
 				t.Errorf("seed %d: one operator's evacuation is in doubt:\n%s", seed, strings.Join(simulation.log, "\n"))
--- a/internal/controlplane/export_test.go
+++ b/internal/controlplane/export_test.go
@@ -8,21 +8,21 @@
 	"madderwing/internal/transport"
 )
 
-// cutLinks are the ways between control nodes that are cut, from and to by address.
+// cutLinks holds the links between control nodes that are cut, by sender and receiver address.
 var cutLinks sync.Map
 
-// CutLink cuts the way from one control node to another, and Join opens all again. What is sent
-// is dropped where it arrives.
+// CutLink cuts the link from one control node to another until RestoreLinks is called. Messages are
+// dropped at the receiver.
 func CutLink(from, to string) { cutLinks.Store([2]string{from, to}, true) }
 
-// droppedKinds are the kinds of message that control nodes don't send any more, by address.
+// droppedKinds holds the kinds of message that are dropped, by address of the sender.
 var droppedKinds sync.Map
 
-// DropMessages drops all messages of a kind from a control node where they arrive. What that control node is asked
-// and answers goes on.
+// DropMessages drops, at the receivers, all messages of a kind that a control node sends. The node
+// still receives messages and answers calls.
 func DropMessages(from, kind string) { droppedKinds.Store([2]string{from, kind}, true) }
 
-// RestoreLinks ends what Cut and Mute have done.
+// RestoreLinks undoes all calls of CutLink and DropMessages.
 func RestoreLinks() {
 	cutLinks.Clear()
 	droppedKinds.Clear()
@@ -33,14 +33,14 @@
 func (linkCutError) Error() string { return "cut" }
 
 func init() {
-	newEndpoint = func(address string, patience time.Duration, logger *slog.Logger) (*transport.Endpoint, error) {
-		m, err := transport.New(address, patience, logger)
+	newEndpoint = func(address string, timeout time.Duration, logger *slog.Logger) (*transport.Endpoint, error) {
+		endpoint, err := transport.New(address, timeout, logger)
 		if err != nil {
 			return nil, err
 		}
-		m.Intercept = func(kind string, next transport.Handler) transport.Handler {
+		endpoint.Intercept = func(kind string, next transport.Handler) transport.Handler {
 			return func(from string, body []byte) (any, error) {
-				if _, mute := droppedKinds.Load([2]string{from, kind}); mute {
+				if _, dropped := droppedKinds.Load([2]string{from, kind}); dropped {
 					return nil, linkCutError{}
 				}
 				if _, cut := cutLinks.Load([2]string{from, address}); cut {
@@ -53,6 +53,6 @@
 				return out, err
 			}
 		}
-		return m, nil
+		return endpoint, nil
 	}
 }
--- a/internal/controlplane/generation_conflict_process_test.go
+++ b/internal/controlplane/generation_conflict_process_test.go
@@ -15,12 +15,12 @@
 	"madderwing/internal/settings"
 )
 
-// threeNodeCluster is three control nodes, each with a disk and a zone of its own.
+// threeNodeCluster runs three control nodes, each with its own disk and zone.
 type threeNodeCluster struct {
 	system
 	controlAddresses, peerAddresses [3]string
-	start                    [3]func() // starts one
-	stop                   [3]func() // ends one and waits for it
+	start                           [3]func() // starts a node
+	stop                            [3]func() // stops a node and waits for it
 }
 
 func newThreeNodeCluster(t *testing.T) *threeNodeCluster {
@@ -79,7 +79,8 @@
 	return c
 }
 
-// patchUntilAnswered sends a call to one node until the answer is patchUntilAnswered, as an operator does.
+// patchUntilAnswered sends a change to a node until the answer says whether it was applied, as an
+// operator does.
 func (c *threeNodeCluster) patchUntilAnswered(t *testing.T, node int, body string) (int, string) {
 	t.Helper()
 	status, text := 0, ""
@@ -92,7 +93,7 @@
 	return status, text
 }
 
-// owner finds the node that owns the configuration.
+// owner returns the index of the node that owns the configuration.
 func (c *threeNodeCluster) owner(t *testing.T) int {
 	t.Helper()
 	for range 600 {
@@ -112,14 +113,14 @@
 	return 0
 }
 
-// Two operators send two contents under one number to two nodes at once: one is
-// taken, the other refused, and so it stays at all nodes, also after the owner was
+// Two operators send different contents with the same generation to two nodes at once. One change is
+// accepted and the other refused. Every node answers the same from then on, also after the owner was
 // down and came back with its disk.
 func TestConflictingChangesWithOneGeneration(t *testing.T) {
 	cluster := newThreeNodeCluster(t)
 	for i := range cluster.controlAddresses {
 		if status, text := cluster.patchUntilAnswered(t, i, items); status != 200 {
-			t.Fatalf("the first call, at node %d: %d %s", i, status, text)
+			t.Fatalf("the first change, at node %d: %d %s", i, status, text)
 		}
 	}
 	bodies := [2]string{
@@ -133,7 +134,7 @@
 	}
 	group.Wait()
 	if min(statuses[0], statuses[1]) != 200 || max(statuses[0], statuses[1]) != 409 {
-		t.Fatalf("the two got %v", statuses)
+		t.Fatalf("the two changes got %v, want 200 and 409", statuses)
 	}
 	checkEverywhere := func(occasion string) {
 		t.Helper()
@@ -153,7 +154,7 @@
 	checkEverywhere("at once")
 	oldOwner := cluster.owner(t)
 	cluster.stop[oldOwner]()
-	for i, body := range bodies { // whoever has taken over
+	for i, body := range bodies { // answered by the new owner
 		if status, text := cluster.patchUntilAnswered(t, (oldOwner+1)%3, body); status != statuses[i] {
 			t.Errorf("without the old owner, operator %d: %d %s, want %d", i, status, text, statuses[i])
 		}
@@ -161,13 +162,13 @@
 	cluster.start[oldOwner]()
 	checkEverywhere("after the owner came back")
 
-	// An older number that was taken is still known, whoever owns the configuration.
+	// The accepted change of a lower generation is still known, whichever node owns the configuration.
 	if status, text := cluster.patchUntilAnswered(t, oldOwner, `{"upsert":{"services":[{"name":"a","generation":8}]}}`); status != 200 {
-		t.Fatalf("a higher number: %d %s", status, text)
+		t.Fatalf("a higher generation: %d %s", status, text)
 	}
 	for i, body := range bodies {
 		if status, text := cluster.patchUntilAnswered(t, (oldOwner+2)%3, body); status != statuses[i] {
-			t.Errorf("below a higher number, operator %d: %d %s, want %d", i, status, text, statuses[i])
+			t.Errorf("below a higher generation, operator %d: %d %s, want %d", i, status, text, statuses[i])
 		}
 	}
 }
--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -17,20 +17,21 @@
 	"madderwing/internal/settings"
 )
 
-// controlCluster is four control nodes, each on an address and in a zone of its own, and a gateway beside
-// the first.
+// controlCluster runs four control nodes, each with its own address and zone, and a gateway on the
+// address of the first.
 type controlCluster struct {
 	*system
-	controlAddresses  []string // by control node
+	controlAddresses  []string // operators' API, by control node
 	registryAddresses []string
-	peerAddresses     []string // where they listen for each other
+	peerAddresses     []string // for messages between nodes
 }
 
 func newControlCluster(t *testing.T) *controlCluster {
 	return newControlClusterWith(t, func() string { return "ready" })
 }
 
-// newControlClusterWith has the platform list one upstream, in a state that may change.
+// newControlClusterWith starts a cluster whose platform lists one upstream, in the state that the
+// function returns.
 func newControlClusterWith(t *testing.T, upstreamState func() string) *controlCluster {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"instances":[{"id":"i-1","target":"a","address":"127.0.0.1:1","zone":"z1","generation":"v1","capacity":4,"state":%q,"warmupLeftS":0}],"nextToken":null}`, upstreamState())
@@ -93,7 +94,7 @@
 	return c
 }
 
-// watchers is how many nodes watch a control node, as that tells.
+// watchers returns how many nodes watch a control node, by its own counters.
 func (c *controlCluster) watchers(t *testing.T, i int) int {
 	var n struct{ Watchers int }
 	if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[i]+"/v1/admin/counters", "")), &n); err != nil {
@@ -102,7 +103,7 @@
 	return n.Watchers
 }
 
-// gauge reads one gauge of a control node.
+// gauge returns the value of a gauge of a control node; empty if there is none.
 func (c *controlCluster) gauge(t *testing.T, i int, name string) string {
 	for _, line := range strings.Split(c.callUntil(t, 200, "GET", c.controlAddresses[i]+"/metrics", ""), "\n") {
 		if rest, ok := strings.CutPrefix(line, "madderwing_control_"+name+" "); ok {
@@ -116,47 +117,47 @@
 	t.Helper()
 	for i := 0; !condition(); i++ {
 		if i > 600 {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until: %s", what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 func TestIsolatedControlNodeConfirmsNothing(t *testing.T) {
-	c := newControlCluster(t)
-	for i := range c.controlAddresses {
-		c.waitFor(t, fmt.Sprintf("control node %d is in contact", i+1), func() bool { return c.gauge(t, i, "in_contact") == "1" })
+	cluster := newControlCluster(t)
+	for i := range cluster.controlAddresses {
+		cluster.waitFor(t, fmt.Sprintf("control node %d is in contact", i+1), func() bool { return cluster.gauge(t, i, "in_contact") == "1" })
 	}
-	c.waitFor(t, "four members", func() bool {
-		return strings.Count(c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/admin/members", ""), `"seat": true`) == 4
+	cluster.waitFor(t, "four voters", func() bool {
+		return strings.Count(cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/admin/members", ""), `"seat": true`) == 4
 	})
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[3]+"/v1/config", items)
-	c.callUntil(t, 200, "GET", c.ready+"/v1/readiness", "")
-	c.waitFor(t, "the gateway watches the control node beside it", func() bool { return c.watchers(t, 0) > 0 })
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[3]+"/v1/config", items)
+	cluster.callUntil(t, 200, "GET", cluster.ready+"/v1/readiness", "")
+	cluster.waitFor(t, "the gateway watches the control node beside it", func() bool { return cluster.watchers(t, 0) > 0 })
 	const order = `{"target":"a","targetVersion":"v2","withinS":60}`
-	c.callUntil(t, 200, "POST", c.controlAddresses[1]+"/v1/rollouts", order)
-	c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/rollouts/a", "")
-	c.callUntil(t, 200, "GET", c.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
+	cluster.callUntil(t, 200, "POST", cluster.controlAddresses[1]+"/v1/rollouts", order)
+	cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/rollouts/a", "")
+	cluster.callUntil(t, 200, "GET", cluster.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
 
-	// The ways to the control node and from it are cut one after the other, so that for a
-	// moment it is heard and hears nothing.
+	// The links to the control node are cut before those from it, so that for a moment it can send
+	// but not receive.
 	for i := 1; i < 4; i++ {
-		controlplane.CutLink(c.peerAddresses[i], c.peerAddresses[0])
+		controlplane.CutLink(cluster.peerAddresses[i], cluster.peerAddresses[0])
 	}
 	for i := 1; i < 4; i++ {
-		controlplane.CutLink(c.peerAddresses[0], c.peerAddresses[i])
+		controlplane.CutLink(cluster.peerAddresses[0], cluster.peerAddresses[i])
 	}
 	removed := `{"remove":{"routes":[{"name":"r","generation":2}]}}`
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[2]+"/v1/config", removed)
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[2]+"/v1/config", removed)
 	type call struct {
 		method, path, body string
-		afterRestore             int // its status after the join
+		afterRestore       int // status after the links were restored
 	}
 	calls := []call{
 		{"GET", "/v1/config", "", 200},
 		{"PATCH", "/v1/config", removed, 200},
-		{"PATCH", "/v1/config", items, 200}, // older than what stands
-		{"PATCH", "/v1/config", strings.NewReplacer(`"name":"r"`, `"name":"r2"`, `"target":"a"`, `"target":"new"`).Replace(items), 400}, // refused as things stood
+		{"PATCH", "/v1/config", items, 200}, // older than the stored generations
+		{"PATCH", "/v1/config", strings.NewReplacer(`"name":"r"`, `"name":"r2"`, `"target":"a"`, `"target":"new"`).Replace(items), 400}, // invalid against the published configuration
 		{"POST", "/v1/evacuation/z2", "", 200},
 		{"DELETE", "/v1/evacuation/z2", "", 200},
 		{"POST", "/v1/evacuation/new", "", 404},
@@ -172,65 +173,65 @@
 		{"DELETE", "/v1/admin/members/new", "", 404},
 	}
 	for _, step := range calls {
-		res, err := send(c.controlAddresses[0], step.method, step.path, step.body)
+		res, err := send(cluster.controlAddresses[0], step.method, step.path, step.body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
-			t.Errorf("cut off: %s %s %s: %d, Retry-After %q", step.method, step.path, step.body, res.StatusCode, res.Header.Get("Retry-After"))
+			t.Errorf("isolated: %s %s %s: %d, Retry-After %q", step.method, step.path, step.body, res.StatusCode, res.Header.Get("Retry-After"))
 		}
 	}
-	c.waitFor(t, "the gauge says so", func() bool { return c.gauge(t, 0, "in_contact") == "0" })
-	c.callUntil(t, 503, "GET", c.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
-	c.callUntil(t, 503, "GET", c.controlAddresses[0]+"/v1/admin/resolve?name=h.example&zone=z1", "")
-	c.waitFor(t, "the gateway has left", func() bool { return c.watchers(t, 0) == 0 })
-	if status, _ := c.call(t, "GET", c.ready+"/v1/readiness", ""); status != 200 {
-		t.Errorf("a gateway that was ready is not, for a control node that is cut off: %d", status)
+	cluster.waitFor(t, "the gauge shows the lost contact", func() bool { return cluster.gauge(t, 0, "in_contact") == "0" })
+	cluster.callUntil(t, 503, "GET", cluster.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
+	cluster.callUntil(t, 503, "GET", cluster.controlAddresses[0]+"/v1/admin/resolve?name=h.example&zone=z1", "")
+	cluster.waitFor(t, "the gateway watches another control node", func() bool { return cluster.watchers(t, 0) == 0 })
+	if status, _ := cluster.call(t, "GET", cluster.ready+"/v1/readiness", ""); status != 200 {
+		t.Errorf("readiness of the gateway while its control node is isolated: %d", status)
 	}
-	// Views are told, with their age.
-	res, err := send(c.controlAddresses[0], "GET", "/v1/admin/keys", "")
+	// Views are still served, with their age.
+	res, err := send(cluster.controlAddresses[0], "GET", "/v1/admin/keys", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if age, err := strconv.Atoi(res.Header.Get("Age")); res.StatusCode != 200 || err != nil || age < 2 {
-		t.Errorf("a view: %d, Age %q", res.StatusCode, res.Header.Get("Age"))
+		t.Errorf("a view while isolated: %d, Age %q", res.StatusCode, res.Header.Get("Age"))
 	}
-	if got := c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/admin/summary", ""); !strings.Contains(got, `"fresh": false`) {
+	if got := cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/admin/summary", ""); !strings.Contains(got, `"fresh": false`) {
 		t.Errorf("summary: %s", got)
 	}
-	if got := c.gauge(t, 1, "in_contact"); got != "1" {
-		t.Errorf("the others: %q", got)
+	if got := cluster.gauge(t, 1, "in_contact"); got != "1" {
+		t.Errorf("in_contact of another control node: %q", got)
 	}
 
 	controlplane.RestoreLinks()
-	c.waitFor(t, "contact again", func() bool { return c.gauge(t, 0, "in_contact") == "1" })
+	cluster.waitFor(t, "control node 1 is in contact again", func() bool { return cluster.gauge(t, 0, "in_contact") == "1" })
 	for _, x := range calls {
-		c.callUntil(t, x.afterRestore, x.method, c.controlAddresses[0]+x.path, x.body)
+		cluster.callUntil(t, x.afterRestore, x.method, cluster.controlAddresses[0]+x.path, x.body)
 	}
-	c.callUntil(t, 200, "GET", c.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
-	c.waitFor(t, "the gateway comes back", func() bool { return c.watchers(t, 0) > 0 })
+	cluster.callUntil(t, 200, "GET", cluster.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
+	cluster.waitFor(t, "the gateway watches the control node again", func() bool { return cluster.watchers(t, 0) > 0 })
 }
 
-// A catalogue of several parts reaches a gateway, and so does what changes in it later.
+// A catalogue that is sent in several parts reaches a gateway, and so do later changes to it.
 func TestLargeCatalogueReachesAGateway(t *testing.T) {
-	c := newControlCluster(t)
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[1]+"/v1/config", items)
+	cluster := newControlCluster(t)
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[1]+"/v1/config", items)
 	var routes strings.Builder
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 3000 {
 		fmt.Fprintf(&routes, `,{"name":"r-%x","pathPrefix":"/%x/","routeKind":"idempotent","deadlineS":1.5,"targetLatencyS":0.6,"priority":2,"target":"a","maxTries":2,"generation":1}`, i, rng.Uint64())
 	}
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[2]+"/v1/config", `{"upsert":{"domains":[{"authority":"large.example","hostRoutes":[`+routes.String()[1:]+`]}]}}`)
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[2]+"/v1/config", `{"upsert":{"domains":[{"authority":"large.example","hostRoutes":[`+routes.String()[1:]+`]}]}}`)
 	current := func() bool {
-		got := c.callUntil(t, 200, "GET", c.controlAddresses[0]+"/v1/admin/delivery", "")
+		got := cluster.callUntil(t, 200, "GET", cluster.controlAddresses[0]+"/v1/admin/delivery", "")
 		return strings.Contains(got, `"current": true`) && !strings.Contains(got, `"current": false`)
 	}
-	routeCount := func() string { return c.gauge(t, 0, "routes") }
-	c.waitFor(t, "all routes are known", func() bool { return routeCount() == "3001" })
-	c.waitFor(t, "the gateway has the newest items", current)
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[1]+"/v1/config", `{"remove":{"routes":[{"name":"r-7","generation":2}]}}`)
-	c.waitFor(t, "one route less", func() bool { return routeCount() == "3000" })
-	c.waitFor(t, "the gateway has the newest items again", current)
+	routeCount := func() string { return cluster.gauge(t, 0, "routes") }
+	cluster.waitFor(t, "all routes are known", func() bool { return routeCount() == "3001" })
+	cluster.waitFor(t, "the gateway has the newest items", current)
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[1]+"/v1/config", `{"remove":{"routes":[{"name":"r-7","generation":2}]}}`)
+	cluster.waitFor(t, "the removed route is gone", func() bool { return routeCount() == "3000" })
+	cluster.waitFor(t, "the gateway has the newest items again", current)
 }
 
 func send(host, method, path, body string) (*http.Response, error) {
--- a/internal/controlplane/list_process_test.go
+++ b/internal/controlplane/list_process_test.go
@@ -13,7 +13,7 @@
 	"madderwing/internal/election"
 )
 
-// roleHolder waits until a duty has a holder, and gives that control node.
+// roleHolder waits until a singleton role has a holder, and returns the index of that control node.
 func (c *controlCluster) roleHolder(t *testing.T, role string) (holder int) {
 	t.Helper()
 	c.waitFor(t, role+" has a holder", func() bool {
@@ -31,7 +31,7 @@
 	return holder
 }
 
-// showsDraining says whether a control node showsDraining the upstream as draining.
+// showsDraining reports whether a control node shows its upstream with the given draining state.
 func (c *controlCluster) showsDraining(t *testing.T, i int, draining bool) bool {
 	var upstreams []struct{ Draining bool }
 	if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[i]+"/v1/admin/upstreams", "")), &upstreams); err != nil {
@@ -40,64 +40,64 @@
 	return len(upstreams) == 1 && upstreams[0].Draining == draining
 }
 
-// Guards against a reader of the list that reads it, and has its votes renewed, but can't tell the others: they kept
-// an old list for as long as that lasted.
+// Guards against a holder of the list role that still reads the list and keeps its votes, but whose
+// lists do not reach the other nodes: they kept an old list for as long as the fault lasted.
 func TestListStaysCurrentWhenItsReaderIsUnreachable(t *testing.T) {
 	const (
 		drainS   = 2500 * time.Millisecond
 		contactS = 3 * time.Second
 	)
 	var draining atomic.Bool
-	c := newControlClusterWith(t, func() string {
+	cluster := newControlClusterWith(t, func() string {
 		if draining.Load() {
 			return "draining"
 		}
 		return "ready"
 	})
-	c.waitFor(t, "four members", func() bool {
-		for i := range c.controlAddresses {
-			if c.gauge(t, i, "in_contact") != "1" || !c.showsDraining(t, i, false) {
+	cluster.waitFor(t, "all nodes are in contact and have the list", func() bool {
+		for i := range cluster.controlAddresses {
+			if cluster.gauge(t, i, "in_contact") != "1" || !cluster.showsDraining(t, i, false) {
 				return false
 			}
 		}
 		return true
 	})
-	others := func(reader int) (out []int) {
-		for i := range c.controlAddresses {
-			if i != reader {
+	others := func(holder int) (out []int) {
+		for i := range cluster.controlAddresses {
+			if i != holder {
 				out = append(out, i)
 			}
 		}
 		return out
 	}
 	for name, injectFault := range map[string]func(reader int){
-		"its lists don't arrive": func(reader int) { controlplane.DropMessages(c.peerAddresses[reader], delivery.IssueKind) },
-		"it hears nobody": func(reader int) {
+		"its lists are dropped": func(reader int) { controlplane.DropMessages(cluster.peerAddresses[reader], delivery.IssueKind) },
+		"it cannot receive": func(reader int) {
 			for _, i := range others(reader) {
-				controlplane.CutLink(c.peerAddresses[i], c.peerAddresses[reader])
+				controlplane.CutLink(cluster.peerAddresses[i], cluster.peerAddresses[reader])
 			}
 		},
-		"nobody hears it": func(reader int) {
+		"it cannot send": func(reader int) {
 			for _, i := range others(reader) {
-				controlplane.CutLink(c.peerAddresses[reader], c.peerAddresses[i])
+				controlplane.CutLink(cluster.peerAddresses[reader], cluster.peerAddresses[i])
 			}
 		},
 	} {
-		reader := c.roleHolder(t, "list")
+		reader := cluster.roleHolder(t, "list")
 		injectFault(reader)
 		wasDraining := draining.Load()
 		draining.Store(!wasDraining)
 		start := time.Now()
 		for _, i := range others(reader) {
-			c.waitFor(t, fmt.Sprintf("%s: control node %d shows the change", name, i), func() bool { return c.showsDraining(t, i, !wasDraining) })
+			cluster.waitFor(t, fmt.Sprintf("%s: control node %d shows the change", name, i), func() bool { return cluster.showsDraining(t, i, !wasDraining) })
 		}
 		if took := time.Since(start); took > drainS {
-			t.Errorf("%s: the others show a change after %v", name, took)
+			t.Errorf("%s: the other nodes show the change only after %v", name, took)
 		} else {
-			t.Logf("%s: after %v", name, took)
+			t.Logf("%s: shown after %v", name, took)
 		}
 		controlplane.RestoreLinks()
-		c.waitFor(t, "the reader of before has the change", func() bool { return c.showsDraining(t, reader, !wasDraining) })
+		cluster.waitFor(t, "the former holder shows the change", func() bool { return cluster.showsDraining(t, reader, !wasDraining) })
 		time.Sleep(contactS)
 	}
 }
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -18,14 +18,14 @@
 	"madderwing/internal/settings"
 )
 
-// Each order goes over the wire in the form that earlier releases read, and stands for one
-// task at the owner.
+// Each kind of order keeps the encoding that earlier releases read, and becomes one kind of task at
+// the owner.
 func TestOrdersOnTheWire(t *testing.T) {
 	on := true
 	const items = `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":1}]}}`
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		order order
-		wire  string // without the key
+		wire  string // after the encoded key; empty: not checked
 		task  task
 	}{
 		"a change":          {order{Patch: []byte(items)}, "025842" + hex.EncodeToString([]byte(items)), &patchTask{}},
@@ -35,37 +35,37 @@
 		"a plan":            {order{Plan: []byte(items)}, "075842" + hex.EncodeToString([]byte(items)), &planTask{}},
 		"a rollout":         {order{Rollout: &rollout.Ask{}}, "", beginTask{}},
 		"a reversal":        {order{Abort: true}, "0bf5", abortTask{}},
-		"standing versions": {order{Adopt: map[string]rollout.Standing{"a": {}}, SeenGenerations: map[string]uint64{"a": 2}}, "", adoptTask{}},
-		"all of a rollout":  {order{ShowState: true}, "0ef5", &showTask{}},
+		"current versions":  {order{Adopt: map[string]rollout.Standing{"a": {}}, SeenGenerations: map[string]uint64{"a": 2}}, "", adoptTask{}},
+		"a rollout's state": {order{ShowState: true}, "0ef5", &showTask{}},
 		"a service":         {order{Service: "a"}, "0f6161", &readTask{}},
 		"a confirmation":    {order{}, "", confirmTask{}},
-		"an empty plan":     {order{Plan: []byte{}}, "", confirmTask{}}, // is not sent
+		"an empty plan":     {order{Plan: []byte{}}, "", confirmTask{}}, // omitted in the encoding
 	} {
-		c.order.Key = "k"
-		wire, err := cbor.Marshal(c.order)
+		test.order.Key = "k"
+		wire, err := cbor.Marshal(test.order)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := hex.EncodeToString(wire); c.wire != "" && got[2:] != "01616b"+c.wire {
+		if got := hex.EncodeToString(wire); test.wire != "" && got[2:] != "01616b"+test.wire {
 			t.Errorf("%s: %s on the wire", name, got)
 		}
-		var o order
-		if err := cbor.Unmarshal(wire, &o); err != nil {
+		var decoded order
+		if err := cbor.Unmarshal(wire, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		for _, at := range []order{c.order, o} {
-			task, err := (&orderController{}).task("n", at)
-			if err != nil || reflect.TypeOf(task) != reflect.TypeOf(c.task) {
+		for _, received := range []order{test.order, decoded} {
+			task, err := (&orderController{}).task("n", received)
+			if err != nil || reflect.TypeOf(task) != reflect.TypeOf(test.task) {
 				t.Errorf("%s: %T, %v", name, task, err)
 			}
 		}
 	}
 	if _, err := (&orderController{}).task("n", order{Patch: []byte("{")}); err == nil {
-		t.Error("a change that cannot be read is taken")
+		t.Error("a malformed change is accepted")
 	}
 }
 
-// An order is not sent again once its caller has left, nor begun for one that has.
+// An order is not sent again after its caller's context ended, and not started for such a caller.
 func TestOrderIsNotRetriedWithoutItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
@@ -87,7 +87,7 @@
 		begin := time.Now()
 		_, err = orders.submit(caller, order{Key: "k"})
 		if took := time.Since(begin); err == nil || took != time.Second || attempts < 2 {
-			t.Errorf("%v after %v and %d looks for an owner", err, took, attempts)
+			t.Errorf("%v after %v and %d searches for an owner", err, took, attempts)
 		}
 		if _, err = orders.submit(caller, order{Key: "k"}); apierror.KindOf(err) != apierror.ClientGone {
 			t.Errorf("for a caller that has left: %v", err)
@@ -95,7 +95,8 @@
 	})
 }
 
-// Only a change that names tenants waits for the leases of keys that were taken away.
+// The answer to a change that names tenants is held until the leases of revoked API keys have expired.
+// Other changes are answered at once.
 func TestChangeThatRevokesKeysIsHeld(t *testing.T) {
 	replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
 	if err != nil {
@@ -103,36 +104,36 @@
 	}
 	const now = 10 * time.Second
 	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5, RevokeS: 1, RevocationGlobal: true}}, replica: replica, startedAt: time.Now().Add(-now)}
-	for name, c := range map[string]struct {
-		text    string
-		revokes bool
-		sinceRevocation     time.Duration // since the last key was taken; 0: none was
-		bounded bool          // the use of keys that were taken away
-		held    bool
+	for name, test := range map[string]struct {
+		text            string
+		revokes         bool
+		sinceRevocation time.Duration // since the last API key was revoked; 0: none was
+		bounded         bool          // whether the use of revoked API keys is bounded
+		held            bool
 	}{
-		"a key is taken":         {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, true, 0, true, true},
+		"a key is revoked":       {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, true, 0, true, true},
 		"a tenant is added":      {`{"upsert":{"tenants":[{"name":"u","generation":1,"apiKeys":["k-0123456789abcdef"]}]}}`, false, 0, true, false},
 		"no tenant is named":     {`{"upsert":{"services":[{"name":"a","generation":1,"maxConns":1}]}}`, false, time.Second, true, false},
-		"nothing bounds it":      {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, true, 0, false, false},
-		"a key went before":      {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, time.Second, true, true},
-		"a key went long before": {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, 3 * time.Second, true, false},
+		"no bound configured":    {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, true, 0, false, false},
+		"a key revoked before":   {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, time.Second, true, true},
+		"a key revoked long ago": {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, 3 * time.Second, true, false},
 	} {
-		requested, err := config.Read([]byte(c.text))
+		requested, err := config.Read([]byte(test.text))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		orders := &orderController{environment: env}
-		if c.bounded {
+		if test.bounded {
 			orders.revocations = &revocations{environment: env}
-			if c.sinceRevocation > 0 {
-				orders.revocations.noteRevocation(now - c.sinceRevocation)
+			if test.sinceRevocation > 0 {
+				orders.revocations.noteRevocation(now - test.sinceRevocation)
 			}
 		}
 		var answers []orderReply
-		task := &patchTask{orders: orders, requested: requested, revokes: c.revokes}
+		task := &patchTask{orders: orders, requested: requested, revokes: test.revokes}
 		task.finish(0, env.now(), func(v orderReply) { answers = append(answers, v) })
-		if len(answers) != 1 || answers[0].Failed != c.held {
+		if len(answers) != 1 || answers[0].Failed != test.held {
 			t.Errorf("%s: %+v", name, answers)
 		}
 	}
--- a/internal/controlplane/placement_process_test.go
+++ b/internal/controlplane/placement_process_test.go
@@ -9,7 +9,7 @@
 	"madderwing/internal/controlplane"
 )
 
-// owner is the control node that owns the configuration.
+// owner returns the index of the control node that owns the configuration.
 func (c *controlCluster) owner(t *testing.T) (owner int) {
 	t.Helper()
 	c.waitFor(t, "the configuration has an owner", func() bool {
@@ -30,7 +30,7 @@
 	return owner
 }
 
-// isolate cuts a control node off from all others.
+// isolate cuts the links between a control node and all others.
 func (c *controlCluster) isolate(isolated int) {
 	for i := range c.peerAddresses {
 		if i != isolated {
@@ -40,33 +40,33 @@
 	}
 }
 
-// Guards against a scheduler that keeps its duty though none of its bindings reaches the owner of the configuration:
-// routes stayed unplaced for as long as that lasted.
+// Guards against a scheduler that keeps its role although none of its bindings reaches the owner of
+// the configuration: routes stayed unplaced for as long as the fault lasted.
 func TestRoutesArePlacedWhenTheSchedulerCannotReachTheOwner(t *testing.T) {
 	const ackS, contactS = 5 * time.Second, 3 * time.Second
-	c := newControlCluster(t)
-	for i := range c.controlAddresses {
-		c.waitFor(t, "contact", func() bool { return c.gauge(t, i, "in_contact") == "1" })
+	cluster := newControlCluster(t)
+	for i := range cluster.controlAddresses {
+		cluster.waitFor(t, "contact", func() bool { return cluster.gauge(t, i, "in_contact") == "1" })
 	}
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[3]+"/v1/config", items)
-	c.callUntil(t, 200, "GET", c.ready+"/v1/readiness", "")
-	scheduler, owner := c.roleHolder(t, "shelve"), c.owner(t)
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[3]+"/v1/config", items)
+	cluster.callUntil(t, 200, "GET", cluster.ready+"/v1/readiness", "")
+	scheduler, owner := cluster.roleHolder(t, "shelve"), cluster.owner(t)
 	for try := 0; scheduler == owner; try++ {
 		if try > 5 {
-			t.Fatal("the scheduler's duty never goes on from the owner")
+			t.Fatal("the scheduler's role never moves away from the owner")
 		}
-		c.isolate(scheduler)
+		cluster.isolate(scheduler)
 		time.Sleep(contactS)
 		controlplane.RestoreLinks()
 		time.Sleep(contactS)
-		scheduler, owner = c.roleHolder(t, "shelve"), c.owner(t)
+		scheduler, owner = cluster.roleHolder(t, "shelve"), cluster.owner(t)
 	}
-	controlplane.DropMessages(c.peerAddresses[scheduler], "order")
-	c.callUntil(t, 200, "PATCH", c.controlAddresses[owner]+"/v1/config", strings.NewReplacer(`"name":"r"`, `"name":"later"`, `"/p/"`, `"/later/"`, `"services":[{"name":"a","generation":1,"maxConns":50,"note":"kept <as> sent"}],`, "").Replace(items))
-	begin := time.Now()
-	c.waitFor(t, "the new route is placed", func() bool {
+	controlplane.DropMessages(cluster.peerAddresses[scheduler], "order")
+	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[owner]+"/v1/config", strings.NewReplacer(`"name":"r"`, `"name":"later"`, `"/p/"`, `"/later/"`, `"services":[{"name":"a","generation":1,"maxConns":50,"note":"kept <as> sent"}],`, "").Replace(items))
+	start := time.Now()
+	cluster.waitFor(t, "the new route is placed", func() bool {
 		var routes []controlplane.RouteState
-		if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[owner]+"/v1/admin/bindings", "")), &routes); err != nil {
+		if err := json.Unmarshal([]byte(cluster.callUntil(t, 200, "GET", cluster.controlAddresses[owner]+"/v1/admin/bindings", "")), &routes); err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range routes {
@@ -76,9 +76,9 @@
 		}
 		return false
 	})
-	if took := time.Since(begin); took > 2*ackS {
+	if took := time.Since(start); took > 2*ackS {
 		t.Errorf("the route is placed after %v", took)
 	} else {
-		t.Logf("after %v, the scheduler %d, the owner %d", took, scheduler, owner)
+		t.Logf("placed after %v, scheduler %d, owner %d", took, scheduler, owner)
 	}
 }
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -9,7 +9,8 @@
 	"madderwing/internal/settings"
 )
 
-// A control node whose seat has gone may still have lent shares to gateways.
+// A former voter still counts as a holder of allocations until they have expired, after contactS: it
+// may still grant requests from them.
 func TestFormerVoterCountsUntilItsAllocationsExpire(t *testing.T) {
 	const contactS = 3
 	controller := &quotaController{lastSeated: map[string]time.Duration{},
@@ -20,20 +21,20 @@
 	}
 	controller.replica = replica
 	for _, test := range []struct {
-		ago  time.Duration
-		want []string
+		sinceVoter time.Duration
+		want       []string
 	}{
 		{time.Second, []string{"b"}},
 		{contactS*time.Second - time.Second/2, []string{"b"}},
 		{contactS*time.Second + time.Second/2, nil},
 	} {
 		controller.startedAt = time.Now().Add(-time.Minute)
-		controller.lastSeated["b"] = time.Minute - test.ago
+		controller.lastSeated["b"] = time.Minute - test.sinceVoter
 		if got := controller.branches(); !slices.Equal(got, test.want) {
-			t.Errorf("%v after its seat went: %v, want %v", test.ago, got, test.want)
+			t.Errorf("%v after it was last a voter: %v, want %v", test.sinceVoter, got, test.want)
 		}
 	}
 	if len(controller.lastSeated) > 0 {
-		t.Errorf("remembered for ever: %v", controller.lastSeated)
+		t.Errorf("not forgotten: %v", controller.lastSeated)
 	}
 }
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -10,8 +10,8 @@
 	"madderwing/internal/settings"
 )
 
-// Clients are told of gateways that are not known to be dead, and which of them take
-// new clients.
+// The registry lists the gateways that are not known to be dead and serve clients. Only those that
+// are alive and not draining are open to new clients.
 func TestListedGateways(t *testing.T) {
 	set := &settings.Settings{Zones: map[string]string{"north": "home", "south": "away"}}
 	node := func(address, zone string, plane membership.Plane, state membership.State, draining bool, front uint16) membership.Node {
@@ -36,10 +36,10 @@
 	}
 }
 
-// An answer holds for less than a gateway that leaves goes on, and for no longer than the
-// deployment allows.
+// The TTL of an answer is shorter than the time for which a draining gateway still serves, and no
+// longer than ttl_max_s.
 func TestAnswerTTLIsShorterThanTheGracePeriod(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		bounds settings.Bounds
 		want   time.Duration
 	}{
@@ -47,8 +47,8 @@
 		{settings.Bounds{GraceS: 10, TTLMaxS: 3}, 3 * time.Second},
 		{settings.Bounds{GraceS: 10, TTLMaxS: 30}, 4 * time.Second},
 	} {
-		if got := answerTTL(c.bounds); got != c.want {
-			t.Errorf("%+v: %v", c.bounds, got)
+		if got := answerTTL(test.bounds); got != test.want {
+			t.Errorf("%+v: %v", test.bounds, got)
 		}
 	}
 }
--- a/internal/controlplane/relay_process_test.go
+++ b/internal/controlplane/relay_process_test.go
@@ -16,8 +16,8 @@
 	"madderwing/internal/settings"
 )
 
-// Four control nodes and a relay, each on an address of its own. One of the relay's seeds is
-// the relay itself.
+// A relay redirects to one of four control nodes, each on its own address, also after that one shut
+// down. One of the relay's seeds is the relay itself.
 func TestRelayWithFourControlNodes(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[],"nextToken":null}`)
@@ -25,16 +25,16 @@
 	t.Cleanup(platform.Close)
 	base := freePorts(t, 4)
 	control, registry := base+2, base+3
-	startNode := func(i int, more string, seeds ...string) (stop func()) {
-		return startNode(t, platform.URL, base, i, more, seeds...)
+	start := func(i int, extraSettings string, seeds ...string) (stop func()) {
+		return startNode(t, platform.URL, base, i, extraSettings, seeds...)
 	}
 	address := func(i int) string { return fmt.Sprintf("127.0.0.%d:%d", i, control) }
-	leave := map[string]func(){}
+	stopByAddress := map[string]func(){}
 	for i := 1; i <= 4; i++ {
-		leave[address(i)] = startNode(i, fmt.Sprintf("dataDir = %q", t.TempDir()), address(1), address(2), address(3))
+		stopByAddress[address(i)] = start(i, fmt.Sprintf("dataDir = %q", t.TempDir()), address(1), address(2), address(3))
 	}
-	startNode(5, "", address(5), address(4))
-	s := &system{}
+	start(5, "", address(5), address(4))
+	caller := &system{}
 	picked := func() string {
 		c := http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 		res, err := c.Get("http://" + address(5) + "/v1/config")
@@ -62,43 +62,43 @@
 	}
 
 	const change = `{"upsert":{"services":[{"name":"a","generation":%d,"maxConns":50}]}}`
-	s.callUntil(t, 200, "PATCH", address(5)+"/v1/config", fmt.Sprintf(change, 1))
-	if got := s.callUntil(t, 200, "GET", address(3)+"/v1/config", ""); !strings.Contains(got, `"a"`) {
+	caller.callUntil(t, 200, "PATCH", address(5)+"/v1/config", fmt.Sprintf(change, 1))
+	if got := caller.callUntil(t, 200, "GET", address(3)+"/v1/config", ""); !strings.Contains(got, `"a"`) {
 		t.Errorf("a control node has %s", got)
 	}
-	// All four have a seat; the relay has none and is in no list.
+	// All four control nodes are voters. The relay is not, and no list contains it.
 	for i := 0; ; i++ {
-		members := s.callUntil(t, 200, "GET", address(5)+"/v1/admin/members", "")
+		members := caller.callUntil(t, 200, "GET", address(5)+"/v1/admin/members", "")
 		if strings.Contains(members, "127.0.0.5") {
-			t.Fatalf("the relay is in the register: %s", members)
+			t.Fatalf("the relay is listed as a member: %s", members)
 		}
 		if strings.Count(members, `"seat": true`) == 4 {
 			break
 		}
 		if i > 600 {
-			t.Fatalf("seats: %s", members)
+			t.Fatalf("not all control nodes are voters: %s", members)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	// The relay learns of control nodes from the answers to its questions, so it is called again.
+	// The relay learns of control nodes only when it asks one for a call, so it is called repeatedly.
 	for i := 0; ; i++ {
-		metrics := s.callUntil(t, 200, "GET", address(5)+"/metrics", "")
+		metrics := caller.callUntil(t, 200, "GET", address(5)+"/metrics", "")
 		if strings.Contains(metrics, "madderwing_relay_control_nodes 4\n") {
 			break
 		}
 		if i > 600 {
 			t.Fatalf("metrics: %s", metrics)
 		}
-		s.callUntil(t, 200, "GET", address(5)+"/v1/admin/members", "")
+		caller.callUntil(t, 200, "GET", address(5)+"/v1/admin/members", "")
 		time.Sleep(50 * time.Millisecond)
 	}
-	s.callUntil(t, 503, "GET", net.JoinHostPort("127.0.0.5", strconv.Itoa(registry))+"/v1/resolve?name=h.example", "")
+	caller.callUntil(t, 503, "GET", net.JoinHostPort("127.0.0.5", strconv.Itoa(registry))+"/v1/resolve?name=h.example", "")
 
-	first := pickedUntil("a control node", func(host string) bool { return leave[host] != nil })
-	leave[first]()
-	pickedUntil("another control node", func(host string) bool { return leave[host] != nil && host != first })
-	s.callUntil(t, 200, "PATCH", address(5)+"/v1/config", fmt.Sprintf(change, 2))
-	for host, stop := range leave {
+	first := pickedUntil("a control node", func(host string) bool { return stopByAddress[host] != nil })
+	stopByAddress[first]()
+	pickedUntil("another control node", func(host string) bool { return stopByAddress[host] != nil && host != first })
+	caller.callUntil(t, 200, "PATCH", address(5)+"/v1/config", fmt.Sprintf(change, 2))
+	for host, stop := range stopByAddress {
 		if host != first {
 			go stop()
 		}
@@ -106,7 +106,8 @@
 	pickedUntil("none", func(host string) bool { return host == "none" })
 }
 
-// startNode runs a control node or a relay on 127.0.0.i until it is told to leave.
+// startNode runs a control node, or a relay if the extra settings name no dataDir, on 127.0.0.number
+// until stop is called.
 func startNode(t *testing.T, platform string, base, number int, extraSettings string, seeds ...string) (stop func()) {
 	ip := fmt.Sprintf("127.0.0.%d", number)
 	set, err := settings.Parse(fmt.Appendf(nil, `
@@ -142,17 +143,17 @@
 	return stop
 }
 
-// Seeds may be machines without a disk, all of them even; the system is founded once, and
-// every control node gets its seat.
+// Some or all of the seeds may be relays. The cluster is still bootstrapped exactly once, and every
+// control node becomes a voter.
 func TestBootstrapWithRelaysAmongTheSeeds(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[],"nextToken":null}`)
 	}))
 	t.Cleanup(platform.Close)
 	for name, relays := range map[string]map[int]bool{
-		"the lowest":  {1: true},
-		"the highest": {3: true},
-		"all":         {1: true, 2: true, 3: true},
+		"the lowest seed":  {1: true},
+		"the highest seed": {3: true},
+		"all seeds":        {1: true, 2: true, 3: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			base := freePorts(t, 4)
@@ -166,15 +167,15 @@
 				}
 				startNode(t, platform.URL, base, i, disk, address(1), address(2), address(3))
 			}
-			s := &system{}
-			s.callUntil(t, 200, "PATCH", address(6)+"/v1/config", `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50}]}}`)
-			for i := 0; strings.Count(s.callUntil(t, 200, "GET", address(4)+"/v1/admin/members", ""), `"seat": true`) != controlNodes; i++ {
+			caller := &system{}
+			caller.callUntil(t, 200, "PATCH", address(6)+"/v1/config", `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50}]}}`)
+			for i := 0; strings.Count(caller.callUntil(t, 200, "GET", address(4)+"/v1/admin/members", ""), `"seat": true`) != controlNodes; i++ {
 				if i > 400 {
-					t.Fatal(s.callUntil(t, 200, "GET", address(4)+"/v1/admin/members", ""))
+					t.Fatal(caller.callUntil(t, 200, "GET", address(4)+"/v1/admin/members", ""))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			s.callUntil(t, 200, "GET", address(5)+"/v1/config", "")
+			caller.callUntil(t, 200, "GET", address(5)+"/v1/config", "")
 		})
 	}
 }
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -19,10 +19,10 @@
 const (
 	testHedgeDelay = 100 * time.Millisecond
 	testTimeout    = 500 * time.Millisecond
-	testCooldown     = 3 * time.Second
+	testCooldown   = 3 * time.Second
 )
 
-// fakeNodes is what each node would answer, and whom a picker has asked.
+// fakeNodes holds what each node answers to a picker, and records the nodes asked.
 type fakeNodes struct {
 	mu    sync.Mutex
 	nodes map[string]fakeNode
@@ -30,13 +30,13 @@
 }
 
 type fakeNode struct {
-	down   bool          // refuses at once
-	silent bool          // never answers
-	delay  time.Duration // of its answer
-	relay  bool
-	isolated bool // hears no owner
-	owner  string
-	knows  []string
+	down     bool          // refuses connections at once
+	silent   bool          // never answers
+	delay    time.Duration // of its answer
+	relay    bool
+	isolated bool // knows no owner of any partition
+	owner    string
+	knows    []string
 }
 
 func (f *fakeNodes) newPicker(seeds ...string) *picker {
@@ -74,9 +74,9 @@
 		want  string
 		took  time.Duration
 	}{
-		{"a seed that owns the key", []string{"a"}, map[string]fakeNode{"a": {owner: "a"}}, "a", 0},
+		{"a seed that owns the partition", []string{"a"}, map[string]fakeNode{"a": {owner: "a"}}, "a", 0},
 		{"a seed that knows no owner", []string{"a"}, map[string]fakeNode{"a": {}}, "a", 0},
-		{"the owner is somebody else", []string{"a"}, map[string]fakeNode{"a": {owner: "b"}, "b": {owner: "b"}}, "b", 0},
+		{"another node is the owner", []string{"a"}, map[string]fakeNode{"a": {owner: "b"}, "b": {owner: "b"}}, "b", 0},
 		{"the owner is silent", []string{"a"}, map[string]fakeNode{"a": {owner: "b"}, "b": {silent: true}}, "a", testHedgeDelay},
 		{"the owner has lost its majority", []string{"a"}, map[string]fakeNode{"a": {owner: "b"}, "b": {isolated: true}}, "a", 0},
 		{"a control node that has lost its majority", []string{"a"}, map[string]fakeNode{"a": {isolated: true, owner: "a"}}, "", 0},
@@ -85,7 +85,7 @@
 		{"a silent seed", []string{"a", "b"}, map[string]fakeNode{"a": {silent: true}, "b": {down: true}}, "", testTimeout},
 		{"all seeds refuse", []string{"a", "b", "c"}, nil, "", 0},
 		{"no seed but itself", []string{"self"}, map[string]fakeNode{"self": {}}, "", 0},
-		{"a slow one and another", []string{"a", "b"}, map[string]fakeNode{"a": {delay: 3 * testHedgeDelay, owner: "a"}, "b": {delay: 3 * testHedgeDelay, owner: "b"}}, "", 3 * testHedgeDelay},
+		{"two slow seeds", []string{"a", "b"}, map[string]fakeNode{"a": {delay: 3 * testHedgeDelay, owner: "a"}, "b": {delay: 3 * testHedgeDelay, owner: "b"}}, "", 3 * testHedgeDelay},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -93,8 +93,8 @@
 				begin := time.Now()
 				got := nodes.newPicker(test.seeds...).pick(t.Context(), "k")
 				synctest.Wait()
-				if test.name == "a slow one and another" {
-					test.want = nodes.asked[0] // whichever was asked first answers first
+				if test.name == "two slow seeds" {
+					test.want = nodes.asked[0] // the first one asked answers first
 				}
 				if took := time.Since(begin); got != test.want || took != test.took {
 					t.Errorf("picked %q after %v, want %q after %v; asked %v", got, took, test.want, test.took, nodes.asked)
@@ -104,99 +104,100 @@
 	}
 }
 
-// What one call has learnt serves the next.
-// A relay asks nobody for a caller that has left, and holds that against no control node.
+// A picker stops asking when its caller leaves, and does not count that as a node's failure.
 func TestPickerStopsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "b", knows: []string{"b"}}, "b": {silent: true}}}
-		p := f.newPicker("a")
+		nodes := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "b", knows: []string{"b"}}, "b": {silent: true}}}
+		picker := nodes.newPicker("a")
 		caller, cancel := context.WithTimeout(t.Context(), testHedgeDelay/2)
 		defer cancel()
 		begin := time.Now()
-		p.pick(caller, "k")
+		picker.pick(caller, "k")
 		synctest.Wait()
-		if took := time.Since(begin); took != testHedgeDelay/2 || len(p.failed) != 0 {
-			t.Errorf("it took %v; failed %v", took, p.failed)
+		if took := time.Since(begin); took != testHedgeDelay/2 || len(picker.failed) != 0 {
+			t.Errorf("it took %v; failed %v", took, picker.failed)
 		}
 	})
 }
 
+// What a picker learns in one call, it uses in the next.
 func TestPickerRemembersEarlierAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "b", knows: []string{"a", "b", "c"}}, "b": {owner: "b", knows: []string{"a", "b", "c"}},
+		nodes := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "b", knows: []string{"a", "b", "c"}}, "b": {owner: "b", knows: []string{"a", "b", "c"}},
 			"c": {owner: "b", knows: []string{"a", "b", "c"}}}}
-		p := f.newPicker("a")
+		picker := nodes.newPicker("a")
 		step := func(what, want string, asked ...string) {
 			t.Helper()
-			f.asked = nil
-			got := p.pick(t.Context(), "k")
-			synctest.Wait() // those who were slow are done
-			if got != want || !slices.Equal(f.asked, asked) {
-				t.Errorf("%s: picked %q by asking %v, want %q by %v", what, got, f.asked, want, asked)
+			nodes.asked = nil
+			got := picker.pick(t.Context(), "k")
+			synctest.Wait() // until slow queries have ended
+			if got != want || !slices.Equal(nodes.asked, asked) {
+				t.Errorf("%s: picked %q by asking %v, want %q by %v", what, got, nodes.asked, want, asked)
 			}
 		}
 		step("first", "b", "a", "b")
 		step("the owner is known", "b", "b")
-		f.nodes["b"] = fakeNode{silent: true}
-		step("the owner falls silent", "c", "b", "c")
-		step("it isn't asked again at once, nor is it believed in", "c", "c")
+		nodes.nodes["b"] = fakeNode{silent: true}
+		step("the owner stops answering", "c", "b", "c")
+		step("it is not asked again during its cooldown, and not picked", "c", "c")
 		time.Sleep(testCooldown)
-		step("after a while it is", "c", "b", "c")
-		f.nodes["a"], f.nodes["c"], f.nodes["b"] = fakeNode{down: true}, fakeNode{down: true}, fakeNode{owner: "b", knows: []string{"b"}}
-		step("all others are gone: also who failed lately", "b", "c", "a", "b")
-		f.nodes["b"] = fakeNode{down: true}
-		f.nodes["n"] = fakeNode{owner: "n", knows: []string{"n"}}
-		p.setSeeds([]string{"n"})
+		step("after the cooldown it is asked", "c", "b", "c")
+		nodes.nodes["a"], nodes.nodes["c"], nodes.nodes["b"] = fakeNode{down: true}, fakeNode{down: true}, fakeNode{owner: "b", knows: []string{"b"}}
+		step("all others are down: a node in its cooldown is asked too", "b", "c", "a", "b")
+		nodes.nodes["b"] = fakeNode{down: true}
+		nodes.nodes["n"] = fakeNode{owner: "n", knows: []string{"n"}}
+		picker.setSeeds([]string{"n"})
 		step("new seeds", "n", "b", "n")
-		f.nodes["n"] = fakeNode{owner: "s", knows: []string{"n", "s"}}
-		f.nodes["s"] = fakeNode{silent: true}
-		step("an owner that the picker has never asked is silent", "n", "n", "s")
-		step("nor is that one asked again at once", "n", "n")
-		f.nodes["n"] = fakeNode{down: true}
-		step("control nodes of old that no answer names are forgotten", "", "n", "s")
+		nodes.nodes["n"] = fakeNode{owner: "s", knows: []string{"n", "s"}}
+		nodes.nodes["s"] = fakeNode{silent: true}
+		step("a newly named owner does not answer", "n", "n", "s")
+		step("that one is not asked again during its cooldown either", "n", "n")
+		nodes.nodes["n"] = fakeNode{down: true}
+		step("control nodes that no recent answer names are forgotten", "", "n", "s")
 	})
 }
 
 func TestRelayAnswers(t *testing.T) {
 	keys := []string{"catalogue", "evacuation/n"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, key string
 		owners    map[string]string
 		leaving   bool
 		owner     string
-		working     bool
+		working   bool
 	}{
 		{"an owner", "evacuation/n", map[string]string{"catalogue": "a", "evacuation/n": "b"}, false, "b", true},
-		{"none at the moment", "evacuation/n", map[string]string{"catalogue": "a"}, false, "", true},
-		{"a key that there is not", "evacuation/m", map[string]string{"catalogue": "a", "evacuation/m": "made by asking"}, false, "", true},
-		{"no owner of anything", "catalogue", nil, false, "", false},
-		{"about to leave", "catalogue", map[string]string{"catalogue": "a"}, true, "a", false},
+		{"no owner at the moment", "evacuation/n", map[string]string{"catalogue": "a"}, false, "", true},
+		{"an unknown partition", "evacuation/m", map[string]string{"catalogue": "a", "evacuation/m": "created by the query"}, false, "", true},
+		{"no owner of any partition", "catalogue", nil, false, "", false},
+		{"draining", "catalogue", map[string]string{"catalogue": "a"}, true, "a", false},
 	} {
-		list := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: c.leaving}, {Address: "b", Plane: membership.Control},
+		list := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: test.leaving}, {Address: "b", Plane: membership.Control},
 			{Address: "c", Plane: membership.Control, State: membership.Dead}, {Address: "d"}, {Address: "e", Plane: membership.Control, Draining: true}}}
-		got := relayAnswerFor(c.key, "a", keys, func(key string) string { return c.owners[key] }, list)
-		want := 2
-		if c.leaving {
-			want = 1
+		got := relayAnswerFor(test.key, "a", keys, func(key string) string { return test.owners[key] }, list)
+		nodes := 2
+		if test.leaving {
+			nodes = 1
 		}
-		if got.Owner != c.owner || got.Working != c.working || len(got.Nodes) != want || got.Nodes[want-1].Address != "b" {
-			t.Errorf("%s: %+v", c.name, got)
+		if got.Owner != test.owner || got.Working != test.working || len(got.Nodes) != nodes || got.Nodes[nodes-1].Address != "b" {
+			t.Errorf("%s: %+v", test.name, got)
 		}
 	}
 }
 
-// A node that joins through a relay is told the control nodes, which are looked for once.
+// A relay gives a joining node the control nodes, for which it searches once, and adds control nodes
+// that join through it.
 func TestRelayIntroducesControlNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "a", knows: []string{"a"}}}}
-		p := f.newPicker("a")
+		nodes := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "a", knows: []string{"a"}}}}
+		first := nodes.newPicker("a")
 		for range 3 {
-			if got := p.introduce(membership.Node{Address: "d"}); len(got) != 1 || got[0].Address != "a" {
-				t.Errorf("told of %v", got)
+			if got := first.introduce(membership.Node{Address: "d"}); len(got) != 1 || got[0].Address != "a" {
+				t.Errorf("introduced to %v", got)
 			}
 		}
-		if len(f.asked) != 1 {
-			t.Errorf("asked %v", f.asked)
+		if len(nodes.asked) != 1 {
+			t.Errorf("asked %v", nodes.asked)
 		}
 		unreachable := &fakeNodes{}
 		second := unreachable.newPicker("a")
@@ -204,56 +205,56 @@
 			second.introduce(membership.Node{Address: "d"})
 		}
 		if len(unreachable.asked) != 1 {
-			t.Errorf("asked %v in vain", unreachable.asked)
+			t.Errorf("asked %v without success, want one query", unreachable.asked)
 		}
-		if got := p.introduce(membership.Node{Address: "b", Plane: membership.Control}); len(got) != 1 {
-			t.Errorf("a control node is told of %v", got)
+		if got := first.introduce(membership.Node{Address: "b", Plane: membership.Control}); len(got) != 1 {
+			t.Errorf("a joining control node is introduced to %v", got)
 		}
-		if got := p.introduce(membership.Node{Address: "d"}); len(got) != 2 {
-			t.Errorf("a control node that joined isn't passed on: %v", got)
+		if got := first.introduce(membership.Node{Address: "d"}); len(got) != 2 {
+			t.Errorf("a control node that joined is not in the introduction: %v", got)
 		}
 	})
 }
 
 func TestRelayRedirects(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, method, target, pick string
 		key, location              string
 		status                     int
-		expectContinue                    bool // to be asked for its body
+		expectContinue             bool // sends Expect: 100-continue
 	}{
 		{"a change", "PATCH", "/v1/config", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/config", 307, false},
-		{"a body that waits", "PATCH", "/v1/config", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/config", 307, true},
-		{"a question", "GET", "/v1/admin/resolve?name=h.example&zone=a%20b", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/admin/resolve?name=h.example&zone=a%20b", 307, false},
+		{"a body held back", "PATCH", "/v1/config", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/config", 307, true},
+		{"a query", "GET", "/v1/admin/resolve?name=h.example&zone=a%20b", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/admin/resolve?name=h.example&zone=a%20b", 307, false},
 		{"an evacuation", "POST", "/v1/evacuation/north", "10.0.0.4:7001", "evacuation/north", "http://10.0.0.4:8080/v1/evacuation/north", 307, false},
 		{"a rollout", "DELETE", "/v1/rollouts/a%2Fb", "10.0.0.4:7001", "rollout/a/b", "http://10.0.0.4:8080/v1/rollouts/a%2Fb", 307, false},
 		{"an order of a rollout", "POST", "/v1/rollouts", "10.0.0.4:7001", "catalogue", "http://10.0.0.4:8080/v1/rollouts", 307, false},
 		{"a retirement", "DELETE", "/v1/admin/members/n", "10.0.0.4:7001", "roster", "http://10.0.0.4:8080/v1/admin/members/n", 307, false},
-		{"nobody", "PATCH", "/v1/config", "", "catalogue", "", 503, false},
-		{"its own metrics", "GET", "/metrics", "", "", "", 200, false},
+		{"no control node", "PATCH", "/v1/config", "", "catalogue", "", 503, false},
+		{"the relay's own metrics", "GET", "/metrics", "", "", "", 200, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			key := ""
-			r := &relay{port: "8080", retryAfter: time.Second / 2, log: slog.New(slog.DiscardHandler),
-				pick: func(_ context.Context, k string) string { key = k; return c.pick }, known: func() []membership.Node { return nil }}
-			w := httptest.NewRecorder()
+			handler := &relay{port: "8080", retryAfter: time.Second / 2, log: slog.New(slog.DiscardHandler),
+				pick: func(_ context.Context, k string) string { key = k; return test.pick }, known: func() []membership.Node { return nil }}
+			response := httptest.NewRecorder()
 			body := strings.NewReader(strings.Repeat("x", 1<<20))
-			req := httptest.NewRequest(c.method, c.target, body)
-			if c.expectContinue {
+			req := httptest.NewRequest(test.method, test.target, body)
+			if test.expectContinue {
 				req.Header.Set("Expect", "100-continue")
 			}
-			r.ServeHTTP(w, req)
-			if w.Code != c.status || w.Header().Get("Location") != c.location || key != c.key {
-				t.Errorf("%d %q about %q", w.Code, w.Header().Get("Location"), key)
+			handler.ServeHTTP(response, req)
+			if response.Code != test.status || response.Header().Get("Location") != test.location || key != test.key {
+				t.Errorf("%d %q for partition %q", response.Code, response.Header().Get("Location"), key)
 			}
-			if unread := body.Len() > 0; unread != (c.expectContinue || c.status == http.StatusOK) {
-				t.Errorf("%d bytes of the body are left", body.Len())
+			if unread := body.Len() > 0; unread != (test.expectContinue || test.status == http.StatusOK) {
+				t.Errorf("%d bytes of the body are unread", body.Len())
 			}
-			if later := w.Header().Get("Retry-After"); (later != "") != (c.status == http.StatusServiceUnavailable) {
-				t.Errorf("Retry-After %q", later)
+			if retryAfter := response.Header().Get("Retry-After"); (retryAfter != "") != (test.status == http.StatusServiceUnavailable) {
+				t.Errorf("Retry-After %q", retryAfter)
 			}
-			if c.status == http.StatusOK && !strings.Contains(w.Body.String(), "madderwing_relay_calls_total 0\n") {
-				t.Errorf("metrics: %s", w.Body)
+			if test.status == http.StatusOK && !strings.Contains(response.Body.String(), "madderwing_relay_calls_total 0\n") {
+				t.Errorf("metrics: %s", response.Body)
 			}
 		})
 	}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -13,24 +13,24 @@
 	"madderwing/internal/upstream"
 )
 
-// A control node that starts with a disk shows its gateways the rollouts on it at once, though
-// their keys are none of those that every control node has.
+// A control node that starts with a disk publishes the rollouts on it at once, although their
+// partitions are created on demand and are not in the settings.
 func TestRestartedControlNodePublishesRollouts(t *testing.T) {
 	const id = "10.0.0.1:1"
-	config := replication.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Key},
+	replicaConfig := replication.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Key},
 		Beat: 1, Vacant: 10, Patience: 100, Alive: func(string) bool { return true }}
-	first, err := replication.NewReplica(config, nil)
+	first, err := replication.NewReplica(replicaConfig, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	disk := map[string][]byte{}
-	applyEffects := func(m *replication.Replica) {
-		for fx := m.Take(); len(fx.Writes) > 0; fx = m.Take() {
+	applyEffects := func(replica *replication.Replica) {
+		for fx := replica.Take(); len(fx.Writes) > 0; fx = replica.Take() {
 			for _, w := range fx.Writes {
 				for _, e := range w.Entries {
 					disk[e.Key] = e.Value
 				}
-				m.Durable(5, w.ID)
+				replica.Durable(5, w.ID)
 			}
 		}
 	}
@@ -39,13 +39,13 @@
 	order := func(have map[string]replication.Record) ([]replication.Record, error) {
 		return rollout.Begin(have, rollout.Ask{Service: "s", Version: "v2", WithinS: 9}, "v1", rollout.Call{})
 	}
-	for done := false; !done; applyEffects(first) { // the first asking makes the key
+	for done := false; !done; applyEffects(first) { // the first proposal creates the partition
 		first.Propose(5, rollout.Key("s"), order, func(err error) { done = done || err == nil })
 		applyEffects(first)
 	}
 
-	config.Bootstrap, config.Empty, config.Life = false, false, 2
-	restarted, err := replication.NewReplica(config, disk)
+	replicaConfig.Bootstrap, replicaConfig.Empty, replicaConfig.Life = false, false, 2
+	restarted, err := replication.NewReplica(replicaConfig, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,12 +54,12 @@
 	node.log.replication = slog.New(slog.NewTextHandler(t.Output(), nil))
 	node.publishAll()
 	if p := node.rollouts.versions["s"].Active(); p == nil || p.Candidate != "v2" {
-		t.Errorf("shown after a restart: %+v", node.rollouts.versions)
+		t.Errorf("published after a restart: %+v", node.rollouts.versions)
 	}
 }
 
-// The prior version of a new order is what the record and the configuration's owner say, not
-// what this control node happens to have been shown.
+// The prior version of a new order comes from the committed record and the configuration's owner,
+// not from what this control node has published.
 func TestPriorVersionOfANewOrder(t *testing.T) {
 	controller := &rolloutController{list: &listController{}, versions: map[string]rollout.Service{"s": {Standing: rollout.Standing{Version: "shown"}}}}
 	controller.list.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "i", Service: "s", Version: "listed"}})
@@ -71,15 +71,15 @@
 		return replication.Record{Name: rollout.Key("s"), Gen: 7, Data: data}
 	}
 	for name, test := range map[string]struct {
-		last  replication.Record
+		last replication.Record
 		kept rollout.Standing
-		want  string
+		want string
 	}{
-		"an order is complete":              {plan(rollout.Complete), rollout.Standing{Version: "v0"}, "v2"},
-		"one was reverted":                  {plan(rollout.Reverted), rollout.Standing{Version: "v0"}, "v1"},
-		"another stands since":              {plan(rollout.Complete), rollout.Standing{Version: "v3", After: 7}, "v3"},
-		"no order yet":                      {replication.Record{}, rollout.Standing{Version: "v0"}, "v0"},
-		"nothing was kept: the list's word": {replication.Record{}, rollout.Standing{}, "listed"},
+		"the last order is complete":          {plan(rollout.Complete), rollout.Standing{Version: "v0"}, "v2"},
+		"the last order was reverted":         {plan(rollout.Reverted), rollout.Standing{Version: "v0"}, "v1"},
+		"a later version is recorded":         {plan(rollout.Complete), rollout.Standing{Version: "v3", After: 7}, "v3"},
+		"no order yet":                        {replication.Record{}, rollout.Standing{Version: "v0"}, "v0"},
+		"no recorded version: the listed one": {replication.Record{}, rollout.Standing{}, "listed"},
 	} {
 		if got := controller.currentVersion(test.last, order{Rollout: &rollout.Ask{Service: "s"}, Current: test.kept}); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
--- a/internal/controlplane/rollout_process_test.go
+++ b/internal/controlplane/rollout_process_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// fakePlatform plays the platform and the upstreams: two of version v1 from the start, two
-// of v2 when they are brought in.
+// fakePlatform serves the platform's list and runs the upstreams on it, two for each version that the
+// test adds.
 type fakePlatform struct {
-	mu   sync.Mutex
+	mu        sync.Mutex
 	instances []string
-	failing  atomic.Bool // v2 answers with errors
-	requests  [3]atomic.Int64
+	failing   atomic.Bool     // v2 answers with errors
+	requests  [3]atomic.Int64 // by version
 }
 
-func (o *fakePlatform) addUpstreams(t *testing.T, version int) {
+func (p *fakePlatform) addUpstreams(t *testing.T, version int) {
 	for i := range 2 {
 		id := fmt.Sprintf("v%d-%d", version, i)
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,29 +28,29 @@
 				w.Header().Set("Instance-Id", id)
 				return
 			}
-			o.requests[version].Add(1)
+			p.requests[version].Add(1)
 			w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 			w.Header().Set("Server-Seal", "s")
-			if version == 2 && o.failing.Load() {
+			if version == 2 && p.failing.Load() {
 				w.WriteHeader(http.StatusInternalServerError)
 			}
 			fmt.Fprint(w, id)
 		}))
 		t.Cleanup(upstream.Close)
-		o.mu.Lock()
-		o.instances = append(o.instances, fmt.Sprintf(`{"id":%q,"target":"a","address":%q,"zone":"north","generation":"v%d","capacity":8,"state":"ready","warmupLeftS":0}`,
+		p.mu.Lock()
+		p.instances = append(p.instances, fmt.Sprintf(`{"id":%q,"target":"a","address":%q,"zone":"north","generation":"v%d","capacity":8,"state":"ready","warmupLeftS":0}`,
 			id, strings.TrimPrefix(upstream.URL, "http://"), version))
-		o.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-func (o *fakePlatform) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	fmt.Fprintf(w, `{"instances":[%s],"nextToken":null}`, strings.Join(o.instances, ","))
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	fmt.Fprintf(w, `{"instances":[%s],"nextToken":null}`, strings.Join(p.instances, ","))
 }
 
-// sendLoad sends requests one after the other in the background until the test ends.
+// sendLoad has four clients send requests in the background until the test ends.
 func (s *system) sendLoad(t *testing.T, body string) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -72,7 +72,7 @@
 	t.Cleanup(func() { close(done); all.Wait() })
 }
 
-// callControl calls control, again for as long as that has no owner for a key.
+// callControl calls the operators' API, again while it answers 503 because a partition has no owner.
 func (s *system) callControl(t *testing.T, method, path, body string) (status int, text string) {
 	for range 200 {
 		if status, text = s.call(t, method, s.control+path, body); status != http.StatusServiceUnavailable {
@@ -89,13 +89,13 @@
 			platform := &fakePlatform{}
 			platform.failing.Store(failing)
 			platform.addUpstreams(t, 1)
-			s := newSystemWith(t, platform, "vip")
-			s.callUntil(t, 200, "PATCH", s.control+"/v1/config", items)
-			s.callUntil(t, 200, "GET", s.ready+"/v1/readiness", "")
-			s.sendLoad(t, "b")
+			system := newSystemWith(t, platform, "vip")
+			system.callUntil(t, 200, "PATCH", system.control+"/v1/config", items)
+			system.callUntil(t, 200, "GET", system.ready+"/v1/readiness", "")
+			system.sendLoad(t, "b")
 			platform.addUpstreams(t, 2)
 			const order = `{"target":"a","targetVersion":"v2","withinS":6}`
-			for _, c := range []struct {
+			for _, call := range []struct {
 				want               int
 				method, path, body string
 			}{
@@ -110,13 +110,13 @@
 				{200, "POST", "/v1/rollouts", order},
 				{409, "POST", "/v1/rollouts", strings.Replace(order, "v2", "v3", 1)},
 			} {
-				got, text := s.callControl(t, c.method, c.path, c.body)
-				if got != c.want {
-					t.Errorf("%s %s %s: %d %s, want %d", c.method, c.path, c.body, got, text, c.want)
+				got, text := system.callControl(t, call.method, call.path, call.body)
+				if got != call.want {
+					t.Errorf("%s %s %s: %d %s, want %d", call.method, call.path, call.body, got, text, call.want)
 				}
 			}
-			if got := s.callUntil(t, 200, "GET", s.control+"/v1/rollouts/a", ""); got != `{"state":"serving","targetVersion":"v2"}` {
-				t.Errorf("under way: %s", got)
+			if got := system.callUntil(t, 200, "GET", system.control+"/v1/rollouts/a", ""); got != `{"state":"serving","targetVersion":"v2"}` {
+				t.Errorf("in progress: %s", got)
 			}
 			want := "complete"
 			if failing {
@@ -124,14 +124,14 @@
 			}
 			text := ""
 			for i := 0; i < 600 && !strings.Contains(text, want); i++ {
-				text = s.callUntil(t, 200, "GET", s.control+"/v1/rollouts/a", "")
+				text = system.callUntil(t, 200, "GET", system.control+"/v1/rollouts/a", "")
 				time.Sleep(50 * time.Millisecond)
 			}
 			if !strings.Contains(text, want) {
 				t.Fatalf("at the end: %s", text)
 			}
 			time.Sleep(300 * time.Millisecond)
-			drained := 3 - 1 // the version that gets nothing more
+			drained := 3 - 1 // the version that gets no more requests
 			if !failing {
 				drained = 1
 			}
@@ -141,18 +141,18 @@
 				t.Errorf("v%d got %d requests after the end", drained, after-before)
 			}
 			if failing && platform.requests[2].Load() > platform.requests[1].Load()/5 {
-				t.Errorf("the bad version got %d, the other %d", platform.requests[2].Load(), platform.requests[1].Load())
+				t.Errorf("the failing version got %d requests, the other %d", platform.requests[2].Load(), platform.requests[1].Load())
 			}
 			ended := 409 // nothing is left to reverse
 			if failing {
 				ended = 200 // it is reversed
 			}
 			for path, want := range map[string]int{"a": ended, "a?targetVersion=v2": ended, "a?targetVersion=v9": 409, "nobody": 404} {
-				if got, text := s.callControl(t, "DELETE", "/v1/rollouts/"+path, ""); got != want {
+				if got, text := system.callControl(t, "DELETE", "/v1/rollouts/"+path, ""); got != want {
 					t.Errorf("DELETE %s: %d %s, want %d", path, got, text, want)
 				}
 			}
-			if shown := s.callUntil(t, 200, "GET", s.control+"/v1/admin/rollouts/a", ""); !strings.Contains(shown, `"stage": "`+want+`"`) {
+			if shown := system.callUntil(t, 200, "GET", system.control+"/v1/admin/rollouts/a", ""); !strings.Contains(shown, `"stage": "`+want+`"`) {
 				t.Errorf("shown: %s", shown)
 			}
 		})
--- a/internal/controlplane/rollout_retries_test.go
+++ b/internal/controlplane/rollout_retries_test.go
@@ -12,9 +12,8 @@
 	"madderwing/internal/settings"
 )
 
-// Orders for rollouts come to an owner as control nodes pass them on, and perhaps come again
-// after the service's next rollout has begun: with the number of the first time if a node
-// passes them on, with another one if their operator sends them again.
+// An owner may receive a rollout order again after the service's next rollout has begun: with the
+// same ID if a control node forwards it again, with another ID if the operator sends it again.
 func TestRepeatedRolloutOrders(t *testing.T) {
 	replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
 	if err != nil {
@@ -28,15 +27,15 @@
 	abort := func(id uint64, r rollout.Reversal) order { return order{Key: key, ID: id, Abort: true, Reversal: r} }
 	const noError apierror.Kind = -1
 	for name, test := range map[string]struct {
-		again order
-		want  apierror.Kind
+		repeated order
+		want     apierror.Kind
 	}{
-		"the order, passed on":                   {begin(1, "v2"), noError},
-		"the order, sent again":                  {begin(9, "v2"), noError},
-		"the reversal, passed on":                {abort(2, rollout.Reversal{Version: "v2"}), noError},
-		"of an earlier release":                  {abort(2, rollout.Reversal{}), noError},
-		"the reversal, sent again with its name": {abort(9, rollout.Reversal{Version: "v2", Named: true}), noError},
-		"the reversal, sent again without one":   {abort(9, rollout.Reversal{Version: "v3"}), apierror.MaybeRepeated},
+		"the order, forwarded again":                      {begin(1, "v2"), noError},
+		"the order, sent again":                           {begin(9, "v2"), noError},
+		"the reversal, forwarded again":                   {abort(2, rollout.Reversal{Version: "v2"}), noError},
+		"the reversal of an earlier release":              {abort(2, rollout.Reversal{}), noError},
+		"the reversal, sent again with its version named": {abort(9, rollout.Reversal{Version: "v2", Named: true}), noError},
+		"the reversal, sent again without a version":      {abort(9, rollout.Reversal{Version: "v3"}), apierror.MaybeRepeated},
 	} {
 		orders := &orderController{environment: env, rollouts: &rolloutController{environment: env, controller: rollout.NewController()}}
 		have := records{}
@@ -66,11 +65,11 @@
 		}
 		generation := have[key].Gen
 		got := noError
-		if err := execute(test.again); err != nil {
+		if err := execute(test.repeated); err != nil {
 			got = apierror.KindOf(err)
 		}
 		if got != test.want || have[key].Gen != generation {
-			t.Errorf("%s: %v, want %v; the record goes from generation %d to %d", name, got, test.want, generation, have[key].Gen)
+			t.Errorf("%s: %v, want %v; generation of the record %d before, %d after", name, got, test.want, generation, have[key].Gen)
 		}
 	}
 }
--- a/internal/controlplane/settings_test.go
+++ b/internal/controlplane/settings_test.go
@@ -1,6 +1,6 @@
 package controlplane_test
 
-// limitsAndBounds is the part of the settings that all systems in these tests share; more
+// limitsAndBounds is the part of the settings that all deployments in these tests share. Further
 // bounds may follow it.
 const limitsAndBounds = `[limits]
 memoryMb = 284
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -15,7 +15,8 @@
 	"madderwing/internal/settings"
 )
 
-// A call is as old as the bytes in the kernel, however late the process reads it.
+// The age of a call counts from when its bytes arrived in the kernel, however late the process reads
+// them.
 func TestCallThatWaitedUnreadIsRefused(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -49,17 +50,18 @@
 
 	generation, err := env.orderBasis(arrival{conn, time.Now()}, readGeneration)
 	if age := sinceReceived(conn); age <= maxOrderWait && (err != nil || *generation != 7) {
-		t.Errorf("at once, after %v: %v, %v", age, generation, err)
+		t.Errorf("read at once, after %v: %v, %v", age, generation, err)
 	}
 	time.Sleep(maxOrderWait + 50*time.Millisecond)
 	env.stalls.noteRunning(env.now())
 	var refused *apierror.Error
 	if _, err := env.orderBasis(arrival{conn, time.Now()}, readGeneration); !errors.As(err, &refused) || refused.Kind != apierror.Outdated {
-		t.Errorf("after waiting unread: %v", err)
+		t.Errorf("read after maxOrderWait: %v", err)
 	}
 }
 
-// A call of an application that waited unread in the kernel is refused, though the process never stood still.
+// A coordination call that waited unread in the kernel is refused, although the process never
+// stalled.
 func TestCoordinationCallThatWaitedUnreadIsRefused(t *testing.T) {
 	clock := func() time.Duration { return time.Minute }
 	stalls := &stallDetector{clock: clock}
@@ -67,7 +69,7 @@
 	c := &coordinator{owners: noOwners{}, clock: clock, stalls: stalls, enqueue: func(fn func(time.Duration)) { fn(time.Minute) },
 		statistics: newCoordinationStats(), retryAfter: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, soleOwnerReplica{})}
 	for name, test := range map[string]struct {
-		wait time.Duration
+		wait     time.Duration
 		wantText string
 	}{
 		"at once":              {0, "no owner"},
@@ -98,20 +100,20 @@
 	}
 }
 
-// A process whose share of a core is spent runs no more for the rest of a tenth of a second, again and
-// again. That is no stall, and calls that wait for it are taken.
+// A process that has used up its CPU quota is paused for the rest of the period of 100 ms, again and
+// again. That is no stall, and calls that wait meanwhile are accepted.
 func TestExhaustedCPUQuotaIsNoStall(t *testing.T) {
 	const throttlePeriod = 100 * time.Millisecond
 	now := time.Minute
 	detector := &stallDetector{clock: func() time.Duration { return now }}
 	for range 50 {
 		detector.noteRunning(now)
-		now += throttlePeriod + stallLimit/5 // the tick that was due meanwhile comes late by as much
+		now += throttlePeriod + stallLimit/5 // the tick that was due in the pause is late by this much
 		if detector.stalled() {
-			t.Fatal("a spent quota counts as a stall")
+			t.Fatal("an exhausted CPU quota counts as a stall")
 		}
 	}
 	if maxOrderWait <= throttlePeriod {
-		t.Errorf("a call that waited for a spent quota is refused after %v", maxOrderWait)
+		t.Errorf("a call that waited for the next CPU period is refused after %v", maxOrderWait)
 	}
 }
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -16,8 +16,8 @@
 
 var noLog = slog.New(slog.DiscardHandler)
 
-// The queue gives jobs at once, says once after them that it is idle, and gives
-// what was put before it was closed.
+// The queue returns jobs at once, reports itself idle once after them, and still returns jobs that
+// remain after it was closed.
 func TestWriteQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const idle = 100 * time.Millisecond
@@ -45,9 +45,7 @@
 	})
 }
 
-// A start waits for a disk that refuses, and ends at once for faults that only
-// people can mend.
-// A control node does not touch a data directory that another process has.
+// A control node does not touch a data directory that another process has locked.
 func TestStartWaitsForALockedDataDirectory(t *testing.T) {
 	set := &settings.Settings{DataDir: t.TempDir(), Bounds: settings.Bounds{ContactS: 0.06}}
 	other, err := storage.LockDir(set.DataDir)
@@ -67,13 +65,15 @@
 	lock.Release()
 }
 
+// A start waits while the disk returns errors, and fails at once for faults that only an operator can
+// fix.
 func TestOpenStore(t *testing.T) {
 	const pause = time.Millisecond
 	dir := t.TempDir()
 	set := &settings.Settings{DataDir: dir}
 	set.Bounds.ContactS = (12 * pause).Seconds()
 	name := filepath.Join(dir, "store.1.db")
-	if err := os.Mkdir(name, 0o700); err != nil { // reading and removing it are refused
+	if err := os.Mkdir(name, 0o700); err != nil { // a directory in place of the file: reading and removing it fail
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(name, "x"), nil, 0o600); err != nil {
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*pause)
 	defer cancel()
 	if _, _, err := openStore(ctx, set, noLog); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a disk that refuses: %v", err)
+		t.Errorf("a disk that returns errors: %v", err)
 	}
 	time.AfterFunc(5*pause, func() { os.RemoveAll(name) })
 	store, state, err := openStore(context.Background(), set, noLog)
@@ -95,6 +95,6 @@
 	store.Close()
 	set.DataDir = filepath.Join(dir, "absent")
 	if _, _, err := openStore(context.Background(), set, noLog); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("no data directory: %v", err)
 	}
 }
--- a/internal/controlplane/summary_test.go
+++ b/internal/controlplane/summary_test.go
@@ -26,7 +26,7 @@
 	if !reflect.DeepEqual(summary.Nodes, want) || len(summary.Upstreams) != 4 || summary.Behind != 30 || len(summary.BehindOf) != maxNamedGateways {
 		t.Errorf("%+v", summary)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		page, query string
 		n           int // -1: refused
 	}{
@@ -34,10 +34,10 @@
 		{"members", "state=draining&state=suspect", 2}, {"members", "colour=red", -1},
 		{"upstreams", "state=draining&target=a", 1}, {"delivery", "current=false&zone=z0", 10}, {"nothing", "", -1},
 	} {
-		q, _ := url.ParseQuery(c.query)
-		v, err := overview.view(c.page, q)
-		if (err != nil) != (c.n < 0) || err == nil && reflect.ValueOf(v).Len() != c.n {
-			t.Errorf("%s?%s: %v", c.page, c.query, err)
+		q, _ := url.ParseQuery(test.query)
+		v, err := overview.view(test.page, q)
+		if (err != nil) != (test.n < 0) || err == nil && reflect.ValueOf(v).Len() != test.n {
+			t.Errorf("%s?%s: %v", test.page, test.query, err)
 		}
 	}
 	if len(overview.Members) != 300 || overview.Members[4].Name != "edge-4" {
--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -18,7 +18,7 @@
 	"madderwing/internal/settings"
 )
 
-// freePorts finds n ports in a row, below those that the system hands out by itself.
+// freePorts finds n consecutive free ports below the ephemeral port range.
 func freePorts(t *testing.T, n int) int {
 	t.Helper()
 	for try := 0; try < 200; try++ {
@@ -40,17 +40,18 @@
 	return 0
 }
 
+// system is a deployment under test, by the addresses of its control node and its gateway.
 type system struct {
 	control, front, ready string
 	registry              string
-	stopGateway          context.CancelFunc
+	stopGateway           context.CancelFunc
 	gatewayDone           chan error
 	reload                chan *settings.Settings // of the gateway
 	settings              *settings.Settings
 }
 
-// newSystem runs a control node and a gateway in one zone against a stand-in for the
-// platform's list.
+// newSystem runs a control node and a gateway in one zone, with a fake platform that lists one
+// upstream.
 func newSystem(t *testing.T, upstream string) *system { return newSystemOf(t, upstream, "vip") }
 
 func newSystemOf(t *testing.T, upstream, ingress string) *system {
@@ -60,7 +61,7 @@
 	}), ingress)
 }
 
-// newSystemWith runs them against any list.
+// newSystemWith runs a control node and a gateway with the given handler for the platform's list.
 func newSystemWith(t *testing.T, list http.Handler, ingress string) *system {
 	t.Helper()
 	platform := httptest.NewServer(list)
@@ -165,21 +166,21 @@
 		fmt.Fprint(w, r.Header.Get("Target-Instance"))
 	}))
 	defer upstream.Close()
-	s := newSystem(t, strings.TrimPrefix(upstream.URL, "http://"))
+	system := newSystem(t, strings.TrimPrefix(upstream.URL, "http://"))
 
-	if status, _ := s.call(t, "GET", s.ready+"/v1/readiness", ""); status == 200 {
+	if status, _ := system.call(t, "GET", system.ready+"/v1/readiness", ""); status == 200 {
 		t.Error("ready without any items")
 	}
-	s.callUntil(t, 200, "PATCH", s.control+"/v1/config", items)
-	s.callUntil(t, 200, "GET", s.ready+"/v1/readiness", "")
-	if got := s.callUntil(t, 200, "POST", s.front+"/p/x", "b", "Attempt-Id", "1"); got != "i-1" {
+	system.callUntil(t, 200, "PATCH", system.control+"/v1/config", items)
+	system.callUntil(t, 200, "GET", system.ready+"/v1/readiness", "")
+	if got := system.callUntil(t, 200, "POST", system.front+"/p/x", "b", "Attempt-Id", "1"); got != "i-1" {
 		t.Errorf("answered by %q", got)
 	}
-	if got := s.callUntil(t, 200, "GET", s.control+"/v1/config", ""); !strings.Contains(got, `kept \u003cas\u003e sent`) && !strings.Contains(got, "kept <as> sent") {
-		t.Errorf("read back: %s", got)
+	if got := system.callUntil(t, 200, "GET", system.control+"/v1/config", ""); !strings.Contains(got, `kept \u003cas\u003e sent`) && !strings.Contains(got, "kept <as> sent") {
+		t.Errorf("the stored configuration: %s", got)
 	}
 	for i := 0; ; i++ { // the scheduler places the route
-		if strings.Contains(s.callUntil(t, 200, "GET", s.control+"/v1/admin/bindings", ""), `"phase": "scheduled"`) {
+		if strings.Contains(system.callUntil(t, 200, "GET", system.control+"/v1/admin/bindings", ""), `"phase": "scheduled"`) {
 			break
 		}
 		if i > 600 {
@@ -188,19 +189,19 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	// A plan tells what would happen; delivery tells when it has.
-	if got := s.callUntil(t, 200, "POST", s.control+"/v1/admin/plan", strings.Replace(items, `"maxTries":2,"generation":1`, `"maxTries":3,"generation":4`, 1)); !strings.Contains(got, `"item":"route/r","effect":"change","stands":1,"sent":4`) {
+	// A plan shows what a change would do. The delivery view shows when gateways have it.
+	if got := system.callUntil(t, 200, "POST", system.control+"/v1/admin/plan", strings.Replace(items, `"maxTries":2,"generation":1`, `"maxTries":3,"generation":4`, 1)); !strings.Contains(got, `"item":"route/r","effect":"change","stands":1,"sent":4`) {
 		t.Errorf("plan: %s", got)
 	}
-	for i := 0; !strings.Contains(s.callUntil(t, 200, "GET", s.control+"/v1/admin/delivery", ""), `"current": true`); i++ {
+	for i := 0; !strings.Contains(system.callUntil(t, 200, "GET", system.control+"/v1/admin/delivery", ""), `"current": true`); i++ {
 		if i > 200 {
-			t.Fatal("never delivered")
+			t.Fatal("the items are never delivered")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 
-	for page, line := range map[string]string{s.ready: "madderwing_gateway_served_total 1\n", s.control: "madderwing_control_gateways_current 1\n"} {
-		if got := s.callUntil(t, 200, "GET", page+"/metrics", ""); !strings.Contains(got, line) {
+	for page, line := range map[string]string{system.ready: "madderwing_gateway_served_total 1\n", system.control: "madderwing_control_gateways_current 1\n"} {
+		if got := system.callUntil(t, 200, "GET", page+"/metrics", ""); !strings.Contains(got, line) {
 			t.Errorf("%q is not in %s", line, got)
 		}
 	}
@@ -208,71 +209,71 @@
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
-		wantText               string
+		wantText           string
 	}{
-		"not JSON":             {"PATCH", "/v1/config", `{"upsert":`, 400, "invalid configuration"},
-		"a wrong item":         {"PATCH", "/v1/config", strings.Replace(items, "mutating", "odd", 1), 400, "route r.routeKind"},
-		"a method that is not": {"PUT", "/v1/config", items, 405, "PUT on /v1/config"},
-		"unknown zone":         {"POST", "/v1/evacuation/nowhere", "", 404, "no such zone"},
-		"a wrong method":       {"GET", "/v1/evacuation/north", "", 405, "method not allowed"},
-		"unknown page":         {"GET", "/v2/config", "", 404, "no such page"},
-		"unknown view":         {"GET", "/v1/admin/secrets", "", 404, "no such page"},
-		"views are read-only":  {"POST", "/v1/admin/keys", "", 405, "method not allowed"},
-		"a wrong plan":         {"POST", "/v1/admin/plan", `{"upsert":{"services":[{"name":"a"}]}}`, 400, "generation"},
-		"an empty plan":        {"POST", "/v1/admin/plan", "", 400, "a plan needs a body"},
-		"retire nobody":        {"DELETE", "/v1/admin/members/ghost", "", 404, "no such node"},
-		"retire the last":      {"DELETE", "/v1/admin/members/n-1", "", 409, "not as things stand"},
-		"an older generation":  {"PATCH", "/v1/config", strings.NewReplacer("/p/", "/q/", `"generation":1`, `"generation":0`).Replace(items), 200, ""},
-		"a number taken":       {"PATCH", "/v1/config", strings.Replace(items, "/p/", "/q/", 1), 409, "route r: generation 1 "},
-		"the same again":       {"PATCH", "/v1/config", items, 200, ""},
-		"a plan under it":      {"POST", "/v1/admin/plan", strings.Replace(items, "/p/", "/q/", 1), 409, "route r: generation 1 "},
+		"not JSON":               {"PATCH", "/v1/config", `{"upsert":`, 400, "invalid configuration"},
+		"an invalid item":        {"PATCH", "/v1/config", strings.Replace(items, "mutating", "odd", 1), 400, "route r.routeKind"},
+		"an unsupported method":  {"PUT", "/v1/config", items, 405, "PUT on /v1/config"},
+		"unknown zone":           {"POST", "/v1/evacuation/nowhere", "", 404, "no such zone"},
+		"a wrong method":         {"GET", "/v1/evacuation/north", "", 405, "method not allowed"},
+		"unknown page":           {"GET", "/v2/config", "", 404, "no such page"},
+		"unknown view":           {"GET", "/v1/admin/secrets", "", 404, "no such page"},
+		"views are read-only":    {"POST", "/v1/admin/keys", "", 405, "method not allowed"},
+		"a wrong plan":           {"POST", "/v1/admin/plan", `{"upsert":{"services":[{"name":"a"}]}}`, 400, "generation"},
+		"an empty plan":          {"POST", "/v1/admin/plan", "", 400, "a plan needs a body"},
+		"retire an unknown node": {"DELETE", "/v1/admin/members/ghost", "", 404, "no such node"},
+		"retire the last voter":  {"DELETE", "/v1/admin/members/n-1", "", 409, "not as things stand"},
+		"an older generation":    {"PATCH", "/v1/config", strings.NewReplacer("/p/", "/q/", `"generation":1`, `"generation":0`).Replace(items), 200, ""},
+		"a generation in use":    {"PATCH", "/v1/config", strings.Replace(items, "/p/", "/q/", 1), 409, "route r: generation 1 "},
+		"the same again":         {"PATCH", "/v1/config", items, 200, ""},
+		"a plan with it":         {"POST", "/v1/admin/plan", strings.Replace(items, "/p/", "/q/", 1), 409, "route r: generation 1 "},
 	} {
-		status, text := s.call(t, test.method, s.control+test.path, test.body)
+		status, text := system.call(t, test.method, system.control+test.path, test.body)
 		if status != test.status || !strings.Contains(text, test.wantText) {
 			t.Errorf("%s: %d %s", name, status, text)
 		}
 	}
 
-	// A zone that is evacuated gets nothing; taken back, it serves again.
-	s.callUntil(t, 200, "POST", s.control+"/v1/evacuation/north", "")
-	s.callUntil(t, 503, "POST", s.front+"/p/x", "b", "Attempt-Id", "2")
-	s.callUntil(t, 200, "DELETE", s.control+"/v1/evacuation/north", "")
-	s.callUntil(t, 200, "POST", s.front+"/p/x", "b", "Attempt-Id", "3")
+	// An evacuated zone gets no requests; after the withdrawal it serves again.
+	system.callUntil(t, 200, "POST", system.control+"/v1/evacuation/north", "")
+	system.callUntil(t, 503, "POST", system.front+"/p/x", "b", "Attempt-Id", "2")
+	system.callUntil(t, 200, "DELETE", system.control+"/v1/evacuation/north", "")
+	system.callUntil(t, 200, "POST", system.front+"/p/x", "b", "Attempt-Id", "3")
 
-	// A request in hand, and the connection that it came on, outlive a reload of the settings and a
-	// change of the limits.
+	// A request in progress and its connection survive a reload of the settings and a change of the
+	// limits.
 	done := make(chan string, 1)
 	startSlowRequest := func(id string) {
 		go func() {
-			status, text := s.call(t, "POST", s.front+"/p/slow", "b", "Attempt-Id", id)
+			status, text := system.call(t, "POST", system.front+"/p/slow", "b", "Attempt-Id", id)
 			done <- fmt.Sprint(status, text)
 		}()
 		<-arrived
 	}
 	startSlowRequest("4")
-	s.reload <- s.settings
-	s.callUntil(t, 200, "PATCH", s.control+"/v1/config", `{"upsert":{"limits":{"generation":2,"maxHeaderBytes":9000,"maxBodyBytes":900000,"headerTimeoutS":2,"idleTimeoutS":9}}}`)
-	for i := 0; !strings.Contains(s.callUntil(t, 200, "GET", s.control+"/v1/admin/delivery", ""), `"current": true`); i++ {
+	system.reload <- system.settings
+	system.callUntil(t, 200, "PATCH", system.control+"/v1/config", `{"upsert":{"limits":{"generation":2,"maxHeaderBytes":9000,"maxBodyBytes":900000,"headerTimeoutS":2,"idleTimeoutS":9}}}`)
+	for i := 0; !strings.Contains(system.callUntil(t, 200, "GET", system.control+"/v1/admin/delivery", ""), `"current": true`); i++ {
 		if i > 200 {
 			t.Fatal("the limits are never delivered")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	s.reload <- s.settings
+	system.reload <- system.settings
 	answer <- struct{}{}
 	if got := <-done; got != "200i-1" {
-		t.Errorf("in hand during a reload: %s", got)
+		t.Errorf("request in progress during a reload: %s", got)
 	}
 
-	// A gateway that leaves finishes what it has in hand.
+	// A gateway that shuts down finishes its requests in progress.
 	startSlowRequest("5")
-	s.stopGateway()
-	s.callUntil(t, 503, "GET", s.ready+"/v1/readiness", "")
+	system.stopGateway()
+	system.callUntil(t, 503, "GET", system.ready+"/v1/readiness", "")
 	answer <- struct{}{}
 	if got := <-done; got != "200i-1" {
-		t.Errorf("in hand when it left: %s", got)
+		t.Errorf("request in progress during the shutdown: %s", got)
 	}
-	if err := <-s.gatewayDone; err != nil {
+	if err := <-system.gatewayDone; err != nil {
 		t.Error(err)
 	}
 }
@@ -285,43 +286,43 @@
 		w.Header().Set("Server-Seal", "s")
 	}))
 	defer upstream.Close()
-	s := newSystemOf(t, strings.TrimPrefix(upstream.URL, "http://"), "registry")
+	system := newSystemOf(t, strings.TrimPrefix(upstream.URL, "http://"), "registry")
 	const keyed = `{"upsert":{"tenants":[{"name":"team","apiKeys":["old","new"],"ratePerS":2,"burst":2,"generation":1}],` + "%s"
-	s.callUntil(t, 200, "PATCH", s.control+"/v1/config", fmt.Sprintf(keyed, items[len(`{"upsert":{`):]))
-	s.callUntil(t, 200, "GET", s.ready+"/v1/readiness", "")
+	system.callUntil(t, 200, "PATCH", system.control+"/v1/config", fmt.Sprintf(keyed, items[len(`{"upsert":{`):]))
+	system.callUntil(t, 200, "GET", system.ready+"/v1/readiness", "")
 	const resolvePath = "/v1/resolve?name=h.example&region=home&zone=north"
-	if got := s.callUntil(t, 200, "GET", s.registry+resolvePath, ""); !strings.Contains(got, s.front) {
-		t.Errorf("resolved: %s", got)
+	if got := system.callUntil(t, 200, "GET", system.registry+resolvePath, ""); !strings.Contains(got, system.front) {
+		t.Errorf("the registry resolves: %s", got)
 	}
-	if got := s.callUntil(t, 200, "GET", s.control+"/v1/admin/resolve?name=h.example&zone=north", ""); !strings.Contains(got, s.front) {
-		t.Errorf("as the administration API shows it: %s", got)
+	if got := system.callUntil(t, 200, "GET", system.control+"/v1/admin/resolve?name=h.example&zone=north", ""); !strings.Contains(got, system.front) {
+		t.Errorf("the administration API resolves: %s", got)
 	}
-	s.callUntil(t, 200, "POST", s.front+"/p/x", "b", "Attempt-Id", "1", "Authorization", "Bearer old")
+	system.callUntil(t, 200, "POST", system.front+"/p/x", "b", "Attempt-Id", "1", "Authorization", "Bearer old")
 	if got := seen.Load(); got != "team" {
 		t.Errorf("the upstream saw %q", got)
 	}
-	if status, _ := s.call(t, "POST", s.front+"/p/x", "b", "Attempt-Id", "2"); status != 401 {
+	if status, _ := system.call(t, "POST", system.front+"/p/x", "b", "Attempt-Id", "2"); status != 401 {
 		t.Errorf("without a key: %d", status)
 	}
 	rejected := 0
 	for i := 0; i < 20; i++ {
-		if status, _ := s.call(t, "POST", s.front+"/p/x", "b", "Attempt-Id", "3", "Authorization", "Bearer new"); status == 429 {
+		if status, _ := system.call(t, "POST", system.front+"/p/x", "b", "Attempt-Id", "3", "Authorization", "Bearer new"); status == 429 {
 			rejected++
 		}
 	}
 	if rejected == 0 {
-		t.Error("20 requests at once are inside a quota of 2 a second")
+		t.Error("none of 20 requests at once exceeds a quota of 2 per second")
 	}
-	if got := s.callUntil(t, 200, "GET", s.control+"/v1/admin/overview", ""); !strings.Contains(got, `"tenant": "team"`) || strings.Contains(got, `"old"`) {
+	if got := system.callUntil(t, 200, "GET", system.control+"/v1/admin/overview", ""); !strings.Contains(got, `"tenant": "team"`) || strings.Contains(got, `"old"`) {
 		t.Errorf("the overview shows no tenant, or its keys: %s", got)
 	}
 
-	// A removal is confirmed only once no gateway can go on using the key, which
-	// takes longer than the news of it.
+	// The removal of an API key is confirmed only once no gateway can still accept the key, which takes
+	// longer than its delivery.
 	withoutOldKey := `{"upsert":{"tenants":[{"name":"team","apiKeys":["new"],"ratePerS":2,"burst":2,"generation":2}]}}`
-	if status, text := s.call(t, "PATCH", s.control+"/v1/config", withoutOldKey); status != 503 || !strings.Contains(text, "everywhere yet") {
+	if status, text := system.call(t, "PATCH", system.control+"/v1/config", withoutOldKey); status != 503 || !strings.Contains(text, "everywhere yet") {
 		t.Errorf("at once: %d %s", status, text)
 	}
-	s.callUntil(t, 401, "POST", s.front+"/p/x", "b", "Attempt-Id", "4", "Authorization", "Bearer old")
-	s.callUntil(t, 200, "PATCH", s.control+"/v1/config", withoutOldKey)
+	system.callUntil(t, 401, "POST", system.front+"/p/x", "b", "Attempt-Id", "4", "Authorization", "Bearer old")
+	system.callUntil(t, 200, "PATCH", system.control+"/v1/config", withoutOldKey)
 }
