--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -14,7 +14,7 @@
 )
 
 // administration shows operators the state of this control node, and removes control nodes from the
-// roster.
+// voter set.
 type administration struct {
 	*environment
 	configuration *configuration
@@ -33,7 +33,7 @@
 func (c *administration) overview(now time.Duration) *Overview {
 	o := &Overview{Node: c.settings.Node, Voting: c.replica.Voting(), Contact: c.contact.state(now), Roster: c.replica.Standing(now),
 		Duties: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
-		Keys: c.keys(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
+		Keys: c.partitions(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
 	list := c.membership.List()
 	labels := list.Shards(c.options.Shards)
 	o.Members = c.members(list, labels)
@@ -45,21 +45,21 @@
 	return o
 }
 
-// members lists the known nodes, and the members of the roster whose nodes are unknown.
+// members lists the known nodes, and the voters whose nodes are unknown.
 func (c *administration) members(list *membership.List, labels map[string]int) []Member {
 	members := []Member{}
-	seats := map[string]bool{}
+	voters := map[string]bool{}
 	for _, id := range c.replica.Roster() {
-		seats[id] = true
+		voters[id] = true
 	}
 	for _, n := range list.Nodes {
-		member := Member{n.Name, n.Address, n.Zone, n.Plane.String(), n.State.String(), n.Draining, n.Incarnation, -1, seats[n.Address]}
+		member := Member{n.Name, n.Address, n.Zone, n.Plane.String(), n.State.String(), n.Draining, n.Incarnation, -1, voters[n.Address]}
 		if n.Plane == membership.Data {
 			member.Shard = labels[n.Address]
 		}
 		members = append(members, member)
 	}
-	for id := range seats {
+	for id := range voters {
 		if _, known := list.Get(id); !known {
 			members = append(members, Member{Name: id, Address: id, Plane: membership.Control.String(), State: "lost", Shard: -1, Seat: true})
 		}
@@ -67,8 +67,8 @@
 	return members
 }
 
-// keys describes the keys of the control state; nil if there are none.
-func (c *administration) keys(now time.Duration) (out []Key) {
+// partitions describes the partitions of the control state; nil if there are none.
+func (c *administration) partitions(now time.Duration) (out []Key) {
 	for _, v := range c.replica.Views(now) {
 		heard := v.HeardAgo
 		if t, _ := c.replica.Tenure(now, v.Key); v.Owning {
@@ -89,7 +89,7 @@
 	}
 }
 
-// retire removes a control node that is permanently gone from the roster, by name or address.
+// retire removes a control node that has permanently failed from the voter set, by name or address.
 func (c *administration) retire(caller context.Context, node string) error {
 	address := node
 	for _, n := range c.membership.List().Nodes {
--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -11,7 +11,7 @@
 )
 
 // configuration is the committed configuration as this control node publishes it to gateways: the
-// records of all keys that hold items (routes, services, tenants), evacuations or rollouts.
+// records of all partitions that hold items (routes, services, tenants), evacuations or rollouts.
 type configuration struct {
 	published *antientropy.Set
 	changes   delivery.ChangeLog // to published
@@ -31,8 +31,8 @@
 	return newer
 }
 
-// replace makes the published records of the configuration key match the committed ones, without
-// those that were forgotten, and reports whether anything changed.
+// replace makes the published records of the configuration's partition match the committed ones,
+// without those that were forgotten, and reports whether anything changed.
 func (c *configuration) replace(committed map[string]config.Record) (changed bool) {
 	return config.Replace(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
 }
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -20,23 +20,23 @@
 // was frozen. A process that has just started has no contact.
 type contact struct {
 	maxAge      time.Duration
-	keys        []string // whose records are published
+	partitions  []string // whose records are published
 	confirmedAt map[string]time.Duration
-	oldest      atomic.Int64 // of confirmedAt; 0: some key has not been confirmed yet
+	oldest      atomic.Int64 // of confirmedAt; 0: some partition has not been confirmed yet
 
 	loggedFresh bool          // whether contact was fresh when last logged
 	loggedAt    time.Duration // time of the last log line
 }
 
-func newContact(maxAge time.Duration, keys []string) *contact {
-	return &contact{maxAge: maxAge, keys: keys, confirmedAt: map[string]time.Duration{}}
+func newContact(maxAge time.Duration, partitions []string) *contact {
+	return &contact{maxAge: maxAge, partitions: partitions, confirmedAt: map[string]time.Duration{}}
 }
 
-// update records when the published copies were last known to be the newest; ok is false for a key
-// where that is unknown. It is called after those copies were published.
-func (c *contact) update(current func(key string) (at time.Duration, ok bool)) {
+// update records when the published copies were last known to be the newest; ok is false for a
+// partition where that is unknown. It is called after those copies were published.
+func (c *contact) update(current func(partition string) (at time.Duration, ok bool)) {
 	oldest := time.Duration(math.MaxInt64)
-	for _, key := range c.keys {
+	for _, key := range c.partitions {
 		if at, ok := current(key); ok {
 			c.confirmedAt[key] = max(at, 1)
 		}
@@ -65,16 +65,16 @@
 func logSeconds(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 
 // logChange logs one line when contact is lost, and one when it is regained.
-func (c *contact) logChange(now time.Duration, to *slog.Logger) {
+func (c *contact) logChange(now time.Duration, logger *slog.Logger) {
 	if c.fresh(now) == c.loggedFresh {
 		return
 	}
 	c.loggedFresh = !c.loggedFresh
 	if c.loggedFresh {
-		to.Info("in contact with a majority", "afterS", logSeconds(now-c.loggedAt))
+		logger.Info("in contact with a majority", "afterS", logSeconds(now-c.loggedAt))
 	} else {
 		age, _ := c.age(now)
-		to.Warn("out of contact with a majority", "itemsAgeS", logSeconds(age))
+		logger.Warn("out of contact with a majority", "itemsAgeS", logSeconds(age))
 	}
 	c.loggedAt = now
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -66,14 +66,14 @@
 func (c *simulatedCluster) start(id string, first bool) {
 	n := c.nodes[id]
 	n.runID++
-	keys := []string{config.Key, config.EvacuationPrefix + "z"}
+	partitions := []string{config.Key, config.EvacuationPrefix + "z"}
 	replica, err := replication.NewReplica(replication.Config{Self: id, Life: n.runID, Seeds: c.ids, Bootstrap: first, Empty: len(n.disk) == 0,
-		Keys: keys, Sure: keys, Faults: 2, Identity: c.rng.Uint64() | 1, Beat: testHeartbeatInterval, Vacant: time.Duration(ownerTimeoutFraction * float64(testContactS)), Patience: time.Second,
+		Keys: partitions, Sure: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, Beat: testHeartbeatInterval, Vacant: time.Duration(ownerTimeoutFraction * float64(testContactS)), Patience: time.Second,
 		Alive: func(string) bool { return true }}, n.disk)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.replica, n.contact, n.backlog = replica, newContact(testMaxAge, keys), nil
+	n.replica, n.contact, n.backlog = replica, newContact(testMaxAge, partitions), nil
 }
 
 // isolate cuts both directions between the named nodes and all others.
@@ -301,7 +301,7 @@
 	tracker := newContact(time.Second, []string{"a", "b"})
 	logger := slog.New(slog.NewTextHandler(&text, nil))
 	at := map[string]time.Duration{}
-	current := func(key string) (time.Duration, bool) { d, ok := at[key]; return d, ok }
+	current := func(partition string) (time.Duration, bool) { d, ok := at[partition]; return d, ok }
 	for _, step := range []struct {
 		now, a, b time.Duration
 		fresh     bool
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
 // Package controlplane implements a control node: it wires the replicated control state, the
-// election of duties, route placement and the reading of the platform's list of upstreams, and
-// serves the operators' API.
+// election of singleton roles, route placement and the reading of the platform's list of upstreams,
+// and serves the operators' API.
 package controlplane
 
 import (
@@ -33,23 +33,23 @@
 	electionKind    = "rota"
 )
 
-// ownerTimeoutFraction is the fraction of contactS for which the owner of a key, or the holder of a
-// duty, may be silent before another member takes over.
+// ownerTimeoutFraction is the fraction of contactS for which the owner of a partition, or the
+// holder of a singleton role, may be silent before another member takes over.
 const ownerTimeoutFraction = 0.4
 
-// Duties are the roles that one elected control node holds at a time. The values are names on the
+// Singleton roles: each is held by one elected control node at a time. The values are names on the
 // wire and match earlier releases.
 const (
-	dutyList      = "list"
-	dutyPlacement = "shelve"
+	roleList      = "list"
+	rolePlacement = "shelve"
 )
 
 // Options are the settings given on the command line.
 type Options struct {
 	Shards int
 	Relist time.Duration
-	// HandBack is how long the cluster must be stable before a key goes back to the first member in
-	// its order of succession; 0: never.
+	// HandBack is how long the cluster must be stable before a partition is transferred back to the
+	// first member in its order of succession; 0: never.
 	HandBack time.Duration
 }
 
@@ -71,7 +71,7 @@
 	registry       *registryController // nil where the settings configure no registry
 
 	// Owned by the event loop.
-	loggedRoster string
+	loggedVoterSet string
 
 	writes *writeQueue
 	zones  []string // zones that operators may evacuate
@@ -120,12 +120,12 @@
 		return nil, err
 	}
 	zones := zoneNames(cfg)
-	keys := []string{config.Key}
+	partitions := []string{config.Key}
 	for _, zone := range zones {
-		keys = append(keys, config.EvacuationPrefix+zone)
+		partitions = append(partitions, config.EvacuationPrefix+zone)
 	}
-	env := &environment{settings: cfg, options: opt, endpoint: endpoint, startedAt: time.Now(), life: rand.Uint64() | 1,
-		contact: newContact(settings.Seconds(cfg.Bounds.ContactS*contactFraction), keys),
+	env := &environment{settings: cfg, options: opt, endpoint: endpoint, startedAt: time.Now(), runID: rand.Uint64() | 1,
+		contact: newContact(settings.Seconds(cfg.Bounds.ContactS*contactFraction), partitions),
 		queue:   make(chan func(time.Duration), queueCapacity), log: newLoggers()}
 	env.stalls = &stallDetector{clock: env.now}
 	n := &Node{environment: env, configuration: newConfiguration(), writes: newWriteQueue(), zones: zones,
@@ -136,10 +136,10 @@
 	if cfg.HasQuotas() {
 		n.quotas = newQuotaController(env, n.configuration)
 	}
-	if n.replica, err = newReplica(env, keys, disk); err != nil {
+	if n.replica, err = newReplica(env, partitions, disk); err != nil {
 		return nil, err
 	}
-	n.election = election.New(election.Config{Self: endpoint.Self(), Life: env.life, Duties: []string{dutyList, dutyPlacement}, Lease: ownerTimeout(cfg),
+	n.election = election.New(election.Config{Self: endpoint.Self(), Life: env.runID, Duties: []string{roleList, rolePlacement}, Lease: ownerTimeout(cfg),
 		Roster: func() []string { return n.replica.Roster() }, Alive: func(id string) bool { return n.membership.Hopeful(id) }, Progress: n.progress})
 	n.wire()
 	me := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
@@ -164,19 +164,19 @@
 	return slices.Sorted(maps.Keys(cfg.Zones))
 }
 
-// ownerTimeout is how long the owner of a key, or the holder of a duty, may be silent before
-// another takes over.
+// ownerTimeout is how long the owner of a partition, or the holder of a singleton role, may be
+// silent before another member takes over.
 func ownerTimeout(cfg *settings.Settings) time.Duration {
 	return settings.Seconds(cfg.Bounds.ContactS * ownerTimeoutFraction)
 }
 
 // newReplica creates this node's replica of the control state.
-func newReplica(env *environment, keys []string, disk map[string][]byte) (*replication.Replica, error) {
+func newReplica(env *environment, partitions []string, disk map[string][]byte) (*replication.Replica, error) {
 	cfg := env.settings
 	lookup := func(id string) (membership.Node, bool) { return env.membership.List().Get(id) }
-	return replication.NewReplica(replication.Config{Sure: keys, SurePrefix: coordination.KeyPrefix,
-		Self: env.endpoint.Self(), Life: env.life, Seeds: cfg.SeedControlNodes(),
-		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Keys: keys,
+	return replication.NewReplica(replication.Config{Sure: partitions, SurePrefix: coordination.KeyPrefix,
+		Self: env.endpoint.Self(), Life: env.runID, Seeds: cfg.SeedControlNodes(),
+		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Keys: partitions,
 		Beat: cfg.Beat(), Vacant: ownerTimeout(cfg), Patience: settings.Seconds(cfg.Bounds.AckS * 0.17), HandBack: env.options.HandBack,
 		Alive:    func(id string) bool { return env.membership.Hopeful(id) },
 		Identity: rand.Uint64() | 1, Faults: cfg.FaultBudget.Machines,
@@ -213,9 +213,9 @@
 	n.rollouts.loads = func() upstream.Loads { return n.delivery.loads }
 }
 
-// progress tells the election how recent the result of a duty is at this node.
-func (n *Node) progress(now time.Duration, duty string) election.Progress {
-	if duty == dutyPlacement {
+// progress reports to the election how recent the result of a role is at this node.
+func (n *Node) progress(now time.Duration, role string) election.Progress {
+	if role == rolePlacement {
 		return n.placement.progress(now)
 	}
 	return n.list.progress()
@@ -253,7 +253,7 @@
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
-			n.leave(control)
+			n.shutDown(control)
 			close(stop)
 			<-stopped
 			n.membership.Stop()
@@ -269,15 +269,15 @@
 		IdleTimeout: settings.Seconds(4 * n.settings.Bounds.ContactS), ErrorLog: slog.NewLogLogger(n.log.control.Handler(), slog.LevelWarn)}
 }
 
-// leave hands over this node's keys and duties, then stops the operators' API.
-func (n *Node) leave(control *http.Server) {
+// shutDown transfers this node's partitions and roles, then stops the operators' API.
+func (n *Node) shutDown(control *http.Server) {
 	n.log.control.Info("leaving")
 	began := time.Now()
 	n.coordination.close()
 	n.enqueue(func(now time.Duration) { n.replica.Leave(now); n.election.Leave(now) })
 	n.membership.Leave(false)
 	// Orders in progress are still answered. Meanwhile other members take over, and what this
-	// member stores is replicated to enough of them before it leaves.
+	// member stores is replicated to enough of them before it shuts down.
 	time.Sleep(ownerTimeout(n.settings) / 2)
 	n.awaitReplaced(began.Add(settings.Seconds(n.settings.Bounds.GraceS * 0.8)))
 	n.membership.Leave(true)
@@ -289,9 +289,9 @@
 // awaitReplaced waits until the others can do without this member, at most until end.
 func (n *Node) awaitReplaced(end time.Time) {
 	for ; ; time.Sleep(n.settings.Beat() / 20) {
-		mayLeave := make(chan bool, 1)
-		n.enqueue(func(now time.Duration) { mayLeave <- n.replica.MayGo(now) })
-		if <-mayLeave {
+		replaced := make(chan bool, 1)
+		n.enqueue(func(now time.Duration) { replaced <- n.replica.MayGo(now) })
+		if <-replaced {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -58,7 +58,7 @@
 // coordinator serves applications' calls for locks, counters and cells at a control node.
 type coordinator struct {
 	owners     ownerFinder
-	keys       func() []string // of the control state; called on the event loop
+	partitions func() []string // of the control state; called on the event loop
 	endpoint   *transport.Endpoint
 	enqueue    func(func(now time.Duration)) // queues a function for the event loop
 	inContact  func(now time.Duration) bool
@@ -75,16 +75,16 @@
 	clocks      *coordination.PeerClocks
 
 	activeCalls, activeWatches atomic.Int64  // in progress here
-	leaving                    chan struct{} // closed when the node begins to leave
+	shutdown                   chan struct{} // closed when the node begins to shut down
 	statistics                 coordinationStats
 }
 
 // serverConfig is the configuration of a node's coordination server.
-func serverConfig(cfg *settings.Settings, self string, life uint64, clock func() time.Duration, logger *slog.Logger) coordination.ServerConfig {
+func serverConfig(cfg *settings.Settings, self string, runID uint64, clock func() time.Duration, logger *slog.Logger) coordination.ServerConfig {
 	diskMb := cmp.Or(cfg.Limits.DiskMb, defaultDiskMb)
 	bytes := int(diskMb * (1 << 20) * coordinationDiskShare / coordination.Partitions)
 	return coordination.ServerConfig{
-		Self: self, Life: life, Clock: clock, Log: logger,
+		Self: self, Life: runID, Clock: clock, Log: logger,
 		Limits: coordination.Limits{
 			History:      time.Duration(historyRetentionFactor * float64(cfg.Retention())),
 			Bytes:        bytes,
@@ -127,12 +127,12 @@
 
 // submit sends a call to the current owner of its partition and returns the result. A call that may
 // have been carried out is not sent again, unless it only reads. Once the context of the caller has
-// ended, nothing more is begun or awaited; what has been begun takes effect.
+// ended, no further attempt starts or is awaited. A call whose execution has started takes effect.
 func (c *coordinator) submit(caller context.Context, call coordination.Call) coordination.Result {
 	begin := c.clock()
-	key := call.Key()
+	partition := call.Key()
 	for pause := c.pause; ; pause *= 2 {
-		result := c.attempt(caller, key, call, begin)
+		result := c.attempt(caller, partition, call, begin)
 		final := result.Effect == coordination.Answered || result.Effect == coordination.MaybeDone && !call.Operation.Reads()
 		if final || c.clock()+pause > begin+coordinationLimit || !pauseFor(caller, pause) {
 			return result
@@ -153,12 +153,12 @@
 }
 
 // attempt tries once a call that arrived at the time begin.
-func (c *coordinator) attempt(caller context.Context, key string, call coordination.Call, begin time.Duration) coordination.Result {
-	found := make(chan string, 1)
+func (c *coordinator) attempt(caller context.Context, partition string, call coordination.Call, begin time.Duration) coordination.Result {
+	owners := make(chan string, 1)
 	c.enqueue(func(now time.Duration) {
-		found <- cmp.Or(c.owners.Owner(now, key), c.owners.Founder(now, key))
+		owners <- cmp.Or(c.owners.Owner(now, partition), c.owners.Founder(now, partition))
 	})
-	owner := <-found
+	owner := <-owners
 	if owner == "" || caller.Err() != nil {
 		return coordination.Result{Effect: coordination.NotDone}
 	}
@@ -215,8 +215,8 @@
 	}
 }
 
-// errShutdown reports that this node is about to leave.
+// errShutdown reports that this node is about to shut down. The text goes to clients.
 var errShutdown = errors.New("this node is about to leave")
 
 // close ends the watches; later ones are refused.
-func (c *coordinator) close() { close(c.leaving) }
+func (c *coordinator) close() { close(c.shutdown) }
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -106,14 +106,14 @@
 	Calls      []CallState      `json:"calls"`
 }
 
-// state describes the partitions with the given keys. It runs on the event loop.
-func (c *coordinator) state(now time.Duration, keys []string) CoordinationState {
+// state describes the given partitions. It runs on the event loop.
+func (c *coordinator) state(now time.Duration, partitions []string) CoordinationState {
 	out := CoordinationState{Partitions: []PartitionState{}, Watches: c.activeWatches.Load(), Waiting: c.activeCalls.Load(), Calls: c.statistics.states()}
-	for _, key := range keys {
-		p := PartitionState{Partition: key, Owner: c.owners.Owner(now, key), Here: c.server.Owns(now, key)}
-		if partition := c.server.Partition(now, key); partition != nil {
-			counts := CountsState(partition.Counts())
-			p.Counts, p.Locks = &counts, lockStates(partition.Locks(now))
+	for _, partition := range partitions {
+		p := PartitionState{Partition: partition, Owner: c.owners.Owner(now, partition), Here: c.server.Owns(now, partition)}
+		if stored := c.server.Partition(now, partition); stored != nil {
+			counts := CountsState(stored.Counts())
+			p.Counts, p.Locks = &counts, lockStates(stored.Locks(now))
 		}
 		out.Partitions = append(out.Partitions, p)
 	}
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// A relay derives the partition of a call from its path as a control node does, so that it redirects
-// the call to the owner.
+// A relay derives the partition of a call from its path as a control node does, so that it
+// redirects the call to the owner.
 func TestRelayPartitionOfACall(t *testing.T) {
 	for path, call := range map[string]coordination.Call{
 		"/v1/locks/l1f":  {Operation: coordination.Release, Name: "l1f"},
@@ -94,11 +94,11 @@
 		"/v1/cells/g1.2": {Operation: coordination.Put, Name: "g1.2"},
 		"/v1/watch/g1.":  {Operation: coordination.Get, Name: "g1.2"},
 	} {
-		if got := keyOf("GET", path); got != call.Key() {
+		if got := partitionOf("GET", path); got != call.Key() {
 			t.Errorf("%s: %s, want %s", path, got, call.Key())
 		}
 	}
-	if got := keyOf("GET", "/v1/rollouts/a"); got != rollout.Prefix+"a" {
+	if got := partitionOf("GET", "/v1/rollouts/a"); got != rollout.Prefix+"a" {
 		t.Errorf("a rollout: %s", got)
 	}
 }
@@ -200,7 +200,7 @@
 
 func TestWatchesEndWhenTheNodeShutsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		coordinator := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, leaving: make(chan struct{}), statistics: newCoordinationStats(), retryAfter: time.Second,
+		coordinator := &coordinator{enqueue: func(fn func(time.Duration)) { fn(time.Minute) }, shutdown: make(chan struct{}), statistics: newCoordinationStats(), retryAfter: time.Second,
 			server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, soleOwnerReplica{})}
 		answers := make(chan *httptest.ResponseRecorder, 1)
 		watch := func() {
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -272,10 +272,10 @@
 	return answer
 }
 
-// boundedWatch refuses watches beyond maxWatches, and those that arrive while the node leaves.
+// boundedWatch refuses watches beyond maxWatches, and those that arrive while the node shuts down.
 func (c *coordinator) boundedWatch(r *http.Request, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	select {
-	case <-c.leaving:
+	case <-c.shutdown:
 		return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "%v", errShutdown)
 	default:
 	}
@@ -322,8 +322,9 @@
 	return n, nil
 }
 
-// coordinationKey is the key of the control state that a call with the given path concerns.
-func coordinationKey(path string) string {
+// coordinationPartition is the partition of the control state that a call with the given path
+// concerns.
+func coordinationPartition(path string) string {
 	if group, ok := strings.CutPrefix(path, watchPage); ok {
 		return coordination.GroupKey(group)
 	}
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -18,13 +18,13 @@
 // transport has not started.
 func newCoordinator(env *environment) *coordinator {
 	logger := logging.For(logging.Coordination)
-	config := serverConfig(env.settings, env.endpoint.Self(), env.life, env.now, logger)
+	config := serverConfig(env.settings, env.endpoint.Self(), env.runID, env.now, logger)
 	config.Limits.HasRoom = env.diskRoom.fits
 	return &coordinator{
-		owners: env.replica, keys: env.replica.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		owners: env.replica, partitions: env.replica.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
 		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.Beat(),
 		server: coordination.NewServer(config, env.replica),
-		clocks: coordination.NewPeerClocks(), leaving: make(chan struct{}),
+		clocks: coordination.NewPeerClocks(), shutdown: make(chan struct{}),
 		statistics: newCoordinationStats(),
 	}
 }
@@ -33,13 +33,13 @@
 func (c *coordinator) currentState() CoordinationState {
 	result := make(chan CoordinationState, 1)
 	c.enqueue(func(now time.Duration) {
-		var keys []string
-		for _, key := range c.keys() {
-			if strings.HasPrefix(key, coordination.KeyPrefix) {
-				keys = append(keys, key)
+		var partitions []string
+		for _, partition := range c.partitions() {
+			if strings.HasPrefix(partition, coordination.KeyPrefix) {
+				partitions = append(partitions, partition)
 			}
 		}
-		result <- c.state(now, keys)
+		result <- c.state(now, partitions)
 	})
 	return <-result
 }
--- a/internal/controlplane/coordination_process_test.go
+++ b/internal/controlplane/coordination_process_test.go
@@ -115,8 +115,8 @@
 	return lockView{}
 }
 
-// An isolated control node grants nothing and answers in time: 503 for a call that was not executed,
-// 504 for one that may have been.
+// An isolated control node grants nothing and answers in time: 503 for a call that was not
+// executed, 504 for one that may have been.
 func TestCoordinationAtAnIsolatedControlNode(t *testing.T) {
 	cluster := newControlCluster(t)
 	cluster.callUntil(t, 200, "PUT", cluster.controlAddresses[1]+"/v1/cells/g1.a", `{"value":"x"}`)
--- a/internal/controlplane/coordination_watch.go
+++ b/internal/controlplane/coordination_watch.go
@@ -46,7 +46,7 @@
 }
 
 // awaitWatch waits for the result of a watch. It ends the watch after wait, when ctx ends, or when
-// the node begins to leave.
+// the node begins to shut down.
 func (c *coordinator) awaitWatch(ctx context.Context, watch *coordination.Watch, results <-chan coordination.WatchResult, wait time.Duration) coordination.WatchResult {
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
@@ -55,7 +55,7 @@
 		return result
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-c.leaving:
+	case <-c.shutdown:
 	}
 	c.enqueue(func(time.Duration) { c.server.EndWatch(watch) })
 	return <-results
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -56,10 +56,10 @@
 
 // handleWatch answers a watcher.
 func (c *deliveryController) handleWatch(now time.Duration, from string, watch delivery.Watch) {
-	// A list from a duty holder that this node does not know of dates from before the control nodes
+	// A list from a role holder that this node does not know of dates from before the control nodes
 	// lost their state. Only lists of a later term replace it.
 	if c.list.newestKnown(now).Foreign(watch.Listing) {
-		c.election.Raise(dutyList, watch.Listing.Term)
+		c.election.Raise(roleList, watch.Listing.Term)
 	}
 	c.list.noteWatcherClock(now, from, watch)
 	has, guessed := c.watchers.Believe(now, from, watch, c.settings.Beat())
@@ -105,13 +105,13 @@
 	}
 }
 
-// sendUpdates sends every watcher what it lacks. The holder of the list duty also sends the list to
+// sendUpdates sends every watcher what it lacks. The holder of the list role also sends the list to
 // members that don't watch it.
 func (c *deliveryController) sendUpdates(now time.Duration) {
 	c.watchers.Each(now, func(to string, has delivery.Watch) delivery.Watch {
 		return c.sendUpdate(now, to, has, false, true)
 	})
-	if term, mine := c.election.Holds(now, dutyList); mine && c.list.snapshot.Version.Term == term {
+	if term, mine := c.election.Holds(now, roleList); mine && c.list.snapshot.Version.Term == term {
 		for _, id := range c.replica.Everyone() {
 			if _, watching := c.watchers.Has(id); !watching && id != c.endpoint.Self() {
 				c.watchers.Note(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
@@ -120,7 +120,7 @@
 	}
 }
 
-// confirmListAge tells the control nodes that have the current list as of when it is valid.
+// confirmListAge notifies the control nodes that have the current list as of when it is valid.
 func (c *deliveryController) confirmListAge(now time.Duration) {
 	for id, clock := range c.list.watcherClocks {
 		if now-clock.receivedAt > c.watchers.Forget {
@@ -138,12 +138,12 @@
 	published := c.configuration.published
 	fresh := c.contact.fresh(now)
 	issue := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
-	whole := has.Sums != nil
+	complete := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference is sent a few ranges at a time; the watcher then reports again what it
 		// has.
 		has = c.sender.Bring(published, has, maxIssueBytes, &issue)
-		whole = *has.Sums == published.Sums
+		complete = *has.Sums == published.Sums
 	}
 	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
 		issue.Listing = l
@@ -154,7 +154,7 @@
 	}
 	if always {
 		issue.Loads = c.loads
-		if at, ok := c.replica.Current(config.Key); ok && whole && !guessed && has.Asked > 0 {
+		if at, ok := c.replica.Current(config.Key); ok && complete && !guessed && has.Asked > 0 {
 			issue.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
 		}
 	}
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// reportWritten tells the replica the result of some jobs.
+// reportWritten reports the result of some jobs to the replica.
 func (n *Node) reportWritten(done writeOutcome) {
 	if done.durable > 0 || done.rewrite == rewriteNow {
 		n.enqueue(func(now time.Duration) {
--- a/internal/controlplane/disk_room_test.go
+++ b/internal/controlplane/disk_room_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// memoryDir returns a directory in memory where the system has one, because the test waits for
-// many syncs.
+// memoryDir returns a directory in memory where the system has one, because the test waits for many
+// syncs.
 func memoryDir(t *testing.T) string {
 	dir, err := os.MkdirTemp("/dev/shm", "storage")
 	if err != nil {
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// Writes fail at random and jobs are batched at random. When a job is reported as durable, the store
-// holds exactly the state up to that job. Once writes no longer fail, every job is reported.
+// Writes fail at random and jobs are batched at random. When a job is reported as durable, the
+// store holds exactly the state up to that job. Once writes no longer fail, every job is reported.
 func TestWriterReportsOnlyDurableJobs(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 19))
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -21,7 +21,7 @@
 	endpoint   *transport.Endpoint
 	membership *membership.Service
 	startedAt  time.Time
-	life       uint64 // random; identifies this run of the process
+	runID      uint64 // random; identifies this process run
 	contact    *contact
 	stalls     *stallDetector
 	queue      chan func(now time.Duration)
--- a/internal/controlplane/erased_items_test.go
+++ b/internal/controlplane/erased_items_test.go
@@ -38,12 +38,12 @@
 				for _, w := range fx.Writes {
 					replica.Durable(5, w.ID)
 				}
-				for _, key := range fx.Committed {
+				for _, partition := range fx.Committed {
 					switch {
 					case everyChange:
-						node.publish(key, fx.Changed[key])
+						node.publish(partition, fx.Changed[partition])
 					case publishNow:
-						node.publish(key, nil)
+						node.publish(partition, nil)
 					}
 				}
 			}
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -28,12 +28,12 @@
 		}
 		return apierror.New(apierror.UnknownZone, "%q", zone)
 	}
-	key := config.EvacuationPrefix + zone
-	basis, err := n.orderBasis(arrived, func() uint64 { return n.configuration.published.Records[key].Gen })
+	partition := config.EvacuationPrefix + zone
+	basis, err := n.orderBasis(arrived, func() uint64 { return n.configuration.published.Records[partition].Gen })
 	if err != nil {
 		return err
 	}
-	if _, err := n.orders.submit(r.Context(), order{Key: key, Evacuate: &evacuating, Basis: basis}); err != nil {
+	if _, err := n.orders.submit(r.Context(), order{Key: partition, Evacuate: &evacuating, Basis: basis}); err != nil {
 		return err
 	}
 	n.log.control.Info("evacuation changed", "zone", zone, "evacuated", evacuating, "caller", r.RemoteAddr)
@@ -49,14 +49,14 @@
 	doubts       map[string]doubt // by record name
 }
 
-// doubt is a generation of a zone's record that leaves it uncertain whether an evacuation holds.
+// doubt is a generation of a zone's record from which it is uncertain whether an evacuation holds.
 type doubt struct {
 	generation uint64
 	since      time.Duration
 }
 
 // doubtFraction is the fraction of recoveryS for which a zone stays evacuated in doubt. The rest is
-// for finding an owner of the zone's key.
+// for finding an owner of the zone's partition.
 const doubtFraction = 0.8
 
 func newEvacuations(bounds settings.Bounds) *evacuations {
@@ -124,7 +124,7 @@
 }
 
 // endOverdueDoubts ends the evacuation of zones that have been in doubt for too long, where this
-// control node owns their keys. It runs on the event loop.
+// control node owns their partitions. It runs on the event loop.
 func (c *orderController) endOverdueDoubts(now time.Duration) {
 	for name, generation := range c.evacuations.takeOverdue(now) {
 		if c.replica.Owner(now, name) != c.endpoint.Self() {
--- a/internal/controlplane/evacuations_test.go
+++ b/internal/controlplane/evacuations_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// takeOverdue returns a doubt once it is old enough, and again after callerTimeout until it has ended.
-// A further order restarts the time.
+// takeOverdue returns a doubt once it is old enough, and again after callerTimeout until it has
+// ended. A further order restarts the time.
 func TestDoubtExpires(t *testing.T) {
 	const s = time.Second
 	const name = config.EvacuationPrefix + "z"
@@ -84,8 +84,8 @@
 	}
 }
 
-// zoneSimulation simulates operators who evacuate one zone through control nodes that stall at times.
-// Calls and answers may be late or lost.
+// zoneSimulation simulates operators who evacuate one zone through control nodes that stall at
+// times. Calls and answers may be late or lost.
 type zoneSimulation struct {
 	rng       *rand.Rand
 	now       time.Duration
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -83,8 +83,8 @@
 		n.log.replication.Info(note)
 	}
 	changed := false
-	for _, key := range effects.Committed {
-		changed = n.publish(key, effects.Changed[key]) || changed
+	for _, partition := range effects.Committed {
+		changed = n.publish(partition, effects.Changed[partition]) || changed
 	}
 	if changed {
 		n.placement.requestReconcile()
@@ -93,59 +93,60 @@
 	}
 }
 
-// applyElectionEffects sends the election's messages, and starts or ends duties at this node. It
-// reports whether any duty changed.
+// applyElectionEffects sends the election's messages, and starts or ends roles at this node. It
+// reports whether any role changed.
 func (n *Node) applyElectionEffects(now time.Duration) bool {
-	out, duties := n.election.Take()
+	out, roles := n.election.Take()
 	for _, e := range out {
 		n.endpoint.Send(e.To, electionKind, e.Msg)
 	}
-	for _, handOn := range n.election.TakeHandOns() {
-		n.log.election.Warn("duty moved: the result of its holder is too old", "duty", handOn.Duty, "from", handOn.From, "to", handOn.To,
-			"resultAgeS", logSeconds(handOn.ResultAge))
+	for _, transfer := range n.election.TakeHandOns() {
+		n.log.election.Warn("duty moved: the result of its holder is too old", "duty", transfer.Duty, "from", transfer.From, "to", transfer.To,
+			"resultAgeS", logSeconds(transfer.ResultAge))
 	}
-	for _, d := range duties {
-		_, mine := n.election.Holds(now, d)
+	for _, role := range roles {
+		_, mine := n.election.Holds(now, role)
 		if mine {
-			n.log.election.Info("duty won", "duty", d)
+			n.log.election.Info("duty won", "duty", role)
 		} else {
-			n.log.election.Info("duty given up", "duty", d)
+			n.log.election.Info("duty given up", "duty", role)
 		}
-		switch d {
-		case dutyPlacement:
-			n.placement.dutyChanged()
-		case dutyList:
+		switch role {
+		case rolePlacement:
+			n.placement.roleChanged()
+		case roleList:
 			if mine {
-				n.list.dutyWon(now)
+				n.list.roleAcquired(now)
 			}
 		}
 	}
-	return len(duties) > 0
+	return len(roles) > 0
 }
 
-// publishAll publishes what was read from disk, including keys that were created on demand.
+// publishAll publishes what was read from disk, including partitions that were created on demand.
 func (n *Node) publishAll() {
-	for _, key := range n.replica.Keys() {
-		n.publish(key, nil)
+	for _, partition := range n.replica.Keys() {
+		n.publish(partition, nil)
 	}
 }
 
-// publish makes committed records of a key visible to gateways: the given ones, which have changed,
-// or all of the key if records is nil. It reports whether the published configuration changed.
-func (n *Node) publish(key string, records []replication.Record) bool {
-	if key == replication.RosterKey {
-		if roster := n.replica.Standing(n.now()).String(); roster != n.loggedRoster {
-			n.loggedRoster = roster
-			n.log.replication.Info("roster changed", "roster", roster)
+// publish makes committed records of a partition visible to gateways: the given ones, which have
+// changed, or all of the partition if records is nil. It reports whether the published
+// configuration changed.
+func (n *Node) publish(partition string, records []replication.Record) bool {
+	if partition == replication.RosterKey {
+		if voterSet := n.replica.Standing(n.now()).String(); voterSet != n.loggedVoterSet {
+			n.loggedVoterSet = voterSet
+			n.log.replication.Info("roster changed", "roster", voterSet)
 		}
 		return false
 	}
-	if strings.HasPrefix(key, coordination.KeyPrefix) {
-		n.coordination.server.Committed(key, records)
+	if strings.HasPrefix(partition, coordination.KeyPrefix) {
+		n.coordination.server.Committed(partition, records)
 		return false // gateways need no coordination data
 	}
 	if records == nil {
-		all, _, ok := n.replica.Committed(key)
+		all, _, ok := n.replica.Committed(partition)
 		if !ok {
 			return false
 		}
@@ -153,21 +154,21 @@
 			records = append(records, r)
 		}
 	}
-	if key == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
+	if partition == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
 		return n.republishConfiguration()
 	}
 	newer := n.configuration.merge(records)
 	n.rollouts.recordsPublished(newer)
 	n.evacuations.recordsPublished(n.now(), newer)
-	if strings.HasPrefix(key, config.EvacuationPrefix) {
+	if strings.HasPrefix(partition, config.EvacuationPrefix) {
 		n.evacuations.forget(n.configuration.published.Records)
 	}
 	return len(newer) > 0
 }
 
 // republishConfiguration replaces the published configuration by all that is committed of it, so
-// that forgotten records go. Where the committed state isn't known now, the replica reports all of
-// it with its next commit.
+// that erased records are removed. Where the committed state isn't known now, the replica reports
+// all of it with its next commit.
 func (n *Node) republishConfiguration() bool {
 	committed, _, ok := n.replica.Committed(config.Key)
 	return ok && n.configuration.replace(committed)
--- a/internal/controlplane/generation_conflict_process_test.go
+++ b/internal/controlplane/generation_conflict_process_test.go
@@ -97,11 +97,11 @@
 func (c *threeNodeCluster) owner(t *testing.T) int {
 	t.Helper()
 	for range 600 {
-		var o controlplane.Overview
-		if _, text := c.call(t, "GET", c.controlAddresses[0]+"/v1/admin/overview", ""); json.Unmarshal([]byte(text), &o) == nil {
-			for _, k := range o.Keys {
+		var overview controlplane.Overview
+		if _, text := c.call(t, "GET", c.controlAddresses[0]+"/v1/admin/overview", ""); json.Unmarshal([]byte(text), &overview) == nil {
+			for _, partition := range overview.Keys {
 				for i, a := range c.peerAddresses {
-					if k.Key == "catalogue" && k.Owner == a {
+					if partition.Key == "catalogue" && partition.Owner == a {
 						return i
 					}
 				}
@@ -113,9 +113,9 @@
 	return 0
 }
 
-// Two operators send different contents with the same generation to two nodes at once. One change is
-// accepted and the other refused. Every node answers the same from then on, also after the owner was
-// down and came back with its disk.
+// Two operators send different contents with the same generation to two nodes at once. One change
+// is accepted and the other refused. Every node answers the same from then on, also after the owner
+// was down and came back with its disk.
 func TestConflictingChangesWithOneGeneration(t *testing.T) {
 	cluster := newThreeNodeCluster(t)
 	for i := range cluster.controlAddresses {
@@ -162,7 +162,8 @@
 	cluster.start[oldOwner]()
 	checkEverywhere("after the owner came back")
 
-	// The accepted change of a lower generation is still known, whichever node owns the configuration.
+	// The accepted change of a lower generation is still known, whichever node owns the
+	// configuration.
 	if status, text := cluster.patchUntilAnswered(t, oldOwner, `{"upsert":{"services":[{"name":"a","generation":8}]}}`); status != 200 {
 		t.Fatalf("a higher generation: %d %s", status, text)
 	}
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// listMaxLagFraction is the fraction of drainS by which the duty holder's list may be older
+	// listMaxLagFraction is the fraction of drainS by which the role holder's list may be older
 	// than one that another control node could provide. The rest of drainS is for the other node's
 	// reading, the votes and the delivery.
 	listMaxLagFraction = 0.5
@@ -27,9 +27,9 @@
 	maxReadingFactor = 8
 )
 
-// listController holds the platform's list of upstreams. The duty holder reads it from the
-// platform. The other control nodes ask the holder for it, and some of them, the deputies, read it
-// themselves while the holder provides none: see list_deputy.go.
+// listController holds the platform's list of upstreams. The holder of the list role reads it from
+// the platform. The other control nodes ask the holder for it, and the standbys read it themselves
+// while the holder provides none: see list_standby.go.
 type listController struct {
 	*environment
 	client         *http.Client
@@ -45,9 +45,9 @@
 	watcherClocks map[string]watcherClock // by control node that watches this one
 	readAt        time.Duration           // when the next reading is due
 	askAt         time.Duration           // when to ask the holder next
-	deputy        listDeputy
+	standby       listStandby
 	onChange      func(now time.Duration) // called when the snapshot has changed
-	onRead        func(now time.Duration) // called when this node has read the list as the duty holder
+	onRead        func(now time.Duration) // called when this node has read the list as the role holder
 }
 
 // watcherClock relates the clock of another control node to this node's: a message that the other
@@ -92,16 +92,16 @@
 
 // tick is called at every tick of the event loop.
 func (c *listController) tick(now time.Duration) {
-	if _, mine := c.election.Holds(now, dutyList); mine || !c.snapshot.Known() {
-		// A node without any list reads one itself; the list of any duty holder replaces that.
+	if _, mine := c.election.Holds(now, roleList); mine || !c.snapshot.Known() {
+		// A node without any list reads one itself; the list of any role holder replaces that.
 		c.readWhenDue(now, upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
 		return
 	}
 	c.askHolder(now)
-	c.readAsDeputy(now)
+	c.readAsStandby(now)
 }
 
-// askHolder asks the duty holder for its list, and another control node too if the list has not
+// askHolder asks the role holder for its list, and another control node too if the list has not
 // been confirmed for long.
 func (c *listController) askHolder(now time.Duration) {
 	if now < c.askAt {
@@ -109,25 +109,25 @@
 	}
 	c.askAt = now + c.settings.Beat()
 	question := delivery.Watch{Listing: c.snapshot.Version, Asked: max(now, 1)}
-	holder, _, _ := c.election.Holder(now, dutyList)
+	holder, _, _ := c.election.Holder(now, roleList)
 	if holder != "" && holder != c.endpoint.Self() {
 		c.endpoint.Send(holder, delivery.WatchKind, question)
 	}
-	if other := c.deputy.nextPeer(c.replica.Everyone(), c.endpoint.Self(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
+	if other := c.standby.nextPeer(c.replica.Everyone(), c.endpoint.Self(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
 		question.Second = true
 		c.endpoint.Send(other, delivery.WatchKind, question)
 	}
 }
 
-// maxLag is by how much a list must be newer than the holder's for the duty to move to another
-// node.
+// maxLag is by how much a list must be newer than the holder's for the role to be transferred to
+// another node.
 func (c *listController) maxLag() time.Duration {
 	return settings.Seconds(listMaxLagFraction * c.settings.Bounds.DrainS)
 }
 
-// progress tells the election how recent the list is here.
+// progress reports to the election how recent the list is here.
 func (c *listController) progress() election.Progress {
-	return election.Progress{Known: c.validAt, Own: c.deputy.reading.began, Limit: c.maxLag()}
+	return election.Progress{Known: c.validAt, Own: c.standby.reading.began, Limit: c.maxLag()}
 }
 
 // noteWatcherClock records the clock of a control node that watches this one.
@@ -158,8 +158,8 @@
 // newestKnown is the newest version of the list that this control node knows of.
 func (c *listController) newestKnown(now time.Duration) upstream.Version {
 	known := c.snapshot.Version
-	if _, term, life := c.election.Holder(now, dutyList); term > known.Term || term == known.Term && life > known.Life {
-		known = upstream.Version{Term: term, Life: life}
+	if _, term, runID := c.election.Holder(now, roleList); term > known.Term || term == known.Term && runID > known.Life {
+		known = upstream.Version{Term: term, Life: runID}
 	}
 	return known
 }
@@ -192,30 +192,30 @@
 	}()
 }
 
-// dutyWon starts the duty of reading the list, with the list that this node may have read as a
-// deputy.
-func (c *listController) dutyWon(now time.Duration) {
-	if c.deputy.reading.began > c.validAt {
+// roleAcquired starts this node's reading as the role holder, from the list that it may have read
+// as a standby.
+func (c *listController) roleAcquired(now time.Duration) {
+	if c.standby.reading.began > c.validAt {
 		c.log.upstream.Warn("list of the last duty holder is too old, using this node's", "ageS", logSeconds(now-c.validAt))
-		c.accept(now, c.deputy.reading)
+		c.accept(now, c.standby.reading)
 	}
 	c.read(upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
 }
 
 // accept takes over a list that was read from the platform. A node that has a list and does not
-// hold the duty only tells the election of its progress.
+// hold the role only reports its progress to the election.
 func (c *listController) accept(now time.Duration, reading listReading) {
-	c.deputy.succeeded(reading)
-	term, mine := c.election.Holds(now, dutyList)
+	c.standby.succeeded(reading)
+	term, mine := c.election.Holds(now, roleList)
 	if !mine {
 		term = 0
 	}
 	if !mine && c.snapshot.Known() {
-		c.election.Progressed(now, dutyList)
+		c.election.Progressed(now, roleList)
 		return
 	}
 	c.validAt, c.readingCalls, c.readingTime = reading.began, reading.calls, reading.end-reading.began
-	if c.snapshot.Update(now, term, c.life, reading.instances) {
+	if c.snapshot.Update(now, term, c.runID, reading.instances) {
 		c.log.upstream.Info("list read", "term", c.snapshot.Version.Term, "seq", c.snapshot.Version.Seq, "upstreams", len(reading.instances))
 		c.onChange(now)
 	}
--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// Deputies: control nodes that read the platform's list in place of the duty holder while its list
+// Standbys: control nodes that read the platform's list in place of the role holder while its list
 // is too old, whether the holder is slow, cut off from the platform, or unable to reach them.
 
 import (
@@ -14,9 +14,9 @@
 	// readingsPerCycle is how old a long list may be when the next one arrives, in readings: a
 	// reading, a pause that is as long, and the next reading.
 	readingsPerCycle = 3
-	// deputyStaggerFraction is the fraction of the maximum lag by which one deputy starts after the
-	// other.
-	deputyStaggerFraction = 0.5
+	// standbyStaggerFraction is the fraction of the maximum lag by which one standby starts after
+	// the other.
+	standbyStaggerFraction = 0.5
 	// readingCallFraction is the fraction of drainS that each call of a long reading may take
 	// beside the pauses.
 	readingCallFraction = 0.02
@@ -25,8 +25,8 @@
 	listJitterFraction = 0.25
 )
 
-// listDeputy is a control node's state for reading the list while another holds the duty.
-type listDeputy struct {
+// listStandby is a control node's state for reading the list while another holds the role.
+type listStandby struct {
 	reading   listReading   // the last complete one
 	failures  int           // consecutive
 	lastAsked int           // index of the peer that was asked last
@@ -34,10 +34,10 @@
 }
 
 // succeeded records a complete reading.
-func (d *listDeputy) succeeded(reading listReading) { d.reading, d.failures = reading, 0 }
+func (d *listStandby) succeeded(reading listReading) { d.reading, d.failures = reading, 0 }
 
 // nextPeer picks a control node to ask beside the holder, each in turn; empty if there is none.
-func (d *listDeputy) nextPeer(all []string, self, holder string) string {
+func (d *listStandby) nextPeer(all []string, self, holder string) string {
 	for range all {
 		d.lastAsked++
 		if id := all[d.lastAsked%len(all)]; id != self && id != holder {
@@ -47,42 +47,42 @@
 	return ""
 }
 
-// readFailed handles a failed reading. Without the duty, the next reading waits longer after each
+// readFailed handles a failed reading. Without the role, the next reading waits longer after each
 // failure, up to drainS.
 func (c *listController) readFailed(now time.Duration) {
-	if _, mine := c.election.Holds(now, dutyList); mine {
+	if _, mine := c.election.Holds(now, roleList); mine {
 		return
 	}
-	c.deputy.failures++
+	c.standby.failures++
 	interval := settings.Seconds(c.settings.Bounds.DrainS * listIntervalFraction)
-	c.readAt = now + min(interval<<min(c.deputy.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
+	c.readAt = now + min(interval<<min(c.standby.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
 }
 
-// readAsDeputy reads the list in place of the holder if the holder's list is too old: the first
-// deputy in the order of the roster starts, then the next one joins, and so on until one has
-// provided a list. Each makes as many calls as the holder may.
-func (c *listController) readAsDeputy(now time.Duration) {
-	place, ok := c.election.Deputy(now, dutyList)
+// readAsStandby reads the list in place of the holder if the holder's list is too old: the first
+// standby in the election's order starts, then the next one joins, and so on until one has provided
+// a list. Each makes as many calls as the holder may.
+func (c *listController) readAsStandby(now time.Duration) {
+	rank, ok := c.election.Deputy(now, roleList)
 	if !ok || !c.recentlyInContact(now) {
 		return
 	}
-	threshold := c.deputyThreshold(now) + time.Duration(deputyStaggerFraction*float64(place)*float64(c.maxLag()))
+	threshold := c.standbyThreshold(now) + time.Duration(standbyStaggerFraction*float64(rank)*float64(c.maxLag()))
 	// After this process was frozen, queued messages are handled first.
-	wasFrozen := now-c.deputy.checkedAt > c.settings.Beat()
-	c.deputy.checkedAt = now
+	wasFrozen := now-c.standby.checkedAt > c.settings.Beat()
+	c.standby.checkedAt = now
 	if now-c.validAt > threshold && !wasFrozen {
 		c.readWhenDue(now, upstream.HastyPace(c.settings.CloudAPI.RatePerS))
 	}
 }
 
-// deputyThreshold is how old the holder's list may be before the first deputy reads one too. It
+// standbyThreshold is how old the holder's list may be before the first standby reads one too. It
 // exceeds the maximum lag only where the list is so long that reading it takes as much, or where
 // this node's own last reading took so long that it could do no better.
-func (c *listController) deputyThreshold(now time.Duration) time.Duration {
+func (c *listController) standbyThreshold(now time.Duration) time.Duration {
 	drainS := c.settings.Bounds.DrainS
 	reading := min(c.readingTime, upstream.SteadyPace(c.settings.CloudAPI.RatePerS).Pauses(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
 	longest := settings.Seconds(maxReadingFactor * drainS)
-	if last := c.deputy.reading; last.end > 0 && now-last.end < longest {
+	if last := c.standby.reading; last.end > 0 && now-last.end < longest {
 		reading = max(reading, last.end-last.began)
 	}
 	late := c.settings.Beat()/5 + time.Duration(listJitterFraction*float64(c.maxLag())) // one tick, and lateness that is no fault
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -29,9 +29,9 @@
 // newTestListController creates the list controller of the control node self among the given
 // members, where holder holds the list role. The test records the contact with a majority itself.
 func newTestListController(self, holder string, members ...string) (*listController, *election.Elector) {
-	elector := election.New(election.Config{Self: self, Duties: []string{dutyList}, Lease: time.Hour,
+	elector := election.New(election.Config{Self: self, Duties: []string{roleList}, Lease: time.Hour,
 		Roster: func() []string { return members }, Alive: func(string) bool { return true }})
-	elector.Handle(0, holder, election.Message{Duty: dutyList, Term: 1})
+	elector.Handle(0, holder, election.Message{Duty: roleList, Term: 1})
 	env := &environment{settings: &settings.Settings{CloudAPI: settings.CloudAPI{RatePerS: 44}, Bounds: settings.Bounds{DrainS: 2.5, ContactS: 3}, FaultBudget: settings.FaultBudget{Machines: 1}},
 		election: elector, log: newLoggers(), contact: newContact(time.Hour, nil)}
 	list := newListController(env)
@@ -40,14 +40,14 @@
 }
 
 // A standby reads the list itself once the holder's list is older than half of drainS: the first
-// standby at once, each further one a quarter of drainS later. A standby that is out of contact does
-// not. Where the list is so long that its pauses take long, or the standby's own last reading took
-// long, it waits for the time of three readings.
+// standby at once, each further one a quarter of drainS later. A standby that is out of contact
+// does not. Where the list is so long that its pauses take long, or the standby's own last reading
+// took long, it waits for the time of three readings.
 func TestStandbysReadTheListInPlaceOfItsHolder(t *testing.T) {
 	const ms = time.Millisecond
 	members := []string{"a", "b", "c", "d"}
 	var order []string // the standbys, first to last
-	for _, id := range rendezvous.Order(dutyList, members) {
+	for _, id := range rendezvous.Order(roleList, members) {
 		if id != "a" {
 			order = append(order, id)
 		}
@@ -86,21 +86,21 @@
 		list.snapshot.Update(0, 1, 1, nil)
 		list.validAt, list.readingCalls, list.readingTime = now-test.age, test.calls, test.holderTook
 		if test.ownTook > 0 {
-			list.deputy.reading = listReading{began: now - time.Second - test.ownTook, end: now - time.Second}
+			list.standby.reading = listReading{began: now - time.Second - test.ownTook, end: now - time.Second}
 		}
-		list.readAsDeputy(now - ms)
+		list.readAsStandby(now - ms)
 		if list.readAt != 0 {
 			t.Errorf("%s: reads right after a freeze, before queued messages are handled", name)
 		}
-		list.readAsDeputy(now)
+		list.readAsStandby(now)
 		if reads := list.readAt != 0; reads != test.wantRead {
 			t.Errorf("%s: reads is %v", name, reads)
 		}
 	}
 }
 
-// The holder says as of when its list is valid relative to the watcher's question, so that a delayed
-// message never makes a list look newer than it is.
+// The holder says as of when its list is valid relative to the watcher's question, so that a
+// delayed message never makes a list look newer than it is.
 func TestTimeAsOfWhichTheListIsValid(t *testing.T) {
 	holder, _ := newTestListController("a", "a", "a", "b")
 	other, _ := newTestListController("b", "a", "a", "b")
@@ -126,8 +126,8 @@
 	}
 }
 
-// A control node publishes its own reading of the list only if it holds the role, and then as of the
-// start of the reading.
+// A control node publishes its own reading of the list only if it holds the role, and then as of
+// the start of the reading.
 func TestOnlyTheHoldersReadingCounts(t *testing.T) {
 	list, elector := newTestListController("b", "a", "a", "b", "c")
 	list.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
@@ -140,14 +140,14 @@
 	if p := list.progress(); p.Known != time.Second || p.Own != 4*time.Second || p.Limit != 1250*time.Millisecond {
 		t.Errorf("progress %+v", p)
 	}
-	elector.Handle(5*time.Second, "a", election.Message{Duty: dutyList, Resign: true})
+	elector.Handle(5*time.Second, "a", election.Message{Duty: roleList, Resign: true})
 	for now := 5 * time.Second; now < 6*time.Hour; now += time.Minute {
 		elector.Tick(now)
 		elector.Take()
-		elector.Handle(now, "c", election.Message{Duty: dutyList, Term: 2, Vote: true, OK: true, Ask: true})
-		elector.Handle(now, "c", election.Message{Duty: dutyList, Term: 2, Vote: true, OK: true})
-		if _, holds := elector.Holds(now, dutyList); holds {
-			list.dutyWon(now)
+		elector.Handle(now, "c", election.Message{Duty: roleList, Term: 2, Vote: true, OK: true, Ask: true})
+		elector.Handle(now, "c", election.Message{Duty: roleList, Term: 2, Vote: true, OK: true})
+		if _, holds := elector.Holds(now, roleList); holds {
+			list.roleAcquired(now)
 			break
 		}
 	}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -17,12 +17,13 @@
 	"madderwing/internal/settings"
 )
 
-// orderKind is the kind of message that carries an order to the owner of its key.
+// orderKind is the kind of message that carries an order to the owner of its partition.
 const orderKind = "order"
 
-// order is a request to the owner of a key, as it is sent between control nodes. Beside Key, one
-// field selects the task that the owner carries out; with none, the owner only confirms that it owns
-// the key. Fields that merely accompany another one are described as such.
+// order is a request to the owner of a partition, as it is sent between control nodes. Beside Key,
+// which names the partition, one field selects the task that the owner carries out; with none, the
+// owner only confirms that it owns the partition. Fields that merely accompany another one are
+// described as such.
 type order struct {
 	Key       string            `cbor:"1,keyasint"`
 	Patch     []byte            `cbor:"2,keyasint,omitempty"`
@@ -36,7 +37,7 @@
 	// old the call was when this attempt was sent.
 	ID  uint64        `cbor:"8,keyasint,omitempty"`
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
-	// Rollout begins a rollout, Abort reverses that of the key. Adopt records versions that
+	// Rollout begins a rollout, Abort reverses that of the partition. Adopt records versions that
 	// services run without a rollout; SeenGenerations accompanies it and gives the generation of
 	// each record as the sender saw it.
 	Rollout         *rollout.Ask                `cbor:"10,keyasint,omitempty"`
@@ -64,8 +65,8 @@
 	Body   []byte        `cbor:"4,keyasint,omitempty"`
 }
 
-// orderController sends orders to the owners of their keys, and carries out those whose key this
-// control node owns.
+// orderController sends orders to the owners of their partitions, and carries out those whose
+// partition this control node owns.
 type orderController struct {
 	*environment
 	configuration *configuration
@@ -97,9 +98,9 @@
 	return rand.Uint64() | 1
 }
 
-// submit sends an order to the current owner of its key, and retries for a short time while there
-// is none. It is not sent again once the context of the caller has ended: an order that took effect
-// then could undo one that its operator has given since. An attempt in progress goes on.
+// submit sends an order to the current owner of its partition, and retries for a short time while
+// there is none. It is not sent again once the context of the caller has ended: an order that took
+// effect then could undo one that its operator has given since. An attempt in progress goes on.
 func (c *orderController) submit(caller context.Context, o order) ([]byte, error) {
 	begin := time.Now()
 	deadline := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
@@ -142,7 +143,7 @@
 
 // orderBasis returns the state that an operator's order relies on, which read gives on the event
 // loop. An order that has waited on this machine, as it does while the process is frozen, is
-// refused: its operator may have gone on to another node since, and given further orders.
+// refused: its operator may have turned to another node since, and given further orders.
 func (e *environment) orderBasis(arrived arrival, read func() uint64) (*uint64, error) {
 	states := make(chan uint64, 1)
 	e.enqueue(func(time.Duration) { states <- read() })
@@ -154,7 +155,7 @@
 	return &state, nil
 }
 
-// execute carries out, as the owner of its key, an order that this control node or another
+// execute carries out, as the owner of its partition, an order that this control node or another
 // received.
 func (c *orderController) execute(via string, o order) orderReply {
 	t, err := c.task(via, o)
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// The answer to a change that names tenants is held until the leases of revoked API keys have expired.
-// Other changes are answered at once.
+// The answer to a change that names tenants is held until the leases of revoked API keys have
+// expired. Other changes are answered at once.
 func TestChangeThatRevokesKeysIsHeld(t *testing.T) {
 	replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
 	if err != nil {
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -14,16 +14,16 @@
 	"madderwing/internal/settings"
 )
 
-// placementController binds routes to shards while this control node holds the placement duty.
+// placementController binds routes to shards while this control node holds the placement role.
 type placementController struct {
 	*environment
 	configuration *configuration
 	submit        submitFunc
 
 	scheduler        placement.Scheduler
-	reconcilePending bool // routes, shards or the duty have changed since the last reconcile
+	reconcilePending bool // routes, shards or the role have changed since the last reconcile
 
-	recheck       bool          // routes, shards or the duty have changed since the last check for waiting routes
+	recheck       bool          // routes, shards or the role have changed since the last check for waiting routes
 	waiting       bool          // the last check found routes that wait for a binding
 	noneWaitingAt time.Duration // when no route was last known to wait
 	checkAt       time.Duration // when the next check is due
@@ -56,8 +56,8 @@
 	}
 }
 
-// progress tells the election as of when all routes had bindings here. Any control node in contact
-// with a majority could bind those that wait.
+// progress reports to the election as of when all routes had bindings here. Any control node in
+// contact with a majority could bind those that wait.
 func (c *placementController) progress(now time.Duration) election.Progress {
 	own := c.noneWaitingAt
 	if c.waiting && c.recentlyInContact(now) {
@@ -66,20 +66,20 @@
 	return election.Progress{Known: c.noneWaitingAt, Own: own, Limit: settings.Seconds(c.settings.Bounds.AckS)}
 }
 
-// dutyChanged resets the scheduler.
-func (c *placementController) dutyChanged() {
+// roleChanged resets the scheduler.
+func (c *placementController) roleChanged() {
 	c.scheduler.Reset()
 	c.requestReconcile()
 }
 
-// reconcile runs the scheduler if that was requested and this node holds the duty. It reports
+// reconcile runs the scheduler if that was requested and this node holds the role. It reports
 // whether the scheduler ran.
 func (c *placementController) reconcile(now time.Duration) bool {
 	if !c.reconcilePending {
 		return false
 	}
 	c.reconcilePending = false
-	if _, mine := c.election.Holds(now, dutyPlacement); !mine {
+	if _, mine := c.election.Holds(now, rolePlacement); !mine {
 		return false
 	}
 	c.scheduler.Reconcile(now, c.configuration.routes(), c.shards(), c.requestReconcile)
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -14,7 +14,7 @@
 
 // quotaController allocates shares of tenants' quotas to control nodes while this one owns the
 // configuration, and grants gateways' requests from the share of this node. Package quota calls the
-// first role the allocator and the second a branch. It exists only where tenants have quotas.
+// former the allocator and the latter a local quota. It exists only where tenants have quotas.
 type quotaController struct {
 	*environment
 	configuration *configuration
@@ -23,24 +23,24 @@
 	local       *quota.LocalQuota
 	configured  map[string]quota.Quota // of the tenants, as configured
 	reportAt    time.Duration          // when the next report to the allocator is due
-	recallAt    time.Duration          // when silent branches may be recalled again
+	recallAt    time.Duration          // when control nodes that have not reported may be recalled again
 	allocatorID string                 // the allocator that was last reported to
-	// reportWhole makes the next report name all shares.
-	reportWhole bool
-	lastSeated  map[string]time.Duration // when a branch was last seen in the roster
+	// fullReport makes the next report name all shares.
+	fullReport  bool
+	lastVoterAt map[string]time.Duration // when a holder of allocations was last a voter
 }
 
 func newQuotaController(env *environment, configuration *configuration) *quotaController {
-	c := &quotaController{environment: env, configuration: configuration, lastSeated: map[string]time.Duration{}}
+	c := &quotaController{environment: env, configuration: configuration, lastVoterAt: map[string]time.Duration{}}
 	bounds := env.settings.Bounds
 	c.allocator = quota.NewAllocator(quota.AllocatorConfig{Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack,
 		Window: settings.Seconds(bounds.QuotaWindowS), Life: settings.Seconds(bounds.ContactS * 0.7), Sure: settings.Seconds(bounds.ContactS * ownerTimeoutFraction),
-		Branches: c.branches})
-	c.local = quota.NewLocalQuota(env.life, rand.Uint64(), settings.Seconds(bounds.ContactS/20))
+		Branches: c.allocationHolders})
+	c.local = quota.NewLocalQuota(env.runID, rand.Uint64(), settings.Seconds(bounds.ContactS/20))
 	return c
 }
 
-// registerHandlers registers the handlers for messages of allocators, branches and gateways.
+// registerHandlers registers the handlers for messages of allocators, local quotas and gateways.
 func (c *quotaController) registerHandlers() {
 	transport.On(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.handleReport(now, from, r) })
@@ -62,31 +62,31 @@
 // tick is called at every tick of the event loop.
 func (c *quotaController) tick(now time.Duration) {
 	c.updateAllocator(now)
-	c.updateBranch(now)
+	c.updateLocalQuota(now)
 }
 
-// branches lists the control nodes that may hold shares: the members of the roster, and those that
-// left it so recently, within contactS, that their shares may not have expired.
-func (c *quotaController) branches() []string {
-	branches := c.replica.Roster()
+// allocationHolders lists the control nodes that may hold allocations: the voters, and those that
+// were voters within contactS, so that their allocations may not have expired.
+func (c *quotaController) allocationHolders() []string {
+	holders := c.replica.Roster()
 	now := c.now()
-	for id, at := range c.lastSeated {
+	for id, at := range c.lastVoterAt {
 		switch {
-		case slices.Contains(branches, id):
-			c.lastSeated[id] = now
+		case slices.Contains(holders, id):
+			c.lastVoterAt[id] = now
 		case now-at <= settings.Seconds(c.settings.Bounds.ContactS):
-			branches = append(branches, id)
+			holders = append(holders, id)
 		default:
-			delete(c.lastSeated, id)
+			delete(c.lastVoterAt, id)
 		}
 	}
-	for _, id := range branches {
-		if _, ok := c.lastSeated[id]; !ok {
-			c.lastSeated[id] = now
+	for _, id := range holders {
+		if _, ok := c.lastVoterAt[id]; !ok {
+			c.lastVoterAt[id] = now
 		}
 	}
-	slices.Sort(branches)
-	return branches
+	slices.Sort(holders)
+	return holders
 }
 
 // setConfiguration updates the tenants' quotas.
@@ -96,35 +96,35 @@
 }
 
 // updateAllocator starts and stops allocating as this node gains and loses the ownership of the
-// configuration, and asks silent branches to report.
+// configuration, and asks control nodes that have not reported to do so.
 func (c *quotaController) updateAllocator(now time.Duration) {
-	tenure, ok := c.replica.Tenure(now, config.Key)
+	term, ok := c.replica.Tenure(now, config.Key)
 	if !ok {
 		c.allocator.End()
 		return
 	}
-	if last, lending := c.allocator.Lending(); !lending || last != tenure.Epoch {
-		c.allocator.Begin(now, tenure.Epoch, tenure.Free, tenure.Heir)
+	if last, allocating := c.allocator.Lending(); !allocating || last != term.Epoch {
+		c.allocator.Begin(now, term.Epoch, term.Free, term.Heir)
 		c.recallAt = 0
-		c.switchAllocator(now, c.endpoint.Self()) // its own branch reports first
+		c.switchAllocator(now, c.endpoint.Self()) // its own local quota reports first
 	}
 	c.allocator.Tick(now)
 	if silent := c.allocator.Silent(); len(silent) > 0 && now >= c.recallAt {
 		c.recallAt = now + c.settings.Beat()/5
 		for _, id := range silent {
-			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: tenure.Epoch})
+			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: term.Epoch})
 		}
 	}
 }
 
-// handleReport answers a branch's report.
+// handleReport answers the report of a control node's local quota.
 func (c *quotaController) handleReport(now time.Duration, from string, r quota.Report) {
 	c.updateAllocator(now)
-	tenure, ok := c.replica.Tenure(now, config.Key)
+	term, ok := c.replica.Tenure(now, config.Key)
 	if !ok {
 		return
 	}
-	allocation, ok := c.allocator.Report(now, tenure.Sure, from, r, c.configured)
+	allocation, ok := c.allocator.Report(now, term.Sure, from, r, c.configured)
 	switch {
 	case !ok:
 	case from == c.endpoint.Self():
@@ -144,18 +144,18 @@
 
 // switchAllocator makes the next report a full one to the given allocator, due at once.
 func (c *quotaController) switchAllocator(now time.Duration, allocatorID string) {
-	c.allocatorID, c.reportWhole, c.reportAt = allocatorID, true, now
+	c.allocatorID, c.fullReport, c.reportAt = allocatorID, true, now
 }
 
-// updateBranch reports to the allocator once per heartbeat interval, and at once to a new one.
-func (c *quotaController) updateBranch(now time.Duration) {
+// updateLocalQuota reports to the allocator once per heartbeat interval, and at once to a new one.
+func (c *quotaController) updateLocalQuota(now time.Duration) {
 	c.local.Expire(now)
 	// A control node that lost its state knows no owner; it reports when the allocator recalls it.
 	if owner := c.replica.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
 	if now >= c.reportAt {
-		c.reportAt, c.reportWhole = now+c.settings.Beat(), true
+		c.reportAt, c.fullReport = now+c.settings.Beat(), true
 		c.sendReport(now)
 	}
 }
@@ -165,8 +165,8 @@
 	if c.allocatorID == "" || c.local.Awaits(now) {
 		return
 	}
-	r := c.local.Report(now, c.reportWhole)
-	c.reportWhole = false
+	r := c.local.Report(now, c.fullReport)
+	c.fullReport = false
 	if c.allocatorID == c.endpoint.Self() {
 		c.handleReport(now, c.allocatorID, r)
 	} else {
@@ -177,7 +177,7 @@
 // handleAllocation processes the allocator's answer.
 func (c *quotaController) handleAllocation(now time.Duration, allocation quota.Allocation) {
 	c.local.Lent(now, allocation)
-	if c.reportWhole || c.local.Waiting() {
+	if c.fullReport || c.local.Waiting() {
 		c.sendReport(now)
 	}
 }
@@ -204,7 +204,7 @@
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
 	}
 	quotas = &Quotas{Lender: c.allocatorID}
-	if _, lending := c.allocator.Lending(); lending {
+	if _, allocating := c.allocator.Lending(); allocating {
 		quotas.Silent = c.allocator.Silent()
 		for _, t := range tenants {
 			if t.RatePerS > 0 {
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -9,11 +9,11 @@
 	"madderwing/internal/settings"
 )
 
-// A former voter still counts as a holder of allocations until they have expired, after contactS: it
-// may still grant requests from them.
+// A former voter still counts as a holder of allocations until they have expired, after contactS:
+// it may still grant requests from them.
 func TestFormerVoterCountsUntilItsAllocationsExpire(t *testing.T) {
 	const contactS = 3
-	controller := &quotaController{lastSeated: map[string]time.Duration{},
+	controller := &quotaController{lastVoterAt: map[string]time.Duration{},
 		environment: &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: contactS}}, startedAt: time.Now()}}
 	replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
 	if err != nil {
@@ -29,12 +29,12 @@
 		{contactS*time.Second + time.Second/2, nil},
 	} {
 		controller.startedAt = time.Now().Add(-time.Minute)
-		controller.lastSeated["b"] = time.Minute - test.sinceVoter
-		if got := controller.branches(); !slices.Equal(got, test.want) {
+		controller.lastVoterAt["b"] = time.Minute - test.sinceVoter
+		if got := controller.allocationHolders(); !slices.Equal(got, test.want) {
 			t.Errorf("%v after it was last a voter: %v, want %v", test.sinceVoter, got, test.want)
 		}
 	}
-	if len(controller.lastSeated) > 0 {
-		t.Errorf("not forgotten: %v", controller.lastSeated)
+	if len(controller.lastVoterAt) > 0 {
+		t.Errorf("not forgotten: %v", controller.lastVoterAt)
 	}
 }
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -36,8 +36,8 @@
 	return c
 }
 
-// answerTTL is for how long a client may rely on an answer. A gateway that leaves is missing from
-// the answers for longer than that before it stops accepting connections.
+// answerTTL is for how long a client may rely on an answer. A gateway that shuts down is missing
+// from the answers for longer than that before it stops accepting connections.
 func answerTTL(bounds settings.Bounds) (ttl time.Duration) {
 	ttl = settings.Seconds(bounds.GraceS * 0.4)
 	if bounds.TTLMaxS > 0 {
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -39,13 +39,13 @@
 
 // runRelay runs a relay until ctx ends.
 func runRelay(ctx context.Context, cfg *settings.Settings, reload <-chan *settings.Settings) error {
-	beat := cfg.Beat()
-	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), beat, logging.For(logging.Transport))
+	heartbeat := cfg.Beat()
+	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), heartbeat, logging.For(logging.Transport))
 	if err != nil {
 		return err
 	}
 	defer endpoint.Close()
-	endpoint.IdleTimeout = 2 * beat
+	endpoint.IdleTimeout = 2 * heartbeat
 	_, port, err := net.SplitHostPort(cfg.Bind.Control)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	})
 	endpoint.Start()
 
-	handler := &relay{pick: picker.pick, known: picker.known, port: port, bodyTimeout: settings.Seconds(cfg.Bounds.ContactS), retryAfter: beat, log: logging.For(logging.Relay)}
+	handler := &relay{pick: picker.pick, known: picker.known, port: port, bodyTimeout: settings.Seconds(cfg.Bounds.ContactS), retryAfter: heartbeat, log: logging.For(logging.Relay)}
 	serve := func(address string, h http.Handler) *http.Server {
 		return &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: settings.Seconds(cfg.Bounds.ContactS),
 			IdleTimeout: settings.Seconds(4 * cfg.Bounds.ContactS), ErrorLog: slog.NewLogLogger(handler.log.Handler(), slog.LevelWarn)}
@@ -105,7 +105,7 @@
 		return
 	}
 	r.calls.Add(1)
-	to := r.pick(req.Context(), keyOf(req.Method, req.URL.Path))
+	to := r.pick(req.Context(), partitionOf(req.Method, req.URL.Path))
 	if req.Context().Err() != nil {
 		apierror.Write(w, apierror.New(apierror.ClientGone, "%s", req.URL.Path))
 		return
@@ -134,14 +134,14 @@
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// keyOf returns the key of the control state that an operator's call concerns most.
-func keyOf(method, path string) string {
+// partitionOf returns the partition of the control state that an operator's call concerns most.
+func partitionOf(method, path string) string {
 	if isCoordination(path) {
-		return coordinationKey(path)
+		return coordinationPartition(path)
 	}
-	for prefix, key := range map[string]string{"/v1/evacuation/": config.EvacuationPrefix, "/v1/rollouts/": rollout.Prefix, "/v1/admin/rollouts/": rollout.Prefix} {
+	for prefix, recordPrefix := range map[string]string{"/v1/evacuation/": config.EvacuationPrefix, "/v1/rollouts/": rollout.Prefix, "/v1/admin/rollouts/": rollout.Prefix} {
 		if rest, ok := strings.CutPrefix(path, prefix); ok && rest != "" {
-			return key + rest
+			return recordPrefix + rest
 		}
 	}
 	if method == http.MethodDelete && strings.HasPrefix(path, "/v1/admin/members/") {
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -13,7 +13,7 @@
 // relayKind is the kind of a relay's question, which control nodes and other relays answer.
 const relayKind = "relay"
 
-// relayQuestion asks who can serve a call that concerns a key.
+// relayQuestion asks who can serve a call that concerns a partition, which Key names.
 type relayQuestion struct {
 	Key string `cbor:"1,keyasint"`
 }
@@ -21,10 +21,10 @@
 // relayAnswer is the answer of a control node, or of another relay.
 type relayAnswer struct {
 	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set beside it
-	// Working reports that the control node hears the owner of the key or of the configuration, and
-	// isn't about to leave.
+	// Working reports that the control node hears the owner of the partition or of the
+	// configuration, and is not about to shut down.
 	Working bool              `cbor:"2,keyasint,omitempty"`
-	Owner   string            `cbor:"3,keyasint,omitempty"` // of the key, if known
+	Owner   string            `cbor:"3,keyasint,omitempty"` // of the partition, if known
 	Nodes   []membership.Node `cbor:"4,keyasint,omitempty"` // control nodes that appear to be working
 }
 
@@ -44,12 +44,12 @@
 	})
 }
 
-// relayAnswerFor returns the answer about a key, given the keys of this control node, a lookup of
-// their owners, and the known nodes.
-func relayAnswerFor(key, self string, keys []string, owner func(key string) string, nodes *membership.List) (answer relayAnswer) {
-	// Looking up the owner creates the key, so only existing keys are looked up.
-	if slices.Contains(keys, key) {
-		answer.Owner = owner(key)
+// relayAnswerFor returns the answer about a partition, given the partitions of this control node, a
+// lookup of their owners, and the known nodes.
+func relayAnswerFor(partition, self string, partitions []string, owner func(key string) string, nodes *membership.List) (answer relayAnswer) {
+	// Looking up the owner creates the partition, so only existing partitions are looked up.
+	if slices.Contains(partitions, partition) {
+		answer.Owner = owner(partition)
 	}
 	answer.Working = answer.Owner != "" || owner(config.Key) != ""
 	for _, n := range nodes.Live(membership.Control) {
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -61,19 +61,19 @@
 		}}
 }
 
-// pick returns a working control node, which is the owner of the key if that is known and answers;
-// empty: none answered in time, or the caller has left.
-func (p *picker) pick(caller context.Context, key string) string {
+// pick returns a working control node, which is the owner of the partition if that is known and
+// answers; empty: none answered in time, or the caller has left.
+func (p *picker) pick(caller context.Context, partition string) string {
 	ctx, cancel := context.WithTimeout(caller, p.timeout)
 	defer cancel()
 	asked := map[string]bool{p.self: true}
-	first, owner := p.firstWorking(ctx, key, asked)
+	first, owner := p.firstWorking(ctx, partition, asked)
 	if owner == "" || asked[owner] || p.coolingDown(owner) {
 		return first // no owner is known, or it was asked already or recently gave no good answer
 	}
 	ctx, cancel = context.WithTimeout(ctx, p.hedgeDelay)
 	defer cancel()
-	answer, err := p.query(ctx, owner, key)
+	answer, err := p.query(ctx, owner, partition)
 	switch {
 	case caller.Err() != nil: // not the owner's fault
 	case err != nil:
@@ -93,8 +93,8 @@
 // firstWorking asks one candidate after the other, and a further one where one is slow. It returns
 // the first that works, and the owner that this one names. Nodes in asked are skipped, and the
 // nodes that it asks are added to it.
-func (p *picker) firstWorking(ctx context.Context, key string, asked map[string]bool) (from, owner string) {
-	queue := p.candidates(key)
+func (p *picker) firstWorking(ctx context.Context, partition string, asked map[string]bool) (from, owner string) {
+	queue := p.candidates(partition)
 	answers := make(chan queryResult)
 	slow := time.NewTimer(p.hedgeDelay)
 	defer slow.Stop()
@@ -110,7 +110,7 @@
 			outstanding++
 			slow.Reset(p.hedgeDelay)
 			go func() {
-				answer, err := p.query(ctx, to, key)
+				answer, err := p.query(ctx, to, partition)
 				select {
 				case answers <- queryResult{to, answer, err}:
 				case <-ctx.Done():
@@ -144,8 +144,8 @@
 }
 
 // query asks one node and records the result.
-func (p *picker) query(ctx context.Context, to, key string) (relayAnswer, error) {
-	answer, err := p.ask(ctx, to, key)
+func (p *picker) query(ctx context.Context, to, partition string) (relayAnswer, error) {
+	answer, err := p.ask(ctx, to, partition)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -156,7 +156,7 @@
 			p.nodes[n.Address] = n
 		}
 		if answer.Owner != "" {
-			p.owners[key] = answer.Owner
+			p.owners[partition] = answer.Owner
 		}
 		p.lastWorking, p.searchedAt = to, time.Now()
 		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
@@ -191,10 +191,10 @@
 // candidates lists the nodes to ask, in order: the owner, the node that answered last, the other
 // control nodes with those of this zone first, and the seeds. Those that recently gave no good answer
 // come last, the one that did so longest ago first.
-func (p *picker) candidates(key string) []string {
+func (p *picker) candidates(partition string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := []string{p.owners[key], p.lastWorking}
+	out := []string{p.owners[partition], p.lastWorking}
 	known := rendezvous.Order(p.self, slices.Collect(maps.Keys(p.nodes)))
 	slices.SortStableFunc(known, func(a, b string) int {
 		return cmp.Compare(p.zoneRank(a), p.zoneRank(b))
--- a/internal/controlplane/relay_process_test.go
+++ b/internal/controlplane/relay_process_test.go
@@ -80,7 +80,8 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	// The relay learns of control nodes only when it asks one for a call, so it is called repeatedly.
+	// The relay learns of control nodes only when it asks one for a call, so it is called
+	// repeatedly.
 	for i := 0; ; i++ {
 		metrics := caller.callUntil(t, 200, "GET", address(5)+"/metrics", "")
 		if strings.Contains(metrics, "madderwing_relay_control_nodes 4\n") {
@@ -106,8 +107,8 @@
 	pickedUntil("none", func(host string) bool { return host == "none" })
 }
 
-// startNode runs a control node, or a relay if the extra settings name no dataDir, on 127.0.0.number
-// until stop is called.
+// startNode runs a control node, or a relay if the extra settings name no dataDir, on
+// 127.0.0.number until stop is called.
 func startNode(t *testing.T, platform string, base, number int, extraSettings string, seeds ...string) (stop func()) {
 	ip := fmt.Sprintf("127.0.0.%d", number)
 	set, err := settings.Parse(fmt.Appendf(nil, `
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -158,13 +158,13 @@
 }
 
 func TestRelayAnswers(t *testing.T) {
-	keys := []string{"catalogue", "evacuation/n"}
+	partitions := []string{"catalogue", "evacuation/n"}
 	for _, test := range []struct {
-		name, key string
-		owners    map[string]string
-		leaving   bool
-		owner     string
-		working   bool
+		name, partition string
+		owners          map[string]string
+		leaving         bool
+		owner           string
+		working         bool
 	}{
 		{"an owner", "evacuation/n", map[string]string{"catalogue": "a", "evacuation/n": "b"}, false, "b", true},
 		{"no owner at the moment", "evacuation/n", map[string]string{"catalogue": "a"}, false, "", true},
@@ -174,7 +174,7 @@
 	} {
 		list := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: test.leaving}, {Address: "b", Plane: membership.Control},
 			{Address: "c", Plane: membership.Control, State: membership.Dead}, {Address: "d"}, {Address: "e", Plane: membership.Control, Draining: true}}}
-		got := relayAnswerFor(test.key, "a", keys, func(key string) string { return test.owners[key] }, list)
+		got := relayAnswerFor(test.partition, "a", partitions, func(key string) string { return test.owners[key] }, list)
 		nodes := 2
 		if test.leaving {
 			nodes = 1
@@ -185,8 +185,8 @@
 	}
 }
 
-// A relay gives a joining node the control nodes, for which it searches once, and adds control nodes
-// that join through it.
+// A relay gives a joining node the control nodes, for which it searches once, and adds control
+// nodes that join through it.
 func TestRelayIntroducesControlNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := &fakeNodes{nodes: map[string]fakeNode{"a": {owner: "a", knows: []string{"a"}}}}
@@ -219,7 +219,7 @@
 func TestRelayRedirects(t *testing.T) {
 	for _, test := range []struct {
 		name, method, target, pick string
-		key, location              string
+		partition, location        string
 		status                     int
 		expectContinue             bool // sends Expect: 100-continue
 	}{
@@ -234,9 +234,9 @@
 		{"the relay's own metrics", "GET", "/metrics", "", "", "", 200, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			key := ""
+			picked := ""
 			handler := &relay{port: "8080", retryAfter: time.Second / 2, log: slog.New(slog.DiscardHandler),
-				pick: func(_ context.Context, k string) string { key = k; return test.pick }, known: func() []membership.Node { return nil }}
+				pick: func(_ context.Context, k string) string { picked = k; return test.pick }, known: func() []membership.Node { return nil }}
 			response := httptest.NewRecorder()
 			body := strings.NewReader(strings.Repeat("x", 1<<20))
 			req := httptest.NewRequest(test.method, test.target, body)
@@ -244,8 +244,8 @@
 				req.Header.Set("Expect", "100-continue")
 			}
 			handler.ServeHTTP(response, req)
-			if response.Code != test.status || response.Header().Get("Location") != test.location || key != test.key {
-				t.Errorf("%d %q for partition %q", response.Code, response.Header().Get("Location"), key)
+			if response.Code != test.status || response.Header().Get("Location") != test.location || picked != test.partition {
+				t.Errorf("%d %q for partition %q", response.Code, response.Header().Get("Location"), picked)
 			}
 			if unread := body.Len() > 0; unread != (test.expectContinue || test.status == http.StatusOK) {
 				t.Errorf("%d bytes of the body are unread", body.Len())
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -15,8 +15,9 @@
 	"madderwing/internal/upstream"
 )
 
-// rolloutController takes the steps of the rollouts whose keys this control node owns, forwards
-// reports on the others, and has the versions recorded that services run without a rollout.
+// rolloutController takes the steps of the rollouts whose partitions this control node owns,
+// forwards reports on the others, and has the versions recorded that services run without a
+// rollout.
 type rolloutController struct {
 	*environment
 	configuration *configuration
@@ -58,12 +59,12 @@
 	}
 }
 
-// tick checks the rollouts in progress, takes the steps of those whose key this control node owns,
-// and forwards the reports on the others.
+// tick checks the rollouts in progress, takes the steps of those whose partition this control node
+// owns, and forwards the reports on the others.
 func (c *rolloutController) tick(now time.Duration) {
-	beat := c.settings.Beat()
+	heartbeat := c.settings.Beat()
 	moves, forwards := c.controller.Look(now, c.versions, rollout.Surroundings{
-		Self: c.endpoint.Self(), Fresh: 2 * beat, Fill: c.fillView,
+		Self: c.endpoint.Self(), Fresh: 2 * heartbeat, Fill: c.fillView,
 		Owner: func(key string) string { return c.replica.Owner(now, key) }})
 	for service, v := range c.versions {
 		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.replica.Owner(now, rollout.Key(service)) == c.endpoint.Self() {
@@ -164,7 +165,7 @@
 	return c.list.serviceVersions()[o.Rollout.Service].mostFrequent
 }
 
-// call is an operator's call for a service, as the owner of the rollout's key sees it.
+// call is an operator's call for a service, as the owner of the rollout's partition sees it.
 func (c *rolloutController) call(service string, o order) rollout.Call {
 	now, ackS := c.now(), settings.Seconds(c.settings.Bounds.AckS)
 	return rollout.Call{ID: o.ID, Basis: o.Basis, Recent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -144,12 +144,12 @@
 	return b
 }
 
-// render returns the records of a key as the operators' API shows them.
-func render(key string, records map[string]replication.Record) []byte {
-	if !strings.HasPrefix(key, rollout.Prefix) {
+// render returns the records of a partition as the operators' API shows them.
+func render(partition string, records map[string]replication.Record) []byte {
+	if !strings.HasPrefix(partition, rollout.Prefix) {
 		return config.Render(records)
 	}
-	plan, ok := rollout.Read(records[key])
+	plan, ok := rollout.Read(records[partition])
 	if !ok {
 		return nil
 	}
--- a/internal/controlplane/rollout_process_test.go
+++ b/internal/controlplane/rollout_process_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// fakePlatform serves the platform's list and runs the upstreams on it, two for each version that the
-// test adds.
+// fakePlatform serves the platform's list and runs the upstreams on it, two for each version that
+// the test adds.
 type fakePlatform struct {
 	mu        sync.Mutex
 	instances []string
@@ -72,7 +72,8 @@
 	t.Cleanup(func() { close(done); all.Wait() })
 }
 
-// callControl calls the operators' API, again while it answers 503 because a partition has no owner.
+// callControl calls the operators' API, again while it answers 503 because a partition has no
+// owner.
 func (s *system) callControl(t *testing.T, method, path, body string) (status int, text string) {
 	for range 200 {
 		if status, text = s.call(t, method, s.control+path, body); status != http.StatusServiceUnavailable {
--- a/internal/controlplane/rollout_retries_test.go
+++ b/internal/controlplane/rollout_retries_test.go
@@ -20,11 +20,13 @@
 		t.Fatal(err)
 	}
 	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, replica: replica, startedAt: time.Now()}
-	key := rollout.Key("s")
+	partition := rollout.Key("s")
 	begin := func(id uint64, version string) order {
-		return order{Key: key, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
+		return order{Key: partition, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
+	}
+	abort := func(id uint64, r rollout.Reversal) order {
+		return order{Key: partition, ID: id, Abort: true, Reversal: r}
 	}
-	abort := func(id uint64, r rollout.Reversal) order { return order{Key: key, ID: id, Abort: true, Reversal: r} }
 	const noError apierror.Kind = -1
 	for name, test := range map[string]struct {
 		repeated order
@@ -63,13 +65,13 @@
 				t.Fatalf("%s: %v", name, err)
 			}
 		}
-		generation := have[key].Gen
+		generation := have[partition].Gen
 		got := noError
 		if err := execute(test.repeated); err != nil {
 			got = apierror.KindOf(err)
 		}
-		if got != test.want || have[key].Gen != generation {
-			t.Errorf("%s: %v, want %v; generation of the record %d before, %d after", name, got, test.want, generation, have[key].Gen)
+		if got != test.want || have[partition].Gen != generation {
+			t.Errorf("%s: %v, want %v; generation of the record %d before, %d after", name, got, test.want, generation, have[partition].Gen)
 		}
 	}
 }
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -15,8 +15,8 @@
 	"madderwing/internal/settings"
 )
 
-// The age of a call counts from when its bytes arrived in the kernel, however late the process reads
-// them.
+// The age of a call counts from when its bytes arrived in the kernel, however late the process
+// reads them.
 func TestCallThatWaitedUnreadIsRefused(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -100,8 +100,8 @@
 	}
 }
 
-// A process that has used up its CPU quota is paused for the rest of the period of 100 ms, again and
-// again. That is no stall, and calls that wait meanwhile are accepted.
+// A process that has used up its CPU quota is paused for the rest of the period of 100 ms, again
+// and again. That is no stall, and calls that wait meanwhile are accepted.
 func TestExhaustedCPUQuotaIsNoStall(t *testing.T) {
 	const throttlePeriod = 100 * time.Millisecond
 	now := time.Minute
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -65,8 +65,8 @@
 	lock.Release()
 }
 
-// A start waits while the disk returns errors, and fails at once for faults that only an operator can
-// fix.
+// A start waits while the disk returns errors, and fails at once for faults that only an operator
+// can fix.
 func TestOpenStore(t *testing.T) {
 	const pause = time.Millisecond
 	dir := t.TempDir()
--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -137,7 +137,7 @@
 	return res.StatusCode, string(b)
 }
 
-// callUntil asks again callUntil the status is the one wanted.
+// callUntil repeats a call until it gets the wanted status, and returns the body.
 func (s *system) callUntil(t *testing.T, wantStatus int, method, url, body string, header ...string) string {
 	t.Helper()
 	status, text := 0, ""
@@ -317,8 +317,8 @@
 		t.Errorf("the overview shows no tenant, or its keys: %s", got)
 	}
 
-	// The removal of an API key is confirmed only once no gateway can still accept the key, which takes
-	// longer than its delivery.
+	// The removal of an API key is confirmed only once no gateway can still accept the key, which
+	// takes longer than its delivery.
 	withoutOldKey := `{"upsert":{"tenants":[{"name":"team","apiKeys":["new"],"ratePerS":2,"burst":2,"generation":2}]}}`
 	if status, text := system.call(t, "PATCH", system.control+"/v1/config", withoutOldKey); status != 503 || !strings.Contains(text, "everywhere yet") {
 		t.Errorf("at once: %d %s", status, text)
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -15,13 +15,13 @@
 	"madderwing/internal/rollout"
 )
 
-// records are the records of one key, by name.
+// records are the records of one partition, by name.
 type records = map[string]replication.Record
 
-// task is what the owner of a key does for one order. Its methods run on the event loop.
+// task is what the owner of a partition does for one order. Its methods run on the event loop.
 type task interface {
-	// change computes the change of the key's records. A replication round then commits it, or
-	// confirms that nothing changed; receivedAt is when the owner started on the order. An error
+	// change computes the change of the partition's records. A replication round then commits it,
+	// or confirms that nothing changed; receivedAt is when the owner started on the order. An error
 	// refuses the order.
 	change(receivedAt time.Duration, have records) ([]replication.Record, error)
 	// finish answers the order after the round has succeeded. It may answer later.
@@ -63,7 +63,7 @@
 
 func (emptyAnswer) finish(_, _ time.Duration, answer func(orderReply)) { answer(orderReply{}) }
 
-// confirmTask changes nothing: the round confirms that this control node owns the key.
+// confirmTask changes nothing: the round confirms that this control node owns the partition.
 type confirmTask struct{ emptyAnswer }
 
 func (confirmTask) change(time.Duration, records) ([]replication.Record, error) { return nil, nil }
@@ -130,8 +130,8 @@
 		revocations.noteRevocation(now)
 	}
 	if t.requested.NamesTenants() {
-		if left := revocations.remainingHold(t.orders.now()); left > 0 {
-			t.orders.answerLater(left, answer)
+		if remaining := revocations.remainingHold(t.orders.now()); remaining > 0 {
+			t.orders.answerLater(remaining, answer)
 			return
 		}
 	}
@@ -140,12 +140,12 @@
 
 // answerLater answers a call that has been carried out but may not be confirmed yet: at the right
 // time if that is soon, otherwise at once with the advice to retry.
-func (c *orderController) answerLater(left time.Duration, answer func(orderReply)) {
-	if left > c.settings.Beat()*2/3 {
-		answer(orderReply{true, apierror.NotYet, "revoked keys may remain in use for " + left.String(), nil})
+func (c *orderController) answerLater(remaining time.Duration, answer func(orderReply)) {
+	if remaining > c.settings.Beat()*2/3 {
+		answer(orderReply{true, apierror.NotYet, "revoked keys may remain in use for " + remaining.String(), nil})
 		return
 	}
-	time.AfterFunc(left, func() { answer(orderReply{}) })
+	time.AfterFunc(remaining, func() { answer(orderReply{}) })
 }
 
 // evacuationTask starts or withdraws the evacuation of a zone.
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -18,10 +18,10 @@
 	Draining    bool   `json:"draining"`
 	Incarnation uint64 `json:"incarnation"`
 	Shard       int    `json:"shard"` // -1 on control nodes
-	Seat        bool   `json:"seat"`  // in the roster
+	Seat        bool   `json:"seat"`  // it is a voter
 }
 
-// Key is a key of the control state as the administration API shows it.
+// Key is a partition of the control state as the administration API shows it.
 type Key struct {
 	Key     string `json:"key"`
 	Owner   string `json:"owner"`
@@ -75,7 +75,7 @@
 // Quotas names the allocator of tenants' quotas and, at the allocator, describes what is allocated.
 type Quotas struct {
 	Lender string                  `json:"lender"`
-	Silent []string                `json:"silent,omitempty"` // branches that have not reported to the allocator
+	Silent []string                `json:"silent,omitempty"` // control nodes that have not reported to the allocator
 	Loans  []quota.AllocationState `json:"allocations,omitempty"`
 }
 
