--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -32,7 +32,7 @@
 }
 
 // replace makes the published records of the configuration's partition match the committed ones,
-// without those that were forgotten, and reports whether anything changed.
+// without those that were erased, and reports whether anything changed.
 func (c *configuration) replace(committed map[string]config.Record) (changed bool) {
 	return config.Replace(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -63,11 +63,11 @@
 	return c
 }
 
-func (c *simulatedCluster) start(id string, first bool) {
+func (c *simulatedCluster) start(id string, bootstrap bool) {
 	n := c.nodes[id]
 	n.runID++
 	partitions := []string{config.Key, config.EvacuationPrefix + "z"}
-	replica, err := replication.NewReplica(replication.Config{Self: id, Life: n.runID, Seeds: c.ids, Bootstrap: first, Empty: len(n.disk) == 0,
+	replica, err := replication.NewReplica(replication.Config{Self: id, Life: n.runID, Seeds: c.ids, Bootstrap: bootstrap, Empty: len(n.disk) == 0,
 		Keys: partitions, Sure: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, Beat: testHeartbeatInterval, Vacant: time.Duration(ownerTimeoutFraction * float64(testContactS)), Patience: time.Second,
 		Alive: func(string) bool { return true }}, n.disk)
 	if err != nil {
@@ -78,10 +78,10 @@
 
 // isolate cuts both directions between the named nodes and all others.
 func (c *simulatedCluster) isolate(ids ...string) {
-	for _, a := range ids {
-		for _, b := range c.ids {
-			if !strings.Contains(strings.Join(ids, " "), b) {
-				c.cutLinks[[2]string{a, b}], c.cutLinks[[2]string{b, a}] = true, true
+	for _, isolated := range ids {
+		for _, other := range c.ids {
+			if !strings.Contains(strings.Join(ids, " "), other) {
+				c.cutLinks[[2]string{isolated, other}], c.cutLinks[[2]string{other, isolated}] = true, true
 			}
 		}
 	}
@@ -92,33 +92,33 @@
 // hearsMajority reports whether a node can receive from more than half of all nodes, itself
 // included. A node that can only receive still gets new records.
 func (c *simulatedCluster) hearsMajority(id string) bool {
-	n := 0
-	for _, b := range c.ids {
-		if !c.cutLinks[[2]string{b, id}] && !c.nodes[b].frozen {
-			n++
+	heard := 0
+	for _, other := range c.ids {
+		if !c.cutLinks[[2]string{other, id}] && !c.nodes[other].frozen {
+			heard++
 		}
 	}
-	return 2*n > len(c.ids) && !c.nodes[id].frozen
+	return 2*heard > len(c.ids) && !c.nodes[id].frozen
 }
 
 func (c *simulatedCluster) applyEffects(id string) {
 	n := c.nodes[id]
-	fx := n.replica.Take()
-	for len(fx.Send)+len(fx.Writes) > 0 {
-		for _, e := range fx.Send {
+	effects := n.replica.Take()
+	for len(effects.Send)+len(effects.Writes) > 0 {
+		for _, e := range effects.Send {
 			if !c.cutLinks[[2]string{id, e.To}] {
 				c.inFlight = append(c.inFlight, delayedMessage{c.now + testStep, id, e.To, e.Msg})
 			}
 		}
-		for _, wr := range fx.Writes {
-			for _, e := range wr.Entries {
+		for _, write := range effects.Writes {
+			for _, e := range write.Entries {
 				if n.disk[e.Key] = e.Value; e.Value == nil {
 					delete(n.disk, e.Key)
 				}
 			}
-			n.replica.Durable(c.now, wr.ID)
+			n.replica.Durable(c.now, write.ID)
 		}
-		fx = n.replica.Take()
+		effects = n.replica.Take()
 	}
 	if records, _, ok := n.replica.Committed(config.Key); ok {
 		n.committed = maps.Clone(records)
@@ -148,20 +148,20 @@
 		}
 		c.inFlight = append(later, c.inFlight...)
 		for _, id := range c.ids {
-			x := c.nodes[id]
-			if x.frozen {
-				x.lastMajority = min(x.lastMajority, c.now)
+			n := c.nodes[id]
+			if n.frozen {
+				n.lastMajority = min(n.lastMajority, c.now)
 				continue
 			}
-			for _, l := range x.backlog {
-				x.replica.Handle(c.now, l.from, l.msg)
+			for _, message := range n.backlog {
+				n.replica.Handle(c.now, message.from, message.msg)
 			}
-			x.backlog = nil
-			x.replica.Tick(c.now)
-			if x.replica.Owner(c.now, config.Key) == id && c.now%(100*time.Millisecond) == 0 {
+			n.backlog = nil
+			n.replica.Tick(c.now)
+			if n.replica.Owner(c.now, config.Key) == id && c.now%(100*time.Millisecond) == 0 {
 				value := len(c.ackedAt)
 				c.ackedAt = append(c.ackedAt, -1)
-				x.replica.Propose(c.now, config.Key, func(map[string]replication.Record) ([]replication.Record, error) {
+				n.replica.Propose(c.now, config.Key, func(map[string]replication.Record) ([]replication.Record, error) {
 					return []replication.Record{{Name: "r", Gen: uint64(value + 1)}}, nil
 				}, func(err error) {
 					if err == nil {
@@ -170,7 +170,7 @@
 				})
 			}
 			c.applyEffects(id)
-			c.check(id, x)
+			c.check(id, n)
 		}
 	}
 }
@@ -211,9 +211,9 @@
 			if cluster.nodes["n0"].replica.Owner(cluster.now, config.Key) == id || cluster.nodes["n0"].replica.Owner(cluster.now, config.EvacuationPrefix+"z") == id {
 				continue
 			}
-			for _, b := range cluster.ids {
-				if b != id {
-					cluster.cutLinks[[2]string{id, b}] = true
+			for _, other := range cluster.ids {
+				if other != id {
+					cluster.cutLinks[[2]string{id, other}] = true
 				}
 			}
 			return
@@ -221,8 +221,8 @@
 		cluster.t.Fatal("every node owns a partition")
 	}
 	cutIncoming := func(cluster *simulatedCluster) {
-		for _, b := range cluster.ids[1:] {
-			cluster.cutLinks[[2]string{b, "n0"}] = true
+		for _, other := range cluster.ids[1:] {
+			cluster.cutLinks[[2]string{other, "n0"}] = true
 		}
 	}
 	all := "n0 n1 n2 n3 n4"
@@ -309,7 +309,7 @@
 		lines     int
 	}{
 		{2 * time.Second, 0, 0, false, 2 * time.Second, 0},               // at least as old as the process
-		{3 * time.Second, 3 * time.Second, 0, false, 3 * time.Second, 0}, // one key is still unconfirmed
+		{3 * time.Second, 3 * time.Second, 0, false, 3 * time.Second, 0}, // one partition is still unconfirmed
 		{3 * time.Second, 3 * time.Second, 2500 * time.Millisecond, true, time.Second / 2, 1},
 		{4 * time.Second, 3900 * time.Millisecond, 3 * time.Second, true, time.Second, 1},
 		{5 * time.Second, 4900 * time.Millisecond, 0, false, 2 * time.Second, 2}, // unknown now: the last confirmation counts
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -137,7 +137,7 @@
 	_, err := fn(nil)
 	done(err)
 }
-func (soleOwnerReplica) Tenure(time.Duration, string) (t replication.Tenure, sure bool) {
+func (soleOwnerReplica) Tenure(time.Duration, string) (t replication.Tenure, confirmed bool) {
 	return t, true
 }
 func (soleOwnerReplica) Owner(time.Duration, string) string { return "self" }
--- a/internal/controlplane/delivery_test.go
+++ b/internal/controlplane/delivery_test.go
@@ -11,7 +11,7 @@
 )
 
 // A gateway reports to several control nodes. One report that it has the newest items is enough,
-// whether an older or newer report of another digest comes before or after it.
+// whether it is processed before or after a report of another digest.
 func TestGatewayIsCurrentIfAnyReportSaysSo(t *testing.T) {
 	shown := newConfiguration()
 	shown.merge([]config.Record{{Name: "route/r", Gen: 1}})
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -13,16 +13,16 @@
 
 // memoryStore is a store in memory whose writes fail with err if that is set.
 type memoryStore struct {
-	t            *testing.T
-	state        map[string]string
-	err          error
-	full         bool
-	writeRefused bool
-	log          []string
+	t          *testing.T
+	state      map[string]string
+	err        error
+	full       bool
+	lastFailed bool
+	log        []string
 }
 
 func (s *memoryStore) Write(entries []storage.Entry) error {
-	if s.writeRefused {
+	if s.lastFailed {
 		s.t.Error("a batch is written after a failed write")
 	}
 	return s.apply("write", entries)
@@ -40,13 +40,13 @@
 
 func (s *memoryStore) Full() bool { return s.full }
 
-func (s *memoryStore) apply(what string, entries []storage.Entry) error {
+func (s *memoryStore) apply(operation string, entries []storage.Entry) error {
 	keys := ""
 	for _, e := range entries {
 		keys += " " + e.Key
 	}
-	s.log = append(s.log, what+keys)
-	s.writeRefused = s.err != nil
+	s.log = append(s.log, operation+keys)
+	s.lastFailed = s.err != nil
 	if s.err != nil {
 		return s.err
 	}
--- a/internal/controlplane/erased_items_test.go
+++ b/internal/controlplane/erased_items_test.go
@@ -34,14 +34,14 @@
 		published := node.configuration.published
 		published.Put(kept)
 		applyEffects := func(publishNow bool) {
-			for fx := replica.Take(); len(fx.Writes)+len(fx.Committed) > 0; fx = replica.Take() {
-				for _, w := range fx.Writes {
+			for effects := replica.Take(); len(effects.Writes)+len(effects.Committed) > 0; effects = replica.Take() {
+				for _, w := range effects.Writes {
 					replica.Durable(5, w.ID)
 				}
-				for _, partition := range fx.Committed {
+				for _, partition := range effects.Committed {
 					switch {
 					case everyChange:
-						node.publish(partition, fx.Changed[partition])
+						node.publish(partition, effects.Changed[partition])
 					case publishNow:
 						node.publish(partition, nil)
 					}
--- a/internal/controlplane/generation_conflict_process_test.go
+++ b/internal/controlplane/generation_conflict_process_test.go
@@ -100,8 +100,8 @@
 		var overview controlplane.Overview
 		if _, text := c.call(t, "GET", c.controlAddresses[0]+"/v1/admin/overview", ""); json.Unmarshal([]byte(text), &overview) == nil {
 			for _, partition := range overview.Keys {
-				for i, a := range c.peerAddresses {
-					if partition.Key == "catalogue" && partition.Owner == a {
+				for i, address := range c.peerAddresses {
+					if partition.Key == "catalogue" && partition.Owner == address {
 						return i
 					}
 				}
--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -113,11 +113,11 @@
 	return ""
 }
 
-func (c *controlCluster) waitFor(t *testing.T, what string, condition func() bool) {
+func (c *controlCluster) waitFor(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for i := 0; !condition(); i++ {
 		if i > 600 {
-			t.Fatalf("timed out waiting until: %s", what)
+			t.Fatalf("timed out waiting until: %s", event)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -184,7 +184,7 @@
 	cluster.waitFor(t, "the gauge shows the lost contact", func() bool { return cluster.gauge(t, 0, "in_contact") == "0" })
 	cluster.callUntil(t, 503, "GET", cluster.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
 	cluster.callUntil(t, 503, "GET", cluster.controlAddresses[0]+"/v1/admin/resolve?name=h.example&zone=z1", "")
-	cluster.waitFor(t, "the gateway watches another control node", func() bool { return cluster.watchers(t, 0) == 0 })
+	cluster.waitFor(t, "the gateway no longer watches the isolated control node", func() bool { return cluster.watchers(t, 0) == 0 })
 	if status, _ := cluster.call(t, "GET", cluster.ready+"/v1/readiness", ""); status != 200 {
 		t.Errorf("readiness of the gateway while its control node is isolated: %d", status)
 	}
--- a/internal/controlplane/list_process_test.go
+++ b/internal/controlplane/list_process_test.go
@@ -17,11 +17,11 @@
 func (c *controlCluster) roleHolder(t *testing.T, role string) (holder int) {
 	t.Helper()
 	c.waitFor(t, role+" has a holder", func() bool {
-		var duties []election.State
-		if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[1]+"/v1/admin/duties", "")), &duties); err != nil {
+		var states []election.State
+		if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[1]+"/v1/admin/duties", "")), &states); err != nil {
 			t.Fatal(err)
 		}
-		for _, state := range duties {
+		for _, state := range states {
 			if holder = slices.Index(c.peerAddresses, state.Holder); state.Duty == role && holder >= 0 {
 				return true
 			}
@@ -42,7 +42,7 @@
 
 // Guards against a holder of the list role that still reads the list and keeps its votes, but whose
 // lists do not reach the other nodes: they kept an old list for as long as the fault lasted.
-func TestListStaysCurrentWhenItsReaderIsUnreachable(t *testing.T) {
+func TestListStaysCurrentWhenItsHolderIsUnreachable(t *testing.T) {
 	const (
 		drainS   = 2500 * time.Millisecond
 		contactS = 3 * time.Second
--- a/internal/controlplane/relay_process_test.go
+++ b/internal/controlplane/relay_process_test.go
@@ -66,7 +66,7 @@
 	if got := caller.callUntil(t, 200, "GET", address(3)+"/v1/config", ""); !strings.Contains(got, `"a"`) {
 		t.Errorf("a control node has %s", got)
 	}
-	// All four control nodes are voters. The relay is not, and no list contains it.
+	// All four control nodes are voters. The relay is not, and it is not listed.
 	for i := 0; ; i++ {
 		members := caller.callUntil(t, 200, "GET", address(5)+"/v1/admin/members", "")
 		if strings.Contains(members, "127.0.0.5") {
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -68,11 +68,11 @@
 
 func TestPickerChoosesAControlNode(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		seeds []string
-		nodes map[string]fakeNode
-		want  string
-		took  time.Duration
+		name     string
+		seeds    []string
+		nodes    map[string]fakeNode
+		want     string
+		wantTook time.Duration
 	}{
 		{"a seed that owns the partition", []string{"a"}, map[string]fakeNode{"a": {owner: "a"}}, "a", 0},
 		{"a seed that knows no owner", []string{"a"}, map[string]fakeNode{"a": {}}, "a", 0},
@@ -96,8 +96,8 @@
 				if test.name == "two slow seeds" {
 					test.want = nodes.asked[0] // the first one asked answers first
 				}
-				if took := time.Since(begin); got != test.want || took != test.took {
-					t.Errorf("picked %q after %v, want %q after %v; asked %v", got, took, test.want, test.took, nodes.asked)
+				if took := time.Since(begin); got != test.want || took != test.wantTook {
+					t.Errorf("picked %q after %v, want %q after %v; asked %v", got, took, test.want, test.wantTook, nodes.asked)
 				}
 			})
 		})
@@ -162,7 +162,7 @@
 	for _, test := range []struct {
 		name, partition string
 		owners          map[string]string
-		leaving         bool
+		draining        bool
 		owner           string
 		working         bool
 	}{
@@ -172,14 +172,14 @@
 		{"no owner of any partition", "catalogue", nil, false, "", false},
 		{"draining", "catalogue", map[string]string{"catalogue": "a"}, true, "a", false},
 	} {
-		list := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: test.leaving}, {Address: "b", Plane: membership.Control},
+		list := &membership.List{Nodes: []membership.Node{{Address: "a", Plane: membership.Control, Draining: test.draining}, {Address: "b", Plane: membership.Control},
 			{Address: "c", Plane: membership.Control, State: membership.Dead}, {Address: "d"}, {Address: "e", Plane: membership.Control, Draining: true}}}
-		got := relayAnswerFor(test.partition, "a", partitions, func(key string) string { return test.owners[key] }, list)
-		nodes := 2
-		if test.leaving {
-			nodes = 1
+		got := relayAnswerFor(test.partition, "a", partitions, func(partition string) string { return test.owners[partition] }, list)
+		wantNodes := 2
+		if test.draining {
+			wantNodes = 1
 		}
-		if got.Owner != test.owner || got.Working != test.working || len(got.Nodes) != nodes || got.Nodes[nodes-1].Address != "b" {
+		if got.Owner != test.owner || got.Working != test.working || len(got.Nodes) != wantNodes || got.Nodes[wantNodes-1].Address != "b" {
 			t.Errorf("%s: %+v", test.name, got)
 		}
 	}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -19,14 +19,14 @@
 	const id = "10.0.0.1:1"
 	replicaConfig := replication.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Key},
 		Beat: 1, Vacant: 10, Patience: 100, Alive: func(string) bool { return true }}
-	first, err := replication.NewReplica(replicaConfig, nil)
+	original, err := replication.NewReplica(replicaConfig, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	disk := map[string][]byte{}
 	applyEffects := func(replica *replication.Replica) {
-		for fx := replica.Take(); len(fx.Writes) > 0; fx = replica.Take() {
-			for _, w := range fx.Writes {
+		for effects := replica.Take(); len(effects.Writes) > 0; effects = replica.Take() {
+			for _, w := range effects.Writes {
 				for _, e := range w.Entries {
 					disk[e.Key] = e.Value
 				}
@@ -34,14 +34,14 @@
 			}
 		}
 	}
-	first.Tick(1)
-	applyEffects(first)
+	original.Tick(1)
+	applyEffects(original)
 	order := func(have map[string]replication.Record) ([]replication.Record, error) {
 		return rollout.Begin(have, rollout.Ask{Service: "s", Version: "v2", WithinS: 9}, "v1", rollout.Call{})
 	}
-	for done := false; !done; applyEffects(first) { // the first proposal creates the partition
-		first.Propose(5, rollout.Key("s"), order, func(err error) { done = done || err == nil })
-		applyEffects(first)
+	for done := false; !done; applyEffects(original) { // the first proposal creates the partition
+		original.Propose(5, rollout.Key("s"), order, func(err error) { done = done || err == nil })
+		applyEffects(original)
 	}
 
 	replicaConfig.Bootstrap, replicaConfig.Empty, replicaConfig.Life = false, false, 2
--- a/internal/controlplane/rollout_process_test.go
+++ b/internal/controlplane/rollout_process_test.go
@@ -53,11 +53,11 @@
 // sendLoad has four clients send requests in the background until the test ends.
 func (s *system) sendLoad(t *testing.T, body string) {
 	done := make(chan struct{})
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 4 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			for n := 0; ; n++ {
 				select {
 				case <-done:
@@ -69,7 +69,7 @@
 			}
 		}()
 	}
-	t.Cleanup(func() { close(done); all.Wait() })
+	t.Cleanup(func() { close(done); clients.Wait() })
 }
 
 // callControl calls the operators' API, again while it answers 503 because a partition has no
@@ -86,7 +86,7 @@
 
 func TestRolloutOverHTTP(t *testing.T) {
 	for _, failing := range []bool{false, true} {
-		t.Run(fmt.Sprintf("bad %v", failing), func(t *testing.T) {
+		t.Run(fmt.Sprintf("failing %v", failing), func(t *testing.T) {
 			platform := &fakePlatform{}
 			platform.failing.Store(failing)
 			platform.addUpstreams(t, 1)
@@ -129,7 +129,7 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			if !strings.Contains(text, want) {
-				t.Fatalf("at the end: %s", text)
+				t.Fatalf("the rollout did not end: %s", text)
 			}
 			time.Sleep(300 * time.Millisecond)
 			drained := 3 - 1 // the version that gets no more requests
@@ -146,7 +146,7 @@
 			}
 			ended := 409 // nothing is left to reverse
 			if failing {
-				ended = 200 // it is reversed
+				ended = 200 // already reversed
 			}
 			for path, want := range map[string]int{"a": ended, "a?targetVersion=v2": ended, "a?targetVersion=v9": 409, "nobody": 404} {
 				if got, text := system.callControl(t, "DELETE", "/v1/rollouts/"+path, ""); got != want {
@@ -154,7 +154,7 @@
 				}
 			}
 			if shown := system.callUntil(t, 200, "GET", system.control+"/v1/admin/rollouts/a", ""); !strings.Contains(shown, `"stage": "`+want+`"`) {
-				t.Errorf("shown: %s", shown)
+				t.Errorf("the administration API shows %s", shown)
 			}
 		})
 	}
