--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -117,7 +117,7 @@
 	t.Helper()
 	for i := 0; !condition(); i++ {
 		if i > 600 {
-			t.Fatalf("timed out waiting until: %s", event)
+			t.Fatalf("timed out waiting for: %s", event)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -205,8 +205,8 @@
 
 	controlplane.RestoreLinks()
 	cluster.waitFor(t, "control node 1 is in contact again", func() bool { return cluster.gauge(t, 0, "in_contact") == "1" })
-	for _, x := range calls {
-		cluster.callUntil(t, x.afterRestore, x.method, cluster.controlAddresses[0]+x.path, x.body)
+	for _, step := range calls {
+		cluster.callUntil(t, step.afterRestore, step.method, cluster.controlAddresses[0]+step.path, step.body)
 	}
 	cluster.callUntil(t, 200, "GET", cluster.registryAddresses[0]+"/v1/resolve?name=h.example&zone=z1", "")
 	cluster.waitFor(t, "the gateway watches the control node again", func() bool { return cluster.watchers(t, 0) > 0 })
