--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -202,6 +202,8 @@
 	return out
 }
 
+// Only nodes that receive from a majority stay in contact, whatever fault keeps messages away. All
+// regain contact once the fault ends.
 func TestContactNeedsAMajority(t *testing.T) {
 	const faultDuration = 20 * time.Second
 	// An owner that nobody receives from soon has no followers. The test is about what a node
--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -123,6 +123,8 @@
 	}
 }
 
+// A control node without a majority refuses calls that need its confirmation, still shows views,
+// and serves again after the links are restored.
 func TestIsolatedControlNodeConfirmsNothing(t *testing.T) {
 	cluster := newControlCluster(t)
 	for i := range cluster.controlAddresses {
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -139,9 +139,9 @@
 	if isCoordination(path) {
 		return coordinationPartition(path)
 	}
-	for prefix, recordPrefix := range map[string]string{"/v1/evacuation/": config.EvacuationPrefix, "/v1/rollouts/": rollout.Prefix, "/v1/admin/rollouts/": rollout.Prefix} {
+	for prefix, partitionPrefix := range map[string]string{"/v1/evacuation/": config.EvacuationPrefix, "/v1/rollouts/": rollout.Prefix, "/v1/admin/rollouts/": rollout.Prefix} {
 		if rest, ok := strings.CutPrefix(path, prefix); ok && rest != "" {
-			return recordPrefix + rest
+			return partitionPrefix + rest
 		}
 	}
 	if method == http.MethodDelete && strings.HasPrefix(path, "/v1/admin/members/") {
--- a/internal/controlplane/rollout_process_test.go
+++ b/internal/controlplane/rollout_process_test.go
@@ -84,6 +84,7 @@
 	return status, text
 }
 
+// A rollout ordered over HTTP completes if the new version works, and is reverted if it fails.
 func TestRolloutOverHTTP(t *testing.T) {
 	for _, failing := range []bool{false, true} {
 		t.Run(fmt.Sprintf("failing %v", failing), func(t *testing.T) {
--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -154,6 +154,8 @@
 const items = `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50,"note":"kept <as> sent"}],
  "domains":[{"authority":"h.example","hostRoutes":[{"name":"r","pathPrefix":"/p/","routeKind":"mutating","deadlineS":20,"target":"a","maxTries":2,"generation":1}]}]},"remove":{"routes":[]}}`
 
+// A control node, a gateway and an upstream serve a configured route, and operators' calls take
+// effect on it.
 func TestSystem(t *testing.T) {
 	arrived, answer := make(chan struct{}, 8), make(chan struct{}, 8)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -278,6 +280,7 @@
 	}
 }
 
+// Tenants are told apart by API key, their quotas hold, and a removed key is no longer accepted.
 func TestTenants(t *testing.T) {
 	var seen atomic.Value
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
