--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -280,7 +280,7 @@
 	}
 }
 
-// Tenants are told apart by API key, their quotas hold, and a removed key is no longer accepted.
+// A tenant is identified by its API key, its quota holds, and a removed key is no longer accepted.
 func TestTenants(t *testing.T) {
 	var seen atomic.Value
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
