--- a/internal/controlplane/configuration_test.go
+++ b/internal/controlplane/configuration_test.go
@@ -7,14 +7,15 @@
 	"madderwing/internal/config"
 )
 
-// What is shown never goes back to an older record, and only what is newer is passed on.
-func TestConfigurationTakesOnlyWhatIsNewer(t *testing.T) {
-	c := newConfiguration()
+// merge never replaces a published record by an older one, and returns only the records that are
+// newer than the published ones.
+func TestConfigurationMergesOnlyNewerRecords(t *testing.T) {
+	published := newConfiguration()
 	record := func(name string, gen uint64, dropped bool) config.Record {
 		return config.Record{Name: name, Gen: gen, Dropped: dropped}
 	}
 	const south, north = config.EvacuationPrefix + "south", config.EvacuationPrefix + "north"
-	for _, x := range []struct {
+	for _, test := range []struct {
 		give []config.Record
 		want []string
 	}{
@@ -24,18 +25,18 @@
 		{[]config.Record{record(south, 3, false)}, []string{south}},
 	} {
 		var got []string
-		for _, r := range c.merge(x.give) {
+		for _, r := range published.merge(test.give) {
 			got = append(got, r.Name)
 		}
-		if !slices.Equal(got, x.want) {
-			t.Errorf("of %v taken: %v, want %v", x.give, got, x.want)
+		if !slices.Equal(got, test.want) {
+			t.Errorf("merge(%v) returned %v, want %v", test.give, got, test.want)
 		}
 	}
-	if got := c.evacuated(); !slices.Equal(got, []string{"north", "south"}) {
+	if got := published.evacuated(); !slices.Equal(got, []string{"north", "south"}) {
 		t.Errorf("evacuated: %v", got)
 	}
-	c.merge([]config.Record{record(north, 3, true)})
-	if got := c.evacuated(); !slices.Equal(got, []string{"south"}) {
-		t.Errorf("evacuated, after one is taken back: %v", got)
+	published.merge([]config.Record{record(north, 3, true)})
+	if got := published.evacuated(); !slices.Equal(got, []string{"south"}) {
+		t.Errorf("evacuated after one withdrawal: %v", got)
 	}
 }
--- a/internal/controlplane/disk_room_test.go
+++ b/internal/controlplane/disk_room_test.go
@@ -14,14 +14,14 @@
 	"madderwing/internal/storage"
 )
 
-// Records come and go at random until many calls were refused for want of room. The
-// file can be rewritten all the while, what makes the state smaller is always taken,
-// and then there is room again.
+// Records are replaced at random until many calls were refused for lack of room. Throughout, the
+// file can be rewritten. Changes that shrink the state are always admitted, and then there is room
+// again.
 func TestDiskRoomLeavesRoomForRewrites(t *testing.T) {
-	const disk = 1 << 20
+	const diskBytes = 1 << 20
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 22))
-		store, _, err := storage.Open(memoryFolder(t), disk, noLog)
+		store, _, err := storage.Open(memoryDir(t), diskBytes, noLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,8 +41,8 @@
 					t.Fatal(err)
 				}
 				refused++
-				if store.Live() > disk/2 {
-					t.Fatalf("seed %d: refused only at %d bytes", seed, store.Live())
+				if store.Live() > diskBytes/2 {
+					t.Fatalf("seed %d: first refused at %d bytes, too late for a rewrite", seed, store.Live())
 				}
 				continue
 			}
@@ -50,8 +50,8 @@
 			writeRecords(t, store, have, r)
 			room.update(store)
 		}
-		if store.Live() < disk/4 {
-			t.Errorf("seed %d: refused at %d bytes already", seed, store.Live())
+		if store.Live() < diskBytes/4 {
+			t.Errorf("seed %d: refused at %d bytes, too early", seed, store.Live())
 		}
 		for _, name := range slices.Sorted(maps.Keys(have))[:len(have)/2] {
 			r := replication.Record{Name: name, Erased: true}
@@ -62,14 +62,15 @@
 			writeRecords(t, store, have, r)
 			room.update(store)
 		}
-		if err := room.admit(have, []replication.Record{{Name: "new", Data: make([]byte, disk/16)}}); err != nil {
+		if err := room.admit(have, []replication.Record{{Name: "new", Data: make([]byte, diskBytes/16)}}); err != nil {
 			t.Errorf("seed %d: no room after removals: %v", seed, err)
 		}
 	}
 }
 
-// memoryFolder is a folder in memory, where there is one: the test waits for its syncs.
-func memoryFolder(t *testing.T) string {
+// memoryDir returns a directory in memory where the system has one, because the test waits for many
+// syncs.
+func memoryDir(t *testing.T) string {
 	dir, err := os.MkdirTemp("/dev/shm", "storage")
 	if err != nil {
 		return t.TempDir()
@@ -78,7 +79,7 @@
 	return dir
 }
 
-// writeRecords writes a record as the replica does, and the whole state when that is due.
+// writeRecords writes a record as the replica does, and the whole state when a rewrite is due.
 func writeRecords(t *testing.T, store *storage.Store, have records, r replication.Record) {
 	t.Helper()
 	entry := func(r replication.Record) storage.Entry {
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -9,31 +9,32 @@
 	"madderwing/internal/settings"
 )
 
-// A control node whose seat has gone may still have lent shares to gateways.
-func TestABranchWithoutASeatCountsUntilItsSharesLapse(t *testing.T) {
+// A former voter still counts as a holder of allocations until they have expired, after contactS:
+// it may still grant requests from them.
+func TestFormerVoterCountsUntilItsAllocationsExpire(t *testing.T) {
 	const contactS = 3
-	a := &quotaController{lastSeated: map[string]time.Duration{},
+	controller := &quotaController{lastVoterAt: map[string]time.Duration{},
 		environment: &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: contactS}}, startedAt: time.Now()}}
-	member, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
+	replica, err := replication.NewReplica(replication.Config{Self: "a", Identity: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.replica = member
-	for _, c := range []struct {
-		ago  time.Duration
-		want []string
+	controller.replica = replica
+	for _, test := range []struct {
+		sinceVoter time.Duration
+		want       []string
 	}{
 		{time.Second, []string{"b"}},
 		{contactS*time.Second - time.Second/2, []string{"b"}},
 		{contactS*time.Second + time.Second/2, nil},
 	} {
-		a.startedAt = time.Now().Add(-time.Minute)
-		a.lastSeated["b"] = time.Minute - c.ago
-		if got := a.branches(); !slices.Equal(got, c.want) {
-			t.Errorf("%v after its seat went: %v, want %v", c.ago, got, c.want)
+		controller.startedAt = time.Now().Add(-time.Minute)
+		controller.lastVoterAt["b"] = time.Minute - test.sinceVoter
+		if got := controller.allocationHolders(); !slices.Equal(got, test.want) {
+			t.Errorf("%v after it was last a voter: %v, want %v", test.sinceVoter, got, test.want)
 		}
 	}
-	if len(a.lastSeated) > 0 {
-		t.Errorf("remembered for ever: %v", a.lastSeated)
+	if len(controller.lastVoterAt) > 0 {
+		t.Errorf("not forgotten: %v", controller.lastVoterAt)
 	}
 }
