--- a/cmd/madderwing/client.go
+++ b/cmd/madderwing/client.go
@@ -186,13 +186,13 @@
 		if err != nil {
 			return err
 		}
-		var steps []config.Step
+		var steps []config.ItemEffect
 		if err := json.Unmarshal(answer, &steps); err != nil {
 			return err
 		}
 		w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 		for _, s := range steps {
-			fmt.Fprintf(w, "%s\t%s\t%d -> %d\n", s.Effect, s.Item, s.Stands, s.Sent)
+			fmt.Fprintf(w, "%s\t%s\t%d -> %d\n", s.Effect, s.Item, s.CurrentGeneration, s.SentGeneration)
 		}
 		return w.Flush()
 	}
@@ -301,12 +301,12 @@
 
 // printRosterStatus prints the members of the replicated store: how many seats (voting
 // members) there are, how many more may fail now, and how far each learner is behind.
-func printRosterStatus(w io.Writer, roster replication.Standing) {
+func printRosterStatus(w io.Writer, roster replication.VoterSetStatus) {
 	change := ""
 	if roster.Joint {
 		change = ", a change is under way"
 	}
-	fmt.Fprintf(w, "%d seats%s; %d more may be lost now, %d are to be borne\n", len(roster.Seats), change, max(0, roster.Bears), roster.Wanted)
+	fmt.Fprintf(w, "%d seats%s; %d more may be lost now, %d are to be borne\n", len(roster.Voters), change, max(0, roster.Tolerates), roster.LossesToTolerate)
 	for _, learner := range roster.Learners {
 		behind := "not known how far behind"
 		if learner.Behind >= 0 {
@@ -347,14 +347,14 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "as seen by %s (voting: %v), %s\n", overview.Node, overview.Voting, describeFreshness(overview.Contact))
-	printRosterStatus(w, overview.Roster)
+	printRosterStatus(w, overview.VoterSet)
 	abridged := !all && len(overview.Members) > maxListed
 	if abridged {
 		printCounts(w, "KIND", summary.Nodes)
 	}
 	fmt.Fprint(w, "\nNODE\tKIND\tZONE\tSTATE\tSHARD\tADDRESS\n")
 	for _, m := range overview.Members {
-		if abridged && !m.Seat && m.Standing() == "alive" {
+		if abridged && !m.Voter && m.Status() == "alive" {
 			continue
 		}
 		shard := "-"
@@ -368,16 +368,16 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Plane, m.Zone, state, shard, m.Address)
 	}
 	fmt.Fprint(w, "\nKEY\tOWNER\tHEARD\tEPOCH\tSEQ\tCOMMITTED\tRECORDS\n")
-	for _, k := range overview.Keys {
-		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\t%d\t%d\n", k.Key, displayName(k.Owner), k.HeardAgoS, k.Epoch, k.Seq, k.Commit, k.Records)
+	for _, k := range overview.Partitions {
+		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\t%d\t%d\n", k.Partition, displayName(k.Owner), k.ContactAgeS, k.Epoch, k.Seq, k.Commit, k.Records)
 	}
 	fmt.Fprint(w, "\nDUTY\tHOLDER\tTERM\tRESULT\tLAST HANDED ON\n")
-	for _, d := range overview.Duties {
+	for _, d := range overview.Roles {
 		handedOn := "-"
-		if handover := d.HandedOn; handover != nil {
+		if handover := d.Transfer; handover != nil {
 			handedOn = fmt.Sprintf("%.0f s ago from %s, whose result was %.1f s old", handover.AgoS, displayName(handover.From), handover.ResultAgeS)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f s old\t%s\n", d.Duty, displayName(d.Holder), d.Term, d.ResultAgeS, handedOn)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f s old\t%s\n", d.Role, displayName(d.Holder), d.Term, d.ResultAgeS, handedOn)
 	}
 	fmt.Fprint(w, "\nROUTE\tHOST\tPREFIX\tTARGETS\tGENERATION\tPHASE\tSHARD\n")
 	for _, r := range overview.Routes {
@@ -389,23 +389,23 @@
 	}
 	fmt.Fprintf(w, "\nThe newest items are in force on %d of %d gateways.\n", summary.Gateways-summary.Behind, summary.Gateways)
 	if summary.Behind > 0 {
-		fmt.Fprintf(w, "Not yet on %s (%d in all).\n", strings.Join(summary.BehindOf, ", "), summary.Behind)
+		fmt.Fprintf(w, "Not yet on %s (%d in all).\n", strings.Join(summary.BehindNames, ", "), summary.Behind)
 	}
 	if !all && len(overview.Upstreams) > maxListed {
 		printCounts(w, "SERVICE", summary.Upstreams)
 	} else {
 		fmt.Fprint(w, "\nUPSTREAM\tSERVICE\tZONE\tSLOTS\tSTATE\n")
 		for _, u := range overview.Upstreams {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", u.ID, u.Service, u.Zone, u.Capacity, controlplane.Standing(u))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", u.ID, u.Service, u.Zone, u.Capacity, controlplane.InstanceStatus(u))
 		}
 	}
 	if len(overview.Tenants) > 0 {
 		lent := map[string]string{}
 		if overview.Quotas != nil {
-			for _, l := range overview.Quotas.Loans {
-				lent[l.Tenant] = fmt.Sprintf("%g", l.Lent)
+			for _, l := range overview.Quotas.Allocations {
+				lent[l.Tenant] = fmt.Sprintf("%g", l.Allocated)
 			}
-			fmt.Fprintf(w, "\nQuotas are lent by %s.\n", displayName(overview.Quotas.Lender))
+			fmt.Fprintf(w, "\nQuotas are lent by %s.\n", displayName(overview.Quotas.Allocator))
 		}
 		fmt.Fprint(w, "\nTENANT\tKEYS\tPER SECOND\tBURST\tLENT\tREGIONS\n")
 		for _, t := range overview.Tenants {
@@ -415,8 +415,8 @@
 	if len(overview.Evacuations) > 0 {
 		fmt.Fprintf(w, "\nEvacuated: %s\n", strings.Join(overview.Evacuations, ", "))
 	}
-	if len(overview.InDoubt) > 0 {
-		fmt.Fprintf(w, "Perhaps withdrawn: %s\n", strings.Join(overview.InDoubt, ", "))
+	if len(overview.EvacuationsInDoubt) > 0 {
+		fmt.Fprintf(w, "Perhaps withdrawn: %s\n", strings.Join(overview.EvacuationsInDoubt, ", "))
 	}
 	_ = w.Flush()
 }
--- a/cmd/madderwing/client_test.go
+++ b/cmd/madderwing/client_test.go
@@ -22,10 +22,10 @@
 	controlNode := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		calls++
 		body, _ := io.ReadAll(request.Body)
-		change, err := config.Read(body)
+		change, err := config.ParseRequest(body)
 		if err == nil {
 			var changes []config.Record
-			changes, err = change.Apply(stored, &config.Reader{})
+			changes, err = change.Apply(stored, &config.Decoder{})
 			for _, c := range changes {
 				stored[c.Name] = c
 			}
--- a/cmd/madderwing/commands.go
+++ b/cmd/madderwing/commands.go
@@ -99,16 +99,16 @@
 	command := &cobra.Command{Use: "gateway", Short: "Carry traffic: serve clients on an edge machine", Args: cobra.NoArgs}
 	path := addSettingsFlag(command)
 	shards := command.Flags().Int("shards", 2, "how many shards the gateways are divided into; the same on all nodes")
-	pace := command.Flags().Float64("pace", gateway.DefaultPace, "part of the link's rate (limits.linkMbps) at which large answers are passed on; 0: as fast as they come")
+	pace := command.Flags().Float64("pace", gateway.DefaultLargeResponseFraction, "part of the link's rate (limits.linkMbps) at which large answers are passed on; 0: as fast as they come")
 	command.RunE = func(*cobra.Command, []string) error {
 		if *pace < 0 || *pace > 1 {
 			return usageError(errors.New("--pace must be between 0 and 1"))
 		}
 		return runNode(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
 			if s.Bind.Front == "" || s.Bind.Readiness == "" {
-				return usageError(settings.Check{"bind: a gateway needs front and readiness"})
+				return usageError(settings.ValidationErrors{"bind: a gateway needs front and readiness"})
 			}
-			return gateway.Run(ctx, s, gateway.Options{Shards: *shards, Pace: *pace}, reload)
+			return gateway.Run(ctx, s, gateway.Options{Shards: *shards, LargeResponseFraction: *pace}, reload)
 		})
 	}
 	return command
@@ -126,9 +126,9 @@
 		}
 		return runNode(*path, *shards, func(ctx context.Context, s *settings.Settings, reload <-chan *settings.Settings) error {
 			if s.Bind.Control == "" {
-				return usageError(settings.Check{"bind: a control node needs control"})
+				return usageError(settings.ValidationErrors{"bind: a control node needs control"})
 			}
-			return controlplane.Run(ctx, s, controlplane.Options{Shards: *shards, Relist: *relist, HandBack: *handBack}, reload)
+			return controlplane.Run(ctx, s, controlplane.Options{Shards: *shards, RelistInterval: *relist, TransferBackDelay: *handBack}, reload)
 		})
 	}
 	return command
@@ -156,7 +156,7 @@
 // is logged, and the current settings stay in force.
 func watchSettings(ctx context.Context, path string, initial *settings.Settings) <-chan *settings.Settings {
 	updates := make(chan *settings.Settings, 1)
-	logger := logging.For(logging.Settings)
+	logger := logging.Logger(logging.Settings)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	fileVersion := func() (modified time.Time, size int64) {
@@ -216,9 +216,9 @@
 			if err != nil {
 				return usageError(err)
 			}
-			change, err := config.Read(text)
+			change, err := config.ParseRequest(text)
 			if err == nil {
-				_, err = change.Apply(map[string]config.Record{}, &config.Reader{})
+				_, err = change.Apply(map[string]config.Record{}, &config.Decoder{})
 			}
 			if err != nil {
 				return usageError(fmt.Errorf("%s: %w", args[0], err))
--- a/cmd/madderwing/rollout.go
+++ b/cmd/madderwing/rollout.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		body, err := json.Marshal(rollout.Ask{Service: args[0], Version: args[1], WithinS: within.Seconds()})
+		body, err := json.Marshal(rollout.OrderRequest{Service: args[0], Version: args[1], WithinS: within.Seconds()})
 		if err != nil {
 			return err
 		}
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -14,9 +14,9 @@
 	removals []Record
 }
 
-// Revokes reports whether changes remove an API key from a tenant that has it in records, or may do so
+// RevokesAPIKey reports whether changes remove an API key from a tenant that has it in records, or may do so
 // because the tenant can't be parsed.
-func Revokes(records map[string]Record, changes []Record, reader *Reader) bool {
+func RevokesAPIKey(records map[string]Record, changes []Record, reader *Decoder) bool {
 	for _, change := range changes {
 		old, ok := records[change.Name]
 		if !ok || old.Dropped || !strings.HasPrefix(change.Name, tenantPrefix) {
@@ -39,8 +39,8 @@
 	return false
 }
 
-// NamesTenants reports whether the request sets or removes tenants.
-func (c *Change) NamesTenants() bool {
+// ChangesTenants reports whether the request sets or removes tenants.
+func (c *Change) ChangesTenants() bool {
 	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
 		if strings.HasPrefix(record.Name, tenantPrefix) {
 			return true
@@ -53,7 +53,7 @@
 // configuration that would result. It runs at the owner of the catalogue. An item whose generation is
 // not above the current one changes nothing; if that generation is known to have had different content,
 // the whole request fails with a Conflict.
-func (c *Change) Apply(records map[string]Record, reader *Reader) ([]Record, error) {
+func (c *Change) Apply(records map[string]Record, reader *Decoder) ([]Record, error) {
 	var changes []Record
 	changeIndex := map[string]int{} // name -> index of the request's change in changes
 	purged := purgedGenerations(records)
@@ -104,16 +104,16 @@
 	return changes, nil
 }
 
-// Step is the effect that a request would have on one item.
-type Step struct {
-	Item   string `json:"item"`
-	Effect string `json:"effect"` // add, change, drop, or nothing
-	Stands uint64 `json:"stands"` // the current generation, 0 for none
-	Sent   uint64 `json:"sent"`   // the generation in the request
+// ItemEffect is the effect that a request would have on one item.
+type ItemEffect struct {
+	Item              string `json:"item"`
+	Effect            string `json:"effect"` // add, change, drop, or nothing
+	CurrentGeneration uint64 `json:"stands"` // the current generation, 0 for none
+	SentGeneration    uint64 `json:"sent"`   // the generation in the request
 }
 
 // Plan returns the effect that the request would have on each item, without changing anything.
-func (c *Change) Plan(records map[string]Record, reader *Reader) ([]Step, error) {
+func (c *Change) Plan(records map[string]Record, reader *Decoder) ([]ItemEffect, error) {
 	changes, err := c.Apply(records, reader)
 	if err != nil {
 		return nil, err
@@ -122,10 +122,10 @@
 	for _, record := range changes {
 		applied[record.Name] = !record.Erased
 	}
-	steps := []Step{}
+	steps := []ItemEffect{}
 	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
 		old, ok := records[record.Name]
-		step := Step{record.Name, "nothing", old.Gen, record.Gen}
+		step := ItemEffect{record.Name, "nothing", old.Gen, record.Gen}
 		switch {
 		case !applied[record.Name] || record.Dropped && (!ok || old.Dropped):
 		case record.Dropped:
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,7 +16,7 @@
 
 // check validates the configuration that results from changes. Of several errors it returns the first in
 // alphabetical order, so that the answer does not depend on map order.
-func check(records map[string]Record, changes []Record, reader *Reader) error {
+func check(records map[string]Record, changes []Record, reader *Decoder) error {
 	changed := make(map[string]Record, len(changes))
 	for _, record := range changes {
 		changed[record.Name] = record
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,11 +25,11 @@
 // apply applies a request to records.
 func apply(t *testing.T, records map[string]Record, body string) error {
 	t.Helper()
-	change, err := Read([]byte(body))
+	change, err := ParseRequest([]byte(body))
 	if err != nil {
 		return err
 	}
-	changes, err := change.Apply(records, &Reader{})
+	changes, err := change.Apply(records, &Decoder{})
 	for _, record := range changes {
 		records[record.Name] = record
 	}
@@ -110,7 +110,7 @@
 			t.Fatalf("step %d: %v", i, err)
 		}
 		got := ""
-		if routes := (&Reader{}).List(records); len(routes) > 0 {
+		if routes := (&Decoder{}).Routes(records); len(routes) > 0 {
 			got = routes[0].PathPrefix
 		}
 		if got != step.wantPrefix {
@@ -167,7 +167,7 @@
 	if _, err := Bind(records, RouteBinding{"r", 1}, 1); err != nil {
 		t.Fatalf("a new binding of the next revision: %v", err)
 	}
-	if s := (&Reader{}).List(records)[0].Status; s != (Status{PhaseScheduled, 1}) {
+	if s := (&Decoder{}).Routes(records)[0].Status; s != (Status{PhaseScheduled, 1}) {
 		t.Fatalf("a change of the route changed its status: %+v", s)
 	}
 	if err := apply(t, records, patch("", "", `{"name":"r","generation":21}`)); err != nil {
@@ -182,7 +182,7 @@
 	if err := apply(t, records, patch("", routeJSON("r", "/q/", "a", 22), "")); err != nil {
 		t.Fatal(err)
 	}
-	if s := (&Reader{}).List(records)[0].Status; s.Phase != PhaseNew {
+	if s := (&Decoder{}).Routes(records)[0].Status; s.Phase != PhaseNew {
 		t.Fatalf("a route that was created again has status %+v", s)
 	}
 }
@@ -210,9 +210,9 @@
 // A refused item must not stay in the Reader's cache, since the next request may use the same generation.
 func TestRefusedItemIsNotCached(t *testing.T) {
 	records := newRecords(t)
-	reader := &Reader{}
+	reader := &Decoder{}
 	apply := func(body string) error {
-		change, err := Read([]byte(body))
+		change, err := ParseRequest([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 	if err := apply(patch("", routeJSON("n", "/n/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
-	if routes := reader.List(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
+	if routes := reader.Routes(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
 		t.Fatalf("%+v", routes[0])
 	}
 }
@@ -237,12 +237,12 @@
 	records := newRecords(t)
 	before := fmt.Sprint(records)
 	body := patch(fmt.Sprintf(serviceJSON, 7), routeJSON("r", "/new/", "a", 9)+","+routeJSON("n", "/n/", "a", 1), `{"name":"gone","generation":3}`)
-	change, err := Read([]byte(body))
+	change, err := ParseRequest([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := change.Plan(records, &Reader{})
-	want := []Step{{"service/a", "nothing", 7, 7}, {"route/r", "change", 7, 9}, {"route/n", "add", 0, 1}, {"route/gone", "nothing", 0, 3}}
+	got, err := change.Plan(records, &Decoder{})
+	want := []ItemEffect{{"service/a", "nothing", 7, 7}, {"route/r", "change", 7, 9}, {"route/n", "add", 0, 1}, {"route/gone", "nothing", 0, 3}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v %+v", err, got)
 	}
@@ -272,7 +272,7 @@
 		for i, step := range steps {
 			id := EvacuationOrderID(uint64(i+1)<<2, step.evacuate)
 			order := EvacuationOrder{Zone: "z", Evacuate: step.evacuate, ID: id, Recent: func(uint64) bool { return step.recent }}
-			changes, err := Evacuation(records, order)
+			changes, err := ApplyEvacuationOrder(records, order)
 			if err != nil || len(changes) != 1 {
 				t.Fatalf("%s, step %d: %v, %v", name, i, changes, err)
 			}
@@ -283,7 +283,7 @@
 				t.Errorf("%s, step %d: %+v", name, i, got)
 			}
 			// Another owner that the same order is forwarded to finds its ID in the record.
-			if again, err := Evacuation(records, order); len(again) > 0 || err != nil {
+			if again, err := ApplyEvacuationOrder(records, order); len(again) > 0 || err != nil {
 				t.Fatalf("%s, step %d was executed twice: %+v", name, i, again)
 			}
 		}
@@ -305,7 +305,7 @@
 		"an earlier release": {Record{Name: "evacuation/z", Gen: 3, Data: []byte{2, 1, 2, 3, 4, 5, 6, 7, 8}}, 3, false},
 		"no content":         {Record{Name: "evacuation/z", Gen: 3}, 3, false},
 	} {
-		changes := EndDoubt(map[string]Record{"evacuation/z": testCase.record}, "evacuation/z", testCase.generation)
+		changes := ResolveDoubt(map[string]Record{"evacuation/z": testCase.record}, "evacuation/z", testCase.generation)
 		if ends := len(changes) == 1; ends != testCase.ends {
 			t.Errorf("%s: %+v", name, changes)
 		} else if ends && (!changes[0].Dropped || changes[0].Gen != 4 || !reflect.DeepEqual(EvacuationOrders(changes[0]), []uint64{5, 7})) {
@@ -322,19 +322,19 @@
 		refused   bool
 		evacuated bool
 	}{
-		{EvacuationOrder{Evacuate: true, ID: 1, Basis: basis(0)}, false, true},
-		{EvacuationOrder{Evacuate: true, ID: 1, Basis: basis(0)}, false, true}, // forwarded again
-		{EvacuationOrder{ID: 2, Basis: basis(1)}, false, false},
-		{EvacuationOrder{Evacuate: true, ID: 3, Basis: basis(2)}, false, true},
-		{EvacuationOrder{ID: 4, Basis: basis(1)}, true, true}, // a withdrawal of the first evacuation, late
-		{EvacuationOrder{ID: 4, Basis: basis(4)}, true, true},
-		{EvacuationOrder{ID: 5, Basis: basis(3)}, false, false},
-		{EvacuationOrder{Evacuate: true, ID: 6, Basis: basis(3)}, true, false}, // an evacuation, late
-		{EvacuationOrder{Evacuate: true, ID: 7}, false, true},                  // earlier releases send no basis
+		{EvacuationOrder{Evacuate: true, ID: 1, BaseGeneration: basis(0)}, false, true},
+		{EvacuationOrder{Evacuate: true, ID: 1, BaseGeneration: basis(0)}, false, true}, // forwarded again
+		{EvacuationOrder{ID: 2, BaseGeneration: basis(1)}, false, false},
+		{EvacuationOrder{Evacuate: true, ID: 3, BaseGeneration: basis(2)}, false, true},
+		{EvacuationOrder{ID: 4, BaseGeneration: basis(1)}, true, true}, // a withdrawal of the first evacuation, late
+		{EvacuationOrder{ID: 4, BaseGeneration: basis(4)}, true, true},
+		{EvacuationOrder{ID: 5, BaseGeneration: basis(3)}, false, false},
+		{EvacuationOrder{Evacuate: true, ID: 6, BaseGeneration: basis(3)}, true, false}, // an evacuation, late
+		{EvacuationOrder{Evacuate: true, ID: 7}, false, true},                           // earlier releases send no basis
 	} {
 		step.order.Zone = "z"
-		changes, err := Evacuation(records, step.order)
-		if refused := apierror.KindOf(err) == apierror.Outdated && err != nil; refused != step.refused {
+		changes, err := ApplyEvacuationOrder(records, step.order)
+		if refused := apierror.KindOf(err) == apierror.OutdatedOrder && err != nil; refused != step.refused {
 			t.Fatalf("step %d: %v", i, err)
 		}
 		for _, r := range changes {
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -102,7 +102,7 @@
 
 // tombstoneData is the data of a dropped record. Taken is encoded as in Item.
 type tombstoneData struct {
-	Taken []byte `cbor:"4,keyasint,omitempty"`
+	History []byte `cbor:"4,keyasint,omitempty"`
 }
 
 // digestBytes is the size of one digest in Item.Taken, without its generation.
@@ -113,7 +113,7 @@
 func withHistory(old, record Record) Record {
 	history := binary.AppendUvarint(nil, old.Gen)
 	history = binary.BigEndian.AppendUint64(history, uint64(contentDigest(old)))
-	rest := decodeItem(old).Taken
+	rest := decodeItem(old).History
 	for remaining := 1; remaining < maxHistory; remaining++ {
 		_, size := binary.Uvarint(rest)
 		if size <= 0 || len(rest) < size+digestBytes {
@@ -127,14 +127,14 @@
 		return record
 	}
 	item := decodeItem(record)
-	item.Taken = history
+	item.History = history
 	record.Data = encode(item)
 	return record
 }
 
 // findDigest returns the digest of an earlier generation from an item's history.
 func findDigest(record Record, generation uint64) (d digest, ok bool) {
-	for rest := decodeItem(record).Taken; ; {
+	for rest := decodeItem(record).History; ; {
 		entry, size := binary.Uvarint(rest)
 		if size <= 0 || len(rest) < size+digestBytes {
 			return 0, false
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -37,8 +37,8 @@
 	Evacuate bool // if false, the order withdraws an evacuation
 	// ID identifies the order wherever it is forwarded.
 	ID uint64
-	// Basis is the generation of the zone's record that the order is based on; nil if not given.
-	Basis *uint64
+	// BaseGeneration is the generation of the zone's record that the order is based on; nil if not given.
+	BaseGeneration *uint64
 	// Recent reports whether an executed order is recent enough that its operator may still send it again,
 	// which gives it a new ID.
 	Recent func(id uint64) bool
@@ -60,19 +60,19 @@
 	orders    []uint64 // IDs of the newest executed orders, the newest last
 }
 
-// Evacuation returns the change that an order makes to a zone's evacuation record. The zone is evacuated
+// ApplyEvacuationOrder returns the change that an order makes to a zone's evacuation record. The zone is evacuated
 // as long as an evacuation may be active. An order whose ID the record has was already executed and changes
 // nothing. An order based on another generation than the record's is older than one that was executed,
 // and is refused. Every other order makes a new generation.
-func Evacuation(records map[string]Record, order EvacuationOrder) ([]Record, error) {
+func ApplyEvacuationOrder(records map[string]Record, order EvacuationOrder) ([]Record, error) {
 	name := EvacuationPrefix + order.Zone
 	old := records[name]
 	e := decodeEvacuation(old)
 	if slices.Contains(e.orders, order.ID) {
 		return nil, nil
 	}
-	if order.Basis != nil && *order.Basis != old.Gen {
-		return nil, apierror.New(apierror.Outdated, "zone %s is at generation %d, the order rests on %d", order.Zone, old.Gen, *order.Basis)
+	if order.BaseGeneration != nil && *order.BaseGeneration != old.Gen {
+		return nil, apierror.New(apierror.OutdatedOrder, "zone %s is at generation %d, the order rests on %d", order.Zone, old.Gen, *order.BaseGeneration)
 	}
 	e.count(order.Evacuate, order.mayRepeat(e))
 	e.orders = append(e.orders, order.ID)
@@ -96,9 +96,9 @@
 	}
 }
 
-// EndDoubt returns the change that ends the evacuation of a zone whose record is in doubt (see InDoubt). It
+// ResolveDoubt returns the change that ends the evacuation of a zone whose record is in doubt (see InDoubt). It
 // returns nil if the record is not in doubt or has another generation.
-func EndDoubt(records map[string]Record, name string, generation uint64) []Record {
+func ResolveDoubt(records map[string]Record, name string, generation uint64) []Record {
 	old := records[name]
 	if old.Gen != generation || !InDoubt(old) {
 		return nil
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -145,7 +145,7 @@
 	bind()
 	put(patch("", routeJSON("r", "/p/", "a", 7), ""), false)
 	put(patch("", routeJSON("r", "/q/", "a", 7), ""), true)
-	if s := (&Reader{}).List(records)[0].Status; s.Shard != 1 {
+	if s := (&Decoder{}).Routes(records)[0].Status; s.Shard != 1 {
 		t.Errorf("the route changed its shard: %+v", s)
 	}
 
@@ -242,7 +242,7 @@
 func TestEvacuationOrderForwardedAfterSevenOthers(t *testing.T) {
 	records := map[string]Record{}
 	order := func(evacuate bool, id uint64) (changed bool) {
-		changes, err := Evacuation(records, EvacuationOrder{Zone: "z", Evacuate: evacuate, ID: id})
+		changes, err := ApplyEvacuationOrder(records, EvacuationOrder{Zone: "z", Evacuate: evacuate, ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -263,10 +263,10 @@
 // small tombstones.
 func TestRemovedNamesLeaveSmallTombstones(t *testing.T) {
 	const names, maxTombstoneData = 2000, 32 // maxTombstoneData in bytes
-	records, reader := newRecords(t), &Reader{}
+	records, reader := newRecords(t), &Decoder{}
 	mustApply := func(body string) {
 		t.Helper()
-		change, err := Read([]byte(body))
+		change, err := ParseRequest([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 	for i := 0; i < names; i += 7 {
 		mustApply(upsert(i))
 	}
-	if routes := reader.List(records); len(routes) != 1 {
+	if routes := reader.Routes(records); len(routes) != 1 {
 		t.Errorf("%d routes exist, not 1", len(routes))
 	}
 	for name, r := range records {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -10,9 +10,9 @@
 	"madderwing/internal/antientropy"
 )
 
-// Key is the key under which the control nodes' replicated state keeps the catalogue: the records of all
+// Partition is the key under which the control nodes' replicated state keeps the catalogue: the records of all
 // items and route bindings, and the horizon.
-const Key = "catalogue"
+const Partition = "catalogue"
 
 // Record is the form in which items are stored and replicated.
 type Record = antientropy.Record
@@ -35,10 +35,10 @@
 // operator sent. Taken is the history of a few earlier generations, the newest first: for each the
 // generation as a varint and eight bytes of digest. It is empty in records of earlier releases.
 type Item struct {
-	Host   string `cbor:"1,keyasint,omitempty"`
-	Raw    []byte `cbor:"2,keyasint,omitempty"`
-	Status Status `cbor:"3,keyasint"`
-	Taken  []byte `cbor:"4,keyasint,omitempty"`
+	Host    string `cbor:"1,keyasint,omitempty"`
+	Raw     []byte `cbor:"2,keyasint,omitempty"`
+	Status  Status `cbor:"3,keyasint"`
+	History []byte `cbor:"4,keyasint,omitempty"`
 }
 
 // Record names consist of a prefix and the item's name, except for the limits.
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -19,9 +19,9 @@
 	return route, nil
 }
 
-// Reader parses routes and tenants and caches the result for the latest version of each. It is not safe for
+// Decoder parses routes and tenants and caches the result for the latest version of each. It is not safe for
 // concurrent use.
-type Reader struct {
+type Decoder struct {
 	routes  map[string]cachedRoute
 	tenants map[string]cachedTenant
 	pruneAt int // number of cached items at which prune next has an effect
@@ -33,7 +33,7 @@
 }
 
 // Tenant returns the tenant of a record.
-func (reader *Reader) Tenant(record Record) (*Tenant, error) {
+func (reader *Decoder) Tenant(record Record) (*Tenant, error) {
 	if cached, ok := reader.tenants[record.Name]; ok && bytes.Equal(cached.data, record.Data) {
 		return cached.tenant, nil
 	}
@@ -54,7 +54,7 @@
 }
 
 // Route returns the route of a record.
-func (reader *Reader) Route(record Record) (*Route, error) {
+func (reader *Decoder) Route(record Record) (*Route, error) {
 	// Comparing generations is not enough: a refused version may have had the same one.
 	if cached, ok := reader.routes[record.Name]; ok && bytes.Equal(cached.data, record.Data) && cached.route.Rev == record.Rev {
 		return cached.route, nil
@@ -72,7 +72,7 @@
 
 // prune evicts items that don't exist, each time that the number of cached items has doubled and grown by
 // pruneThreshold.
-func (reader *Reader) prune(records map[string]Record) {
+func (reader *Decoder) prune(records map[string]Record) {
 	if len(reader.routes)+len(reader.tenants) < reader.pruneAt {
 		return
 	}
@@ -88,8 +88,8 @@
 // pruneThreshold is the number of items that a Reader may cache before prune looks for those to evict.
 const pruneThreshold = 1 << 10
 
-// List returns the existing routes, sorted by name, and evicts removed ones from the cache.
-func (reader *Reader) List(records map[string]Record) (routes []*Route) {
+// Routes returns the existing routes, sorted by name, and evicts removed ones from the cache.
+func (reader *Decoder) Routes(records map[string]Record) (routes []*Route) {
 	for name, record := range records {
 		if record.Dropped {
 			delete(reader.routes, name)
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -20,7 +20,7 @@
 //go:embed schema.json
 var schemaText []byte
 
-var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompile("catalogue.json", schemaText) })
+var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompileSchema("catalogue.json", schemaText) })
 
 // request is the body of a configuration request.
 type request struct {
@@ -85,10 +85,10 @@
 	return apierror.New(apierror.InvalidConfig, format, args...)
 }
 
-// Read parses and validates a configuration request by itself. Change.Apply checks what depends on the
+// ParseRequest parses and validates a configuration request by itself. Change.Apply checks what depends on the
 // existing items.
-func Read(body []byte) (*Change, error) {
-	if err := settings.Validate(schema(), body); err != nil {
+func ParseRequest(body []byte) (*Change, error) {
+	if err := settings.ValidateSchema(schema(), body); err != nil {
 		return nil, invalid("%s", nameItems(body, err.Error()))
 	}
 	var parsed request
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -21,12 +21,12 @@
 		}
 		domains = append(domains, fmt.Sprintf(`{"authority":"h%d.example","hostRoutes":[%s]}`, host, strings.Join(routes, ",")))
 	}
-	change, err := Read([]byte(fmt.Sprintf(`{"upsert":{"services":[%s],"domains":[%s]}}`, strings.Join(services, ","), strings.Join(domains, ","))))
+	change, err := ParseRequest([]byte(fmt.Sprintf(`{"upsert":{"services":[%s],"domains":[%s]}}`, strings.Join(services, ","), strings.Join(domains, ","))))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	records := map[string]Record{}
-	changes, err := change.Apply(records, &Reader{})
+	changes, err := change.Apply(records, &Decoder{})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -42,11 +42,11 @@
 		name := fmt.Sprintf("service/s%d", i)
 		records[name] = Record{Name: name, Gen: 1, Data: make([]byte, 200)}
 	}
-	change, err := Read([]byte(patch(fmt.Sprintf(serviceJSON, 2), "", "")))
+	change, err := ParseRequest([]byte(patch(fmt.Sprintf(serviceJSON, 2), "", "")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := change.Apply(records, &Reader{}); apierror.KindOf(err) != apierror.BodyTooLarge {
+	if _, err := change.Apply(records, &Decoder{}); apierror.KindOf(err) != apierror.BodyTooLarge {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -54,12 +54,12 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, routes := range []int{100, 1000, 5900, 10000} {
 		records := manyRoutes(b, routes)
-		change, err := Read([]byte(patch("", routeJSON("r1", "/p1/", "s1", 2), "")))
+		change, err := ParseRequest([]byte(patch("", routeJSON("r1", "/p1/", "s1", 2), "")))
 		if err != nil {
 			b.Fatal(err)
 		}
-		reader := &Reader{}
-		reader.List(records)
+		reader := &Decoder{}
+		reader.Routes(records)
 		b.Run(fmt.Sprintf("checked/%d", routes), func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
 				if _, err := change.Apply(records, reader); err != nil {
@@ -69,7 +69,7 @@
 		})
 		b.Run(fmt.Sprintf("listed/%d", routes), func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
-				if len(reader.List(records)) != routes {
+				if len(reader.Routes(records)) != routes {
 					b.Fatal("routes are missing")
 				}
 			}
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -13,19 +13,19 @@
 
 // Table is what client requests are looked up in. It is immutable; each change builds a new one.
 type Table struct {
-	routesByHost map[string][]*Route // longest prefix first
-	Services     map[string]*Service
-	Limits       Limits
-	Evacuated    map[string]uint64          // zone -> generation of its evacuation
-	Known        bool                       // any item is known
-	Tenants      bool                       // there are or were tenants, so requests need an API key
-	Readers      map[string]*Tenant         // by API key
-	Versions     map[string]rollout.Service // by service
+	routesByHost   map[string][]*Route // longest prefix first
+	Services       map[string]*Service
+	Limits         Limits
+	Evacuated      map[string]uint64          // zone -> generation of its evacuation
+	HasItems       bool                       // any item is known
+	RequiresAPIKey bool                       // there are or were tenants, so requests need an API key
+	TenantByKey    map[string]*Tenant         // by API key
+	Versions       map[string]rollout.Service // by service
 }
 
 // Builder builds tables. It caches parsed items between builds.
 type Builder struct {
-	reader   Reader
+	reader   Decoder
 	services map[string]builtService
 }
 
@@ -43,7 +43,7 @@
 		b.services = map[string]builtService{}
 	}
 	table := &Table{routesByHost: map[string][]*Route{}, Services: map[string]*Service{}, Limits: defaultLimits,
-		Evacuated: map[string]uint64{}, Readers: map[string]*Tenant{}, Versions: rollout.Services(records)}
+		Evacuated: map[string]uint64{}, TenantByKey: map[string]*Tenant{}, Versions: rollout.DecodeServices(records)}
 	for name, record := range records {
 		if strings.HasPrefix(name, EvacuationPrefix) {
 			zone := name[len(EvacuationPrefix):]
@@ -52,11 +52,11 @@
 			}
 			continue
 		}
-		if rollout.Names(name) {
+		if rollout.HoldsVersion(name) {
 			continue
 		}
-		table.Known = true
-		table.Tenants = table.Tenants || strings.HasPrefix(name, tenantPrefix)
+		table.HasItems = true
+		table.RequiresAPIKey = table.RequiresAPIKey || strings.HasPrefix(name, tenantPrefix)
 		if record.Dropped {
 			delete(b.reader.routes, name)
 			delete(b.reader.tenants, name)
@@ -84,7 +84,7 @@
 		case strings.HasPrefix(name, tenantPrefix):
 			if tenant, err := b.reader.Tenant(record); err == nil {
 				for _, key := range tenant.APIKeys {
-					table.Readers[key] = tenant
+					table.TenantByKey[key] = tenant
 				}
 			}
 		case name == limitsName:
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// Placements maps each service to the shard whose gateways hold its retry slack and send to its instances
+// ServiceShards maps each service to the shard whose gateways hold its retry slack and send to its instances
 // during warm-up: the shard of its first scheduled route by name.
-func (t *Table) Placements() map[string]int {
+func (t *Table) ServiceShards() map[string]int {
 	firstRoute := map[string]*Route{}
 	for _, routes := range t.routesByHost {
 		for _, route := range routes {
@@ -153,7 +153,7 @@
 }
 
 // Tenants returns the existing tenants, sorted by name.
-func Tenants(records map[string]Record, reader *Reader) (tenants []*Tenant) {
+func Tenants(records map[string]Record, reader *Decoder) (tenants []*Tenant) {
 	for name, record := range records {
 		if record.Dropped || !strings.HasPrefix(name, tenantPrefix) {
 			continue
@@ -167,7 +167,7 @@
 }
 
 // Quotas returns the rate limits of all tenants; a rate of 0 means no limit.
-func Quotas(records map[string]Record, reader *Reader) map[string]quota.Quota {
+func Quotas(records map[string]Record, reader *Decoder) map[string]quota.Quota {
 	quotas := map[string]quota.Quota{}
 	for _, tenant := range Tenants(records, reader) {
 		quotas[tenant.Name] = quota.Quota{Rate: tenant.RatePerS, Burst: tenant.Burst}
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -13,11 +13,11 @@
 // applyRequest applies a request and returns what changed.
 func applyRequest(t *testing.T, records map[string]Record, body string) ([]Record, error) {
 	t.Helper()
-	change, err := Read([]byte(body))
+	change, err := ParseRequest([]byte(body))
 	if err != nil {
 		return nil, err
 	}
-	changes, err := change.Apply(records, &Reader{})
+	changes, err := change.Apply(records, &Decoder{})
 	for _, record := range changes {
 		records[record.Name] = record
 	}
@@ -40,8 +40,8 @@
 		}
 	}
 	table := (&Builder{}).Build(records)
-	if !table.Tenants || table.Readers["k1"].Name != "two" || table.Readers["k2"].Name != "one" || table.Readers["q"] != nil {
-		t.Errorf("readers: %v", table.Readers)
+	if !table.RequiresAPIKey || table.TenantByKey["k1"].Name != "two" || table.TenantByKey["k2"].Name != "one" || table.TenantByKey["q"] != nil {
+		t.Errorf("readers: %v", table.TenantByKey)
 	}
 	if got := string(Render(records)); !strings.Contains(got, `"tenants":[{"name":"one"`) {
 		t.Errorf("rendered: %s", got)
@@ -49,10 +49,10 @@
 	if _, err := applyRequest(t, records, `{"remove":{"tenants":[{"name":"one","generation":3},{"name":"two","generation":3}]}}`); err != nil {
 		t.Fatal(err)
 	}
-	if table = (&Builder{}).Build(records); !table.Tenants || len(table.Readers) > 0 {
+	if table = (&Builder{}).Build(records); !table.RequiresAPIKey || len(table.TenantByKey) > 0 {
 		t.Error("after the last tenant is removed, requests need no key")
 	}
-	if got := (&Builder{}).Build(map[string]Record{}); got.Tenants {
+	if got := (&Builder{}).Build(map[string]Record{}); got.RequiresAPIKey {
 		t.Error("requests need a key although there never were tenants")
 	}
 }
@@ -78,7 +78,7 @@
 			before[k] = v
 		}
 		changes, err := applyRequest(t, records, testCase.body)
-		if err != nil || Revokes(before, changes, &Reader{}) != testCase.want {
+		if err != nil || RevokesAPIKey(before, changes, &Decoder{}) != testCase.want {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -46,14 +46,14 @@
 // not exist.
 func Horizon(records map[string]Record) uint64 { return records[horizonName].Gen }
 
-// RaisesHorizon reports whether changes contain a higher horizon than a set of records.
-func RaisesHorizon(records map[string]Record, changes []Record) bool {
+// ContainsHigherHorizon reports whether changes contain a higher horizon than a set of records.
+func ContainsHigherHorizon(records map[string]Record, changes []Record) bool {
 	return slices.ContainsFunc(changes, func(r Record) bool { return r.Name == horizonName && r.Gen > Horizon(records) })
 }
 
-// IsForgettable reports whether the horizon covers a record: it covers all records of the configuration
+// CoveredByHorizon reports whether the horizon covers a record: it covers all records of the configuration
 // itself, but not those of evacuations and rollouts.
-func IsForgettable(name string) bool {
+func CoveredByHorizon(name string) bool {
 	return name == horizonName || name == limitsName || strings.HasPrefix(name, bindingPrefix) || kindPrefix(name) != ""
 }
 
@@ -67,17 +67,17 @@
 	return ""
 }
 
-// Replace replaces the configuration's records in some ranges of a replica, and reports whether that
+// ReplaceRecords replaces the configuration's records in some ranges of a replica, and reports whether that
 // changed anything. Versions aren't compared, since an item whose tombstone was erased may have been
 // created again with a lower version.
-func Replace(replica *antientropy.Set, ranges []int, replacement []Record) (changed bool) {
+func ReplaceRecords(replica *antientropy.Set, ranges []int, replacement []Record) (changed bool) {
 	wanted := make(map[string]uint64, len(replacement))
 	for _, r := range replacement {
 		wanted[r.Name] = r.Sum()
 	}
 	for _, r := range replica.Pick(ranges) {
 		sum, ok := wanted[r.Name]
-		if !IsForgettable(r.Name) || ok && sum == r.Sum() {
+		if !CoveredByHorizon(r.Name) || ok && sum == r.Sum() {
 			delete(wanted, r.Name)
 			continue
 		}
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -14,15 +14,15 @@
 type configOwner struct {
 	t       *testing.T
 	records map[string]Record
-	reader  *Reader
+	reader  *Decoder
 }
 
-func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Reader{}} }
+func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Decoder{}} }
 
 // call parses and applies a request.
 func (o *configOwner) call(body string) error {
 	o.t.Helper()
-	change, err := Read([]byte(body))
+	change, err := ParseRequest([]byte(body))
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	if x || !y {
 		t.Errorf("tombstones of two tenants, kept: %v, %v; want only the second", x, y)
 	}
-	if !(&Builder{}).Build(owner.records).Tenants {
+	if !(&Builder{}).Build(owner.records).RequiresAPIKey {
 		t.Error("requests no longer need a key")
 	}
 }
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -31,9 +31,9 @@
 
 // overview collects all that the administration API shows.
 func (c *administration) overview(now time.Duration) *Overview {
-	o := &Overview{Node: c.settings.Node, Voting: c.replica.Voting(), Contact: c.contact.state(now), Roster: c.replica.Standing(now),
-		Duties: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
-		Keys: c.partitions(now), Evacuations: c.configuration.evacuated(), InDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
+	o := &Overview{Node: c.settings.Node, Voting: c.replica.IsVoter(), Contact: c.contact.state(now), VoterSet: c.replica.VoterSetStatus(now),
+		Roles: c.election.States(now), Listing: c.list.snapshot.Version, Upstreams: c.list.snapshot.All(now),
+		Partitions: c.partitions(now), Evacuations: c.configuration.evacuated(), EvacuationsInDoubt: c.configuration.evacuatedInDoubt(), Rollouts: c.rollouts.states(now), Counters: c.counters(now)}
 	list := c.membership.List()
 	labels := list.Shards(c.options.Shards)
 	o.Members = c.members(list, labels)
@@ -49,7 +49,7 @@
 func (c *administration) members(list *membership.List, labels map[string]int) []Member {
 	members := []Member{}
 	voters := map[string]bool{}
-	for _, id := range c.replica.Roster() {
+	for _, id := range c.replica.Voters() {
 		voters[id] = true
 	}
 	for _, n := range list.Nodes {
@@ -61,20 +61,20 @@
 	}
 	for id := range voters {
 		if _, known := list.Get(id); !known {
-			members = append(members, Member{Name: id, Address: id, Plane: membership.Control.String(), State: "lost", Shard: -1, Seat: true})
+			members = append(members, Member{Name: id, Address: id, Plane: membership.Control.String(), State: "lost", Shard: -1, Voter: true})
 		}
 	}
 	return members
 }
 
 // partitions describes the partitions of the control state; nil if there are none.
-func (c *administration) partitions(now time.Duration) (out []Key) {
-	for _, v := range c.replica.Views(now) {
-		heard := v.HeardAgo
-		if t, _ := c.replica.Tenure(now, v.Key); v.Owning {
-			heard = now - t.Sure
+func (c *administration) partitions(now time.Duration) (out []PartitionSummary) {
+	for _, v := range c.replica.PartitionViews(now) {
+		heard := v.SinceContact
+		if t, _ := c.replica.OwnershipTerm(now, v.Partition); v.Owning {
+			heard = now - t.ConfirmedAt
 		}
-		out = append(out, Key{v.Key, v.Owner, v.Epoch, v.Seq, v.Commit, v.Records, heard.Round(time.Millisecond).Seconds()})
+		out = append(out, PartitionSummary{v.Partition, v.Owner, v.Epoch, v.Seq, v.Commit, v.Records, heard.Round(time.Millisecond).Seconds()})
 	}
 	return out
 }
@@ -85,7 +85,7 @@
 		"orders": c.calls.Load(), "ordersRefused": c.refused.Load(), "ordersNoQuorum": c.withoutQuorum.Load(),
 		"platformCalls": c.list.platformCalls.Load(), "platformErrors": c.list.platformErrors.Load(),
 		"bindings": c.placement.scheduler.Bound, "bindingErrors": c.placement.scheduler.Errors, "watchers": uint64(c.delivery.watchers.Count(now)),
-		"framesSent": c.endpoint.FramesSent.Load(), "bytesSent": c.endpoint.BytesSent.Load(), "framesUndecoded": c.endpoint.Undecoded.Load(),
+		"framesSent": c.endpoint.WritesSent.Load(), "bytesSent": c.endpoint.BytesSent.Load(), "framesUndecoded": c.endpoint.Undecoded.Load(),
 	}
 }
 
@@ -97,7 +97,7 @@
 			address = n.Address
 		}
 	}
-	if _, err := c.orders.submit(caller, order{Key: replication.RosterKey, Retire: address}); err != nil {
+	if _, err := c.orders.submit(caller, order{Key: replication.VoterSetPartition, Retire: address}); err != nil {
 		return err
 	}
 	c.log.control.Info("control node retired", "retired", node)
@@ -112,37 +112,37 @@
 	watchers := overview.Counters["watchers"]
 	delete(overview.Counters, "watchers")
 	var b bytes.Buffer
-	metrics.Write(&b, "control", overview.Counters)
-	metrics.Gauge(&b, "control", "watchers", watchers)
+	metrics.WriteCounters(&b, "control", overview.Counters)
+	metrics.WriteGauge(&b, "control", "watchers", watchers)
 	owned := uint64(0)
-	for _, k := range overview.Keys {
-		if k.Owner == c.endpoint.Self() {
+	for _, k := range overview.Partitions {
+		if k.Owner == c.endpoint.Address() {
 			owned++
 		}
 	}
-	metrics.Gauge(&b, "control", "keysOwned", owned)
+	metrics.WriteGauge(&b, "control", "keysOwned", owned)
 	inContact := uint64(0)
 	if overview.Contact.Fresh {
 		inContact = 1
 	}
-	metrics.Gauge(&b, "control", "inContact", inContact)
-	metrics.Gauge(&b, "control", "zonesEvacuated", uint64(len(overview.Evacuations)))
-	metrics.Gauge(&b, "control", "zonesInDoubt", uint64(len(overview.InDoubt)))
+	metrics.WriteGauge(&b, "control", "inContact", inContact)
+	metrics.WriteGauge(&b, "control", "zonesEvacuated", uint64(len(overview.Evacuations)))
+	metrics.WriteGauge(&b, "control", "zonesInDoubt", uint64(len(overview.EvacuationsInDoubt)))
 	learnersBehind := uint64(0)
-	for _, l := range overview.Roster.Learners {
+	for _, l := range overview.VoterSet.Learners {
 		if l.Behind > 0 {
 			learnersBehind++
 		}
 	}
-	metrics.Gauge(&b, "control", "seats", uint64(len(overview.Roster.Seats)))
-	metrics.Gauge(&b, "control", "learners", uint64(len(overview.Roster.Learners)))
-	metrics.Gauge(&b, "control", "learnersBehind", learnersBehind)
-	metrics.Gauge(&b, "control", "lossesBorne", uint64(max(0, overview.Roster.Bears)))
-	metrics.Gauge(&b, "control", "itemsAgeMs", uint64(overview.Contact.AgeS*1000))
-	metrics.Gauge(&b, "control", "routes", uint64(len(overview.Routes)))
-	metrics.Gauge(&b, "control", "upstreams", uint64(len(overview.Upstreams)))
-	metrics.Gauge(&b, "control", "gateways", uint64(len(overview.Delivery)))
-	metrics.Gauge(&b, "control", "gatewaysCurrent", uint64(len(overview.Delivery)-len(overview.gatewaysBehind())))
+	metrics.WriteGauge(&b, "control", "seats", uint64(len(overview.VoterSet.Voters)))
+	metrics.WriteGauge(&b, "control", "learners", uint64(len(overview.VoterSet.Learners)))
+	metrics.WriteGauge(&b, "control", "learnersBehind", learnersBehind)
+	metrics.WriteGauge(&b, "control", "lossesBorne", uint64(max(0, overview.VoterSet.Tolerates)))
+	metrics.WriteGauge(&b, "control", "itemsAgeMs", uint64(overview.Contact.AgeS*1000))
+	metrics.WriteGauge(&b, "control", "routes", uint64(len(overview.Routes)))
+	metrics.WriteGauge(&b, "control", "upstreams", uint64(len(overview.Upstreams)))
+	metrics.WriteGauge(&b, "control", "gateways", uint64(len(overview.Delivery)))
+	metrics.WriteGauge(&b, "control", "gatewaysCurrent", uint64(len(overview.Delivery)-len(overview.gatewaysBehind())))
 	c.coordination.currentState().writeMetrics(&b)
 	return b.Bytes()
 }
--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -15,7 +15,7 @@
 type configuration struct {
 	published *antientropy.Set
 	changes   delivery.ChangeLog // to published
-	reader    config.Reader
+	reader    config.Decoder
 }
 
 func newConfiguration() *configuration { return &configuration{published: antientropy.NewSet()} }
@@ -34,11 +34,11 @@
 // replace makes the published records of the configuration's partition match the committed ones,
 // without those that were erased, and reports whether anything changed.
 func (c *configuration) replace(committed map[string]config.Record) (changed bool) {
-	return config.Replace(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
+	return config.ReplaceRecords(c.published, antientropy.AllRanges(), slices.Collect(maps.Values(committed)))
 }
 
 // routes lists the published routes with their placement.
-func (c *configuration) routes() []*config.Route { return c.reader.List(c.published.Records) }
+func (c *configuration) routes() []*config.Route { return c.reader.Routes(c.published.Records) }
 
 // hasService reports whether a service is configured, as far as this node knows.
 func (c *configuration) hasService(name string) bool {
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -14,7 +14,7 @@
 const contactFraction = 0.5
 
 // contact tracks when a majority last confirmed the items that this control node publishes. It
-// relies on replication.Replica.Current, which is measured on this node's own clock and takes a
+// relies on replication.Replica.FreshAsOf, which is measured on this node's own clock and takes a
 // round trip through an owner that a majority follows. So it is not satisfied by a connection that
 // works in one direction only, by requests for votes, or by messages that waited while this process
 // was frozen. A process that has just started has no contact.
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -66,9 +66,9 @@
 func (c *simulatedCluster) start(id string, bootstrap bool) {
 	n := c.nodes[id]
 	n.runID++
-	partitions := []string{config.Key, config.EvacuationPrefix + "z"}
-	replica, err := replication.NewReplica(replication.Config{Self: id, Life: n.runID, Seeds: c.ids, Bootstrap: bootstrap, Empty: len(n.disk) == 0,
-		Keys: partitions, Sure: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, Beat: testHeartbeatInterval, Vacant: time.Duration(ownerTimeoutFraction * float64(testContactS)), Patience: time.Second,
+	partitions := []string{config.Partition, config.EvacuationPrefix + "z"}
+	replica, err := replication.NewReplica(replication.Config{Self: id, RunID: n.runID, Seeds: c.ids, Bootstrap: bootstrap, Empty: len(n.disk) == 0,
+		Keys: partitions, FreshnessPartitions: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: time.Duration(ownerTimeoutFraction * float64(testContactS)), ProposalTimeout: time.Second,
 		Alive: func(string) bool { return true }}, n.disk)
 	if err != nil {
 		c.t.Fatal(err)
@@ -120,10 +120,10 @@
 		}
 		effects = n.replica.Take()
 	}
-	if records, _, ok := n.replica.Committed(config.Key); ok {
+	if records, _, ok := n.replica.Committed(config.Partition); ok {
 		n.committed = maps.Clone(records)
 	}
-	n.contact.update(n.replica.Current)
+	n.contact.update(n.replica.FreshAsOf)
 }
 
 // run advances the simulation. Every owner of the configuration proposes a change ten times a
@@ -158,10 +158,10 @@
 			}
 			n.backlog = nil
 			n.replica.Tick(c.now)
-			if n.replica.Owner(c.now, config.Key) == id && c.now%(100*time.Millisecond) == 0 {
+			if n.replica.Owner(c.now, config.Partition) == id && c.now%(100*time.Millisecond) == 0 {
 				value := len(c.ackedAt)
 				c.ackedAt = append(c.ackedAt, -1)
-				n.replica.Propose(c.now, config.Key, func(map[string]replication.Record) ([]replication.Record, error) {
+				n.replica.Propose(c.now, config.Partition, func(map[string]replication.Record) ([]replication.Record, error) {
 					return []replication.Record{{Name: "r", Gen: uint64(value + 1)}}, nil
 				}, func(err error) {
 					if err == nil {
@@ -210,7 +210,7 @@
 	// receives, so it cuts off a node that owns no partition.
 	cutOutgoing := func(cluster *simulatedCluster) {
 		for _, id := range cluster.ids {
-			if cluster.nodes["n0"].replica.Owner(cluster.now, config.Key) == id || cluster.nodes["n0"].replica.Owner(cluster.now, config.EvacuationPrefix+"z") == id {
+			if cluster.nodes["n0"].replica.Owner(cluster.now, config.Partition) == id || cluster.nodes["n0"].replica.Owner(cluster.now, config.EvacuationPrefix+"z") == id {
 				continue
 			}
 			for _, other := range cluster.ids {
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -53,7 +53,7 @@
 func readCall(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCallBody))
 	if err != nil {
-		if large := apierror.TooLarge(err); large != nil {
+		if large := apierror.BodyTooLargeError(err); large != nil {
 			return nil, large
 		}
 		return nil, apierror.New(apierror.BadRequest, "body not read: %v", err)
@@ -67,17 +67,17 @@
 	case path == "/v1/config":
 		switch r.Method {
 		case http.MethodGet:
-			return n.orders.submit(r.Context(), order{Key: config.Key, Read: true})
+			return n.orders.submit(r.Context(), order{Key: config.Partition, Read: true})
 		case http.MethodPatch:
 			body, err := readCall(r)
 			if err != nil {
 				return nil, err
 			}
-			if _, err := config.Read(body); err != nil {
+			if _, err := config.ParseRequest(body); err != nil {
 				n.log.control.Warn("configuration refused", "error", err)
 				return nil, err
 			}
-			if _, err := n.orders.submit(r.Context(), order{Key: config.Key, Patch: body}); err != nil {
+			if _, err := n.orders.submit(r.Context(), order{Key: config.Partition, Patch: body}); err != nil {
 				n.log.control.Warn("configuration not taken", "error", err)
 				return nil, err
 			}
@@ -100,19 +100,19 @@
 		if len(body) == 0 {
 			return nil, apierror.New(apierror.BadRequest, "a plan needs a body")
 		}
-		return n.orders.submit(r.Context(), order{Key: config.Key, Plan: body})
+		return n.orders.submit(r.Context(), order{Key: config.Partition, Plan: body})
 	case strings.HasPrefix(path, "/v1/admin/rollouts/") && r.Method == http.MethodGet:
 		return n.rollouts.stateAtController(r.Context(), strings.TrimPrefix(path, "/v1/admin/rollouts/"))
 	case strings.HasPrefix(path, "/v1/admin/members/") && r.Method == http.MethodDelete:
 		return emptyObject, n.administration.retire(r.Context(), strings.TrimPrefix(path, "/v1/admin/members/"))
 	case path == "/v1/admin/resolve" && n.registry != nil && r.Method == http.MethodGet:
 		q := r.URL.Query()
-		return n.registry.directory.Ask(q.Get("name"), q.Get("region"), q.Get("zone"))
+		return n.registry.directory.Answer(q.Get("name"), q.Get("region"), q.Get("zone"))
 	case strings.HasPrefix(path, "/v1/admin/"):
 		if r.Method != http.MethodGet {
 			return nil, apierror.New(apierror.WrongMethod, "%s on %s", r.Method, path)
 		}
 		return n.administration.page(strings.TrimPrefix(path, "/v1/admin/"), r.URL.Query())
 	}
-	return nil, apierror.New(apierror.UnknownPage, "%s", r.URL.Path)
+	return nil, apierror.New(apierror.UnknownPath, "%s", r.URL.Path)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -46,11 +46,11 @@
 
 // Options are the settings given on the command line.
 type Options struct {
-	Shards int
-	Relist time.Duration
-	// HandBack is how long the cluster must be stable before a partition is transferred back to the
+	Shards         int
+	RelistInterval time.Duration
+	// TransferBackDelay is how long the cluster must be stable before a partition is transferred back to the
 	// first member in its order of succession; 0: never.
-	HandBack time.Duration
+	TransferBackDelay time.Duration
 }
 
 // Node is one control-plane process. It wires the controllers, each with state of its own, and runs
@@ -89,7 +89,7 @@
 	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return err
 	}
-	lock, err := lockDisk(ctx, cfg, logging.For(logging.Storage))
+	lock, err := lockDisk(ctx, cfg, logging.Logger(logging.Storage))
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -97,7 +97,7 @@
 		return err
 	}
 	defer lock.Release()
-	store, disk, err := openStore(ctx, cfg, logging.For(logging.Storage))
+	store, disk, err := openStore(ctx, cfg, logging.Logger(logging.Storage))
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -115,12 +115,12 @@
 
 // newNode creates a control node from the state read from its disk. It starts nothing.
 func newNode(cfg *settings.Settings, opt Options, disk map[string][]byte) (*Node, error) {
-	endpoint, err := newEndpoint(cfg.ControlAddress(cfg.IP), settings.Seconds(cfg.Bounds.ContactS/6), logging.For(logging.Transport))
+	endpoint, err := newEndpoint(cfg.ControlAddress(cfg.IP), settings.Seconds(cfg.Bounds.ContactS/6), logging.Logger(logging.Transport))
 	if err != nil {
 		return nil, err
 	}
 	zones := zoneNames(cfg)
-	partitions := []string{config.Key}
+	partitions := []string{config.Partition}
 	for _, zone := range zones {
 		partitions = append(partitions, config.EvacuationPrefix+zone)
 	}
@@ -139,11 +139,11 @@
 	if n.replica, err = newReplica(env, partitions, disk); err != nil {
 		return nil, err
 	}
-	n.election = election.New(election.Config{Self: endpoint.Self(), Life: env.runID, Duties: []string{roleList, rolePlacement}, Lease: ownerTimeout(cfg),
-		Roster: func() []string { return n.replica.Roster() }, Alive: func(id string) bool { return n.membership.Hopeful(id) }, Progress: n.progress})
+	n.election = election.New(election.Config{Self: endpoint.Address(), RunID: env.runID, Roles: []string{roleList, rolePlacement}, Lease: ownerTimeout(cfg),
+		Roster: func() []string { return n.replica.Voters() }, Alive: func(id string) bool { return n.membership.NotSuspected(id) }, Progress: n.progress})
 	n.wire()
-	me := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
-	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlNodes(), Beat: cfg.Beat(), Forget: 40 * cfg.Beat()},
+	me := membership.Node{Address: endpoint.Address(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
+	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlAddresses(), ProbeInterval: cfg.HeartbeatInterval(), DeadRetention: 40 * cfg.HeartbeatInterval()},
 		endpoint, n.nodesChanged)
 	n.registerHandlers()
 	n.enqueue(func(time.Duration) { // before any message is handled
@@ -174,11 +174,11 @@
 func newReplica(env *environment, partitions []string, disk map[string][]byte) (*replication.Replica, error) {
 	cfg := env.settings
 	lookup := func(id string) (membership.Node, bool) { return env.membership.List().Get(id) }
-	return replication.NewReplica(replication.Config{Sure: partitions, SurePrefix: coordination.KeyPrefix,
-		Self: env.endpoint.Self(), Life: env.runID, Seeds: cfg.SeedControlNodes(),
+	return replication.NewReplica(replication.Config{FreshnessPartitions: partitions, FreshnessPrefix: coordination.PartitionPrefix,
+		Self: env.endpoint.Address(), RunID: env.runID, Seeds: cfg.SeedControlAddresses(),
 		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Keys: partitions,
-		Beat: cfg.Beat(), Vacant: ownerTimeout(cfg), Patience: settings.Seconds(cfg.Bounds.AckS * 0.17), HandBack: env.options.HandBack,
-		Alive:    func(id string) bool { return env.membership.Hopeful(id) },
+		HeartbeatInterval: cfg.HeartbeatInterval(), ElectionTimeout: ownerTimeout(cfg), ProposalTimeout: settings.Seconds(cfg.Bounds.AckS * 0.17), TransferBackDelay: env.options.TransferBackDelay,
+		Alive:    func(id string) bool { return env.membership.NotSuspected(id) },
 		Identity: rand.Uint64() | 1, Faults: cfg.FaultBudget.Machines,
 		Left: func(id string) bool { n, ok := lookup(id); return ok && n.State == membership.Left },
 		Peers: func() (out []string) {
@@ -194,12 +194,12 @@
 func (n *Node) wire() {
 	n.list = newListController(n.environment)
 	n.orders = &orderController{environment: n.environment, configuration: n.configuration, evacuations: n.evacuations}
-	if n.settings.BoundsRevocation() {
+	if n.settings.RevocationBounded() {
 		n.orders.revocations = &revocations{environment: n.environment}
 	}
 	n.rollouts = newRolloutController(n.environment, n.configuration, n.list, n.orders.submit)
 	n.orders.rollouts = n.rollouts
-	n.delivery = newDeliveryController(n.environment, n.configuration, n.list, n.rollouts.controller.Led)
+	n.delivery = newDeliveryController(n.environment, n.configuration, n.list, n.rollouts.controller.AllControlled)
 	n.placement = newPlacementController(n.environment, n.configuration, n.orders.submit)
 	n.administration = &administration{environment: n.environment, configuration: n.configuration, list: n.list, delivery: n.delivery,
 		placement: n.placement, rollouts: n.rollouts, quotas: n.quotas, orders: n.orders}
@@ -249,7 +249,7 @@
 	for {
 		select {
 		case fresh := <-reload:
-			n.membership.Seeds(fresh.SeedControlNodes())
+			n.membership.SetSeeds(fresh.SeedControlAddresses())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -288,9 +288,9 @@
 
 // awaitReplaced waits until the others can do without this member, at most until end.
 func (n *Node) awaitReplaced(end time.Time) {
-	for ; ; time.Sleep(n.settings.Beat() / 20) {
+	for ; ; time.Sleep(n.settings.HeartbeatInterval() / 20) {
 		replaced := make(chan bool, 1)
-		n.enqueue(func(now time.Duration) { replaced <- n.replica.MayGo(now) })
+		n.enqueue(func(now time.Duration) { replaced <- n.replica.SafeToLeave(now) })
 		if <-replaced {
 			return
 		}
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -52,7 +52,7 @@
 // ownerFinder finds the member that a call is sent to. It is used on the event loop.
 type ownerFinder interface {
 	Owner(now time.Duration, key string) string
-	Founder(now time.Duration, key string) string
+	InitialOwner(now time.Duration, key string) string
 }
 
 // coordinator serves applications' calls for locks, counters and cells at a control node.
@@ -111,13 +111,13 @@
 
 // registerHandlers registers the handler for calls that other nodes forward.
 func (c *coordinator) registerHandlers() {
-	c.endpoint.HandleSlow(coordinationKind, func(_ string, body []byte) (any, error) {
+	c.endpoint.HandleAsync(coordinationKind, func(_ string, body []byte) (any, error) {
 		var forwarded forwardedCall
 		if err := cbor.Unmarshal(body, &forwarded); err != nil {
 			c.endpoint.Undecoded.Add(1)
 			return nil, err
 		}
-		result := coordination.Result{Effect: coordination.NotDone}
+		result := coordination.Result{Effect: coordination.NotExecuted}
 		if forwarded.Call.Operation.Known() {
 			result = c.execute(context.Background(), forwarded.Call, forwarded.Deadline)
 		}
@@ -130,10 +130,10 @@
 // ended, no further attempt starts or is awaited. A call whose execution has started takes effect.
 func (c *coordinator) submit(caller context.Context, call coordination.Call) coordination.Result {
 	begin := c.clock()
-	partition := call.Key()
+	partition := call.Partition()
 	for pause := c.pause; ; pause *= 2 {
 		result := c.attempt(caller, partition, call, begin)
-		final := result.Effect == coordination.Answered || result.Effect == coordination.MaybeDone && !call.Operation.Reads()
+		final := result.Effect == coordination.Answered || result.Effect == coordination.MaybeExecuted && !call.Operation.ReadOnly()
 		if final || c.clock()+pause > begin+coordinationLimit || !pauseFor(caller, pause) {
 			return result
 		}
@@ -156,14 +156,14 @@
 func (c *coordinator) attempt(caller context.Context, partition string, call coordination.Call, begin time.Duration) coordination.Result {
 	owners := make(chan string, 1)
 	c.enqueue(func(now time.Duration) {
-		owners <- cmp.Or(c.owners.Owner(now, partition), c.owners.Founder(now, partition))
+		owners <- cmp.Or(c.owners.Owner(now, partition), c.owners.InitialOwner(now, partition))
 	})
 	owner := <-owners
 	if owner == "" || caller.Err() != nil {
-		return coordination.Result{Effect: coordination.NotDone}
+		return coordination.Result{Effect: coordination.NotExecuted}
 	}
 	deadline := begin + startLimit
-	if owner == c.endpoint.Self() {
+	if owner == c.endpoint.Address() {
 		return c.execute(caller, call, coordination.ClockReading{Life: c.server.Clock().Life, Time: deadline})
 	}
 	return c.forward(caller, owner, call, deadline)
@@ -172,17 +172,17 @@
 // forward sends a call to its owner, which must begin it before a deadline on this node's clock.
 func (c *coordinator) forward(caller context.Context, owner string, call coordination.Call, deadline time.Duration) coordination.Result {
 	c.clocksMutex.Lock()
-	ownerDeadline, _ := c.clocks.At(owner, deadline)
+	ownerDeadline, _ := c.clocks.Estimate(owner, deadline)
 	c.clocksMutex.Unlock()
 	ctx, cancel := context.WithTimeout(caller, deadline+2*executionLimit-c.clock())
 	defer cancel()
 	var answer forwardedAnswer
 	err := c.endpoint.Call(ctx, owner, coordinationKind, forwardedCall{Call: call, Deadline: ownerDeadline}, &answer)
 	if err != nil {
-		return coordination.Result{Effect: coordination.MaybeDone}
+		return coordination.Result{Effect: coordination.MaybeExecuted}
 	}
 	c.clocksMutex.Lock()
-	c.clocks.Heard(owner, answer.Clock, c.clock())
+	c.clocks.Observe(owner, answer.Clock, c.clock())
 	c.clocksMutex.Unlock()
 	if answer.Clock.Life != ownerDeadline.Life && c.clock() < deadline {
 		return c.forward(caller, owner, call, deadline) // the owner did not accept the deadline; its clock is known now
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -123,7 +123,7 @@
 func lockStates(locks []coordination.Lock) []LockState {
 	out := make([]LockState, 0, len(locks))
 	for _, l := range locks {
-		out = append(out, LockState{l.Name, l.Owner, l.Fence, l.Hold.Seconds(), l.Left.Round(time.Millisecond).Seconds()})
+		out = append(out, LockState{l.Name, l.Owner, l.Fence, l.Hold.Seconds(), l.Remaining.Round(time.Millisecond).Seconds()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
@@ -144,9 +144,9 @@
 		calls[name] = call.Calls
 		waits[name+"Ms"] = uint64(call.MeanMs * float64(call.Calls))
 	}
-	metrics.Write(b, "coordination_calls", calls)
-	metrics.Write(b, "coordination_wait", waits)
-	metrics.Gauge(b, "coordination", "watches", uint64(s.Watches))
+	metrics.WriteCounters(b, "coordination_calls", calls)
+	metrics.WriteCounters(b, "coordination_wait", waits)
+	metrics.WriteGauge(b, "coordination", "watches", uint64(s.Watches))
 	owned, locks := uint64(0), uint64(0)
 	for _, p := range s.Partitions {
 		if p.Here {
@@ -154,6 +154,6 @@
 		}
 		locks += uint64(len(p.Locks))
 	}
-	metrics.Gauge(b, "coordination", "partitionsOwned", owned)
-	metrics.Gauge(b, "coordination", "locksHeld", locks)
+	metrics.WriteGauge(b, "coordination", "partitionsOwned", owned)
+	metrics.WriteGauge(b, "coordination", "locksHeld", locks)
 }
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -80,7 +80,7 @@
 	switch {
 	case err == nil && status != 0:
 		t.Errorf("%s is accepted, want %d", call, status)
-	case err != nil && (apierror.AnswerFor(apierror.KindOf(err)).Status != status || !strings.Contains(err.Error(), wantText)):
+	case err != nil && (apierror.ResponseFor(apierror.KindOf(err)).Status != status || !strings.Contains(err.Error(), wantText)):
 		t.Errorf("%s: %v, want %d and %q", call, err, status, wantText)
 	}
 }
@@ -90,12 +90,12 @@
 func TestRelayPartitionOfACall(t *testing.T) {
 	for path, call := range map[string]coordination.Call{
 		"/v1/locks/l1f":  {Operation: coordination.Release, Name: "l1f"},
-		"/v1/numbers/n2": {Operation: coordination.Draw, Name: "n2"},
+		"/v1/numbers/n2": {Operation: coordination.Increment, Name: "n2"},
 		"/v1/cells/g1.2": {Operation: coordination.Put, Name: "g1.2"},
 		"/v1/watch/g1.":  {Operation: coordination.Get, Name: "g1.2"},
 	} {
-		if got := partitionOf("GET", path); got != call.Key() {
-			t.Errorf("%s: %s, want %s", path, got, call.Key())
+		if got := partitionOf("GET", path); got != call.Partition() {
+			t.Errorf("%s: %s, want %s", path, got, call.Partition())
 		}
 	}
 	if got := partitionOf("GET", "/v1/rollouts/a"); got != rollout.Prefix+"a" {
@@ -137,20 +137,20 @@
 	_, err := fn(nil)
 	done(err)
 }
-func (soleOwnerReplica) Tenure(time.Duration, string) (t replication.Tenure, confirmed bool) {
+func (soleOwnerReplica) OwnershipTerm(time.Duration, string) (t replication.OwnershipTerm, confirmed bool) {
 	return t, true
 }
 func (soleOwnerReplica) Owner(time.Duration, string) string { return "self" }
 func (soleOwnerReplica) Committed(string) (r map[string]replication.Record, p replication.Position, known bool) {
 	return r, p, true
 }
-func (soleOwnerReplica) Current(string) (time.Duration, bool) { return time.Minute, true }
+func (soleOwnerReplica) FreshAsOf(string) (time.Duration, bool) { return time.Minute, true }
 
 // noOwners reports no owner for any partition.
 type noOwners struct{}
 
-func (noOwners) Owner(time.Duration, string) string   { return "" }
-func (noOwners) Founder(time.Duration, string) string { return "" }
+func (noOwners) Owner(time.Duration, string) string        { return "" }
+func (noOwners) InitialOwner(time.Duration, string) string { return "" }
 
 // A call is not tried again after its caller's context ended.
 func TestCallIsNotRetriedWithoutItsCaller(t *testing.T) {
@@ -161,12 +161,12 @@
 			enqueue: func(fn func(time.Duration)) { attempts++; fn(time.Since(begin)) }}
 		caller, cancel := context.WithTimeout(t.Context(), coordinationLimit/4)
 		defer cancel()
-		result := coordinator.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
-		if took := time.Since(begin); result.Effect != coordination.NotDone || took != coordinationLimit/4 {
+		result := coordinator.submit(caller, coordination.Call{Operation: coordination.Increment, Name: "n"})
+		if took := time.Since(begin); result.Effect != coordination.NotExecuted || took != coordinationLimit/4 {
 			t.Errorf("%v after %v", result.Effect, took)
 		}
 		attempts = 0
-		coordinator.submit(caller, coordination.Call{Operation: coordination.Draw, Name: "n"})
+		coordinator.submit(caller, coordination.Call{Operation: coordination.Increment, Name: "n"})
 		if attempts != 1 {
 			t.Errorf("%d attempts for a caller that had already left, want 1", attempts)
 		}
@@ -179,11 +179,11 @@
 	coordinator := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
 		server: coordination.NewServer(coordination.ServerConfig{Self: "self", Life: 1, Clock: func() time.Duration { return time.Minute },
 			Log: slog.New(slog.DiscardHandler), Limits: coordination.Limits{Bytes: 1 << 20, HistoryBytes: 1 << 20, History: time.Minute}}, soleOwnerReplica{})}
-	draw := coordination.Call{Operation: coordination.Draw, Name: "n"}
+	draw := coordination.Call{Operation: coordination.Increment, Name: "n"}
 	deadline := coordination.ClockReading{Life: 1, Time: 2 * time.Minute}
 	caller, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := coordinator.execute(caller, draw, deadline); got.Effect != coordination.NotDone {
+	if got := coordinator.execute(caller, draw, deadline); got.Effect != coordination.NotExecuted {
 		t.Errorf("%+v", got)
 	}
 	results := make(chan coordination.Result, 1)
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -53,7 +53,7 @@
 	arrived := arrivalOf(r)
 	call, err := readCoordinationCall(r)
 	if err != nil {
-		c.statistics.count("refused", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
+		c.statistics.count("refused", apierror.ResponseFor(apierror.KindOf(err)).Status, 0)
 		apierror.Write(w, err)
 		return
 	}
@@ -65,21 +65,21 @@
 func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, arrived arrival, call coordination.Call) int {
 	defer c.activeCalls.Add(-1)
 	if c.activeCalls.Add(1) > maxWaitingCalls {
-		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "%d calls wait here", maxWaitingCalls))
+		return writeFault(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "%d calls wait here", maxWaitingCalls))
 	}
 	if c.stalls.stalled() || arrived.age() > stallLimit {
-		return writeFault(w, apierror.Later(apierror.NoQuorum, c.retryAfter, "this process stood still"))
+		return writeFault(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "this process stood still"))
 	}
 	result := c.submit(r.Context(), call)
 	switch result.Effect {
 	case coordination.Answered:
 		return c.writeAnswer(w, call, result.Answer)
-	case coordination.MaybeDone:
-		if !call.Operation.Reads() {
+	case coordination.MaybeExecuted:
+		if !call.Operation.ReadOnly() {
 			return writeFault(w, apierror.New(apierror.OutcomeUnknown, "no answer from the owner of the partition in time"))
 		}
 	}
-	return writeFault(w, apierror.Later(apierror.NoQuorum, c.retryAfter, "no owner of the partition answers"))
+	return writeFault(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "no owner of the partition answers"))
 }
 
 // callAnswer is the body of an answer. Fields that an operation doesn't return are absent.
@@ -101,7 +101,7 @@
 		if call.Operation == coordination.Get {
 			return writeJSON(w, http.StatusOK, cellAnswer{answer.Value, answer.Revision})
 		}
-		body := callAnswer{Fence: answer.Fence, Number: answer.Number}
+		body := callAnswer{Fence: answer.FencingToken, Number: answer.Number}
 		if call.Operation == coordination.Put {
 			body.Revision = &answer.Revision
 		}
@@ -110,17 +110,17 @@
 		return writeJSON(w, http.StatusPreconditionFailed, callAnswer{Revision: &answer.Revision})
 	case coordination.Held:
 		return writeFault(w, apierror.New(apierror.Conflict, "lock %s is held by another", call.Name))
-	case coordination.Missing:
-		return writeFault(w, apierror.New(apierror.NoCell, "%s", call.Name))
+	case coordination.NotFound:
+		return writeFault(w, apierror.New(apierror.CellNotFound, "%s", call.Name))
 	case coordination.Full:
-		return writeFault(w, apierror.Later(apierror.TooMany, c.retryAfter, "the partition of %s is full", call.Name))
+		return writeFault(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "the partition of %s is full", call.Name))
 	}
 	return writeFault(w, apierror.New(apierror.Internal, "unexpected answer %d", answer.Status))
 }
 
 func writeFault(w http.ResponseWriter, err *apierror.Error) int {
 	apierror.Write(w, err)
-	return apierror.AnswerFor(err.Kind).Status
+	return apierror.ResponseFor(err.Kind).Status
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) int {
@@ -147,7 +147,7 @@
 // operations are the operations of each path prefix, by method.
 var operations = map[string]map[string]coordination.Operation{
 	lockPage:    {http.MethodPost: coordination.Acquire, http.MethodPut: coordination.Renew, http.MethodDelete: coordination.Release},
-	counterPage: {http.MethodPost: coordination.Draw},
+	counterPage: {http.MethodPost: coordination.Increment},
 	cellPage:    {http.MethodPut: coordination.Put, http.MethodGet: coordination.Get},
 }
 
@@ -178,7 +178,7 @@
 func readCallBody(r *http.Request, body *callBody) error {
 	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCoordinationBody))
 	if err != nil {
-		if large := apierror.TooLarge(err); large != nil {
+		if large := apierror.BodyTooLargeError(err); large != nil {
 			return large
 		}
 		return apierror.New(apierror.BadRequest, "body not read: %v", err)
@@ -221,7 +221,7 @@
 		if b.Fence == nil {
 			return apierror.New(apierror.BadRequest, "fence: missing")
 		}
-		call.Fence = *b.Fence
+		call.FencingToken = *b.Fence
 	}
 	if call.Operation == coordination.Release {
 		return nil
@@ -234,7 +234,7 @@
 	case *b.HoldS > maxHold.Seconds():
 		return apierror.New(apierror.BadRequest, "holdS: more than %v", maxHold.Seconds())
 	}
-	call.Hold = time.Duration(*b.HoldS * float64(time.Second))
+	call.Lease = time.Duration(*b.HoldS * float64(time.Second))
 	return nil
 }
 
@@ -243,14 +243,14 @@
 	begin := time.Now()
 	after, wait, err := readWatch(r, group)
 	if err != nil {
-		c.statistics.count("watch", apierror.AnswerFor(apierror.KindOf(err)).Status, 0)
+		c.statistics.count("watch", apierror.ResponseFor(apierror.KindOf(err)).Status, 0)
 		apierror.Write(w, err)
 		return
 	}
 	result, err := c.boundedWatch(r, group, after, wait)
 	status := http.StatusOK
 	if err != nil {
-		status = apierror.AnswerFor(apierror.KindOf(err)).Status
+		status = apierror.ResponseFor(apierror.KindOf(err)).Status
 		apierror.Write(w, err)
 	} else {
 		writeJSON(w, status, newWatchAnswer(result))
@@ -276,12 +276,12 @@
 func (c *coordinator) boundedWatch(r *http.Request, group string, after uint64, wait time.Duration) (coordination.WatchResult, error) {
 	select {
 	case <-c.shutdown:
-		return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "%v", errShutdown)
+		return coordination.WatchResult{}, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "%v", errShutdown)
 	default:
 	}
 	defer c.activeWatches.Add(-1)
 	if c.activeWatches.Add(1) > maxWatches {
-		return coordination.WatchResult{}, apierror.Later(apierror.TooMany, c.retryAfter, "%d watches wait here", maxWatches)
+		return coordination.WatchResult{}, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "%d watches wait here", maxWatches)
 	}
 	return c.watchGroup(r.Context(), group, after, wait)
 }
@@ -326,13 +326,13 @@
 // concerns.
 func coordinationPartition(path string) string {
 	if group, ok := strings.CutPrefix(path, watchPage); ok {
-		return coordination.GroupKey(group)
+		return coordination.GroupPartition(group)
 	}
 	if cell, ok := strings.CutPrefix(path, cellPage); ok {
-		return coordination.GroupKey(coordination.GroupOf(cell))
+		return coordination.GroupPartition(coordination.GroupOf(cell))
 	}
 	if counter, ok := strings.CutPrefix(path, counterPage); ok {
-		return coordination.Call{Operation: coordination.Draw, Name: counter}.Key()
+		return coordination.Call{Operation: coordination.Increment, Name: counter}.Partition()
 	}
-	return coordination.Call{Operation: coordination.Acquire, Name: strings.TrimPrefix(path, lockPage)}.Key()
+	return coordination.Call{Operation: coordination.Acquire, Name: strings.TrimPrefix(path, lockPage)}.Partition()
 }
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -17,12 +17,12 @@
 // newCoordinator creates the coordinator of a node whose replica and transport exist, and whose
 // transport has not started.
 func newCoordinator(env *environment) *coordinator {
-	logger := logging.For(logging.Coordination)
-	config := serverConfig(env.settings, env.endpoint.Self(), env.runID, env.now, logger)
+	logger := logging.Logger(logging.Coordination)
+	config := serverConfig(env.settings, env.endpoint.Address(), env.runID, env.now, logger)
 	config.Limits.HasRoom = env.diskRoom.fits
 	return &coordinator{
-		owners: env.replica, partitions: env.replica.Keys, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
-		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.Beat(),
+		owners: env.replica, partitions: env.replica.Partitions, endpoint: env.endpoint, enqueue: env.enqueue, clock: env.now, inContact: env.contact.fresh, stalls: env.stalls,
+		pause: settings.Seconds(coordinationPauseFraction * env.settings.Bounds.ContactS), retryAfter: env.settings.HeartbeatInterval(),
 		server: coordination.NewServer(config, env.replica),
 		clocks: coordination.NewPeerClocks(), shutdown: make(chan struct{}),
 		statistics: newCoordinationStats(),
@@ -35,7 +35,7 @@
 	c.enqueue(func(now time.Duration) {
 		var partitions []string
 		for _, partition := range c.partitions() {
-			if strings.HasPrefix(partition, coordination.KeyPrefix) {
+			if strings.HasPrefix(partition, coordination.PartitionPrefix) {
 				partitions = append(partitions, partition)
 			}
 		}
--- a/internal/controlplane/coordination_watch.go
+++ b/internal/controlplane/coordination_watch.go
@@ -21,10 +21,10 @@
 		// Ask the owner, since the copy here may lack puts that were acknowledged.
 		result := c.submit(ctx, coordination.Call{Operation: coordination.Revision, Name: group})
 		if result.Effect != coordination.Answered {
-			return coordination.WatchResult{}, apierror.Later(apierror.NoQuorum, c.retryAfter, "no owner of the group answers")
+			return coordination.WatchResult{}, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "no owner of the group answers")
 		}
-		if watch.Least = result.Answer.Revision; after == 0 {
-			return coordination.WatchResult{Revision: watch.Least}, nil
+		if watch.MinRevision = result.Answer.Revision; after == 0 {
+			return coordination.WatchResult{Revision: watch.MinRevision}, nil
 		}
 	}
 	c.enqueue(func(time.Duration) { c.server.Watch(watch) })
@@ -33,9 +33,9 @@
 	case result.Err == nil:
 		return result, nil
 	case errors.Is(result.Err, coordination.ErrCompacted):
-		return result, apierror.New(apierror.HistoryGone, "%v", result.Err)
+		return result, apierror.New(apierror.HistoryCompacted, "%v", result.Err)
 	}
-	return result, apierror.Later(apierror.NoQuorum, c.retryAfter, "%v", result.Err)
+	return result, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "%v", result.Err)
 }
 
 // fresh reports whether the copy of a group here is recent.
@@ -57,6 +57,6 @@
 	case <-ctx.Done():
 	case <-c.shutdown:
 	}
-	c.enqueue(func(time.Duration) { c.server.EndWatch(watch) })
+	c.enqueue(func(time.Duration) { c.server.TimeOutWatch(watch) })
 	return <-results
 }
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -34,22 +34,22 @@
 // peerReport is what another control node reported of its watchers, and when it arrived.
 type peerReport struct {
 	received time.Duration
-	report   delivery.Told
+	report   delivery.WatcherSummary
 }
 
 func newDeliveryController(env *environment, configuration *configuration, list *listController, rolloutsLed func() bool) *deliveryController {
 	c := &deliveryController{environment: env, configuration: configuration, list: list, rolloutsLed: rolloutsLed, peerReports: map[string]peerReport{},
 		sender: delivery.Sender{Log: &configuration.changes}}
-	c.watchers.Forget = 4 * env.settings.Beat()
+	c.watchers.ExpireAfter = 4 * env.settings.HeartbeatInterval()
 	return c
 }
 
 // registerHandlers registers the handlers for messages of watchers and of other control nodes.
 func (c *deliveryController) registerHandlers() {
-	transport.On(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
+	transport.HandleMessage(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
 		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
 	})
-	transport.On(c.endpoint, delivery.ToldKind, func(from string, t delivery.Told) {
+	transport.HandleMessage(c.endpoint, delivery.WatcherSummaryKind, func(from string, t delivery.WatcherSummary) {
 		c.tryEnqueue(func(now time.Duration) { c.peerReports[from] = peerReport{now, t} })
 	})
 }
@@ -58,20 +58,20 @@
 func (c *deliveryController) handleWatch(now time.Duration, from string, watch delivery.Watch) {
 	// A list from a role holder that this node does not know of dates from before the control nodes
 	// lost their state. Only lists of a later term replace it.
-	if c.list.newestKnown(now).Foreign(watch.Listing) {
-		c.election.Raise(roleList, watch.Listing.Term)
+	if c.list.newestKnown(now).SupersededBy(watch.ListVersion) {
+		c.election.RaiseUsedTerm(roleList, watch.ListVersion.Term)
 	}
 	c.list.noteWatcherClock(now, from, watch)
-	has, guessed := c.watchers.Believe(now, from, watch, c.settings.Beat())
-	c.watchers.Note(now, from, has)
-	c.watchers.Note(now, from, c.sendUpdate(now, from, has, true, guessed))
-	c.watchers.Holds(from, watch)
+	has, guessed := c.watchers.Assume(now, from, watch, c.settings.HeartbeatInterval())
+	c.watchers.SetAssumed(now, from, has)
+	c.watchers.SetAssumed(now, from, c.sendUpdate(now, from, has, true, guessed))
+	c.watchers.SetReported(from, watch)
 }
 
 // tick is called at every tick of the event loop.
 func (c *deliveryController) tick(now time.Duration) {
 	if now >= c.reportAt {
-		c.reportAt = now + c.settings.Beat()
+		c.reportAt = now + c.settings.HeartbeatInterval()
 		c.exchangeReports(now)
 	}
 }
@@ -79,26 +79,26 @@
 // exchangeReports sends the other control nodes what this node's watchers reported, and combines it
 // with what the others sent.
 func (c *deliveryController) exchangeReports(now time.Duration) {
-	mine := c.watchers.Told(now)
+	mine := c.watchers.Summary(now)
 	c.loads, c.itemDigests = upstream.Loads{}, map[string]uint64{}
 	c.addReport(mine)
-	for _, id := range c.replica.Everyone() {
-		if id == c.endpoint.Self() {
+	for _, id := range c.replica.Members() {
+		if id == c.endpoint.Address() {
 			continue
 		}
-		if len(mine.Holds) > 0 {
-			c.endpoint.Toss(id, delivery.ToldKind, mine)
+		if len(mine.Digests) > 0 {
+			c.endpoint.SendDatagram(id, delivery.WatcherSummaryKind, mine)
 		}
-		if t, ok := c.peerReports[id]; ok && now-t.received < c.watchers.Forget {
+		if t, ok := c.peerReports[id]; ok && now-t.received < c.watchers.ExpireAfter {
 			c.addReport(t.report)
 		}
 	}
 }
 
 // addReport adds the report of one control node to what is known of all gateways.
-func (c *deliveryController) addReport(report delivery.Told) {
+func (c *deliveryController) addReport(report delivery.WatcherSummary) {
 	c.loads.Add(report.Loads)
-	for id, digest := range report.Holds {
+	for id, digest := range report.Digests {
 		if have, ok := c.itemDigests[id]; !ok || have != c.configuration.published.Sums.Fold() {
 			c.itemDigests[id] = digest // a gateway watches two control nodes; the newest digest wins
 		}
@@ -112,9 +112,9 @@
 		return c.sendUpdate(now, to, has, false, true)
 	})
 	if term, mine := c.election.Holds(now, roleList); mine && c.list.snapshot.Version.Term == term {
-		for _, id := range c.replica.Everyone() {
-			if _, watching := c.watchers.Has(id); !watching && id != c.endpoint.Self() {
-				c.watchers.Note(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
+		for _, id := range c.replica.Members() {
+			if _, watching := c.watchers.Assumed(id); !watching && id != c.endpoint.Address() {
+				c.watchers.SetAssumed(now, id, c.sendUpdate(now, id, delivery.Watch{}, false, true))
 			}
 		}
 	}
@@ -123,10 +123,10 @@
 // confirmListAge notifies the control nodes that have the current list as of when it is valid.
 func (c *deliveryController) confirmListAge(now time.Duration) {
 	for id, clock := range c.list.watcherClocks {
-		if now-clock.receivedAt > c.watchers.Forget {
+		if now-clock.receivedAt > c.watchers.ExpireAfter {
 			delete(c.list.watcherClocks, id)
-		} else if has, ok := c.watchers.Has(id); ok && has.Listing == c.list.snapshot.Version {
-			c.endpoint.Send(id, delivery.IssueKind, delivery.Issue{Listed: c.list.listedFor(id)})
+		} else if has, ok := c.watchers.Assumed(id); ok && has.ListVersion == c.list.snapshot.Version {
+			c.endpoint.Send(id, delivery.UpdateKind, delivery.Update{ListFreshness: c.list.listedFor(id)})
 		}
 	}
 }
@@ -137,29 +137,29 @@
 func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
 	published := c.configuration.published
 	fresh := c.contact.fresh(now)
-	issue := delivery.Issue{Fresh: fresh, Led: fresh && c.rolloutsLed()}
+	issue := delivery.Update{Fresh: fresh, RolloutsControlled: fresh && c.rolloutsLed()}
 	complete := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference is sent a few ranges at a time; the watcher then reports again what it
 		// has.
-		has = c.sender.Bring(published, has, maxIssueBytes, &issue)
+		has = c.sender.AddMissing(published, has, maxIssueBytes, &issue)
 		complete = *has.Sums == published.Sums
 	}
-	if l := c.list.snapshot.Since(now, has.Listing); l != nil {
-		issue.Listing = l
-		has.Listing = l.Version
+	if l := c.list.snapshot.UpdateFor(now, has.ListVersion); l != nil {
+		issue.List = l
+		has.ListVersion = l.Version
 	}
-	if always || issue.Listing != nil {
-		issue.Listed = c.list.listedFor(to)
+	if always || issue.List != nil {
+		issue.ListFreshness = c.list.listedFor(to)
 	}
 	if always {
 		issue.Loads = c.loads
-		if at, ok := c.replica.Current(config.Key); ok && complete && !guessed && has.Asked > 0 {
-			issue.Sure = &delivery.Sure{Asked: has.Asked, Age: now - at}
+		if at, ok := c.replica.FreshAsOf(config.Partition); ok && complete && !guessed && has.AskedAt > 0 {
+			issue.Freshness = &delivery.Freshness{AskedAt: has.AskedAt, Age: now - at}
 		}
 	}
 	if always || !issue.Empty() {
-		c.endpoint.Send(to, delivery.IssueKind, issue)
+		c.endpoint.Send(to, delivery.UpdateKind, issue)
 	}
 	if !issue.Empty() {
 		c.watchers.Sent(now, to)
--- a/internal/controlplane/delivery_test.go
+++ b/internal/controlplane/delivery_test.go
@@ -19,7 +19,7 @@
 	for _, digests := range [][2]uint64{{newest, newest + 1}, {newest + 1, newest}} {
 		controller := &deliveryController{configuration: shown, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
 		for _, digest := range digests {
-			controller.addReport(delivery.Told{Holds: map[string]uint64{"10.0.0.1:1": digest}})
+			controller.addReport(delivery.WatcherSummary{Digests: map[string]uint64{"10.0.0.1:1": digest}})
 		}
 		list := &membership.List{Nodes: []membership.Node{
 			{Address: "10.0.0.1:1", Name: "g1", Zone: "north", Plane: membership.Data},
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -25,7 +25,7 @@
 		if !waiting {
 			logger.Warn("waiting for the data directory", "error", err)
 		}
-		if !pauseFor(ctx, cfg.Beat()/2) {
+		if !pauseFor(ctx, cfg.HeartbeatInterval()/2) {
 			return nil, ctx.Err()
 		}
 	}
@@ -49,7 +49,7 @@
 			logger.Warn("state not durable yet, trying again", "error", err)
 			lastError = err.Error()
 		}
-		if !pauseFor(ctx, cfg.Beat()/2) {
+		if !pauseFor(ctx, cfg.HeartbeatInterval()/2) {
 			return nil, nil, ctx.Err()
 		}
 	}
@@ -67,7 +67,7 @@
 type store interface {
 	Write([]storage.Entry) error
 	Rewrite([]storage.Entry) error
-	Full() bool
+	ShouldRewrite() bool
 }
 
 // writer carries out jobs in order.
@@ -114,13 +114,13 @@
 	}
 	w.refused = err != nil
 	if err != nil {
-		if errors.Is(err, storage.ErrRoom) {
+		if errors.Is(err, storage.ErrRewriteRequired) {
 			return writeOutcome{0, w.requestRewrite(rewriteNow), err}
 		}
 		return writeOutcome{0, w.requestRewrite(rewriteLater), err}
 	}
 	done := writeOutcome{durable: jobs[len(jobs)-1].id}
-	if !wholeState && w.store.Full() {
+	if !wholeState && w.store.ShouldRewrite() {
 		done.rewrite = w.requestRewrite(rewriteNow)
 	}
 	return done
@@ -142,7 +142,7 @@
 	defer open.Close()
 	w := writer{store: open}
 	for {
-		jobs, state := n.writes.take(n.settings.Beat() / 2)
+		jobs, state := n.writes.take(n.settings.HeartbeatInterval() / 2)
 		switch state {
 		case queueClosed:
 			return
@@ -169,14 +169,14 @@
 				n.replica.Durable(now, done.durable)
 			}
 			if done.rewrite == rewriteNow {
-				n.replica.Failed(now) // has the replica write the whole state
+				n.replica.WriteFailed(now) // has the replica write the whole state
 			}
 		})
 	}
 	if done.rewrite == rewriteLater {
 		go func() {
-			time.Sleep(n.settings.Beat() / 2)
-			n.enqueue(func(now time.Duration) { n.replica.Failed(now) })
+			time.Sleep(n.settings.HeartbeatInterval() / 2)
+			n.enqueue(func(now time.Duration) { n.replica.WriteFailed(now) })
 		}()
 	}
 }
--- a/internal/controlplane/disk_room.go
+++ b/internal/controlplane/disk_room.go
@@ -19,7 +19,7 @@
 
 // update recomputes the room from the store.
 func (d *diskRoom) update(store *storage.Store) {
-	d.remaining.Store(int64(float64(store.Disk())*storage.RewritableFill) - store.Live())
+	d.remaining.Store(int64(float64(store.DiskSize())*storage.MaxStateFraction) - store.LiveSize())
 }
 
 // fits reports whether so many bytes may be added. A change that doesn't enlarge the state always
--- a/internal/controlplane/disk_room_test.go
+++ b/internal/controlplane/disk_room_test.go
@@ -33,7 +33,7 @@
 		refused := 0
 		for i := 0; refused < 50; i++ {
 			if i > 30_000 {
-				t.Fatalf("seed %d: %d calls refused, %d bytes", seed, refused, store.Live())
+				t.Fatalf("seed %d: %d calls refused, %d bytes", seed, refused, store.LiveSize())
 			}
 			r := replication.Record{Name: fmt.Sprintf("record/%032d", rng.IntN(20_000)), Data: make([]byte, rng.IntN(largest+1))}
 			if err := room.admit(have, []replication.Record{r}); err != nil {
@@ -41,8 +41,8 @@
 					t.Fatal(err)
 				}
 				refused++
-				if store.Live() > diskBytes/2 {
-					t.Fatalf("seed %d: first refused at %d bytes, too late for a rewrite", seed, store.Live())
+				if store.LiveSize() > diskBytes/2 {
+					t.Fatalf("seed %d: first refused at %d bytes, too late for a rewrite", seed, store.LiveSize())
 				}
 				continue
 			}
@@ -50,8 +50,8 @@
 			writeRecords(t, store, have, r)
 			room.update(store)
 		}
-		if store.Live() < diskBytes/4 {
-			t.Errorf("seed %d: refused at %d bytes, too early", seed, store.Live())
+		if store.LiveSize() < diskBytes/4 {
+			t.Errorf("seed %d: refused at %d bytes, too early", seed, store.LiveSize())
 		}
 		for _, name := range slices.Sorted(maps.Keys(have))[:len(have)/2] {
 			r := replication.Record{Name: name, Erased: true}
@@ -89,10 +89,10 @@
 		return storage.Entry{Key: r.Name, Value: append([]byte{}, r.Data...)}
 	}
 	err := store.Write([]storage.Entry{entry(r)})
-	if err == nil && !store.Full() {
+	if err == nil && !store.ShouldRewrite() {
 		return
 	}
-	if err != nil && !errors.Is(err, storage.ErrRoom) {
+	if err != nil && !errors.Is(err, storage.ErrRewriteRequired) {
 		t.Fatal(err)
 	}
 	var all []storage.Entry
@@ -100,6 +100,6 @@
 		all = append(all, entry(r))
 	}
 	if err := store.Rewrite(all); err != nil {
-		t.Fatalf("%d bytes: %v", store.Live(), err)
+		t.Fatalf("%d bytes: %v", store.LiveSize(), err)
 	}
 }
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-func (s *memoryStore) Full() bool { return s.full }
+func (s *memoryStore) ShouldRewrite() bool { return s.full }
 
 func (s *memoryStore) apply(operation string, entries []storage.Entry) error {
 	keys := ""
@@ -112,7 +112,7 @@
 			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
 			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c"))}},
 		{"no room: the whole state is requested at once", []step{
-			{[]writeJob{job(1, "a")}, storage.ErrRoom, false, "write a", writeOutcome{0, rewriteNow, storage.ErrRoom}},
+			{[]writeJob{job(1, "a")}, storage.ErrRewriteRequired, false, "write a", writeOutcome{0, rewriteNow, storage.ErrRewriteRequired}},
 			ok(1, "rewrite a", rewriteJob(1, "a"))}},
 		{"full: the whole state is requested once", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
@@ -174,7 +174,7 @@
 			}
 			store.err = nil
 			if round < 200 && rng.IntN(3) == 0 {
-				store.err = []error{storage.ErrRoom, errors.New("refused")}[rng.IntN(2)]
+				store.err = []error{storage.ErrRewriteRequired, errors.New("refused")}[rng.IntN(2)]
 			}
 			store.full = rng.IntN(4) == 0
 			done := diskWriter.write(queue)
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -39,10 +39,10 @@
 }
 
 func newLoggers() loggers {
-	return loggers{control: logging.For(logging.Control), replication: logging.For(logging.Replication),
-		storage: logging.For(logging.Storage), election: logging.For(logging.Election),
-		placement: logging.For(logging.Placement), upstream: logging.For(logging.Upstream),
-		rollout: logging.For(logging.Rollout)}
+	return loggers{control: logging.Logger(logging.Control), replication: logging.Logger(logging.Replication),
+		storage: logging.Logger(logging.Storage), election: logging.Logger(logging.Election),
+		placement: logging.Logger(logging.Placement), upstream: logging.Logger(logging.Upstream),
+		rollout: logging.Logger(logging.Rollout)}
 }
 
 // enqueue queues a function for the event loop. It blocks while the queue is full.
--- a/internal/controlplane/erased_items_test.go
+++ b/internal/controlplane/erased_items_test.go
@@ -23,8 +23,8 @@
 		{{Name: "route/a", Gen: 4}, {Name: "binding/a", Gen: 1}},
 	}
 	for _, everyChange := range []bool{true, false} {
-		replica, err := replication.NewReplica(replication.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true,
-			Keys: []string{config.Key}, Beat: 1, Vacant: 10, Patience: 100, Alive: func(string) bool { return true }}, nil)
+		replica, err := replication.NewReplica(replication.Config{Self: id, RunID: 1, Seeds: []string{id}, Bootstrap: true, Empty: true,
+			Keys: []string{config.Partition}, HeartbeatInterval: 1, ElectionTimeout: 10, ProposalTimeout: 100, Alive: func(string) bool { return true }}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,12 +53,12 @@
 		for i, change := range changes {
 			done := false
 			for !done { // the first proposal makes the replica the owner
-				replica.Propose(5, config.Key, func(map[string]replication.Record) ([]replication.Record, error) { return change, nil },
+				replica.Propose(5, config.Partition, func(map[string]replication.Record) ([]replication.Record, error) { return change, nil },
 					func(err error) { done = err == nil })
 				applyEffects(everyChange || i == len(changes)-1)
 			}
 			if everyChange || i == len(changes)-1 {
-				want, _, _ := replica.Committed(config.Key)
+				want, _, _ := replica.Committed(config.Partition)
 				want = maps.Clone(want)
 				want[kept.Name] = kept
 				if published.Sums != antientropy.Digest(want) || len(published.Records) != len(want) {
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -23,7 +23,7 @@
 	}
 	if !zones[zone] {
 		// A refusal needs a majority's confirmation just as a success does.
-		if _, err := n.orders.submit(r.Context(), order{Key: config.Key}); err != nil {
+		if _, err := n.orders.submit(r.Context(), order{Key: config.Partition}); err != nil {
 			return err
 		}
 		return apierror.New(apierror.UnknownZone, "%q", zone)
@@ -127,11 +127,11 @@
 // control node owns their partitions. It runs on the event loop.
 func (c *orderController) endOverdueDoubts(now time.Duration) {
 	for name, generation := range c.evacuations.takeOverdue(now) {
-		if c.replica.Owner(now, name) != c.endpoint.Self() {
+		if c.replica.Owner(now, name) != c.endpoint.Address() {
 			continue
 		}
 		c.replica.Propose(now, name, func(have map[string]replication.Record) ([]replication.Record, error) {
-			return config.EndDoubt(have, name, generation), nil
+			return config.ResolveDoubt(have, name, generation), nil
 		}, func(err error) {
 			c.log.control.Warn("ending an evacuation in doubt", "record", name, "generation", generation, "error", err)
 		})
--- a/internal/controlplane/evacuations_test.go
+++ b/internal/controlplane/evacuations_test.go
@@ -39,7 +39,7 @@
 		owners := []*evacuations{newEvacuations(settings.Bounds{AckS: 5}), newEvacuations(settings.Bounds{AckS: 5})}
 		records := map[string]config.Record{}
 		for i, step := range steps {
-			changes, err := config.Evacuation(records, config.EvacuationOrder{Zone: "z", Evacuate: step.evacuate,
+			changes, err := config.ApplyEvacuationOrder(records, config.EvacuationOrder{Zone: "z", Evacuate: step.evacuate,
 				ID: config.EvacuationOrderID(uint64(i+1)<<2, step.evacuate), Recent: owners[step.owner].recent(step.at)})
 			if err != nil {
 				t.Fatal(err)
@@ -183,7 +183,7 @@
 				continue
 			}
 			generation := node.known.Gen
-			c.order.Basis = &generation
+			c.order.BaseGeneration = &generation
 			c.executes = s.now + s.randomDuration(time.Millisecond, 20*time.Millisecond)
 			if s.rng.Float64() < 0.1 {
 				c.executes += s.randomDuration(0, 3*time.Second) // queued at a stalled owner
@@ -202,8 +202,8 @@
 func (s *zoneSimulation) execute(c *zoneCall) {
 	owner := s.nodes[s.owner].evacuations
 	c.order.Recent = owner.recent(s.now)
-	changes, err := config.Evacuation(s.record, c.order)
-	if apierror.KindOf(err) == apierror.Outdated && err != nil {
+	changes, err := config.ApplyEvacuationOrder(s.record, c.order)
+	if apierror.KindOf(err) == apierror.OutdatedOrder && err != nil {
 		return
 	}
 	for _, r := range changes {
@@ -261,7 +261,7 @@
 		return
 	}
 	for name, generation := range owner.evacuations.takeOverdue(s.now) {
-		for _, r := range config.EndDoubt(s.record, name, generation) {
+		for _, r := range config.ResolveDoubt(s.record, name, generation) {
 			s.logf("the doubt is ended")
 			s.record[name] = r
 			owner.evacuations.recordPublished(s.now, r)
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -14,7 +14,7 @@
 // runEventLoop owns the state machines: it runs one queued function at a time, then carries out the
 // effects that the state machines request.
 func (n *Node) runEventLoop(stop chan struct{}) {
-	ticker := time.NewTicker(n.settings.Beat() / 5)
+	ticker := time.NewTicker(n.settings.HeartbeatInterval() / 5)
 	defer ticker.Stop()
 	for {
 		var fn func(time.Duration)
@@ -29,7 +29,7 @@
 		now := n.now()
 		fn(now)
 		n.applyEffects(now)
-		n.contact.update(n.replica.Current)
+		n.contact.update(n.replica.FreshAsOf)
 	}
 }
 
@@ -100,8 +100,8 @@
 	for _, e := range out {
 		n.endpoint.Send(e.To, electionKind, e.Msg)
 	}
-	for _, transfer := range n.election.TakeHandOns() {
-		n.log.election.Warn("duty handed on, its holder's result is too old", "duty", transfer.Duty, "from", transfer.From, "to", transfer.To,
+	for _, transfer := range n.election.DrainTransfers() {
+		n.log.election.Warn("duty handed on, its holder's result is too old", "duty", transfer.Role, "from", transfer.From, "to", transfer.To,
 			"resultAgeS", logSeconds(transfer.ResultAge))
 	}
 	for _, role := range roles {
@@ -125,7 +125,7 @@
 
 // publishAll publishes what was read from disk, including partitions that were created on demand.
 func (n *Node) publishAll() {
-	for _, partition := range n.replica.Keys() {
+	for _, partition := range n.replica.Partitions() {
 		n.publish(partition, nil)
 	}
 }
@@ -134,14 +134,14 @@
 // changed, or all of the partition if records is nil. It reports whether the published
 // configuration changed.
 func (n *Node) publish(partition string, records []replication.Record) bool {
-	if partition == replication.RosterKey {
-		if voterSet := n.replica.Standing(n.now()).String(); voterSet != n.loggedVoterSet {
+	if partition == replication.VoterSetPartition {
+		if voterSet := n.replica.VoterSetStatus(n.now()).String(); voterSet != n.loggedVoterSet {
 			n.loggedVoterSet = voterSet
 			n.log.replication.Info("roster changed", "roster", voterSet)
 		}
 		return false
 	}
-	if strings.HasPrefix(partition, coordination.KeyPrefix) {
+	if strings.HasPrefix(partition, coordination.PartitionPrefix) {
 		n.coordination.server.Committed(partition, records)
 		return false // gateways need no coordination data
 	}
@@ -154,7 +154,7 @@
 			records = append(records, r)
 		}
 	}
-	if partition == config.Key && config.RaisesHorizon(n.configuration.published.Records, records) {
+	if partition == config.Partition && config.ContainsHigherHorizon(n.configuration.published.Records, records) {
 		return n.republishConfiguration()
 	}
 	newer := n.configuration.merge(records)
@@ -170,7 +170,7 @@
 // that erased records are removed. Where the committed state isn't known now, the replica reports
 // all of it with its next commit.
 func (n *Node) republishConfiguration() bool {
-	committed, _, ok := n.replica.Committed(config.Key)
+	committed, _, ok := n.replica.Committed(config.Partition)
 	return ok && n.configuration.replace(committed)
 }
 
@@ -186,14 +186,14 @@
 
 // registerHandlers registers the handlers for messages of other control nodes and of gateways.
 func (n *Node) registerHandlers() {
-	transport.On(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
+	transport.HandleMessage(n.endpoint, replicationKind, func(from string, msgs []replication.Message) {
 		n.tryEnqueue(func(now time.Duration) {
 			for _, m := range msgs {
 				n.replica.Handle(now, from, m)
 			}
 		})
 	})
-	transport.On(n.endpoint, electionKind, func(from string, m election.Message) {
+	transport.HandleMessage(n.endpoint, electionKind, func(from string, m election.Message) {
 		n.tryEnqueue(func(now time.Duration) { n.election.Handle(now, from, m) })
 	})
 	n.list.registerHandlers()
--- a/internal/controlplane/generation_conflict_process_test.go
+++ b/internal/controlplane/generation_conflict_process_test.go
@@ -65,7 +65,9 @@
 			c.peerAddresses[i] = set.ControlAddress(set.IP)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, Relist: time.Minute}, nil) }()
+			go func() {
+				done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, RelistInterval: time.Minute}, nil)
+			}()
 			c.stop[i] = sync.OnceFunc(func() {
 				cancel()
 				if err := <-done; err != nil {
@@ -99,9 +101,9 @@
 	for range 600 {
 		var overview controlplane.Overview
 		if _, text := c.call(t, "GET", c.controlAddresses[0]+"/v1/admin/overview", ""); json.Unmarshal([]byte(text), &overview) == nil {
-			for _, partition := range overview.Keys {
+			for _, partition := range overview.Partitions {
 				for i, address := range c.peerAddresses {
-					if partition.Key == "catalogue" && partition.Owner == address {
+					if partition.Partition == "catalogue" && partition.Owner == address {
 						return i
 					}
 				}
--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -76,7 +76,9 @@
 			t.Fatal(err)
 		}
 		c.controlAddresses, c.registryAddresses, c.peerAddresses = append(c.controlAddresses, set.Bind.Control), append(c.registryAddresses, set.Bind.Directory), append(c.peerAddresses, set.ControlAddress(ip))
-		go func() { done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, Relist: time.Minute}, nil) }()
+		go func() {
+			done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, RelistInterval: time.Minute}, nil)
+		}()
 		if i == 1 {
 			c.ready = set.Bind.Readiness
 			go func() { done <- gateway.Run(ctx, set, gateway.Options{Shards: 1}, nil) }()
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -64,26 +64,26 @@
 func newListController(env *environment) *listController {
 	return &listController{environment: env, watcherClocks: map[string]watcherClock{},
 		client: &http.Client{Timeout: settings.Seconds(env.settings.Bounds.DrainS * platformCallFraction),
-			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * env.settings.Beat()}}}
+			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * env.settings.HeartbeatInterval()}}}
 }
 
 // registerHandlers registers the handler for lists that other control nodes send.
 func (c *listController) registerHandlers() {
-	transport.On(c.endpoint, delivery.IssueKind, func(_ string, i delivery.Issue) {
+	transport.HandleMessage(c.endpoint, delivery.UpdateKind, func(_ string, i delivery.Update) {
 		c.tryEnqueue(func(now time.Duration) { c.handleIssue(now, i) })
 	})
 }
 
 // handleIssue takes over a newer list, or a confirmation of the present one, from another control
 // node.
-func (c *listController) handleIssue(now time.Duration, issue delivery.Issue) {
-	newer := issue.Listing != nil && c.snapshot.Take(now, *issue.Listing)
-	if issue.Listed != nil && issue.Listed.Version == c.snapshot.Version {
-		validAt := min(now, issue.Listed.Asked+issue.Listed.Since)
+func (c *listController) handleIssue(now time.Duration, issue delivery.Update) {
+	newer := issue.List != nil && c.snapshot.Apply(now, *issue.List)
+	if issue.ListFreshness != nil && issue.ListFreshness.Version == c.snapshot.Version {
+		validAt := min(now, issue.ListFreshness.AskedAt+issue.ListFreshness.Offset)
 		if newer {
 			c.validAt = validAt
 		}
-		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), issue.Listed.Calls, issue.Listed.Took
+		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), issue.ListFreshness.Calls, issue.ListFreshness.Took
 	}
 	if newer {
 		c.onChange(now)
@@ -92,9 +92,9 @@
 
 // tick is called at every tick of the event loop.
 func (c *listController) tick(now time.Duration) {
-	if _, mine := c.election.Holds(now, roleList); mine || !c.snapshot.Known() {
+	if _, mine := c.election.Holds(now, roleList); mine || !c.snapshot.HasList() {
 		// A node without any list reads one itself; the list of any role holder replaces that.
-		c.readWhenDue(now, upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
+		c.readWhenDue(now, upstream.PollingPace(c.settings.CloudAPI.RatePerS))
 		return
 	}
 	c.askHolder(now)
@@ -107,14 +107,14 @@
 	if now < c.askAt {
 		return
 	}
-	c.askAt = now + c.settings.Beat()
-	question := delivery.Watch{Listing: c.snapshot.Version, Asked: max(now, 1)}
+	c.askAt = now + c.settings.HeartbeatInterval()
+	question := delivery.Watch{ListVersion: c.snapshot.Version, AskedAt: max(now, 1)}
 	holder, _, _ := c.election.Holder(now, roleList)
-	if holder != "" && holder != c.endpoint.Self() {
+	if holder != "" && holder != c.endpoint.Address() {
 		c.endpoint.Send(holder, delivery.WatchKind, question)
 	}
-	if other := c.standby.nextPeer(c.replica.Everyone(), c.endpoint.Self(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
-		question.Second = true
+	if other := c.standby.nextPeer(c.replica.Members(), c.endpoint.Address(), holder); other != "" && now-c.validAt > c.maxLag()/2 {
+		question.Secondary = true
 		c.endpoint.Send(other, delivery.WatchKind, question)
 	}
 }
@@ -132,19 +132,19 @@
 
 // noteWatcherClock records the clock of a control node that watches this one.
 func (c *listController) noteWatcherClock(now time.Duration, from string, watch delivery.Watch) {
-	if watch.Sums == nil && watch.Asked > 0 {
-		c.watcherClocks[from] = watcherClock{watch.Asked, now}
+	if watch.Sums == nil && watch.AskedAt > 0 {
+		c.watcherClocks[from] = watcherClock{watch.AskedAt, now}
 	}
 }
 
 // listedFor says as of when the list is valid, on the clock of a control node that watches this
 // one; nil if it has not sent its clock or there is no list.
-func (c *listController) listedFor(to string) *delivery.Listed {
+func (c *listController) listedFor(to string) *delivery.ListFreshness {
 	clock, ok := c.watcherClocks[to]
-	if !ok || !c.snapshot.Known() {
+	if !ok || !c.snapshot.HasList() {
 		return nil
 	}
-	return &delivery.Listed{Version: c.snapshot.Version, Asked: clock.asked, Since: c.validAt - clock.receivedAt, Calls: c.readingCalls, Took: c.readingTime}
+	return &delivery.ListFreshness{Version: c.snapshot.Version, AskedAt: clock.asked, Offset: c.validAt - clock.receivedAt, Calls: c.readingCalls, Took: c.readingTime}
 }
 
 // readWhenDue reads the list if that is due.
@@ -156,10 +156,10 @@
 }
 
 // newestKnown is the newest version of the list that this control node knows of.
-func (c *listController) newestKnown(now time.Duration) upstream.Version {
+func (c *listController) newestKnown(now time.Duration) upstream.ListVersion {
 	known := c.snapshot.Version
-	if _, term, runID := c.election.Holder(now, roleList); term > known.Term || term == known.Term && runID > known.Life {
-		known = upstream.Version{Term: term, Life: runID}
+	if _, term, runID := c.election.Holder(now, roleList); term > known.Term || term == known.Term && runID > known.RunID {
+		known = upstream.ListVersion{Term: term, RunID: runID}
 	}
 	return known
 }
@@ -199,7 +199,7 @@
 		c.log.upstream.Warn("list of the last duty holder is too old, using this node's", "ageS", logSeconds(now-c.validAt))
 		c.accept(now, c.standby.reading)
 	}
-	c.read(upstream.SteadyPace(c.settings.CloudAPI.RatePerS))
+	c.read(upstream.PollingPace(c.settings.CloudAPI.RatePerS))
 }
 
 // accept takes over a list that was read from the platform. A node that has a list and does not
@@ -210,8 +210,8 @@
 	if !mine {
 		term = 0
 	}
-	if !mine && c.snapshot.Known() {
-		c.election.Progressed(now, roleList)
+	if !mine && c.snapshot.HasList() {
+		c.election.ResultUpdated(now, roleList)
 		return
 	}
 	c.validAt, c.readingCalls, c.readingTime = reading.began, reading.calls, reading.end-reading.began
--- a/internal/controlplane/list_process_test.go
+++ b/internal/controlplane/list_process_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		for _, state := range states {
-			if holder = slices.Index(c.peerAddresses, state.Holder); state.Duty == role && holder >= 0 {
+			if holder = slices.Index(c.peerAddresses, state.Holder); state.Role == role && holder >= 0 {
 				return true
 			}
 		}
@@ -71,7 +71,7 @@
 		return out
 	}
 	for name, injectFault := range map[string]func(reader int){
-		"its lists are dropped": func(reader int) { controlplane.DropMessages(cluster.peerAddresses[reader], delivery.IssueKind) },
+		"its lists are dropped": func(reader int) { controlplane.DropMessages(cluster.peerAddresses[reader], delivery.UpdateKind) },
 		"it cannot receive": func(reader int) {
 			for _, i := range others(reader) {
 				controlplane.CutLink(cluster.peerAddresses[i], cluster.peerAddresses[reader])
--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -62,16 +62,16 @@
 // standby in the election's order starts, then the next one joins, and so on until one has provided
 // a list. Each makes as many calls as the holder may.
 func (c *listController) readAsStandby(now time.Duration) {
-	rank, ok := c.election.Deputy(now, roleList)
+	rank, ok := c.election.StandbyRank(now, roleList)
 	if !ok || !c.recentlyInContact(now) {
 		return
 	}
 	threshold := c.standbyThreshold(now) + time.Duration(standbyStaggerFraction*float64(rank)*float64(c.maxLag()))
 	// After this process was frozen, queued messages are handled first.
-	wasFrozen := now-c.standby.checkedAt > c.settings.Beat()
+	wasFrozen := now-c.standby.checkedAt > c.settings.HeartbeatInterval()
 	c.standby.checkedAt = now
 	if now-c.validAt > threshold && !wasFrozen {
-		c.readWhenDue(now, upstream.HastyPace(c.settings.CloudAPI.RatePerS))
+		c.readWhenDue(now, upstream.TakeoverPace(c.settings.CloudAPI.RatePerS))
 	}
 }
 
@@ -80,11 +80,11 @@
 // this node's own last reading took so long that it could do no better.
 func (c *listController) standbyThreshold(now time.Duration) time.Duration {
 	drainS := c.settings.Bounds.DrainS
-	reading := min(c.readingTime, upstream.SteadyPace(c.settings.CloudAPI.RatePerS).Pauses(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
+	reading := min(c.readingTime, upstream.PollingPace(c.settings.CloudAPI.RatePerS).TotalPause(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
 	longest := settings.Seconds(maxReadingFactor * drainS)
 	if last := c.standby.reading; last.end > 0 && now-last.end < longest {
 		reading = max(reading, last.end-last.began)
 	}
-	late := c.settings.Beat()/5 + time.Duration(listJitterFraction*float64(c.maxLag())) // one tick, and lateness that is no fault
+	late := c.settings.HeartbeatInterval()/5 + time.Duration(listJitterFraction*float64(c.maxLag())) // one tick, and lateness that is no fault
 	return max(c.maxLag(), min(readingsPerCycle*reading, longest)+late)
 }
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -29,9 +29,9 @@
 // newTestListController creates the list controller of the control node self among the given
 // members, where holder holds the list role. The test records the contact with a majority itself.
 func newTestListController(self, holder string, members ...string) (*listController, *election.Elector) {
-	elector := election.New(election.Config{Self: self, Duties: []string{roleList}, Lease: time.Hour,
+	elector := election.New(election.Config{Self: self, Roles: []string{roleList}, Lease: time.Hour,
 		Roster: func() []string { return members }, Alive: func(string) bool { return true }})
-	elector.Handle(0, holder, election.Message{Duty: roleList, Term: 1})
+	elector.Handle(0, holder, election.Message{Role: roleList, Term: 1})
 	env := &environment{settings: &settings.Settings{CloudAPI: settings.CloudAPI{RatePerS: 44}, Bounds: settings.Bounds{DrainS: 2.5, ContactS: 3}, FaultBudget: settings.FaultBudget{Machines: 1}},
 		election: elector, log: newLoggers(), contact: newContact(time.Hour, nil)}
 	list := newListController(env)
@@ -107,20 +107,20 @@
 	holder.snapshot.Update(0, 1, 1, []upstream.Instance{{ID: "1"}})
 	holder.validAt = 100 * time.Second // by its clock
 	// The other node's clock shows 5 s when it asks, the holder's 101 s when the question arrives.
-	holder.noteWatcherClock(101*time.Second, "b", delivery.Watch{Asked: 5 * time.Second})
-	listed := func() *delivery.Listed { return holder.listedFor("b") }
-	other.handleIssue(9*time.Second, delivery.Issue{Listing: holder.snapshot.Since(0, upstream.Version{}), Listed: listed()})
+	holder.noteWatcherClock(101*time.Second, "b", delivery.Watch{AskedAt: 5 * time.Second})
+	listed := func() *delivery.ListFreshness { return holder.listedFor("b") }
+	other.handleIssue(9*time.Second, delivery.Update{List: holder.snapshot.UpdateFor(0, upstream.ListVersion{}), ListFreshness: listed()})
 	if other.validAt != 4*time.Second {
 		t.Errorf("the list is valid as of %v, want 4s", other.validAt)
 	}
 	holder.validAt = 103 * time.Second
-	other.handleIssue(9*time.Second, delivery.Issue{Listed: listed()})
+	other.handleIssue(9*time.Second, delivery.Update{ListFreshness: listed()})
 	if other.validAt != 7*time.Second {
 		t.Errorf("after another reading the list is valid as of %v, want 7s", other.validAt)
 	}
 	holder.snapshot.Update(0, 1, 1, nil)
 	holder.validAt = 104 * time.Second
-	other.handleIssue(9*time.Second, delivery.Issue{Listed: listed()})
+	other.handleIssue(9*time.Second, delivery.Update{ListFreshness: listed()})
 	if other.validAt != 7*time.Second {
 		t.Errorf("a list that did not arrive changes validAt to %v", other.validAt)
 	}
@@ -140,12 +140,12 @@
 	if p := list.progress(); p.Known != time.Second || p.Own != 4*time.Second || p.Limit != 1250*time.Millisecond {
 		t.Errorf("progress %+v", p)
 	}
-	elector.Handle(5*time.Second, "a", election.Message{Duty: roleList, Resign: true})
+	elector.Handle(5*time.Second, "a", election.Message{Role: roleList, Resign: true})
 	for now := 5 * time.Second; now < 6*time.Hour; now += time.Minute {
 		elector.Tick(now)
 		elector.Take()
-		elector.Handle(now, "c", election.Message{Duty: roleList, Term: 2, Vote: true, OK: true, Ask: true})
-		elector.Handle(now, "c", election.Message{Duty: roleList, Term: 2, Vote: true, OK: true})
+		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Answer: true, Granted: true, PreVote: true})
+		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Answer: true, Granted: true})
 		if _, holds := elector.Holds(now, roleList); holds {
 			list.roleAcquired(now)
 			break
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -25,14 +25,14 @@
 // owner only confirms that it owns the partition. Fields that merely accompany another one are
 // described as such.
 type order struct {
-	Key       string            `cbor:"1,keyasint"`
-	Patch     []byte            `cbor:"2,keyasint,omitempty"`
-	Evacuate  *bool             `cbor:"3,keyasint,omitempty"`
-	Bind      []placement.Order `cbor:"4,keyasint,omitempty"`
-	Retire    string            `cbor:"6,keyasint,omitempty"`
-	Plan      []byte            `cbor:"7,keyasint,omitempty"`
-	Read      bool              `cbor:"5,keyasint,omitempty"`
-	ShowState bool              `cbor:"14,keyasint,omitempty"` // returns all that the owner knows of a rollout
+	Key       string                  `cbor:"1,keyasint"`
+	Patch     []byte                  `cbor:"2,keyasint,omitempty"`
+	Evacuate  *bool                   `cbor:"3,keyasint,omitempty"`
+	Bind      []placement.BindRequest `cbor:"4,keyasint,omitempty"`
+	Retire    string                  `cbor:"6,keyasint,omitempty"`
+	Plan      []byte                  `cbor:"7,keyasint,omitempty"`
+	Read      bool                    `cbor:"5,keyasint,omitempty"`
+	ShowState bool                    `cbor:"14,keyasint,omitempty"` // returns all that the owner knows of a rollout
 	// ID and Age accompany every order. ID is the same in all attempts of one call, and Age is how
 	// old the call was when this attempt was sent.
 	ID  uint64        `cbor:"8,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	// Rollout begins a rollout, Abort reverses that of the partition. Adopt records versions that
 	// services run without a rollout; SeenGenerations accompanies it and gives the generation of
 	// each record as the sender saw it.
-	Rollout         *rollout.Ask                `cbor:"10,keyasint,omitempty"`
+	Rollout         *rollout.OrderRequest       `cbor:"10,keyasint,omitempty"`
 	Abort           bool                        `cbor:"11,keyasint,omitempty"`
 	Adopt           map[string]rollout.Standing `cbor:"12,keyasint,omitempty"`
 	SeenGenerations map[string]uint64           `cbor:"13,keyasint,omitempty"`
@@ -77,7 +77,7 @@
 
 // registerHandlers registers the handler for orders that other control nodes forward.
 func (c *orderController) registerHandlers() {
-	c.endpoint.HandleSlow(orderKind, func(from string, body []byte) (any, error) {
+	c.endpoint.HandleAsync(orderKind, func(from string, body []byte) (any, error) {
 		var o order
 		if err := cbor.Unmarshal(body, &o); err != nil {
 			c.endpoint.Undecoded.Add(1)
@@ -105,21 +105,21 @@
 	begin := time.Now()
 	deadline := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
 	o.ID = newOrderID(o)
-	pause := c.settings.Beat() / 10
+	pause := c.settings.HeartbeatInterval() / 10
 	var reply orderReply
 	for {
 		owner := make(chan string, 1)
 		c.enqueue(func(now time.Duration) {
-			owner <- cmp.Or(c.replica.Owner(now, o.Key), c.replica.Founder(now, o.Key))
+			owner <- cmp.Or(c.replica.Owner(now, o.Key), c.replica.InitialOwner(now, o.Key))
 		})
 		to := <-owner
 		o.Age = time.Since(begin)
 		switch {
 		case caller.Err() != nil:
-			return nil, apierror.New(apierror.ClientGone, "order on %s", o.Key)
+			return nil, apierror.New(apierror.ClientLeftBeforeSend, "order on %s", o.Key)
 		case to == "":
 			reply = orderReply{true, apierror.NoQuorum, "no owner for " + o.Key, nil}
-		case to == c.endpoint.Self():
+		case to == c.endpoint.Address():
 			reply = c.execute(to, o)
 		default:
 			ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -132,7 +132,7 @@
 			return reply.Body, nil
 		}
 		if reply.Kind != apierror.NoQuorum || time.Now().Add(pause).After(deadline) || !pauseFor(caller, pause) {
-			return nil, apierror.Later(reply.Kind, retryAfter(reply.Kind, c.settings), "%s", reply.Detail)
+			return nil, apierror.NewRetryAfter(reply.Kind, retryAfter(reply.Kind, c.settings), "%s", reply.Detail)
 		}
 		pause *= 2
 	}
@@ -150,7 +150,7 @@
 	state := <-states
 	if age := arrived.age(); age > maxOrderWait || e.stalls.stalled() {
 		e.log.control.Warn("order refused: it waited too long on this machine", "ageMs", age.Milliseconds())
-		return nil, apierror.Later(apierror.Outdated, retryAfter(apierror.Outdated, e.settings), "it has waited for %v", age)
+		return nil, apierror.NewRetryAfter(apierror.OutdatedOrder, retryAfter(apierror.OutdatedOrder, e.settings), "it has waited for %v", age)
 	}
 	return &state, nil
 }
@@ -191,7 +191,7 @@
 	case errors.Is(err, replication.ErrUnknown):
 		return failedReply(apierror.New(apierror.UnknownNode, "it has no seat"))
 	case errors.Is(err, replication.ErrAlive), errors.Is(err, replication.ErrTooFew):
-		return failedReply(apierror.New(apierror.NotNow, "%v", err))
+		return failedReply(apierror.New(apierror.StateForbids, "%v", err))
 	}
 	return failedReply(err)
 }
@@ -206,8 +206,8 @@
 
 func retryAfter(kind apierror.Kind, cfg *settings.Settings) time.Duration {
 	switch kind {
-	case apierror.NoQuorum, apierror.NotYet, apierror.MaybeRepeated, apierror.Outdated:
-		return cfg.Beat()
+	case apierror.NoQuorum, apierror.NotInForceEverywhere, apierror.PossibleDuplicate, apierror.OutdatedOrder:
+		return cfg.HeartbeatInterval()
 	}
 	return 0
 }
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -30,10 +30,10 @@
 	}{
 		"a change":          {order{Patch: []byte(items)}, "025842" + hex.EncodeToString([]byte(items)), &patchTask{}},
 		"an evacuation":     {order{Evacuate: &on, ID: 9}, "03f50809", &evacuationTask{}},
-		"bindings":          {order{Bind: []placement.Order{{}}}, "", &bindTask{}},
+		"bindings":          {order{Bind: []placement.BindRequest{{}}}, "", &bindTask{}},
 		"a read":            {order{Read: true}, "05f5", &readTask{}},
 		"a plan":            {order{Plan: []byte(items)}, "075842" + hex.EncodeToString([]byte(items)), &planTask{}},
-		"a rollout":         {order{Rollout: &rollout.Ask{}}, "", beginTask{}},
+		"a rollout":         {order{Rollout: &rollout.OrderRequest{}}, "", beginTask{}},
 		"a reversal":        {order{Abort: true}, "0bf5", abortTask{}},
 		"current versions":  {order{Adopt: map[string]rollout.Standing{"a": {}}, SeenGenerations: map[string]uint64{"a": 2}}, "", adoptTask{}},
 		"a rollout's state": {order{ShowState: true}, "0ef5", &showTask{}},
@@ -89,7 +89,7 @@
 		if took := time.Since(begin); err == nil || took != time.Second || attempts < 2 {
 			t.Errorf("%v after %v and %d searches for an owner", err, took, attempts)
 		}
-		if _, err = orders.submit(caller, order{Key: "k"}); apierror.KindOf(err) != apierror.ClientGone {
+		if _, err = orders.submit(caller, order{Key: "k"}); apierror.KindOf(err) != apierror.ClientLeftBeforeSend {
 			t.Errorf("for a caller that has left: %v", err)
 		}
 	})
@@ -118,7 +118,7 @@
 		"a key revoked before":   {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, time.Second, true, true},
 		"a key revoked long ago": {`{"remove":{"tenants":[{"name":"t","generation":2}]}}`, false, 3 * time.Second, true, false},
 	} {
-		requested, err := config.Read([]byte(test.text))
+		requested, err := config.ParseRequest([]byte(test.text))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -31,7 +31,7 @@
 
 func newPlacementController(env *environment, configuration *configuration, submit submitFunc) *placementController {
 	c := &placementController{environment: env, configuration: configuration, submit: submit}
-	c.scheduler = placement.Scheduler{Strategy: &placement.RoundRobin{}, Relist: env.options.Relist, Pause: 2 * env.settings.Beat(), Create: c.bind}
+	c.scheduler = placement.Scheduler{Strategy: &placement.RoundRobin{}, RelistInterval: env.options.RelistInterval, RetryDelay: 2 * env.settings.HeartbeatInterval(), Create: c.bind}
 	return c
 }
 
@@ -48,8 +48,8 @@
 // binding.
 func (c *placementController) checkWaiting(now time.Duration) {
 	if now >= c.checkAt && (c.recheck || c.waiting) {
-		c.checkAt, c.recheck = now+c.settings.Beat(), false
-		c.waiting = placement.Waiting(c.configuration.routes(), c.shards())
+		c.checkAt, c.recheck = now+c.settings.HeartbeatInterval(), false
+		c.waiting = placement.AnyUnscheduled(c.configuration.routes(), c.shards())
 	}
 	if !c.waiting {
 		c.noneWaitingAt = now
@@ -100,9 +100,9 @@
 }
 
 // bind asks the owner of the configuration to create bindings.
-func (c *placementController) bind(orders []placement.Order, done func([]error)) {
+func (c *placementController) bind(orders []placement.BindRequest, done func([]error)) {
 	go func() {
-		answer, err := c.submit(context.Background(), order{Key: config.Key, Bind: orders})
+		answer, err := c.submit(context.Background(), order{Key: config.Partition, Bind: orders})
 		var refused []bool
 		if err == nil {
 			err = cbor.Unmarshal(answer, &refused)
--- a/internal/controlplane/placement_process_test.go
+++ b/internal/controlplane/placement_process_test.go
@@ -13,13 +13,13 @@
 func (c *controlCluster) owner(t *testing.T) (owner int) {
 	t.Helper()
 	c.waitFor(t, "the configuration has an owner", func() bool {
-		var partitions []controlplane.Key
+		var partitions []controlplane.PartitionSummary
 		if err := json.Unmarshal([]byte(c.callUntil(t, 200, "GET", c.controlAddresses[1]+"/v1/admin/keys", "")), &partitions); err != nil {
 			t.Fatal(err)
 		}
 		for _, partition := range partitions {
 			for i, address := range c.peerAddresses {
-				if partition.Key == "catalogue" && partition.Owner == address {
+				if partition.Partition == "catalogue" && partition.Owner == address {
 					owner = i
 					return true
 				}
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -34,28 +34,28 @@
 	c := &quotaController{environment: env, configuration: configuration, lastVoterAt: map[string]time.Duration{}}
 	bounds := env.settings.Bounds
 	c.allocator = quota.NewAllocator(quota.AllocatorConfig{Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack,
-		Window: settings.Seconds(bounds.QuotaWindowS), Life: settings.Seconds(bounds.ContactS * 0.7), Sure: settings.Seconds(bounds.ContactS * ownerTimeoutFraction),
-		Branches: c.allocationHolders})
+		Window: settings.Seconds(bounds.QuotaWindowS), ShareLifetime: settings.Seconds(bounds.ContactS * 0.7), MaxConfirmationAge: settings.Seconds(bounds.ContactS * ownerTimeoutFraction),
+		Nodes: c.allocationHolders})
 	c.local = quota.NewLocalQuota(env.runID, rand.Uint64(), settings.Seconds(bounds.ContactS/20))
 	return c
 }
 
 // registerHandlers registers the handlers for messages of allocators, local quotas and gateways.
 func (c *quotaController) registerHandlers() {
-	transport.On(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
+	transport.HandleMessage(c.endpoint, delivery.ReportKind, func(from string, r quota.Report) {
 		c.tryEnqueue(func(now time.Duration) { c.handleReport(now, from, r) })
 	})
-	transport.On(c.endpoint, delivery.RecallKind, func(from string, r quota.Recall) {
+	transport.HandleMessage(c.endpoint, delivery.RecallKind, func(from string, r quota.Recall) {
 		c.tryEnqueue(func(now time.Duration) { c.handleRecall(now, from, r) })
 	})
-	transport.On(c.endpoint, delivery.AllocationKind, func(_ string, l quota.Allocation) {
+	transport.HandleMessage(c.endpoint, delivery.AllocationKind, func(_ string, l quota.Allocation) {
 		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, l) })
 	})
-	transport.On(c.endpoint, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
+	transport.HandleMessage(c.endpoint, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
 		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, d) })
 	})
-	transport.On(c.endpoint, delivery.ReturnKind, func(_ string, r quota.Return) {
-		c.tryEnqueue(func(now time.Duration) { c.local.GiveBack(now, r.Life, r.Tenant) })
+	transport.HandleMessage(c.endpoint, delivery.ReturnKind, func(_ string, r quota.Return) {
+		c.tryEnqueue(func(now time.Duration) { c.local.ReturnToken(now, r.RunID, r.Tenant) })
 	})
 }
 
@@ -68,7 +68,7 @@
 // allocationHolders lists the control nodes that may hold allocations: the voters, and those that
 // were voters within contactS, so that their allocations may not have expired.
 func (c *quotaController) allocationHolders() []string {
-	holders := c.replica.Roster()
+	holders := c.replica.Voters()
 	now := c.now()
 	for id, at := range c.lastVoterAt {
 		switch {
@@ -98,19 +98,19 @@
 // updateAllocator starts and stops allocating as this node gains and loses the ownership of the
 // configuration, and asks control nodes that have not reported to do so.
 func (c *quotaController) updateAllocator(now time.Duration) {
-	term, ok := c.replica.Tenure(now, config.Key)
+	term, ok := c.replica.OwnershipTerm(now, config.Partition)
 	if !ok {
-		c.allocator.End()
+		c.allocator.Deactivate()
 		return
 	}
-	if last, allocating := c.allocator.Lending(); !allocating || last != term.Epoch {
-		c.allocator.Begin(now, term.Epoch, term.Free, term.Heir)
+	if last, allocating := c.allocator.Active(); !allocating || last != term.Epoch {
+		c.allocator.Activate(now, term.Epoch, term.PredecessorUntil, term.Inherited)
 		c.recallAt = 0
-		c.switchAllocator(now, c.endpoint.Self()) // its own local quota reports first
+		c.switchAllocator(now, c.endpoint.Address()) // its own local quota reports first
 	}
 	c.allocator.Tick(now)
-	if silent := c.allocator.Silent(); len(silent) > 0 && now >= c.recallAt {
-		c.recallAt = now + c.settings.Beat()/5
+	if silent := c.allocator.UnreportedNodes(); len(silent) > 0 && now >= c.recallAt {
+		c.recallAt = now + c.settings.HeartbeatInterval()/5
 		for _, id := range silent {
 			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: term.Epoch})
 		}
@@ -120,14 +120,14 @@
 // handleReport answers the report of a control node's local quota.
 func (c *quotaController) handleReport(now time.Duration, from string, r quota.Report) {
 	c.updateAllocator(now)
-	term, ok := c.replica.Tenure(now, config.Key)
+	term, ok := c.replica.OwnershipTerm(now, config.Partition)
 	if !ok {
 		return
 	}
-	allocation, ok := c.allocator.Report(now, term.Sure, from, r, c.configured)
+	allocation, ok := c.allocator.Report(now, term.ConfirmedAt, from, r, c.configured)
 	switch {
 	case !ok:
-	case from == c.endpoint.Self():
+	case from == c.endpoint.Address():
 		c.handleAllocation(now, allocation)
 	default:
 		c.endpoint.Send(from, delivery.AllocationKind, allocation)
@@ -136,8 +136,8 @@
 
 // handleRecall answers an allocator's request for a report.
 func (c *quotaController) handleRecall(now time.Duration, from string, r quota.Recall) {
-	if c.local.Heeds(c.endpoint.Self(), from, r.Term) {
-		c.allocator.End()
+	if c.local.ObeysRecall(c.endpoint.Address(), from, r.Term) {
+		c.allocator.Deactivate()
 		c.switchAllocator(now, from)
 	}
 }
@@ -149,25 +149,25 @@
 
 // updateLocalQuota reports to the allocator once per heartbeat interval, and at once to a new one.
 func (c *quotaController) updateLocalQuota(now time.Duration) {
-	c.local.Expire(now)
+	c.local.TimeOut(now)
 	// A control node that lost its state knows no owner; it reports when the allocator recalls it.
-	if owner := c.replica.Owner(now, config.Key); owner != "" && owner != c.allocatorID {
+	if owner := c.replica.Owner(now, config.Partition); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
 	if now >= c.reportAt {
-		c.reportAt, c.fullReport = now+c.settings.Beat(), true
+		c.reportAt, c.fullReport = now+c.settings.HeartbeatInterval(), true
 		c.sendReport(now)
 	}
 }
 
 // sendReport reports to the allocator, unless its last answer is still awaited.
 func (c *quotaController) sendReport(now time.Duration) {
-	if c.allocatorID == "" || c.local.Awaits(now) {
+	if c.allocatorID == "" || c.local.AwaitsAnswer(now) {
 		return
 	}
 	r := c.local.Report(now, c.fullReport)
 	c.fullReport = false
-	if c.allocatorID == c.endpoint.Self() {
+	if c.allocatorID == c.endpoint.Address() {
 		c.handleReport(now, c.allocatorID, r)
 	} else {
 		c.endpoint.Send(c.allocatorID, delivery.ReportKind, r)
@@ -176,8 +176,8 @@
 
 // handleAllocation processes the allocator's answer.
 func (c *quotaController) handleAllocation(now time.Duration, allocation quota.Allocation) {
-	c.local.Lent(now, allocation)
-	if c.fullReport || c.local.Waiting() {
+	c.local.Apply(now, allocation)
+	if c.fullReport || c.local.HasWaiting() {
 		c.sendReport(now)
 	}
 }
@@ -187,11 +187,11 @@
 	// Allocated shares expire by themselves, but a node out of contact can't tell whether a tenant
 	// without a limit has one by now.
 	if c.local.Unlimited(request.Tenant) && !c.recentlyInContact(now) {
-		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, Away: true})
+		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, Unknown: true})
 		return
 	}
-	needsReport := c.local.Take(now, request.Tenant, func(g quota.Grant) {
-		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, OK: g == quota.Granted, Away: g == quota.Unknown, Life: c.local.Life})
+	needsReport := c.local.Acquire(now, request.Tenant, func(g quota.Grant) {
+		c.endpoint.Send(from, delivery.AcquireReplyKind, quota.AcquireReply{Seq: request.Seq, Granted: g == quota.Granted, Unknown: g == quota.Unknown, RunID: c.local.RunID})
 	})
 	if needsReport {
 		c.sendReport(now)
@@ -203,12 +203,12 @@
 	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.reader) {
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
 	}
-	quotas = &Quotas{Lender: c.allocatorID}
-	if _, allocating := c.allocator.Lending(); allocating {
-		quotas.Silent = c.allocator.Silent()
+	quotas = &Quotas{Allocator: c.allocatorID}
+	if _, allocating := c.allocator.Active(); allocating {
+		quotas.Silent = c.allocator.UnreportedNodes()
 		for _, t := range tenants {
 			if t.RatePerS > 0 {
-				quotas.Loans = append(quotas.Loans, c.allocator.State(t.Name, quota.Quota{Rate: t.RatePerS, Burst: t.Burst}))
+				quotas.Allocations = append(quotas.Allocations, c.allocator.State(t.Name, quota.Quota{Rate: t.RatePerS, Burst: t.Burst}))
 			}
 		}
 	}
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -59,15 +59,15 @@
 // listedGateways lists the gateways that clients may be sent to.
 func listedGateways(cfg *settings.Settings, nodes *membership.List) (out []registry.Gateway) {
 	for _, n := range nodes.Nodes {
-		if n.Plane != membership.Data || n.State > membership.Suspect || n.Front == 0 {
+		if n.Plane != membership.Data || n.State > membership.Suspect || n.ClientPort == 0 {
 			continue
 		}
 		host, _, err := net.SplitHostPort(n.Address)
 		if err != nil {
 			continue
 		}
-		out = append(out, registry.Gateway{Address: net.JoinHostPort(host, strconv.Itoa(int(n.Front))), Zone: n.Zone,
-			Region: cfg.RegionOf(n.Zone), Open: n.State == membership.Alive && !n.Draining})
+		out = append(out, registry.Gateway{Address: net.JoinHostPort(host, strconv.Itoa(int(n.ClientPort))), Zone: n.Zone,
+			Region: cfg.RegionOf(n.Zone), Available: n.State == membership.Alive && !n.Draining})
 	}
 	return out
 }
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -15,7 +15,7 @@
 func TestListedGateways(t *testing.T) {
 	set := &settings.Settings{Zones: map[string]string{"north": "home", "south": "away"}}
 	node := func(address, zone string, plane membership.Plane, state membership.State, draining bool, front uint16) membership.Node {
-		return membership.Node{Address: address, Zone: zone, Plane: plane, State: state, Draining: draining, Front: front}
+		return membership.Node{Address: address, Zone: zone, Plane: plane, State: state, Draining: draining, ClientPort: front}
 	}
 	got := listedGateways(set, &membership.List{Nodes: []membership.Node{
 		node("10.0.0.1:7001", "north", membership.Data, membership.Alive, false, 80),
@@ -27,7 +27,7 @@
 		node("nowhere", "south", membership.Data, membership.Alive, false, 80),
 	}})
 	want := []registry.Gateway{
-		{Address: "10.0.0.1:80", Zone: "north", Region: "home", Open: true},
+		{Address: "10.0.0.1:80", Zone: "north", Region: "home", Available: true},
 		{Address: "10.0.0.2:80", Zone: "south", Region: "away"},
 		{Address: "10.0.0.3:80", Zone: "south", Region: "away"},
 	}
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -39,8 +39,8 @@
 
 // runRelay runs a relay until ctx ends.
 func runRelay(ctx context.Context, cfg *settings.Settings, reload <-chan *settings.Settings) error {
-	heartbeat := cfg.Beat()
-	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), heartbeat, logging.For(logging.Transport))
+	heartbeat := cfg.HeartbeatInterval()
+	endpoint, err := transport.New(cfg.ControlAddress(cfg.IP), heartbeat, logging.Logger(logging.Transport))
 	if err != nil {
 		return err
 	}
@@ -51,12 +51,12 @@
 		return err
 	}
 	picker := newPicker(cfg, endpoint)
-	endpoint.HandleSlow(relayKind, func(string, []byte) (any, error) {
+	endpoint.HandleAsync(relayKind, func(string, []byte) (any, error) {
 		return relayAnswer{Relay: true, Nodes: picker.known()}, nil
 	})
 	membership.Introduce(endpoint, picker.introduce)
 	bootstrap := bootstrapResponder{bootstrap: cfg.Bootstrap}
-	transport.On(endpoint, replicationKind, func(from string, msgs []replication.Message) {
+	transport.HandleMessage(endpoint, replicationKind, func(from string, msgs []replication.Message) {
 		for _, m := range msgs {
 			if answer := bootstrap.answer(from, m); answer != nil {
 				endpoint.Send(from, replicationKind, []replication.Message{{Body: answer}})
@@ -65,7 +65,7 @@
 	})
 	endpoint.Start()
 
-	handler := &relay{pick: picker.pick, known: picker.known, port: port, bodyTimeout: settings.Seconds(cfg.Bounds.ContactS), retryAfter: heartbeat, log: logging.For(logging.Relay)}
+	handler := &relay{pick: picker.pick, known: picker.known, port: port, bodyTimeout: settings.Seconds(cfg.Bounds.ContactS), retryAfter: heartbeat, log: logging.Logger(logging.Relay)}
 	serve := func(address string, h http.Handler) *http.Server {
 		return &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: settings.Seconds(cfg.Bounds.ContactS),
 			IdleTimeout: settings.Seconds(4 * cfg.Bounds.ContactS), ErrorLog: slog.NewLogLogger(handler.log.Handler(), slog.LevelWarn)}
@@ -76,7 +76,7 @@
 	if cfg.Bind.Directory != "" {
 		handler.log.Warn("the registry is not served without a dataDir")
 		registry := serve(cfg.Bind.Directory, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			apierror.Write(w, apierror.Later(apierror.NoControlNode, handler.retryAfter, "no registry on a relay"))
+			apierror.Write(w, apierror.NewRetryAfter(apierror.ControlNodesUnreachable, handler.retryAfter, "no registry on a relay"))
 		}))
 		go func() { failed <- registry.ListenAndServe() }()
 		defer registry.Close()
@@ -85,7 +85,7 @@
 	for {
 		select {
 		case fresh := <-reload:
-			picker.setSeeds(fresh.SeedControlNodes())
+			picker.setSeeds(fresh.SeedControlAddresses())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -107,7 +107,7 @@
 	r.calls.Add(1)
 	to := r.pick(req.Context(), partitionOf(req.Method, req.URL.Path))
 	if req.Context().Err() != nil {
-		apierror.Write(w, apierror.New(apierror.ClientGone, "%s", req.URL.Path))
+		apierror.Write(w, apierror.New(apierror.ClientLeftBeforeSend, "%s", req.URL.Path))
 		return
 	}
 	if unreachable := to == ""; r.unreachable.Swap(unreachable) != unreachable {
@@ -125,7 +125,7 @@
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
 		r.refused.Add(1)
-		apierror.Write(w, apierror.Later(apierror.NoControlNode, r.retryAfter, "this one has no disk"))
+		apierror.Write(w, apierror.NewRetryAfter(apierror.ControlNodesUnreachable, r.retryAfter, "this one has no disk"))
 		return
 	}
 	r.redirected.Add(1)
@@ -145,15 +145,15 @@
 		}
 	}
 	if method == http.MethodDelete && strings.HasPrefix(path, "/v1/admin/members/") {
-		return replication.RosterKey
+		return replication.VoterSetPartition
 	}
-	return config.Key
+	return config.Partition
 }
 
 // metrics returns the metrics of the relay itself.
 func (r *relay) metrics() []byte {
 	var b bytes.Buffer
-	metrics.Write(&b, "relay", map[string]uint64{"calls": r.calls.Load(), "redirected": r.redirected.Load(), "refused": r.refused.Load()})
-	metrics.Gauge(&b, "relay", "controlNodes", uint64(len(r.known())))
+	metrics.WriteCounters(&b, "relay", map[string]uint64{"calls": r.calls.Load(), "redirected": r.redirected.Load(), "refused": r.refused.Load()})
+	metrics.WriteGauge(&b, "relay", "controlNodes", uint64(len(r.known())))
 	return b.Bytes()
 }
--- a/internal/controlplane/relay_bootstrap.go
+++ b/internal/controlplane/relay_bootstrap.go
@@ -17,8 +17,8 @@
 }
 
 // answer returns the reply to a member's message; nil: none.
-func (b *bootstrapResponder) answer(from string, m replication.Message) *replication.Founded {
-	request, ok := m.Body.(*replication.Found)
+func (b *bootstrapResponder) answer(from string, m replication.Message) *replication.BootstrapReply {
+	request, ok := m.Body.(*replication.BootstrapRequest)
 	if !ok || len(request.Records) > 0 {
 		return nil
 	}
@@ -27,5 +27,5 @@
 	if b.bootstrap && b.appointed == "" {
 		b.appointed = from
 	}
-	return &replication.Founded{Relay: true, Appointed: b.appointed}
+	return &replication.BootstrapReply{Relay: true, Appointed: b.appointed}
 }
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -30,7 +30,7 @@
 
 // registerRelayHandler registers the handler for the questions of relays.
 func (n *Node) registerRelayHandler() {
-	n.endpoint.HandleSlow(relayKind, func(_ string, body []byte) (any, error) {
+	n.endpoint.HandleAsync(relayKind, func(_ string, body []byte) (any, error) {
 		var q relayQuestion
 		if err := cbor.Unmarshal(body, &q); err != nil {
 			n.endpoint.Undecoded.Add(1)
@@ -38,7 +38,7 @@
 		}
 		ch := make(chan relayAnswer, 1)
 		n.enqueue(func(now time.Duration) {
-			ch <- relayAnswerFor(q.Key, n.endpoint.Self(), n.replica.Keys(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
+			ch <- relayAnswerFor(q.Key, n.endpoint.Address(), n.replica.Partitions(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
@@ -51,7 +51,7 @@
 	if slices.Contains(partitions, partition) {
 		answer.Owner = owner(partition)
 	}
-	answer.Working = answer.Owner != "" || owner(config.Key) != ""
+	answer.Working = answer.Owner != "" || owner(config.Partition) != ""
 	for _, n := range nodes.Live(membership.Control) {
 		if !n.Draining {
 			answer.Nodes = append(answer.Nodes, n)
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -50,7 +50,7 @@
 
 // newPicker creates the picker of a relay, which asks over the transport.
 func newPicker(cfg *settings.Settings, endpoint *transport.Endpoint) *picker {
-	return &picker{self: endpoint.Self(), zone: cfg.Zone, seeds: cfg.SeedControlNodes(),
+	return &picker{self: endpoint.Address(), zone: cfg.Zone, seeds: cfg.SeedControlAddresses(),
 		hedgeDelay: min(settings.Seconds(cfg.Bounds.ContactS*relayHedgeFraction), maxRelayTimeout/4),
 		timeout:    min(settings.Seconds(cfg.Bounds.ContactS*relayTimeoutFraction), maxRelayTimeout),
 		cooldown:   settings.Seconds(cfg.Bounds.ContactS),
@@ -245,7 +245,7 @@
 	}
 	p.mu.Unlock()
 	if !recent {
-		p.pick(context.Background(), config.Key)
+		p.pick(context.Background(), config.Partition)
 	}
 	return slices.DeleteFunc(p.known(), func(k membership.Node) bool { return k.Address == n.Address })
 }
--- a/internal/controlplane/relay_process_test.go
+++ b/internal/controlplane/relay_process_test.go
@@ -130,7 +130,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, Relist: time.Minute}, nil) }()
+	go func() {
+		done <- controlplane.Run(ctx, set, controlplane.Options{Shards: 1, RelistInterval: time.Minute}, nil)
+	}()
 	var once sync.Once
 	stop = func() {
 		once.Do(func() {
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -17,8 +17,8 @@
 // partitions are created on demand and are not in the settings.
 func TestRestartedControlNodePublishesRollouts(t *testing.T) {
 	const id = "10.0.0.1:1"
-	replicaConfig := replication.Config{Self: id, Life: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Key},
-		Beat: 1, Vacant: 10, Patience: 100, Alive: func(string) bool { return true }}
+	replicaConfig := replication.Config{Self: id, RunID: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Partition},
+		HeartbeatInterval: 1, ElectionTimeout: 10, ProposalTimeout: 100, Alive: func(string) bool { return true }}
 	original, err := replication.NewReplica(replicaConfig, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -37,14 +37,14 @@
 	original.Tick(1)
 	applyEffects(original)
 	order := func(have map[string]replication.Record) ([]replication.Record, error) {
-		return rollout.Begin(have, rollout.Ask{Service: "s", Version: "v2", WithinS: 9}, "v1", rollout.Call{})
+		return rollout.Begin(have, rollout.OrderRequest{Service: "s", Version: "v2", WithinS: 9}, "v1", rollout.Call{})
 	}
 	for done := false; !done; applyEffects(original) { // the first proposal creates the partition
-		original.Propose(5, rollout.Key("s"), order, func(err error) { done = done || err == nil })
+		original.Propose(5, rollout.PartitionOf("s"), order, func(err error) { done = done || err == nil })
 		applyEffects(original)
 	}
 
-	replicaConfig.Bootstrap, replicaConfig.Empty, replicaConfig.Life = false, false, 2
+	replicaConfig.Bootstrap, replicaConfig.Empty, replicaConfig.RunID = false, false, 2
 	restarted, err := replication.NewReplica(replicaConfig, disk)
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return replication.Record{Name: rollout.Key("s"), Gen: 7, Data: data}
+		return replication.Record{Name: rollout.PartitionOf("s"), Gen: 7, Data: data}
 	}
 	for name, test := range map[string]struct {
 		last replication.Record
@@ -77,11 +77,11 @@
 	}{
 		"the last order is complete":          {plan(rollout.Complete), rollout.Standing{Version: "v0"}, "v2"},
 		"the last order was reverted":         {plan(rollout.Reverted), rollout.Standing{Version: "v0"}, "v1"},
-		"a later version is recorded":         {plan(rollout.Complete), rollout.Standing{Version: "v3", After: 7}, "v3"},
+		"a later version is recorded":         {plan(rollout.Complete), rollout.Standing{Version: "v3", Supersedes: 7}, "v3"},
 		"no order yet":                        {replication.Record{}, rollout.Standing{Version: "v0"}, "v0"},
 		"no recorded version: the listed one": {replication.Record{}, rollout.Standing{}, "listed"},
 	} {
-		if got := controller.currentVersion(test.last, order{Rollout: &rollout.Ask{Service: "s"}, Current: test.kept}); got != test.want {
+		if got := controller.currentVersion(test.last, order{Rollout: &rollout.OrderRequest{Service: "s"}, Current: test.kept}); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
 		}
 	}
--- a/internal/controlplane/revocations.go
+++ b/internal/controlplane/revocations.go
@@ -22,9 +22,9 @@
 // key. An owner that succeeded another does not know when that one last revoked a key, so it counts
 // from the start of its ownership.
 func (r *revocations) remainingHold(now time.Duration) time.Duration {
-	hold := r.settings.HoldRevocation()
+	hold := r.settings.RevocationAckDelay()
 	left := time.Duration(0)
-	if t, _ := r.replica.Tenure(now, config.Key); t.Heir {
+	if t, _ := r.replica.OwnershipTerm(now, config.Partition); t.Inherited {
 		left = t.Since + hold - now
 	}
 	if r.lastRevokedAt > 0 {
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -37,11 +37,11 @@
 
 // registerHandlers registers the handlers for reports on rollouts from gateways and other control nodes.
 func (c *rolloutController) registerHandlers() {
-	transport.On(c.endpoint, delivery.ScoreKind, func(from string, reports []rollout.Report) {
-		c.tryEnqueue(func(now time.Duration) { c.controller.Heard(now, from, reports) })
+	transport.HandleMessage(c.endpoint, delivery.RolloutReportKind, func(from string, reports []rollout.Report) {
+		c.tryEnqueue(func(now time.Duration) { c.controller.ReceiveReports(now, from, reports) })
 	})
-	transport.On(c.endpoint, delivery.GatherKind, func(from string, all []rollout.Gathered) {
-		c.tryEnqueue(func(now time.Duration) { c.controller.Take(now, from, all) })
+	transport.HandleMessage(c.endpoint, delivery.ForwardedReportsKind, func(from string, all []rollout.Gathered) {
+		c.tryEnqueue(func(now time.Duration) { c.controller.ReceiveGathered(now, from, all) })
 	})
 }
 
@@ -49,30 +49,30 @@
 func (c *rolloutController) recordsPublished(records []config.Record) {
 	changed := false
 	for _, r := range records {
-		changed = changed || rollout.Names(r.Name)
+		changed = changed || rollout.HoldsVersion(r.Name)
 		if strings.HasPrefix(r.Name, rollout.Prefix) {
-			c.controller.Saw(c.now(), r)
+			c.controller.RecordCommitted(c.now(), r)
 		}
 	}
 	if changed {
-		c.versions = rollout.Services(c.configuration.published.Records)
+		c.versions = rollout.DecodeServices(c.configuration.published.Records)
 	}
 }
 
 // tick checks the rollouts in progress, takes the steps of those whose partition this control node
 // owns, and forwards the reports on the others.
 func (c *rolloutController) tick(now time.Duration) {
-	heartbeat := c.settings.Beat()
-	moves, forwards := c.controller.Look(now, c.versions, rollout.Surroundings{
-		Self: c.endpoint.Self(), Fresh: 2 * heartbeat, Fill: c.fillView,
+	heartbeat := c.settings.HeartbeatInterval()
+	moves, forwards := c.controller.Evaluate(now, c.versions, rollout.Environment{
+		Self: c.endpoint.Address(), MaxReportAge: 2 * heartbeat, Fill: c.fillView,
 		Owner: func(key string) string { return c.replica.Owner(now, key) }})
 	for service, v := range c.versions {
-		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.replica.Owner(now, rollout.Key(service)) == c.endpoint.Self() {
+		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.replica.Owner(now, rollout.PartitionOf(service)) == c.endpoint.Address() {
 			c.logWaiting(now, service)
 		}
 	}
 	for to, all := range forwards {
-		c.endpoint.Send(to, delivery.GatherKind, all)
+		c.endpoint.Send(to, delivery.ForwardedReportsKind, all)
 	}
 	for _, m := range moves {
 		c.commitMove(now, m)
@@ -82,24 +82,24 @@
 // logWaiting logs from time to time what a rollout waits for that has been at full weight for
 // longer than gateways take to report.
 func (c *rolloutController) logWaiting(now time.Duration, service string) {
-	minWait := 2 * c.settings.Beat()
+	minWait := 2 * c.settings.HeartbeatInterval()
 	view := c.controller.View(service)
-	if view.Stage <= minWait || now < c.nextWaitLogAt {
+	if view.SinceRecord <= minWait || now < c.nextWaitLogAt {
 		return
 	}
 	c.nextWaitLogAt = now + minWait
-	c.log.rollout.Info("rollout waits at full weight", "service", service, "heard", view.Heard, "live", view.Live,
-		"unheard", c.gatewaysNotHeard(c.controller.Gathered(service).Nodes), "requestsAtOtherVersion", view.Busy)
+	c.log.rollout.Info("rollout waits at full weight", "service", service, "heard", view.ReportingGateways, "live", view.LiveGateways,
+		"unheard", c.gatewaysNotHeard(c.controller.Gathered(service).OtherInFlightByGateway), "requestsAtOtherVersion", view.OtherInFlight)
 }
 
 // commitMove has a step of a rollout committed.
-func (c *rolloutController) commitMove(now time.Duration, move rollout.Move) {
+func (c *rolloutController) commitMove(now time.Duration, move rollout.Transition) {
 	plan := move.To
 	change := func(have map[string]replication.Record) ([]replication.Record, error) {
-		return rollout.Advance(have, move.From.Gen, plan)
+		return rollout.Advance(have, move.From.Generation, plan)
 	}
-	c.replica.Propose(now, rollout.Key(plan.Service), change, func(err error) {
-		c.controller.Moved(move)
+	c.replica.Propose(now, rollout.PartitionOf(plan.Service), change, func(err error) {
+		c.controller.TransitionEnded(move)
 		if err != nil {
 			c.log.rollout.Warn("rollout step not taken", "service", plan.Service, "stage", plan.Stage.String(), "error", err)
 			return
@@ -123,10 +123,10 @@
 // loads.
 func (c *rolloutController) fillView(view *rollout.View, plan *rollout.Plan, reported map[string]int) {
 	for _, n := range c.membership.List().Live(membership.Data) {
-		view.Live++
+		view.LiveGateways++
 		if busy, ok := reported[n.Address]; ok {
-			view.Heard++
-			view.Busy += busy
+			view.ReportingGateways++
+			view.OtherInFlight += busy
 		}
 	}
 	c.list.snapshot.Each(c.now(), func(i upstream.Instance, left time.Duration) {
@@ -134,12 +134,12 @@
 			return
 		}
 		if i.Version != plan.Candidate {
-			view.Standing += float64(i.Capacity)
+			view.StandingSlots += float64(i.Capacity)
 			return
 		}
 		view.Slots += float64(i.Capacity)
 		if left <= 0 {
-			view.Warm += float64(i.Capacity)
+			view.WarmSlots += float64(i.Capacity)
 		}
 	})
 	for _, services := range c.loads() {
@@ -156,10 +156,10 @@
 // to the platform's list.
 func (c *rolloutController) currentVersion(last replication.Record, o order) string {
 	service := rollout.Service{Standing: o.Current}
-	if plan, ok := rollout.Read(last); ok {
+	if plan, ok := rollout.DecodePlan(last); ok {
 		service.Plan = plan
 	}
-	if known := service.Serves(); known != "" {
+	if known := service.StandingVersion(); known != "" {
 		return known
 	}
 	return c.list.serviceVersions()[o.Rollout.Service].mostFrequent
@@ -168,26 +168,26 @@
 // call is an operator's call for a service, as the owner of the rollout's partition sees it.
 func (c *rolloutController) call(service string, o order) rollout.Call {
 	now, ackS := c.now(), settings.Seconds(c.settings.Bounds.AckS)
-	return rollout.Call{ID: o.ID, Basis: o.Basis, Recent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
+	return rollout.Call{ID: o.ID, BaseOrder: o.Basis, MayBeResent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
 }
 
 // adopt has the versions recorded, beside the items, that services run without a rollout: the first
 // version of a service, and another one where the platform lists no upstream of the recorded
 // version any more and no rollout is in progress.
 func (c *rolloutController) adopt(now time.Duration) {
-	if c.adopting || !c.replica.Voting() {
+	if c.adopting || !c.replica.IsVoter() {
 		return
 	}
 	recorded := c.versions
-	adoption := order{Key: config.Key, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
+	adoption := order{Key: config.Partition, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
 	for service, listed := range c.list.serviceVersions() {
 		versions := recorded[service]
-		if versions.Active() != nil || listed.counts[versions.Serves()] > 0 || !c.configuration.hasService(service) {
+		if versions.Active() != nil || listed.counts[versions.StandingVersion()] > 0 || !c.configuration.hasService(service) {
 			continue
 		}
 		standing := rollout.Standing{Version: listed.mostFrequent}
 		if versions.Plan != nil {
-			standing.After = versions.Plan.Gen
+			standing.Supersedes = versions.Plan.Generation
 		}
 		adoption.Adopt[service], adoption.SeenGenerations[service] = standing, c.configuration.published.Records[rollout.StandingPrefix+service].Gen
 	}
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			return nil, err
 		}
-		ask, err := rollout.ReadAsk(body)
+		ask, err := rollout.ParseOrderRequest(body)
 		if err != nil {
 			c.log.control.Warn("rollout refused", "error", err)
 			return nil, err
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, err := c.submit(r.Context(), order{Key: rollout.Key(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
+		if _, err := c.submit(r.Context(), order{Key: rollout.PartitionOf(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
 			c.log.control.Warn("rollout not taken", "service", ask.Service, "version", ask.Version, "error", err)
 			return nil, err
 		}
@@ -52,7 +52,7 @@
 	}
 	switch r.Method {
 	case http.MethodGet:
-		body, err := c.submit(r.Context(), order{Key: rollout.Key(service), Read: true})
+		body, err := c.submit(r.Context(), order{Key: rollout.PartitionOf(service), Read: true})
 		if err == nil && body == nil {
 			err = apierror.New(apierror.NoRollout, "%s", service)
 		}
@@ -71,7 +71,7 @@
 // order that relies on it.
 func (c *rolloutController) newestBasis(arrived arrival, service string) (*uint64, error) {
 	return c.orderBasis(arrived, func() uint64 {
-		plan, ok := rollout.Read(c.configuration.published.Records[rollout.Key(service)])
+		plan, ok := rollout.DecodePlan(c.configuration.published.Records[rollout.PartitionOf(service)])
 		if !ok {
 			return 0
 		}
@@ -85,7 +85,7 @@
 func (c *rolloutController) reverse(caller context.Context, service, version string, basis *uint64) error {
 	reversal := rollout.Reversal{Version: version, Named: version != ""}
 	if !reversal.Named {
-		text, err := c.submit(caller, order{Key: rollout.Key(service), Read: true})
+		text, err := c.submit(caller, order{Key: rollout.PartitionOf(service), Read: true})
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 		}
 		reversal.Version = confirmed.TargetVersion
 	}
-	_, err := c.submit(caller, order{Key: rollout.Key(service), Abort: true, Reversal: reversal, Basis: basis})
+	_, err := c.submit(caller, order{Key: rollout.PartitionOf(service), Abort: true, Reversal: reversal, Basis: basis})
 	return err
 }
 
@@ -114,7 +114,7 @@
 // askService asks the owner of the configuration about a service, and returns the version that is
 // recorded as current there.
 func (c *rolloutController) askService(caller context.Context, name string) (rollout.Standing, error) {
-	body, err := c.submit(caller, order{Key: config.Key, Service: name})
+	body, err := c.submit(caller, order{Key: config.Partition, Service: name})
 	if err != nil {
 		return rollout.Standing{}, err
 	}
@@ -136,7 +136,7 @@
 
 func encodeServiceStanding(have map[string]replication.Record, service string) []byte {
 	standing := serviceStanding{Exists: config.HasService(have, service)}
-	standing.Current, _ = rollout.ReadStanding(have[rollout.StandingPrefix+service])
+	standing.Current, _ = rollout.DecodeStanding(have[rollout.StandingPrefix+service])
 	b, err := cbor.Marshal(standing)
 	if err != nil {
 		panic(err)
@@ -149,7 +149,7 @@
 	if !strings.HasPrefix(partition, rollout.Prefix) {
 		return config.Render(records)
 	}
-	plan, ok := rollout.Read(records[partition])
+	plan, ok := rollout.DecodePlan(records[partition])
 	if !ok {
 		return nil
 	}
--- a/internal/controlplane/rollout_retries_test.go
+++ b/internal/controlplane/rollout_retries_test.go
@@ -20,9 +20,9 @@
 		t.Fatal(err)
 	}
 	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, replica: replica, startedAt: time.Now()}
-	partition := rollout.Key("s")
+	partition := rollout.PartitionOf("s")
 	begin := func(id uint64, version string) order {
-		return order{Key: partition, ID: id, Rollout: &rollout.Ask{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
+		return order{Key: partition, ID: id, Rollout: &rollout.OrderRequest{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
 	}
 	abort := func(id uint64, r rollout.Reversal) order {
 		return order{Key: partition, ID: id, Abort: true, Reversal: r}
@@ -37,7 +37,7 @@
 		"the reversal, forwarded again":                   {abort(2, rollout.Reversal{Version: "v2"}), noError},
 		"the reversal of an earlier release":              {abort(2, rollout.Reversal{}), noError},
 		"the reversal, sent again with its version named": {abort(9, rollout.Reversal{Version: "v2", Named: true}), noError},
-		"the reversal, sent again without a version":      {abort(9, rollout.Reversal{Version: "v3"}), apierror.MaybeRepeated},
+		"the reversal, sent again without a version":      {abort(9, rollout.Reversal{Version: "v3"}), apierror.PossibleDuplicate},
 	} {
 		orders := &orderController{environment: env, rollouts: &rolloutController{environment: env, controller: rollout.NewController()}}
 		have := records{}
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -45,8 +45,8 @@
 		}
 		sums := c.controller.Gathered(service)
 		state := RolloutState{Service: service, State: plan.State(), Stage: plan.Stage.String(), Weight: plan.Weight, AgeS: plan.Age.Seconds(),
-			Controller: c.replica.Owner(now, rollout.Key(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
-			Heard: len(sums.Nodes), Braked: sums.Braked}
+			Controller: c.replica.Owner(now, rollout.PartitionOf(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
+			Heard: len(sums.OtherInFlightByGateway), Braked: sums.StoppedGateways}
 		if !plan.Final() {
 			state.AgeS = c.controller.Age(now, service).Seconds()
 		}
@@ -75,7 +75,7 @@
 	if err := c.hasService(caller, service); err != nil {
 		return nil, err
 	}
-	body, err := c.submit(caller, order{Key: rollout.Key(service), ShowState: true})
+	body, err := c.submit(caller, order{Key: rollout.PartitionOf(service), ShowState: true})
 	if err == nil && body == nil {
 		err = apierror.New(apierror.NoRollout, "%s", service)
 	}
@@ -84,9 +84,9 @@
 
 func armState(version string, cell rollout.Cell) ArmState {
 	state := ArmState{Version: version, Answers: cell.Ended, Failed: cell.Failed()}
-	if cell.N > 0 {
-		state.MeanTime = cell.Sum / float64(cell.N)
-		state.P99AtMs = float64(cell.Tail()) / float64(time.Millisecond)
+	if cell.LatencyCount > 0 {
+		state.MeanTime = cell.ScoreSum / float64(cell.LatencyCount)
+		state.P99AtMs = float64(cell.LatencyP99()) / float64(time.Millisecond)
 	}
 	return state
 }
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -37,7 +37,7 @@
 	}
 	defer conn.Close()
 
-	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, startedAt: time.Now(), queue: make(chan func(time.Duration)), log: loggers{control: logging.For(logging.Control)}}
+	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, startedAt: time.Now(), queue: make(chan func(time.Duration)), log: loggers{control: logging.Logger(logging.Control)}}
 	env.stalls = &stallDetector{clock: env.now}
 	env.stalls.noteRunning(env.now())
 	go func() {
@@ -55,7 +55,7 @@
 	time.Sleep(maxOrderWait + 50*time.Millisecond)
 	env.stalls.noteRunning(env.now())
 	var refused *apierror.Error
-	if _, err := env.orderBasis(arrival{conn, time.Now()}, readGeneration); !errors.As(err, &refused) || refused.Kind != apierror.Outdated {
+	if _, err := env.orderBasis(arrival{conn, time.Now()}, readGeneration); !errors.As(err, &refused) || refused.Kind != apierror.OutdatedOrder {
 		t.Errorf("read after maxOrderWait: %v", err)
 	}
 }
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -22,14 +22,14 @@
 type Summary struct {
 	Node    string  `json:"node"`
 	Contact Contact `json:"contact"`
-	// Bears is how many more members may be lost now, Wanted how many losses should be tolerated.
-	Bears     int      `json:"bears"`
-	Wanted    int      `json:"wanted"`
-	Nodes     []Count  `json:"nodes"`
-	Upstreams []Count  `json:"upstreams"`
-	Gateways  int      `json:"desks"`
-	Behind    int      `json:"behind"`   // gateways without the newest items
-	BehindOf  []string `json:"behindOf"` // the first of them
+	// Tolerates is how many more members may be lost now, Wanted how many losses should be tolerated.
+	Tolerates        int      `json:"bears"`
+	LossesToTolerate int      `json:"wanted"`
+	Nodes            []Count  `json:"nodes"`
+	Upstreams        []Count  `json:"upstreams"`
+	Gateways         int      `json:"desks"`
+	Behind           int      `json:"behind"`   // gateways without the newest items
+	BehindNames      []string `json:"behindOf"` // the first of them
 }
 
 // maxNamedGateways is how many gateways a summary or a log line names.
@@ -38,13 +38,13 @@
 // Summary counts the nodes and upstreams of an overview by kind, zone and state.
 func (o *Overview) Summary() *Summary {
 	behind := o.gatewaysBehind()
-	summary := &Summary{Node: o.Node, Contact: o.Contact, Bears: o.Roster.Bears, Wanted: o.Roster.Wanted, Gateways: len(o.Delivery), Behind: len(behind), BehindOf: behind[:min(len(behind), maxNamedGateways)]}
+	summary := &Summary{Node: o.Node, Contact: o.Contact, Tolerates: o.VoterSet.Tolerates, LossesToTolerate: o.VoterSet.LossesToTolerate, Gateways: len(o.Delivery), Behind: len(behind), BehindNames: behind[:min(len(behind), maxNamedGateways)]}
 	nodes, upstreams := map[Count]int{}, map[Count]int{}
 	for _, m := range o.Members {
-		nodes[Count{m.Plane, m.Zone, m.Standing(), 0}]++
+		nodes[Count{m.Plane, m.Zone, m.Status(), 0}]++
 	}
 	for _, u := range o.Upstreams {
-		upstreams[Count{u.Service, u.Zone, Standing(u), 0}]++
+		upstreams[Count{u.Service, u.Zone, InstanceStatus(u), 0}]++
 	}
 	summary.Nodes, summary.Upstreams = sortedCounts(nodes), sortedCounts(upstreams)
 	return summary
@@ -73,16 +73,16 @@
 	return out
 }
 
-// Standing is a node's state in one word.
-func (m Member) Standing() string {
+// Status is a node's state in one word.
+func (m Member) Status() string {
 	if m.Draining && m.State == "alive" {
 		return "draining"
 	}
 	return m.State
 }
 
-// Standing is an upstream's state in one word.
-func Standing(u upstream.Instance) string {
+// InstanceStatus is an upstream's state in one word.
+func InstanceStatus(u upstream.Instance) string {
 	switch {
 	case u.Draining:
 		return "draining"
@@ -97,7 +97,7 @@
 	for name := range query {
 		field, ok := fields[name]
 		if !ok {
-			return nil, apierror.New(apierror.BadQuestion, "no filter %q here", name)
+			return nil, apierror.New(apierror.BadQuery, "no filter %q here", name)
 		}
 		list = slices.DeleteFunc(slices.Clone(list), func(v T) bool { return !slices.Contains(query[name], field(v)) })
 	}
@@ -113,19 +113,19 @@
 		return filter(o.Members, query, map[string]func(Member) string{
 			"zone":  func(m Member) string { return m.Zone },
 			"plane": func(m Member) string { return m.Plane },
-			"state": Member.Standing})
+			"state": Member.Status})
 	case "upstreams":
 		return filter(o.Upstreams, query, map[string]func(upstream.Instance) string{
 			"zone":   func(u upstream.Instance) string { return u.Zone },
 			"target": func(u upstream.Instance) string { return u.Service },
-			"state":  Standing})
+			"state":  InstanceStatus})
 	case "delivery":
 		return filter(o.Delivery, query, map[string]func(Delivery) string{
 			"zone":    func(d Delivery) string { return d.Zone },
 			"current": func(d Delivery) string { return strconv.FormatBool(d.Current) }})
 	}
 	views := map[string]any{
-		"overview": o, "roster": o.Roster, "keys": o.Keys, "duties": o.Duties, "bindings": o.Routes, "shards": o.Shards,
+		"overview": o, "roster": o.VoterSet, "keys": o.Partitions, "duties": o.Roles, "bindings": o.Routes, "shards": o.Shards,
 		"evacuations": o.Evacuations, "rollouts": o.Rollouts, "counters": o.Counters,
 	}
 	if o.Quotas != nil {
@@ -134,5 +134,5 @@
 	if v, ok := views[page]; ok {
 		return v, nil
 	}
-	return nil, apierror.New(apierror.UnknownPage, "no view %q", page)
+	return nil, apierror.New(apierror.UnknownPath, "no view %q", page)
 }
--- a/internal/controlplane/summary_test.go
+++ b/internal/controlplane/summary_test.go
@@ -23,7 +23,7 @@
 	summary := overview.Summary()
 	want := []Count{{"gateway", "z0", "alive", 100}, {"gateway", "z1", "alive", 99}, {"gateway", "z1", "draining", 1},
 		{"gateway", "z2", "alive", 99}, {"gateway", "z2", "suspect", 1}}
-	if !reflect.DeepEqual(summary.Nodes, want) || len(summary.Upstreams) != 4 || summary.Behind != 30 || len(summary.BehindOf) != maxNamedGateways {
+	if !reflect.DeepEqual(summary.Nodes, want) || len(summary.Upstreams) != 4 || summary.Behind != 30 || len(summary.BehindNames) != maxNamedGateways {
 		t.Errorf("%+v", summary)
 	}
 	for _, test := range []struct {
--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -105,7 +105,7 @@
 	s.stopGateway = stopGateway
 	controlNodeDone := make(chan error, 1)
 	go func() {
-		controlNodeDone <- controlplane.Run(controlCtx, set, controlplane.Options{Shards: 1, Relist: time.Minute}, nil)
+		controlNodeDone <- controlplane.Run(controlCtx, set, controlplane.Options{Shards: 1, RelistInterval: time.Minute}, nil)
 	}()
 	go func() { s.gatewayDone <- gateway.Run(gatewayCtx, set, gateway.Options{Shards: 1}, s.reload) }()
 	t.Cleanup(func() {
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -33,10 +33,10 @@
 	service := strings.TrimPrefix(o.Key, rollout.Prefix)
 	switch {
 	case len(o.Plan) > 0:
-		change, err := config.Read(o.Plan)
+		change, err := config.ParseRequest(o.Plan)
 		return &planTask{orders: c, requested: change}, err
 	case len(o.Patch) > 0:
-		change, err := config.Read(o.Patch)
+		change, err := config.ParseRequest(o.Patch)
 		return &patchTask{orders: c, requested: change}, err
 	case o.Evacuate != nil:
 		return &evacuationTask{orders: c, order: o, via: via}, nil
@@ -87,7 +87,7 @@
 type planTask struct {
 	orders    *orderController
 	requested *config.Change
-	steps     []config.Step
+	steps     []config.ItemEffect
 }
 
 func (t *planTask) change(_ time.Duration, have records) (_ []replication.Record, err error) {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.revokes = t.orders.revocations != nil && config.Revokes(have, changes, reader)
+	t.revokes = t.orders.revocations != nil && config.RevokesAPIKey(have, changes, reader)
 	return changes, nil
 }
 
@@ -129,7 +129,7 @@
 	if t.revokes {
 		revocations.noteRevocation(now)
 	}
-	if t.requested.NamesTenants() {
+	if t.requested.ChangesTenants() {
 		if remaining := revocations.remainingHold(t.orders.now()); remaining > 0 {
 			t.orders.answerLater(remaining, answer)
 			return
@@ -141,8 +141,8 @@
 // answerLater answers a call that has been carried out but may not be confirmed yet: at the right
 // time if that is soon, otherwise at once with the advice to retry.
 func (c *orderController) answerLater(remaining time.Duration, answer func(orderReply)) {
-	if remaining > c.settings.Beat()*2/3 {
-		answer(orderReply{true, apierror.NotYet, "keys that were taken away may be in use for " + remaining.String(), nil})
+	if remaining > c.settings.HeartbeatInterval()*2/3 {
+		answer(orderReply{true, apierror.NotInForceEverywhere, "keys that were taken away may be in use for " + remaining.String(), nil})
 		return
 	}
 	time.AfterFunc(remaining, func() { answer(orderReply{}) })
@@ -161,8 +161,8 @@
 	o := t.order
 	t.generationBefore = have[o.Key].Gen
 	t.generationAfter = t.generationBefore
-	changes, err := config.Evacuation(have, config.EvacuationOrder{Zone: strings.TrimPrefix(o.Key, config.EvacuationPrefix),
-		Evacuate: *o.Evacuate, ID: o.ID, Basis: o.Basis, Recent: t.orders.evacuations.recent(receivedAt)})
+	changes, err := config.ApplyEvacuationOrder(have, config.EvacuationOrder{Zone: strings.TrimPrefix(o.Key, config.EvacuationPrefix),
+		Evacuate: *o.Evacuate, ID: o.ID, BaseGeneration: o.Basis, Recent: t.orders.evacuations.recent(receivedAt)})
 	if len(changes) > 0 {
 		t.generationAfter = changes[0].Gen
 	}
@@ -181,13 +181,13 @@
 
 // bindTask creates bindings of routes to shards, and reports for each whether it was refused.
 type bindTask struct {
-	bindings []placement.Order
+	bindings []placement.BindRequest
 	refused  []bool
 }
 
 func (t *bindTask) change(_ time.Duration, have records) (all []replication.Record, _ error) {
 	for i, b := range t.bindings {
-		changes, err := config.Bind(have, b.Binding, b.SawRev)
+		changes, err := config.Bind(have, b.Binding, b.ExpectedRev)
 		t.refused[i] = err != nil
 		all = append(all, changes...)
 	}
@@ -231,7 +231,7 @@
 }
 
 func (t adoptTask) change(_ time.Duration, have records) ([]replication.Record, error) {
-	return rollout.Adopt(have, t.order.Adopt, t.order.SeenGenerations), nil
+	return rollout.StoreStanding(have, t.order.Adopt, t.order.SeenGenerations), nil
 }
 
 // showTask returns all that the owner knows of a rollout.
@@ -242,7 +242,7 @@
 }
 
 func (t *showTask) change(_ time.Duration, have records) ([]replication.Record, error) {
-	_, t.exists = rollout.Read(have[rollout.Key(t.service)])
+	_, t.exists = rollout.DecodePlan(have[rollout.PartitionOf(t.service)])
 	return nil, nil
 }
 
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -18,20 +18,20 @@
 	Draining    bool   `json:"draining"`
 	Incarnation uint64 `json:"incarnation"`
 	Shard       int    `json:"shard"` // -1 on control nodes
-	Seat        bool   `json:"seat"`  // it is a voter
+	Voter       bool   `json:"seat"`  // it is a voter
 }
 
-// Key is a partition of the control state as the administration API shows it.
-type Key struct {
-	Key     string `json:"key"`
-	Owner   string `json:"owner"`
-	Epoch   uint64 `json:"epoch"`
-	Seq     uint64 `json:"seq"`
-	Commit  uint64 `json:"commit"`
-	Records int    `json:"records"`
-	// HeardAgoS is how long ago this node heard the owner; at the owner, how long ago a majority
+// PartitionSummary is a partition of the control state as the administration API shows it.
+type PartitionSummary struct {
+	Partition string `json:"key"`
+	Owner     string `json:"owner"`
+	Epoch     uint64 `json:"epoch"`
+	Seq       uint64 `json:"seq"`
+	Commit    uint64 `json:"commit"`
+	Records   int    `json:"records"`
+	// ContactAgeS is how long ago this node heard the owner; at the owner, how long ago a majority
 	// confirmed it.
-	HeardAgoS float64 `json:"heardAgoS"`
+	ContactAgeS float64 `json:"heardAgoS"`
 }
 
 // RouteState is a route and its placement.
@@ -55,10 +55,10 @@
 
 // Delivery reports whether the newest items are in effect at a gateway.
 type Delivery struct {
-	Gateway string `json:"desk"`
-	Zone    string `json:"zone"`
-	Heard   bool   `json:"heard"`   // it reported to a control node recently
-	Current bool   `json:"current"` // has the newest items that the answering control node knows
+	Gateway  string `json:"desk"`
+	Zone     string `json:"zone"`
+	Reported bool   `json:"heard"`   // it reported to a control node recently
+	Current  bool   `json:"current"` // has the newest items that the answering control node knows
 }
 
 // TenantState is a tenant as the administration API shows it, without its keys.
@@ -74,29 +74,29 @@
 
 // Quotas names the allocator of tenants' quotas and, at the allocator, describes what is allocated.
 type Quotas struct {
-	Lender string                  `json:"lender"`
-	Silent []string                `json:"silent,omitempty"` // control nodes that have not reported to the allocator
-	Loans  []quota.AllocationState `json:"allocations,omitempty"`
+	Allocator   string                  `json:"lender"`
+	Silent      []string                `json:"silent,omitempty"` // control nodes that have not reported to the allocator
+	Allocations []quota.AllocationState `json:"allocations,omitempty"`
 }
 
 // Overview is all that the administration API shows.
 type Overview struct {
-	Node        string               `json:"node"`
-	Voting      bool                 `json:"voting"`
-	Contact     Contact              `json:"contact"`
-	Roster      replication.Standing `json:"roster"`
-	Members     []Member             `json:"members"`
-	Keys        []Key                `json:"keys"`
-	Duties      []election.State     `json:"duties"`
-	Routes      []RouteState         `json:"routes"`
-	Shards      []ShardState         `json:"shards"`
-	Upstreams   []upstream.Instance  `json:"upstreams"`
-	Listing     upstream.Version     `json:"listing"`
-	Evacuations []string             `json:"evacuations"`
-	InDoubt     []string             `json:"evacuationsInDoubt,omitempty"` // of these, zones all of whose evacuations may have been withdrawn
-	Delivery    []Delivery           `json:"delivery"`
-	Tenants     []TenantState        `json:"tenants,omitempty"`
-	Quotas      *Quotas              `json:"quotas,omitempty"`
-	Rollouts    []RolloutState       `json:"rollouts"`
-	Counters    map[string]uint64    `json:"counters"`
+	Node               string                     `json:"node"`
+	Voting             bool                       `json:"voting"`
+	Contact            Contact                    `json:"contact"`
+	VoterSet           replication.VoterSetStatus `json:"roster"`
+	Members            []Member                   `json:"members"`
+	Partitions         []PartitionSummary         `json:"keys"`
+	Roles              []election.State           `json:"duties"`
+	Routes             []RouteState               `json:"routes"`
+	Shards             []ShardState               `json:"shards"`
+	Upstreams          []upstream.Instance        `json:"upstreams"`
+	Listing            upstream.ListVersion       `json:"listing"`
+	Evacuations        []string                   `json:"evacuations"`
+	EvacuationsInDoubt []string                   `json:"evacuationsInDoubt,omitempty"` // of these, zones all of whose evacuations may have been withdrawn
+	Delivery           []Delivery                 `json:"delivery"`
+	Tenants            []TenantState              `json:"tenants,omitempty"`
+	Quotas             *Quotas                    `json:"quotas,omitempty"`
+	Rollouts           []RolloutState             `json:"rollouts"`
+	Counters           map[string]uint64          `json:"counters"`
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -33,7 +33,7 @@
 	s.latency, s.sync = 900*time.Microsecond, sync
 	names := lockNamesIn(partitionKey(lockPrefix+"l0"), callers)
 	s.run(3 * time.Second)
-	s.call(s.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Hold: time.Millisecond}, func(Result) {})
+	s.call(s.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Lease: time.Millisecond}, func(Result) {})
 	s.run(6 * time.Second)
 	until := s.now + benchmarkSpan
 	for i, name := range names {
@@ -44,11 +44,11 @@
 				return
 			}
 			sent := s.now
-			s.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Hold: time.Hour}, func(r Result) {
+			s.call(n, Call{Operation: Acquire, Name: name, Owner: "a", Lease: time.Hour}, func(r Result) {
 				if r.Effect == Answered && r.Answer.Status == OK && s.now <= until {
 					grants, totalTime = grants+1, totalTime+s.now-sent
 				}
-				s.call(n, Call{Operation: Release, Name: name, Owner: "a", Fence: r.Answer.Fence}, func(Result) { next() })
+				s.call(n, Call{Operation: Release, Name: name, Owner: "a", FencingToken: r.Answer.FencingToken}, func(Result) { next() })
 			})
 		}
 		next()
@@ -75,7 +75,7 @@
 	}
 	records := map[string]Record{}
 	for i := range 1000 {
-		_, changes := partition.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Hold: time.Minute})
+		_, changes := partition.Execute(0, Call{Operation: Acquire, Name: fmt.Sprintf("l%d", i), Owner: "a", Lease: time.Minute})
 		for _, r := range changes {
 			records[r.Name] = r
 		}
@@ -98,7 +98,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			s.Committed(groupKey("g."), nil)
+			s.Committed(groupPartition("g."), nil)
 			answered, revision := 0, uint64(0)
 			for b.Loop() {
 				for range watching {
@@ -106,7 +106,7 @@
 				}
 				revision++
 				_, changes := p.Execute(0, putCell("g.a", fmt.Sprint(revision), nil))
-				s.Committed(groupKey("g."), changes)
+				s.Committed(groupPartition("g."), changes)
 			}
 			if answered != watching*int(revision) {
 				b.Fatalf("%d watches were answered after %d puts", answered, revision)
--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -31,18 +31,18 @@
 // NewPeerClocks creates a PeerClocks without any reading.
 func NewPeerClocks() *PeerClocks { return &PeerClocks{peers: map[string]peerClock{}} }
 
-// Heard records a reading from a peer's answer that arrived at the local time now. The peer
+// Observe records a reading from a peer's answer that arrived at the local time now. The peer
 // read its clock before that, so the reading with the shortest transfer is the most accurate.
-func (c *PeerClocks) Heard(peer string, reading ClockReading, now time.Duration) {
+func (c *PeerClocks) Observe(peer string, reading ClockReading, now time.Duration) {
 	known, ok := c.peers[peer]
 	if offset := reading.Time - now; !ok || known.life != reading.Life || known.minOffset < offset {
 		c.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
 	}
 }
 
-// At estimates the reading of a peer's clock at the local time now; false: no reading of it
+// Estimate estimates the reading of a peer's clock at the local time now; false: no reading of it
 // is known.
-func (c *PeerClocks) At(peer string, now time.Duration) (ClockReading, bool) {
+func (c *PeerClocks) Estimate(peer string, now time.Duration) (ClockReading, bool) {
 	known, ok := c.peers[peer]
 	return ClockReading{Life: known.life, Time: now + known.minOffset}, ok
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -21,24 +21,24 @@
 // an owner that was built with another number refuses the partition.
 const Partitions = 16
 
-// KeyPrefix begins the keys of all partitions in the control state.
-const KeyPrefix = "coordination/"
+// PartitionPrefix begins the keys of all partitions in the control state.
+const PartitionPrefix = "coordination/"
 
 // Operation is what a call asks for.
 type Operation uint8
 
 // The operations. Their numbers are part of the messages between nodes.
 const (
-	Acquire  Operation = iota + 1 // takes a lock, or extends the lease of its holder
-	Renew                         // extends the lease of the holder with the fencing token
-	Release                       // frees a lock
-	Draw                          // increments a counter
-	Put                           // writes a value to a cell
-	Get                           // reads a cell
-	Revision                      // reads the newest revision of a group of cells
+	Acquire   Operation = iota + 1 // takes a lock, or extends the lease of its holder
+	Renew                          // extends the lease of the holder with the fencing token
+	Release                        // frees a lock
+	Increment                      // increments a counter
+	Put                            // writes a value to a cell
+	Get                            // reads a cell
+	Revision                       // reads the newest revision of a group of cells
 )
 
-var operationNames = map[Operation]string{Acquire: "acquire", Renew: "renew", Release: "release", Draw: "draw",
+var operationNames = map[Operation]string{Acquire: "acquire", Renew: "renew", Release: "release", Increment: "draw",
 	Put: "put", Get: "get", Revision: "revision"}
 
 func (o Operation) String() string { return operationNames[o] }
@@ -46,17 +46,17 @@
 // Known reports whether this release implements the operation.
 func (o Operation) Known() bool { return operationNames[o] != "" }
 
-// Reads reports whether the operation is read-only, so that it may be executed twice.
-func (o Operation) Reads() bool { return o == Get || o == Revision }
+// ReadOnly reports whether the operation is read-only, so that it may be executed twice.
+func (o Operation) ReadOnly() bool { return o == Get || o == Revision }
 
 // Call is an application's call.
 type Call struct {
-	Operation Operation     `cbor:"1,keyasint"`
-	Name      string        `cbor:"2,keyasint"`           // of the lock, counter or cell; for Revision, of the group
-	Owner     string        `cbor:"3,keyasint,omitempty"` // of the lock: who acquires or holds it
-	Fence     uint64        `cbor:"4,keyasint,omitempty"` // fencing token
-	Hold      time.Duration `cbor:"5,keyasint,omitempty"` // length of the lease
-	Value     string        `cbor:"6,keyasint,omitempty"`
+	Operation    Operation     `cbor:"1,keyasint"`
+	Name         string        `cbor:"2,keyasint"`           // of the lock, counter or cell; for Revision, of the group
+	Owner        string        `cbor:"3,keyasint,omitempty"` // of the lock: who acquires or holds it
+	FencingToken uint64        `cbor:"4,keyasint,omitempty"` // fencing token
+	Lease        time.Duration `cbor:"5,keyasint,omitempty"` // length of the lease
+	Value        string        `cbor:"6,keyasint,omitempty"`
 	// Expected is the revision that the cell must have for a put, 0 if it must not exist;
 	// nil: any.
 	Expected *uint64 `cbor:"7,keyasint,omitempty"`
@@ -70,43 +70,43 @@
 	OK           Status = iota + 1
 	Held                // the lock is held by another owner, or under another token
 	Mismatch            // the cell has another revision than expected
-	Missing             // the cell does not exist
+	NotFound            // the cell does not exist
 	Full                // a limit of the partition is reached, or the disk is full
 	Incompatible        // the partition was created with another number of partitions
 )
 
 // Answer is the outcome of a call with what the operation returns.
 type Answer struct {
-	Status   Status `cbor:"1,keyasint"`
-	Fence    uint64 `cbor:"2,keyasint,omitempty"`
-	Number   uint64 `cbor:"3,keyasint,omitempty"`
-	Revision uint64 `cbor:"4,keyasint,omitempty"`
-	Value    string `cbor:"5,keyasint,omitempty"`
+	Status       Status `cbor:"1,keyasint"`
+	FencingToken uint64 `cbor:"2,keyasint,omitempty"`
+	Number       uint64 `cbor:"3,keyasint,omitempty"`
+	Revision     uint64 `cbor:"4,keyasint,omitempty"`
+	Value        string `cbor:"5,keyasint,omitempty"`
 }
 
-// Key is the key in the control state of the partition that the call concerns.
-func (c Call) Key() string {
+// Partition is the key in the control state of the partition that the call concerns.
+func (c Call) Partition() string {
 	switch c.Operation {
 	case Put, Get:
-		return groupKey(GroupOf(c.Name))
+		return groupPartition(GroupOf(c.Name))
 	case Revision:
-		return groupKey(c.Name)
-	case Draw:
+		return groupPartition(c.Name)
+	case Increment:
 		return partitionKey(counterPrefix + c.Name)
 	}
 	return partitionKey(lockPrefix + c.Name)
 }
 
-// GroupKey is the key in the control state of the partition that holds a group of cells.
-func GroupKey(group string) string { return groupKey(group) }
+// GroupPartition is the key in the control state of the partition that holds a group of cells.
+func GroupPartition(group string) string { return groupPartition(group) }
 
-func groupKey(group string) string { return partitionKey(cellPrefix + group) }
+func groupPartition(group string) string { return partitionKey(cellPrefix + group) }
 
 func partitionKey(name string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	v := h.Sum32()
-	return fmt.Sprintf("%s%02d", KeyPrefix, (v^v>>16)%Partitions)
+	return fmt.Sprintf("%s%02d", PartitionPrefix, (v^v>>16)%Partitions)
 }
 
 // GroupOf is the group of a cell: the cell's name up to and including the first dot. A cell
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -14,22 +14,22 @@
 	if current != nil && now < current.leaseEnd {
 		return Answer{Status: Held}, nil
 	}
-	record := lockRecord{Owner: call.Owner, Fence: p.fence + 1, Hold: call.Hold}
+	record := lockRecord{Owner: call.Owner, Fence: p.fence + 1, Hold: call.Lease}
 	change := encode(lockPrefix+call.Name, record)
 	if p.exceedsLimits(change) {
 		return Answer{Status: Full}, nil
 	}
 	p.fence++
-	p.locks[call.Name] = &lock{record, now + call.Hold}
+	p.locks[call.Name] = &lock{record, now + call.Lease}
 	p.headWritten = true
-	return Answer{Status: OK, Fence: record.Fence}, []Record{change, p.encodeHead()}
+	return Answer{Status: OK, FencingToken: record.Fence}, []Record{change, p.encodeHead()}
 }
 
 // renew extends the lease of a holder that presents its token. A lease that has ended can
 // still be extended while nobody else has acquired the lock and it has not been swept.
 func (p *Partition) renew(now time.Duration, call Call) (Answer, []Record) {
 	current := p.locks[call.Name]
-	if current == nil || current.Owner != call.Owner || current.Fence != call.Fence {
+	if current == nil || current.Owner != call.Owner || current.Fence != call.FencingToken {
 		return Answer{Status: Held}, nil
 	}
 	return p.extend(now, current, call)
@@ -39,19 +39,19 @@
 // than the recorded one is written, because a later owner of the partition starts every lease
 // anew at its full length.
 func (p *Partition) extend(now time.Duration, current *lock, call Call) (Answer, []Record) {
-	current.leaseEnd = max(current.leaseEnd, now+call.Hold)
-	answer := Answer{Status: OK, Fence: current.Fence}
-	if call.Hold <= current.Hold {
+	current.leaseEnd = max(current.leaseEnd, now+call.Lease)
+	answer := Answer{Status: OK, FencingToken: current.Fence}
+	if call.Lease <= current.Hold {
 		return answer, nil
 	}
-	current.Hold = call.Hold
+	current.Hold = call.Lease
 	return answer, []Record{encode(lockPrefix+call.Name, current.lockRecord)}
 }
 
 // release frees a lock. A call that is not from its holder changes nothing.
 func (p *Partition) release(call Call) (Answer, []Record) {
 	current := p.locks[call.Name]
-	if current == nil || current.Owner != call.Owner || current.Fence != call.Fence {
+	if current == nil || current.Owner != call.Owner || current.Fence != call.FencingToken {
 		return Answer{Status: OK}, nil
 	}
 	delete(p.locks, call.Name)
@@ -71,17 +71,17 @@
 
 // Lock is a lock as the administration API shows it.
 type Lock struct {
-	Name  string
-	Owner string
-	Fence uint64
-	Hold  time.Duration
-	Left  time.Duration // until the lease ends; zero or negative: it has ended
+	Name      string
+	Owner     string
+	Fence     uint64
+	Hold      time.Duration
+	Remaining time.Duration // until the lease ends; zero or negative: it has ended
 }
 
 // Locks lists the locks that are held, or were not acquired again since their lease ended.
 func (p *Partition) Locks(now time.Duration) (out []Lock) {
 	for name, l := range p.locks {
-		out = append(out, Lock{Name: name, Owner: l.Owner, Fence: l.Fence, Hold: l.Hold, Left: l.leaseEnd - now})
+		out = append(out, Lock{Name: name, Owner: l.Owner, Fence: l.Fence, Hold: l.Hold, Remaining: l.leaseEnd - now})
 	}
 	return out
 }
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -151,14 +151,14 @@
 		answer, changes = p.renew(now, call)
 	case Release:
 		answer, changes = p.release(call)
-	case Draw:
+	case Increment:
 		answer, changes = p.draw(call)
 	case Put:
 		answer, changes = p.put(now, call)
 	case Get:
 		cell, ok := p.cells[call.Name]
 		if !ok {
-			return Answer{Status: Missing}, nil
+			return Answer{Status: NotFound}, nil
 		}
 		return Answer{Status: OK, Value: cell.Value, Revision: cell.Revision}, nil
 	case Revision:
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -53,15 +53,15 @@
 }
 
 func acquire(owner string, hold float64) Call {
-	return Call{Operation: Acquire, Name: "l", Owner: owner, Hold: seconds(hold)}
+	return Call{Operation: Acquire, Name: "l", Owner: owner, Lease: seconds(hold)}
 }
 
 func renew(owner string, fence uint64, hold float64) Call {
-	return Call{Operation: Renew, Name: "l", Owner: owner, Fence: fence, Hold: seconds(hold)}
+	return Call{Operation: Renew, Name: "l", Owner: owner, FencingToken: fence, Lease: seconds(hold)}
 }
 
 func release(owner string, fence uint64) Call {
-	return Call{Operation: Release, Name: "l", Owner: owner, Fence: fence}
+	return Call{Operation: Release, Name: "l", Owner: owner, FencingToken: fence}
 }
 
 func putCell(name, value string, expected *uint64) Call {
@@ -75,13 +75,13 @@
 	ok   = Answer{Status: OK}
 )
 
-func fenced(fence uint64) Answer      { return Answer{Status: OK, Fence: fence} }
+func fenced(fence uint64) Answer      { return Answer{Status: OK, FencingToken: fence} }
 func revised(r uint64) Answer         { return Answer{Status: OK, Revision: r} }
 func mismatched(r uint64) Answer      { return Answer{Status: Mismatch, Revision: r} }
 func found(v string, r uint64) Answer { return Answer{Status: OK, Value: v, Revision: r} }
 
 func TestPartition(t *testing.T) {
-	draw := Call{Operation: Draw, Name: "n"}
+	draw := Call{Operation: Increment, Name: "n"}
 	for name, steps := range map[string][]step{
 		"a lock is free once its lease has ended": {
 			{at: 1, call: acquire("a", 3), want: fenced(1)},
@@ -140,7 +140,7 @@
 			{at: 2, call: draw, want: Answer{Status: OK, Number: 3}},
 		},
 		"cells of a group share a sequence of revisions": {
-			{at: 1, call: get("g.a"), want: Answer{Status: Missing}},
+			{at: 1, call: get("g.a"), want: Answer{Status: NotFound}},
 			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
 			{at: 1, call: putCell("g.b", "y", revision(0)), want: revised(2)},
 			{at: 1, call: putCell("h.a", "z", nil), want: revised(1)},
@@ -246,7 +246,7 @@
 		t.Errorf("after a sweep of the history: %+v", got)
 	}
 	for i := 0; i < 100; i++ {
-		last = s.execute(0, Call{Operation: Acquire, Name: "l" + strconv.Itoa(i), Owner: "a", Hold: time.Second}).Status
+		last = s.execute(0, Call{Operation: Acquire, Name: "l" + strconv.Itoa(i), Owner: "a", Lease: time.Second}).Status
 	}
 	if last != Full {
 		t.Error("locks have no limit")
