--- a/internal/coordination/random_failures_test.go
+++ b/internal/coordination/random_failures_test.go
@@ -98,7 +98,7 @@
 	if n.up {
 		c.history.call(n, call, func(r Result) { end(r, true) })
 	}
-	c.history.schedule(testCallerTimeout, func() { end(Result{Effect: MaybeDone}, false) })
+	c.history.schedule(testCallerTimeout, func() { end(Result{Effect: MaybeExecuted}, false) })
 }
 
 func (c *caller) scheduleCall() {
@@ -127,13 +127,13 @@
 func (c *caller) lock() {
 	name, sent := c.pickName(testLocks), c.history.now
 	lease := time.Duration(500+c.random.Intn(2500)) * time.Millisecond
-	c.send(Call{Operation: Acquire, Name: name, Owner: c.owner, Hold: lease}, func(r Result, ok bool) {
+	c.send(Call{Operation: Acquire, Name: name, Owner: c.owner, Lease: lease}, func(r Result, ok bool) {
 		if !ok || r.Effect != Answered || r.Answer.Status != OK {
 			c.scheduleCall()
 			return
 		}
 		c.history.answers++
-		held := &heldLease{owner: c.owner, fence: r.Answer.Fence, sentAt: sent, begin: c.history.now, end: sent + lease}
+		held := &heldLease{owner: c.owner, fence: r.Answer.FencingToken, sentAt: sent, begin: c.history.now, end: sent + lease}
 		c.history.leases[name] = append(c.history.leases[name], held)
 		c.useLock(name, held, lease)
 	})
@@ -147,7 +147,7 @@
 			c.scheduleCall()
 		case 1, 2:
 			sent := c.history.now
-			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, Fence: lease.fence, Hold: leaseTime}, func(r Result, ok bool) {
+			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, FencingToken: lease.fence, Lease: leaseTime}, func(r Result, ok bool) {
 				switch {
 				case c.history.now >= lease.end: // too late: the renewal does not count
 				case ok && r.Effect == Answered && r.Answer.Status == OK:
@@ -163,14 +163,14 @@
 					own.end = min(own.end, c.history.now)
 				}
 			}
-			c.send(Call{Operation: Release, Name: name, Owner: c.owner, Fence: lease.fence}, func(Result, bool) { c.scheduleCall() })
+			c.send(Call{Operation: Release, Name: name, Owner: c.owner, FencingToken: lease.fence}, func(Result, bool) { c.scheduleCall() })
 		}
 	})
 }
 
 func (c *caller) draw() {
 	name, sent := c.pickName(testCounters), c.history.now
-	c.send(Call{Operation: Draw, Name: name}, func(r Result, ok bool) {
+	c.send(Call{Operation: Increment, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered && r.Answer.Status == OK {
 			c.history.answers++
 			c.history.numbers = append(c.history.numbers, drawnNumber{name, r.Answer.Number, sent, c.history.now})
@@ -216,7 +216,7 @@
 			c.lastRevisions[put.name] = r.Answer.Revision
 			c.history.mismatches = append(c.history.mismatches, mismatch{put.name, r.Answer.Revision})
 		default:
-			put.maybeDone = put.maybeDone || !ok || r.Effect != NotDone
+			put.maybeDone = put.maybeDone || !ok || r.Effect != NotExecuted
 			if tries > 1 {
 				c.sendPut(put, tries-1)
 				return
@@ -261,7 +261,7 @@
 		watchAgain(r.Revision)
 	}}
 	h.runStep(n, life, func() { n.server.Watch(w) })
-	h.schedule(time.Second, func() { h.runStep(n, life, func() { n.server.EndWatch(w) }) })
+	h.schedule(time.Second, func() { h.runStep(n, life, func() { n.server.TimeOutWatch(w) }) })
 	h.schedule(2*time.Second, func() { watchAgain(after) }) // the node has crashed or is frozen
 }
 
@@ -325,7 +325,7 @@
 	var records map[string]Record
 	var newest replication.Position
 	for _, n := range h.nodes {
-		if all, at, ok := n.replica.Committed(GroupKey(group)); ok && !at.Less(newest) {
+		if all, at, ok := n.replica.Committed(GroupPartition(group)); ok && !at.Less(newest) {
 			records, newest = all, at
 		}
 	}
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -11,10 +11,10 @@
 // Replica is the part of a replica of the control state that coordination uses.
 type Replica interface {
 	Propose(now time.Duration, key string, fn func(map[string]Record) ([]Record, error), done func(error))
-	Tenure(now time.Duration, key string) (replication.Tenure, bool)
+	OwnershipTerm(now time.Duration, key string) (replication.OwnershipTerm, bool)
 	Owner(now time.Duration, key string) string
 	Committed(key string) (map[string]Record, replication.Position, bool)
-	Current(key string) (time.Duration, bool)
+	FreshAsOf(key string) (time.Duration, bool)
 }
 
 // ServerConfig is the configuration of a Server.
@@ -57,9 +57,9 @@
 
 // The effects. Their numbers are part of the messages between nodes.
 const (
-	Answered  Effect = iota + 1
-	NotDone          // it has not taken effect and never will
-	MaybeDone        // it may have taken effect, or may still do so
+	Answered      Effect = iota + 1
+	NotExecuted          // it has not taken effect and never will
+	MaybeExecuted        // it may have taken effect, or may still do so
 )
 
 // Result is the result of a call. Answer is valid only if Effect is Answered.
@@ -96,9 +96,9 @@
 // effect. It may be called from any goroutine.
 func (e *Execution) Abandon() Effect {
 	if e.stage.CompareAndSwap(queued, cancelled) {
-		return NotDone
+		return NotExecuted
 	}
-	return MaybeDone
+	return MaybeExecuted
 }
 
 // Execute executes a call if the replica owns the partition. The result is delivered only
@@ -106,10 +106,10 @@
 // owner after the execution.
 func (s *Server) Execute(now time.Duration, e *Execution) {
 	if !s.beforeDeadline(e.deadline) {
-		e.done(Result{Effect: NotDone})
+		e.done(Result{Effect: NotExecuted})
 		return
 	}
-	key := e.call.Key()
+	key := e.call.Partition()
 	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
 		if !s.beforeDeadline(e.deadline) || !e.stage.CompareAndSwap(queued, started) {
 			return nil, nil
@@ -141,9 +141,9 @@
 	case err == nil && hasStarted && e.partitionUsable:
 		return Result{Effect: Answered, Answer: e.answer}
 	case hasStarted && e.hasChanges:
-		return Result{Effect: MaybeDone}
+		return Result{Effect: MaybeExecuted}
 	}
-	return Result{Effect: NotDone}
+	return Result{Effect: NotExecuted}
 }
 
 // ownedState returns the state of a partition that the replica owns; nil if it cannot be
@@ -151,7 +151,7 @@
 // owns the partition, and the state includes all changes of this term.
 func (s *Server) ownedState(key string, records map[string]Record) *Partition {
 	now := s.config.Clock()
-	tenure, _ := s.replica.Tenure(now, key)
+	tenure, _ := s.replica.OwnershipTerm(now, key)
 	if known := s.owned[key]; known != nil && known.epoch == tenure.Epoch {
 		return known.state
 	}
@@ -170,7 +170,7 @@
 // Tick drops the partitions that the replica no longer owns and sweeps the others when due.
 func (s *Server) Tick(now time.Duration) {
 	for key, owned := range s.owned {
-		tenure, _ := s.replica.Tenure(now, key)
+		tenure, _ := s.replica.OwnershipTerm(now, key)
 		if tenure.Epoch != owned.epoch || !s.Owns(now, key) {
 			delete(s.owned, key)
 		} else if now >= owned.sweepAt && owned.state != nil {
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-func (r *fakeReplica) Tenure(time.Duration, string) (replication.Tenure, bool) {
-	return replication.Tenure{Epoch: r.epoch, Since: r.ownedSince}, true
+func (r *fakeReplica) OwnershipTerm(time.Duration, string) (replication.OwnershipTerm, bool) {
+	return replication.OwnershipTerm{Epoch: r.epoch, Since: r.ownedSince}, true
 }
 func (r *fakeReplica) Owner(time.Duration, string) string { return "self" }
 func (r *fakeReplica) Committed(string) (map[string]Record, replication.Position, bool) {
 	return r.records, replication.Position{}, true
 }
-func (r *fakeReplica) Current(string) (time.Duration, bool) { return 0, true }
+func (r *fakeReplica) FreshAsOf(string) (time.Duration, bool) { return 0, true }
 
 type testServer struct {
 	*Server
@@ -53,7 +53,7 @@
 }
 
 func newTestServer() *testServer {
-	s := &testServer{replica: &fakeReplica{records: map[string]Record{}, epoch: replication.Epoch{N: 1}}}
+	s := &testServer{replica: &fakeReplica{records: map[string]Record{}, epoch: replication.Epoch{Number: 1}}}
 	s.Server = NewServer(ServerConfig{Self: "self", Life: 7, Clock: func() time.Duration { return s.now }, Limits: testLimits,
 		Sweep: time.Second, Freshness: time.Second, Log: slog.New(slog.DiscardHandler)}, s.replica)
 	return s
@@ -77,11 +77,11 @@
 		want     Effect
 	}{
 		"committed":                                  {write, nil, inTime, Answered},
-		"a change that may be committed":             {write, lost, inTime, MaybeDone},
-		"a call without changes":                     {noWrite, lost, inTime, NotDone},
-		"after the deadline":                         {write, nil, ClockReading{Life: 7, Time: -1}, NotDone},
-		"a deadline on the clock of another process": {write, nil, ClockReading{Life: 6, Time: time.Second}, NotDone},
-		"a deadline on an unknown clock":             {write, nil, ClockReading{}, NotDone},
+		"a change that may be committed":             {write, lost, inTime, MaybeExecuted},
+		"a call without changes":                     {noWrite, lost, inTime, NotExecuted},
+		"after the deadline":                         {write, nil, ClockReading{Life: 7, Time: -1}, NotExecuted},
+		"a deadline on the clock of another process": {write, nil, ClockReading{Life: 6, Time: time.Second}, NotExecuted},
+		"a deadline on an unknown clock":             {write, nil, ClockReading{}, NotExecuted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestServer()
@@ -89,7 +89,7 @@
 			if got, _ := s.execute(c.call, c.deadline); got.Effect != c.want {
 				t.Errorf("%v, want %v", got.Effect, c.want)
 			}
-			if c.want == NotDone && len(s.replica.records) > 0 {
+			if c.want == NotExecuted && len(s.replica.records) > 0 {
 				t.Errorf("a call that was not executed left %v", s.replica.records)
 			}
 		})
@@ -104,7 +104,7 @@
 			s.replica.holdProposals = true
 			_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
 			if abandon {
-				if got := e.Abandon(); got != NotDone {
+				if got := e.Abandon(); got != NotExecuted {
 					t.Errorf("abandoned: %v", got)
 				}
 			} else {
@@ -118,7 +118,7 @@
 	}
 	s := newTestServer()
 	_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
-	if got := e.Abandon(); got != MaybeDone {
+	if got := e.Abandon(); got != MaybeExecuted {
 		t.Errorf("abandoned after the start: %v", got)
 	}
 }
@@ -129,7 +129,7 @@
 	inTime := ClockReading{Life: 7, Time: time.Hour}
 	s.execute(acquire("a", 3), inTime)
 	s.now = 2 * time.Second
-	s.replica.epoch, s.replica.ownedSince = replication.Epoch{N: 3}, s.now
+	s.replica.epoch, s.replica.ownedSince = replication.Epoch{Number: 3}, s.now
 	delete(s.replica.records, lockPrefix+"l") // another owner has erased it in the meantime
 	if got, _ := s.execute(acquire("b", 3), inTime); got.Answer.Status != OK {
 		t.Errorf("%+v", got)
@@ -138,7 +138,7 @@
 
 func TestWatchAnsweredOnceCopyHasAcknowledgedRevision(t *testing.T) {
 	s := newTestServer()
-	key := groupKey("g.")
+	key := groupPartition("g.")
 	p := load(t, map[string]Record{}, 0, testLimits)
 	p.execute(0, putCell("g.a", "x", nil))
 	s.replica.records = p.records
@@ -146,7 +146,7 @@
 	var results []WatchResult
 	watch := func(after, least uint64) *Watch {
 		results = nil
-		w := &Watch{Group: "g.", After: after, Least: least, Done: func(r WatchResult) { results = append(results, r) }}
+		w := &Watch{Group: "g.", After: after, MinRevision: least, Done: func(r WatchResult) { results = append(results, r) }}
 		s.Watch(w)
 		return w
 	}
@@ -157,20 +157,20 @@
 	if len(results) > 0 {
 		t.Errorf("a copy that lacks revision 2 returned %+v", results)
 	}
-	s.EndWatch(w)
+	s.TimeOutWatch(w)
 	if len(results) != 1 || !errors.Is(results[0].Err, ErrStale) {
 		t.Errorf("timeout of a watch whose copy lacks revision 2: %+v", results)
 	}
 	w = watch(1, 1)
 	_, changes := p.Execute(0, putCell("g.b", "y", nil))
 	s.Committed(key, changes)
-	s.EndWatch(w)
+	s.TimeOutWatch(w)
 	if len(results) != 1 || results[0].Revision != 2 || results[0].Events[0] != (Event{"g.b", "y", 2}) {
 		t.Errorf("a put during the watch: %+v", results)
 	}
 	w = watch(2, 0)
-	s.EndWatch(w)
-	s.EndWatch(w)
+	s.TimeOutWatch(w)
+	s.TimeOutWatch(w)
 	if len(results) != 1 || results[0].Revision != 2 || results[0].Events != nil {
 		t.Errorf("timeout without a put: %+v", results)
 	}
@@ -186,18 +186,18 @@
 	s := newTestServer()
 	clocks := NewPeerClocks()
 	within := func(d time.Duration) ClockReading {
-		c, _ := clocks.At("self", s.now+d)
+		c, _ := clocks.Estimate("self", s.now+d)
 		return c
 	}
-	if got, _ := s.execute(acquire("a", 3), within(time.Second)); got.Effect != NotDone {
+	if got, _ := s.execute(acquire("a", 3), within(time.Second)); got.Effect != NotExecuted {
 		t.Fatalf("a call before the owner's clock is known: %+v", got)
 	}
-	clocks.Heard("self", s.Clock(), s.now)
+	clocks.Observe("self", s.Clock(), s.now)
 	s.execute(acquire("a", 3), within(time.Second))
 	sent := within(time.Second)
 	s.now += 1100 * time.Millisecond
 	s.execute(acquire("a", 3), within(time.Second))
-	if got, _ := s.execute(release("a", 1), sent); got.Effect != NotDone {
+	if got, _ := s.execute(release("a", 1), sent); got.Effect != NotExecuted {
 		t.Errorf("the delayed release: %+v", got)
 	}
 	if got, _ := s.execute(acquire("b", 3), within(time.Second)); got.Answer != held {
@@ -207,13 +207,13 @@
 
 func TestPeerClockEstimateIsNeverAhead(t *testing.T) {
 	c := NewPeerClocks()
-	c.Heard("p", ClockReading{Life: 1, Time: 100}, 40)
-	c.Heard("p", ClockReading{Life: 1, Time: 200}, 180) // a longer transfer
-	if got, _ := c.At("p", 200); got != (ClockReading{Life: 1, Time: 260}) {
+	c.Observe("p", ClockReading{Life: 1, Time: 100}, 40)
+	c.Observe("p", ClockReading{Life: 1, Time: 200}, 180) // a longer transfer
+	if got, _ := c.Estimate("p", 200); got != (ClockReading{Life: 1, Time: 260}) {
 		t.Errorf("%+v", got)
 	}
-	c.Heard("p", ClockReading{Life: 2, Time: 5}, 200)
-	if got, _ := c.At("p", 210); got != (ClockReading{Life: 2, Time: 15}) {
+	c.Observe("p", ClockReading{Life: 2, Time: 5}, 200)
+	if got, _ := c.Estimate("p", 210); got != (ClockReading{Life: 2, Time: 15}) {
 		t.Errorf("after a restart of the peer: %+v", got)
 	}
 }
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -83,9 +83,9 @@
 	for _, o := range s.nodes[:3] {
 		seeds = append(seeds, o.address)
 	}
-	config := replication.Config{Self: n.address, Life: n.life, Identity: s.random.Uint64() | 1, Seeds: seeds, Faults: 1,
-		Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, SurePrefix: KeyPrefix,
-		Beat: testHeartbeat, Vacant: testVacancyTimeout, Patience: 900 * time.Millisecond, HandBack: 4 * time.Second,
+	config := replication.Config{Self: n.address, RunID: n.life, Identity: s.random.Uint64() | 1, Seeds: seeds, Faults: 1,
+		Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, FreshnessPrefix: PartitionPrefix,
+		HeartbeatInterval: testHeartbeat, ElectionTimeout: testVacancyTimeout, ProposalTimeout: 900 * time.Millisecond, TransferBackDelay: 4 * time.Second,
 		Alive: func(address string) bool { o := s.node(address); return o.up && o.frozenUntil <= s.now },
 		Peers: func() (out []string) {
 			for _, o := range s.nodes {
@@ -101,7 +101,7 @@
 	n.replica, n.clocks = replica, NewPeerClocks()
 	n.server = NewServer(ServerConfig{Self: n.address, Life: n.life, Clock: func() time.Duration { return s.clock(n) },
 		Limits: s.partitionLimits, Sweep: 2 * time.Second, Freshness: 3 * testHeartbeat, Log: slog.New(slog.DiscardHandler)}, replica)
-	for _, key := range replica.Keys() {
+	for _, key := range replica.Partitions() {
 		n.server.Committed(key, nil)
 	}
 	s.tick(n, n.life)
@@ -231,7 +231,7 @@
 		arrivedAt := s.now
 		s.runStep(n, life, func() {
 			if s.now-arrivedAt > testFreezeDetection {
-				answer(Result{Effect: NotDone})
+				answer(Result{Effect: NotExecuted})
 				return
 			}
 			s.attempt(n, call, s.clock(n), answer)
@@ -240,16 +240,16 @@
 }
 
 func (s *simulation) attempt(n *node, call Call, startedAt time.Duration, answer func(Result)) {
-	key, life := call.Key(), n.life
+	key, life := call.Partition(), n.life
 	owner := n.replica.Owner(s.clock(n), key)
 	if owner == "" {
-		owner = n.replica.Founder(s.clock(n), key)
+		owner = n.replica.InitialOwner(s.clock(n), key)
 	}
 	retry := func() {
 		s.schedule(20*time.Millisecond, func() {
 			s.runStep(n, life, func() {
 				if s.clock(n) > startedAt+testAnswerLimit {
-					answer(Result{Effect: NotDone})
+					answer(Result{Effect: NotExecuted})
 				} else {
 					s.attempt(n, call, startedAt, answer)
 				}
@@ -261,7 +261,7 @@
 		retry()
 	case n.address:
 		s.execute(n, call, ClockReading{Life: n.life, Time: startedAt + testStartLimit}, func(r Result) {
-			if r.Effect == NotDone {
+			if r.Effect == NotExecuted {
 				retry()
 			} else {
 				answer(r)
@@ -273,14 +273,14 @@
 }
 
 func (s *simulation) forward(n *node, owner string, call Call, startedAt time.Duration, answer func(Result), retry func()) {
-	deadline, _ := n.clocks.At(owner, startedAt+testStartLimit)
+	deadline, _ := n.clocks.Estimate(owner, startedAt+testStartLimit)
 	finished := false
 	life := n.life
 	s.schedule(startedAt+testAnswerLimit-s.clock(n), func() {
 		s.runStep(n, life, func() {
 			if !finished {
 				finished = true
-				answer(Result{Effect: MaybeDone})
+				answer(Result{Effect: MaybeExecuted})
 			}
 		})
 	})
@@ -292,8 +292,8 @@
 					return
 				}
 				finished = true
-				n.clocks.Heard(owner, clock, s.clock(n))
-				if r.Effect == NotDone {
+				n.clocks.Observe(owner, clock, s.clock(n))
+				if r.Effect == NotExecuted {
 					retry()
 				} else {
 					answer(r)
--- a/internal/coordination/watches.go
+++ b/internal/coordination/watches.go
@@ -11,9 +11,9 @@
 type Watch struct {
 	Group string
 	After uint64
-	// Least is a revision that the group had certainly reached before the call came: the
+	// MinRevision is a revision that the group had certainly reached before the call came: the
 	// local copy must have reached it before events are returned.
-	Least uint64
+	MinRevision uint64
 	// Done is called once with the result, on the loop of the replica.
 	Done func(WatchResult)
 }
@@ -45,7 +45,7 @@
 	}
 	s.feeds[key] = NewFeed(all)
 	for group := range s.watches {
-		if groupKey(group) == key {
+		if groupPartition(group) == key {
 			s.notifyWatches(group)
 		}
 	}
@@ -71,8 +71,8 @@
 
 // answerWatch ends a watch if there are events for it or their history was erased.
 func (s *Server) answerWatch(w *Watch) bool {
-	feed := s.feeds[groupKey(w.Group)]
-	if feed == nil || feed.Revision(w.Group) < w.Least {
+	feed := s.feeds[groupPartition(w.Group)]
+	if feed == nil || feed.Revision(w.Group) < w.MinRevision {
 		return false
 	}
 	events, revision, err := feed.Since(w.Group, w.After)
@@ -84,11 +84,11 @@
 	return true
 }
 
-// EndWatch ends a watch at its timeout, unless it has ended before.
-func (s *Server) EndWatch(watch *Watch) {
+// TimeOutWatch ends a watch at its timeout, unless it has ended before.
+func (s *Server) TimeOutWatch(watch *Watch) {
 	switch {
 	case !s.removeWatch(watch):
-	case watch.After < watch.Least:
+	case watch.After < watch.MinRevision:
 		watch.Done(WatchResult{Err: ErrStale}) // the local copy lacks events that exist
 	default:
 		watch.Done(WatchResult{Revision: watch.After})
@@ -110,7 +110,7 @@
 
 // Fresh reports whether the local copy of a group is recent.
 func (s *Server) Fresh(now time.Duration, group string) bool {
-	at, ok := s.replica.Current(groupKey(group))
+	at, ok := s.replica.FreshAsOf(groupPartition(group))
 	return ok && now-at <= s.config.Freshness
 }
 
--- a/internal/delivery/changelog_test.go
+++ b/internal/delivery/changelog_test.go
@@ -37,13 +37,13 @@
 		}
 		sender := Sender{Log: log}
 		var watch Watch
-		var update Issue
-		copied.Tell(&watch)
-		sender.Bring(set, watch, 1<<30, &update)
+		var update Update
+		copied.FillWatch(&watch)
+		sender.AddMissing(set, watch, 1<<30, &update)
 		if sent := len(update.Records); c.sent > 0 && sent != c.sent || c.sent == 0 && sent <= 20 {
 			t.Errorf("%s: %d records were sent", name, sent)
 		}
-		if _, err := copied.Take(update); err != nil {
+		if _, err := copied.Apply(update); err != nil {
 			t.Fatal(err)
 		}
 		if !c.diverged && copied.Sums != set.Sums {
@@ -57,15 +57,15 @@
 	set, log, copied := antientropy.NewSet(), &ChangeLog{}, NewCopy()
 	log.Put(set, antientropy.Record{Name: "route/a", Gen: 1})
 	var watch Watch
-	copied.Tell(&watch)
+	copied.FillWatch(&watch)
 	set.Remove("route/a")
 	for n := range 200 {
 		set.Put(antientropy.Record{Name: fmt.Sprint("route/", n), Gen: 1})
 	}
 	log.Put(set, antientropy.Record{Name: "route/b", Gen: 1})
-	sender, update := Sender{Log: log}, Issue{}
-	sender.Bring(set, watch, 1<<30, &update)
-	if _, err := copied.Take(update); err != nil || copied.Sums != set.Sums {
+	sender, update := Sender{Log: log}, Update{}
+	sender.AddMissing(set, watch, 1<<30, &update)
+	if _, err := copied.Apply(update); err != nil || copied.Sums != set.Sums {
 		t.Errorf("copy holds %d of %d records, error %v", len(copied.Records), len(set.Records), err)
 	}
 }
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -14,13 +14,13 @@
 
 // Kinds of messages.
 const (
-	ToldKind = "told" // between control nodes: a summary of their watchers
+	WatcherSummaryKind = "told" // between control nodes: a summary of their watchers
 
-	ScoreKind  = "score"  // gateway to the control node that it watches first: what it saw of rollouts
-	GatherKind = "gather" // control node to the controller of a rollout: these reports
+	RolloutReportKind    = "score"  // gateway to the control node that it watches first: what it saw of rollouts
+	ForwardedReportsKind = "gather" // control node to the controller of a rollout: these reports
 
-	WatchKind = "watch"
-	IssueKind = "issue"
+	WatchKind  = "watch"
+	UpdateKind = "issue"
 
 	AcquireKind      = "draw"   // gateway to a control node: a request for a quota token
 	AcquireReplyKind = "drawn"  // answer to "draw"
@@ -32,45 +32,45 @@
 
 // Watch tells a control node what the sender holds, and asks for what it lacks.
 type Watch struct {
-	Sums    *antientropy.Sums `cbor:"1,keyasint,omitempty"` // nil: only the list of upstreams is requested
-	Listing upstream.Version  `cbor:"2,keyasint"`
+	Sums        *antientropy.Sums    `cbor:"1,keyasint,omitempty"` // nil: only the list of upstreams is requested
+	ListVersion upstream.ListVersion `cbor:"2,keyasint"`
 	// Zone and Load are the sender's zone and its requests in flight by service. A
 	// gateway sends them to one control node only.
 	Zone string             `cbor:"3,keyasint,omitempty"`
 	Load map[string]float64 `cbor:"4,keyasint,omitempty"`
-	// Asked is the sender's clock. The answer repeats it, so that the sender can bound the age
+	// AskedAt is the sender's clock. The answer repeats it, so that the sender can bound the age
 	// of its records.
-	Asked time.Duration `cbor:"5,keyasint,omitempty"`
-	// Second says that another control node sends changes to the sender. The receiver only
+	AskedAt time.Duration `cbor:"5,keyasint,omitempty"`
+	// Secondary says that another control node sends changes to the sender. The receiver only
 	// answers this message and sends nothing unasked.
-	Second bool `cbor:"6,keyasint,omitempty"`
-	// Packs says that the sender accepts packs, see Pack.
-	Packs bool `cbor:"7,keyasint,omitempty"`
+	Secondary bool `cbor:"6,keyasint,omitempty"`
+	// AcceptsPacks says that the sender accepts packs, see Pack.
+	AcceptsPacks bool `cbor:"7,keyasint,omitempty"`
 	// Horizons belong to Sums. Gateways of versions before horizons send none.
 	Horizons *Horizons `cbor:"8,keyasint,omitempty"`
 }
 
-// Told is the summary of its watchers that a control node sends to the others: the loads by
+// WatcherSummary is the summary of its watchers that a control node sends to the others: the loads by
 // zone, and the digest of the records that each gateway holds.
-type Told struct {
-	Loads upstream.Loads    `cbor:"1,keyasint,omitempty"`
-	Holds map[string]uint64 `cbor:"2,keyasint,omitempty"`
+type WatcherSummary struct {
+	Loads   upstream.Loads    `cbor:"1,keyasint,omitempty"`
+	Digests map[string]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Issue is an update that a control node sends to a watcher.
-type Issue struct {
+// Update is an update that a control node sends to a watcher.
+type Update struct {
 	Records []antientropy.Record `cbor:"1,keyasint,omitempty"`
-	Listing *upstream.List       `cbor:"2,keyasint,omitempty"`
+	List    *upstream.List       `cbor:"2,keyasint,omitempty"`
 	// Fresh says that a majority has recently confirmed all that the control node serves.
 	Fresh bool `cbor:"3,keyasint,omitempty"`
 	// Loads are the loads of all zones that the control node knows of.
 	Loads upstream.Loads `cbor:"4,keyasint,omitempty"`
-	// Sure answers Watch.Asked. It is set if the watcher, given this update, holds all records of
+	// Freshness answers Watch.Asked. It is set if the watcher, given this update, holds all records of
 	// the control node, and the control node knows how old these are.
-	Sure *Sure `cbor:"5,keyasint,omitempty"`
-	// Led says that every active rollout has a controller that the control node hears from. It
+	Freshness *Freshness `cbor:"5,keyasint,omitempty"`
+	// RolloutsControlled says that every active rollout has a controller that the control node hears from. It
 	// is set only together with Fresh.
-	Led bool `cbor:"6,keyasint,omitempty"`
+	RolloutsControlled bool `cbor:"6,keyasint,omitempty"`
 	// Packs are compressed records, see Pack. More says that further ranges differ; the
 	// watcher gets these by asking again.
 	Packs [][]byte `cbor:"7,keyasint,omitempty"`
@@ -80,37 +80,37 @@
 	// empty while the horizon is 0. Control nodes of versions before horizons send neither.
 	Horizon *uint64 `cbor:"9,keyasint,omitempty"`
 	Ranges  []int   `cbor:"10,keyasint,omitempty"`
-	// Listed says how recent the list of upstreams is. It is sent to control nodes only.
-	Listed *Listed `cbor:"11,keyasint,omitempty"`
+	// ListFreshness says how recent the list of upstreams is. It is sent to control nodes only.
+	ListFreshness *ListFreshness `cbor:"11,keyasint,omitempty"`
 }
 
-// Listed says that this version of the list of upstreams was complete and up to date at the time
+// ListFreshness says that this version of the list of upstreams was complete and up to date at the time
 // Asked+Since of the watcher's clock or later. Since may be negative. With durations the two nodes need
 // no common clock.
-type Listed struct {
-	Version upstream.Version `cbor:"1,keyasint"`
-	Asked   time.Duration    `cbor:"2,keyasint"`
-	Since   time.Duration    `cbor:"3,keyasint"`
-	Calls   int              `cbor:"4,keyasint,omitempty"` // platform API calls that reading the list took
-	Took    time.Duration    `cbor:"5,keyasint,omitempty"` // time that reading the list took
+type ListFreshness struct {
+	Version upstream.ListVersion `cbor:"1,keyasint"`
+	AskedAt time.Duration        `cbor:"2,keyasint"`
+	Offset  time.Duration        `cbor:"3,keyasint"`
+	Calls   int                  `cbor:"4,keyasint,omitempty"` // platform API calls that reading the list took
+	Took    time.Duration        `cbor:"5,keyasint,omitempty"` // time that reading the list took
 }
 
-// Sure says that the records which the gateway holds after this update were up to date at the time
+// Freshness says that the records which the gateway holds after this update were up to date at the time
 // Asked-Age of its clock or later. With durations the two nodes need no common clock.
-type Sure struct {
-	Asked time.Duration `cbor:"1,keyasint"`
-	Age   time.Duration `cbor:"2,keyasint"`
+type Freshness struct {
+	AskedAt time.Duration `cbor:"1,keyasint"`
+	Age     time.Duration `cbor:"2,keyasint"`
 }
 
 // Empty reports whether an update contains neither records nor a list.
-func (i *Issue) Empty() bool {
-	return len(i.Records)+len(i.Packs)+len(i.Ranges) == 0 && i.Listing == nil
+func (i *Update) Empty() bool {
+	return len(i.Records)+len(i.Packs)+len(i.Ranges) == 0 && i.List == nil
 }
 
 // Watchers keeps the state of the nodes that watch a control node.
 type Watchers struct {
-	Forget time.Duration
-	byID   map[string]*watcher
+	ExpireAfter time.Duration
+	byID        map[string]*watcher
 }
 
 type watcher struct {
@@ -122,8 +122,8 @@
 	everSent bool
 }
 
-// Note sets what a watcher is assumed to hold.
-func (w *Watchers) Note(now time.Duration, from string, assumed Watch) {
+// SetAssumed sets what a watcher is assumed to hold.
+func (w *Watchers) SetAssumed(now time.Duration, from string, assumed Watch) {
 	if w.byID == nil {
 		w.byID = map[string]*watcher{}
 	}
@@ -141,10 +141,10 @@
 	}
 }
 
-// Believe returns what a watcher can be assumed to hold. If it reports the same as last time and an
+// Assume returns what a watcher can be assumed to hold. If it reports the same as last time and an
 // update was sent to it within the given time, the update is taken to be in flight and needn't be
 // sent again. guessed says that the result differs from what the watcher reported.
-func (w *Watchers) Believe(now time.Duration, from string, reported Watch, within time.Duration) (assumed Watch, guessed bool) {
+func (w *Watchers) Assume(now time.Duration, from string, reported Watch, within time.Duration) (assumed Watch, guessed bool) {
 	entry := w.byID[from]
 	assumed = reported
 	if entry != nil && entry.everSent && now-entry.lastSent < within {
@@ -152,15 +152,15 @@
 			assumed.Sums, assumed.Horizons = entry.assumed.Sums, entry.assumed.Horizons
 			guessed = *entry.assumed.Sums != *reported.Sums || !reported.sameHorizons(entry.assumed)
 		}
-		if reported.Listing == entry.reported.Listing && reported.Listing != entry.assumed.Listing {
-			assumed.Listing, guessed = entry.assumed.Listing, true
+		if reported.ListVersion == entry.reported.ListVersion && reported.ListVersion != entry.assumed.ListVersion {
+			assumed.ListVersion, guessed = entry.assumed.ListVersion, true
 		}
 	}
 	return assumed, guessed
 }
 
-// Holds records what a watcher reported.
-func (w *Watchers) Holds(from string, reported Watch) {
+// SetReported records what a watcher reported.
+func (w *Watchers) SetReported(from string, reported Watch) {
 	if entry := w.byID[from]; entry != nil {
 		entry.reported = reported
 		if reported.Sums != nil {
@@ -175,9 +175,9 @@
 func (w *Watchers) Each(now time.Duration, fn func(to string, assumed Watch) Watch) {
 	ids := make([]string, 0, len(w.byID))
 	for id, entry := range w.byID {
-		if now-entry.lastSeen > w.Forget {
+		if now-entry.lastSeen > w.ExpireAfter {
 			delete(w.byID, id)
-		} else if !entry.reported.Second {
+		} else if !entry.reported.Secondary {
 			ids = append(ids, id)
 		}
 	}
@@ -187,14 +187,14 @@
 	}
 }
 
-// Told summarizes what the watchers reported.
-func (w *Watchers) Told(now time.Duration) Told {
-	out := Told{upstream.Loads{}, map[string]uint64{}}
+// Summary summarizes what the watchers reported.
+func (w *Watchers) Summary(now time.Duration) WatcherSummary {
+	out := WatcherSummary{upstream.Loads{}, map[string]uint64{}}
 	for id, entry := range w.byID {
-		if now-entry.lastSeen > w.Forget || entry.assumed.Sums == nil {
+		if now-entry.lastSeen > w.ExpireAfter || entry.assumed.Sums == nil {
 			continue
 		}
-		out.Holds[id] = entry.digest
+		out.Digests[id] = entry.digest
 		if entry.assumed.Zone != "" {
 			out.Loads.Add(upstream.Loads{entry.assumed.Zone: entry.assumed.Load})
 		}
@@ -205,15 +205,15 @@
 // Count returns the number of watchers that haven't expired.
 func (w *Watchers) Count(now time.Duration) (n int) {
 	for _, entry := range w.byID {
-		if now-entry.lastSeen <= w.Forget {
+		if now-entry.lastSeen <= w.ExpireAfter {
 			n++
 		}
 	}
 	return n
 }
 
-// Has returns what a watcher is assumed to hold.
-func (w *Watchers) Has(id string) (Watch, bool) {
+// Assumed returns what a watcher is assumed to hold.
+func (w *Watchers) Assumed(id string) (Watch, bool) {
 	entry, ok := w.byID[id]
 	if !ok {
 		return Watch{}, false
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -38,7 +38,7 @@
 		"one node partitioned repeatedly":        {map[string]fault{"n1": {partitioned: func(b int) bool { return b >= 10 && b < 14 || b >= 18 && b < 22 }}, "n2": {partitioned: from10}}, 10 + contactS - 2, 0, 5, "n"},
 		"all partitioned: two are still watched": {map[string]fault{"n1": {partitioned: from10}, "n2": {partitioned: from10}, "s1": {partitioned: from10}, "e1": {partitioned: from10}}, 60, 60, 102, "nse"},
 	} {
-		sources := Sources{Self: "gateway", Zone: "n", Patience: 3 * beat, Seeds: []string{"seed"}}
+		sources := Sources{Self: "gateway", Zone: "n", Timeout: 3 * beat, Seeds: []string{"seed"}}
 		if chosen := sources.Choose(0, nil); len(chosen) != 1 || chosen[0] != "seed" {
 			t.Fatalf("chose %v before any control node was known", chosen)
 		}
@@ -77,7 +77,7 @@
 				partitioned, silent := faultsAt(id, b)
 				if !silent {
 					fresh := !partitioned || b > contactS && b < lastContact[id]+2
-					sources.Heard(now+beat/20, id, fresh)
+					sources.Received(now+beat/20, id, fresh)
 				}
 			}
 		}
@@ -91,9 +91,9 @@
 }
 
 func TestWatchersExpire(t *testing.T) {
-	watchers := Watchers{Forget: time.Second}
-	watchers.Note(0, "a", Watch{})
-	watchers.Note(900*time.Millisecond, "b", Watch{})
+	watchers := Watchers{ExpireAfter: time.Second}
+	watchers.SetAssumed(0, "a", Watch{})
+	watchers.SetAssumed(900*time.Millisecond, "b", Watch{})
 	if count := watchers.Count(1500 * time.Millisecond); count != 1 {
 		t.Errorf("%d watchers before Each, want 1", count)
 	}
@@ -124,14 +124,14 @@
 	}
 	for _, c := range cases {
 		var watchers Watchers
-		watchers.Forget = time.Minute
-		watchers.Note(0, "d", empty)
-		watchers.Holds("d", empty)
+		watchers.ExpireAfter = time.Minute
+		watchers.SetAssumed(0, "d", empty)
+		watchers.SetReported("d", empty)
 		if c.sent {
 			watchers.Sent(0, "d")
 		}
-		watchers.Note(0, "d", Watch{Sums: &all}) // assumed after the update
-		assumed, guessed := watchers.Believe(c.now, "d", c.reported, time.Second)
+		watchers.SetAssumed(0, "d", Watch{Sums: &all}) // assumed after the update
+		assumed, guessed := watchers.Assume(c.now, "d", c.reported, time.Second)
 		if *assumed.Sums != c.assumed || guessed != c.guessed {
 			t.Errorf("%s: assumed %v, guessed %v", c.name, *assumed.Sums, guessed)
 		}
--- a/internal/delivery/horizon.go
+++ b/internal/delivery/horizon.go
@@ -25,13 +25,13 @@
 type Sender struct {
 	// Log holds the newest changes of the records. If it is nil, ranges are always sent whole.
 	Log       *ChangeLog
-	packs     Packs
+	packs     PackCache
 	nextStart int // counter that rotates the first range for watchers without horizons
 }
 
-// Bring adds ranges that a watcher lacks to an update until they take about maxBytes, and returns
+// AddMissing adds ranges that a watcher lacks to an update until they take about maxBytes, and returns
 // what the watcher holds once it has applied the update.
-func (s *Sender) Bring(set *antientropy.Set, watch Watch, maxBytes int, out *Issue) Watch {
+func (s *Sender) AddMissing(set *antientropy.Set, watch Watch, maxBytes int, out *Update) Watch {
 	horizon := config.Horizon(set.Records)
 	missing := watch.missingRanges(set.Sums, horizon)
 	if len(missing) == 0 {
@@ -59,7 +59,7 @@
 		if horizons[rangeIndex] > horizon {
 			// This control node lags behind the watcher. Records that are never purged may still be newer.
 			for _, r := range set.Pick([]int{rangeIndex}) {
-				if !config.IsForgettable(r.Name) {
+				if !config.CoveredByHorizon(r.Name) {
 					out.Records = append(out.Records, r)
 				}
 			}
@@ -70,7 +70,7 @@
 			sums[rangeIndex] = set.Sums[rangeIndex]
 			continue
 		}
-		bytes += s.packs.Range(set, rangeIndex, watch.Packs, out)
+		bytes += s.packs.AddRange(set, rangeIndex, watch.AcceptsPacks, out)
 		sums[rangeIndex], horizons[rangeIndex] = set.Sums[rangeIndex], horizon
 		if horizon > 0 {
 			out.Ranges = append(out.Ranges, rangeIndex)
@@ -87,7 +87,7 @@
 // addChanges adds the records of a range that have changed since the watcher's copy of it to an update.
 // ok is false if they aren't known or the watcher has the range at another horizon. size is
 // approximate, in bytes.
-func (s *Sender) addChanges(set *antientropy.Set, watch Watch, rangeIndex int, horizon uint64, out *Issue) (size int, ok bool) {
+func (s *Sender) addChanges(set *antientropy.Set, watch Watch, rangeIndex int, horizon uint64, out *Update) (size int, ok bool) {
 	if s.Log == nil || watch.Horizons != nil && watch.Horizons[rangeIndex] != horizon {
 		return 0, false
 	}
@@ -117,15 +117,15 @@
 // NewCopy returns an empty copy.
 func NewCopy() *Copy { return &Copy{Set: antientropy.NewSet()} }
 
-// Tell sets the digests and horizons of the copy in w.
-func (c *Copy) Tell(w *Watch) {
+// FillWatch sets the digests and horizons of the copy in w.
+func (c *Copy) FillWatch(w *Watch) {
 	sums, horizons := c.Sums, c.horizons
 	w.Sums, w.Horizons = &sums, &horizons
 }
 
-// Take applies an update and reports whether that changed anything. An update with a damaged pack
+// Apply applies an update and reports whether that changed anything. An update with a damaged pack
 // is rejected as a whole, since a range without the pack's records would seem empty.
-func (c *Copy) Take(update Issue) (changed bool, err error) {
+func (c *Copy) Apply(update Update) (changed bool, err error) {
 	records := update.Records
 	for _, pack := range update.Packs {
 		unpacked, err := Unpack(pack)
@@ -139,7 +139,7 @@
 	}
 	changed = c.replaceRanges(*update.Horizon, update.Ranges, records)
 	for _, r := range records {
-		if config.IsForgettable(r.Name) && c.horizons[antientropy.RangeOf(r.Name)] != *update.Horizon {
+		if config.CoveredByHorizon(r.Name) && c.horizons[antientropy.RangeOf(r.Name)] != *update.Horizon {
 			continue // the sender's horizon is lower than the copy's
 		}
 		changed = c.Merge([]antientropy.Record{r}) || changed
@@ -163,11 +163,11 @@
 	}
 	var replacements []antientropy.Record
 	for _, r := range records {
-		if config.IsForgettable(r.Name) && isReplaced[antientropy.RangeOf(r.Name)] {
+		if config.CoveredByHorizon(r.Name) && isReplaced[antientropy.RangeOf(r.Name)] {
 			replacements = append(replacements, r)
 		}
 	}
-	return config.Replace(c.Set, replaced, replacements)
+	return config.ReplaceRecords(c.Set, replaced, replacements)
 }
 
 // applyWithoutHorizon merges records from a control node of a version without horizons. They may have
--- a/internal/delivery/horizon_test.go
+++ b/internal/delivery/horizon_test.go
@@ -100,21 +100,21 @@
 		var partitionedUntil [gateways]int
 		type delayedUpdate struct {
 			to     int
-			update Issue
+			update Update
 		}
 		var inFlight []delayedUpdate
 		for g := range copies {
 			copies[g] = NewCopy()
 		}
-		request := func(g, c int) Issue {
-			var update Issue
-			watch := Watch{Packs: h.random.IntN(2) == 0}
-			copies[g].Tell(&watch)
-			nodes[c].sender.Bring(nodes[c].served(h), watch, maxBytes, &update)
+		request := func(g, c int) Update {
+			var update Update
+			watch := Watch{AcceptsPacks: h.random.IntN(2) == 0}
+			copies[g].FillWatch(&watch)
+			nodes[c].sender.AddMissing(nodes[c].served(h), watch, maxBytes, &update)
 			return update
 		}
-		apply := func(g int, update Issue) {
-			if _, err := copies[g].Take(update); err != nil {
+		apply := func(g int, update Update) {
+			if _, err := copies[g].Apply(update); err != nil {
 				t.Fatal(err)
 			}
 			for name, r := range copies[g].Records {
@@ -195,13 +195,13 @@
 	ahead.Put(antientropy.Record{Name: "horizon", Gen: 1})
 	for _, from := range []*antientropy.Set{ahead, lagging} {
 		var watch Watch
-		var update Issue
-		copied.Tell(&watch)
-		(&Sender{}).Bring(from, watch, 1<<10, &update)
+		var update Update
+		copied.FillWatch(&watch)
+		(&Sender{}).AddMissing(from, watch, 1<<10, &update)
 		if len(update.Records) > 1 {
 			t.Errorf("%d records were sent, want at most 1", len(update.Records))
 		}
-		if _, err := copied.Take(update); err != nil {
+		if _, err := copied.Apply(update); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -221,9 +221,9 @@
 		h.step()
 		node.config = len(h.configs) - 1
 		for range antientropy.Ranges {
-			var update Issue
+			var update Update
 			sums := olderGateway.Sums
-			node.sender.Bring(node.served(h), Watch{Sums: &sums}, 1, &update)
+			node.sender.AddMissing(node.served(h), Watch{Sums: &sums}, 1, &update)
 			olderGateway.Merge(update.Records)
 		}
 	}
@@ -242,15 +242,15 @@
 	copied := NewCopy()
 	applyUpdate := func() {
 		var watch Watch
-		var update Issue
-		copied.Tell(&watch)
-		node.sender.Bring(node.served(h), watch, 1<<20, &update)
-		if _, err := copied.Take(update); err != nil {
+		var update Update
+		copied.FillWatch(&watch)
+		node.sender.AddMissing(node.served(h), watch, 1<<20, &update)
+		if _, err := copied.Apply(update); err != nil {
 			t.Fatal(err)
 		}
 	}
 	applyUpdate()
-	if _, err := copied.Take(Issue{Records: []antientropy.Record{{Name: "route/back", Gen: 1}, {Name: "route/new", Gen: 1e6}}}); err != nil {
+	if _, err := copied.Apply(Update{Records: []antientropy.Record{{Name: "route/back", Gen: 1}, {Name: "route/new", Gen: 1e6}}}); err != nil {
 		t.Fatal(err)
 	}
 	if len(copied.Records) != len(want)+3 {
@@ -266,7 +266,7 @@
 func TestUpdateWithDamagedPackIsRejected(t *testing.T) {
 	copied, horizon := NewCopy(), uint64(1)
 	copied.Put(antientropy.Record{Name: "route/n", Gen: 1})
-	if _, err := copied.Take(Issue{Horizon: &horizon, Ranges: antientropy.AllRanges(), Packs: [][]byte{{1}}}); err == nil {
+	if _, err := copied.Apply(Update{Horizon: &horizon, Ranges: antientropy.AllRanges(), Packs: [][]byte{{1}}}); err == nil {
 		t.Error("update with a damaged pack was applied")
 	}
 	if len(copied.Records) != 1 {
--- a/internal/delivery/pack.go
+++ b/internal/delivery/pack.go
@@ -41,15 +41,15 @@
 	return records, nil
 }
 
-// Packs caches the pack of each range of a set, for the digest that the range had when last requested.
-type Packs [antientropy.Ranges]struct {
+// PackCache caches the pack of each range of a set, for the digest that the range had when last requested.
+type PackCache [antientropy.Ranges]struct {
 	sum  uint64
 	pack []byte // nil: sent uncompressed
 }
 
-// Range adds range i of a set to an update, as a pack if the watcher accepts packs and the range is
+// AddRange adds range i of a set to an update, as a pack if the watcher accepts packs and the range is
 // large enough. It returns the approximate size in bytes.
-func (p *Packs) Range(set *antientropy.Set, rangeIndex int, acceptsPacks bool, out *Issue) (size int) {
+func (p *PackCache) AddRange(set *antientropy.Set, rangeIndex int, acceptsPacks bool, out *Update) (size int) {
 	if acceptsPacks {
 		if cached := &p[rangeIndex]; cached.sum != set.Sums[rangeIndex] {
 			records := set.Pick([]int{rangeIndex})
--- a/internal/delivery/pack_test.go
+++ b/internal/delivery/pack_test.go
@@ -29,12 +29,12 @@
 		{2000, false, 500 << 10},
 	} {
 		set, copied := routes(c.routes), antientropy.NewSet()
-		var cache Packs
+		var cache PackCache
 		for round := range 2 {
-			var update Issue
+			var update Update
 			size := 0
 			for _, i := range antientropy.Diff(copied.Sums, set.Sums) {
-				size += cache.Range(set, i, c.packs, &update)
+				size += cache.AddRange(set, i, c.packs, &update)
 			}
 			if size > c.maxBytes || round > 0 && size > c.maxBytes/4 {
 				t.Errorf("%d routes, packs %v, round %d: %d bytes", c.routes, c.packs, round, size)
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -19,9 +19,9 @@
 	Zone   string
 	Region func(zone string) string // nil: there is only one region
 	Seeds  []string
-	// Patience is how long a source may send nothing fresh before it is replaced. A source that
+	// Timeout is how long a source may send nothing fresh before it is replaced. A source that
 	// answers but is stale is replaced sooner: see staleFraction.
-	Patience        time.Duration
+	Timeout         time.Duration
 	lastFresh       map[string]time.Duration // time of the last fresh update
 	stale           map[string]bool          // whether the last update was not fresh
 	chosenAt        map[string]time.Duration // when a chosen source was chosen
@@ -46,8 +46,8 @@
 	avoidTimeouts     = 4    // multiples of Patience for which a replaced source is avoided
 )
 
-// Heard records an update from a control node, and whether it was fresh.
-func (s *Sources) Heard(now time.Duration, from string, fresh bool) {
+// Received records an update from a control node, and whether it was fresh.
+func (s *Sources) Received(now time.Duration, from string, fresh bool) {
 	s.init()
 	s.stale[from] = !fresh
 	if fresh {
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	return time.Duration(fraction * float64(s.Patience))
+	return time.Duration(fraction * float64(s.Timeout))
 }
 
 // Choose returns the control nodes to watch now.
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, id := range abandoned {
-		s.avoidUntil[id] = now + avoidTimeouts*s.Patience
+		s.avoidUntil[id] = now + avoidTimeouts*s.Timeout
 	}
 	zones := map[string]string{}
 	var ids []string
@@ -191,11 +191,11 @@
 	}
 }
 
-// AlsoAsk returns further control nodes to ask while none has sent a fresh update recently: a few in
+// Fallbacks returns further control nodes to ask while none has sent a fresh update recently: a few in
 // each beat, all in turn. Waiting for one watched control node after the other to time out could take
 // longer than the setting contactS.
-func (s *Sources) AlsoAsk(now time.Duration) (out []string) {
-	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Patience/beatsPerPatience || len(s.candidates) == 0 {
+func (s *Sources) Fallbacks(now time.Duration) (out []string) {
+	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Timeout/beatsPerPatience || len(s.candidates) == 0 {
 		return nil
 	}
 	s.fallbackAskedAt = now
@@ -215,7 +215,7 @@
 
 // freshDuration is how long a fresh update counts as recent.
 func (s *Sources) freshDuration() time.Duration {
-	return time.Duration(fallbackFraction * float64(s.Patience))
+	return time.Duration(fallbackFraction * float64(s.Timeout))
 }
 
 // freshUnwatched reports whether a control node that is not watched has recently sent a fresh update.
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -66,12 +66,12 @@
 	partitionedAt := 2 + w.rng.IntN(8)
 	healedAt := partitionedAt + 5 + w.rng.IntN(30)
 	rejoinDelay := w.rng.IntN(8)
-	sources := Sources{Self: "gateway", Zone: "z0", Patience: 3 * beat, Seeds: w.seeds}
+	sources := Sources{Self: "gateway", Zone: "z0", Timeout: 3 * beat, Seeds: w.seeds}
 	for b := 1; ; b++ {
 		now := time.Duration(b) * beat
 		alive := w.alive(b, partitionedAt, healedAt, rejoinDelay)
 		gotFresh := false
-		for _, id := range slices.Concat(sources.Choose(now, alive), sources.AlsoAsk(now)) {
+		for _, id := range slices.Concat(sources.Choose(now, alive), sources.Fallbacks(now)) {
 			i := slices.IndexFunc(w.nodes, func(n membership.Node) bool { return n.Address == id })
 			state := w.nodeStates[i]
 			if b < partitionedAt {
@@ -80,7 +80,7 @@
 				state = silent
 			}
 			if state != silent {
-				sources.Heard(now+beat/20, id, state == fresh)
+				sources.Received(now+beat/20, id, state == fresh)
 				gotFresh = gotFresh || state == fresh
 			}
 		}
--- a/internal/election/challenge_test.go
+++ b/internal/election/challenge_test.go
@@ -63,7 +63,7 @@
 	}
 	for _, id := range c.ids {
 		node := &dutyNode{}
-		node.elector = New(Config{Self: id, Duties: []string{"list"}, Lease: lease, Roster: func() []string { return c.ids },
+		node.elector = New(Config{Self: id, Roles: []string{"list"}, Lease: lease, Roster: func() []string { return c.ids },
 			Alive: func(string) bool { return true },
 			Progress: func(time.Duration, string) Progress {
 				return Progress{Known: node.knownAsOf, Own: node.ownAsOf, Limit: challengeLimit}
@@ -95,7 +95,7 @@
 // work starts a node's work if it is due, and publishes its result when it ends.
 func (c *dutyCluster) work(id string, node *dutyNode) {
 	_, holds := node.elector.Holds(c.now, "list")
-	rank, _ := node.elector.Deputy(c.now, "list")
+	rank, _ := node.elector.StandbyRank(c.now, "list")
 	deputy := c.now-node.knownAsOf > challengeLimit && rank <= c.maxFaulty
 	if node.workEnds == 0 && c.now >= node.nextWork && (holds || deputy) {
 		node.workBegan, node.workEnds, node.nextWork = c.now, c.now+tick, c.now+workInterval
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,16 +15,16 @@
 
 // Message is a request for a vote or pre-vote, an answer to one, or a resignation.
 type Message struct {
-	Duty   string `cbor:"1,keyasint"`
-	Term   uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's duty.minTerm, if that is higher
-	Vote   bool   `cbor:"3,keyasint,omitempty"` // this is an answer to a request
-	OK     bool   `cbor:"4,keyasint,omitempty"` // in an answer: the vote is granted
-	Resign bool   `cbor:"5,keyasint,omitempty"` // the sender releases the receiver's vote for it
-	Used   uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's duty.usedTerm
-	Life   uint64 `cbor:"7,keyasint,omitempty"` // identifies the run of the candidate's process
-
-	Ask    bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or an answer to one
-	Result *Result `cbor:"9,keyasint,omitempty"` // set if the candidate challenges a holder
+	Role     string `cbor:"1,keyasint"`
+	Term     uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's duty.minTerm, if that is higher
+	Answer   bool   `cbor:"3,keyasint,omitempty"` // this is an answer to a request
+	Granted  bool   `cbor:"4,keyasint,omitempty"` // in an answer: the vote is granted
+	Resign   bool   `cbor:"5,keyasint,omitempty"` // the sender releases the receiver's vote for it
+	UsedTerm uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's duty.usedTerm
+	RunID    uint64 `cbor:"7,keyasint,omitempty"` // identifies the run of the candidate's process
+
+	PreVote bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or an answer to one
+	Result  *Result `cbor:"9,keyasint,omitempty"` // set if the candidate challenges a holder
 }
 
 // Envelope is a message with its recipient.
@@ -36,8 +36,8 @@
 // Config configures an Elector.
 type Config struct {
 	Self   string
-	Life   uint64 // identifies this run of the process
-	Duties []string
+	RunID  uint64 // identifies this run of the process
+	Roles  []string
 	Lease  time.Duration     // how long a vote is valid
 	Roster func() []string   // the control nodes that vote
 	Alive  func(string) bool // whether a control node is presumed to work
@@ -70,7 +70,7 @@
 
 	retryAt      time.Duration // earliest next campaign after a lost one
 	preVote      preVote
-	lastTakeover *HandOn // the last takeover that this control node voted for
+	lastTakeover *Transfer // the last takeover that this control node voted for
 }
 
 // Elector takes part in the elections of all duties for one control node. It does no I/O: callers pass
@@ -80,7 +80,7 @@
 	duties        []*duty
 	outbox        []Envelope
 	changedDuties []string
-	takeovers     []HandOn
+	takeovers     []Transfer
 	leaving       bool
 	startedAt     time.Duration
 	started       bool
@@ -89,7 +89,7 @@
 // New returns an Elector for which all duties are vacant.
 func New(cfg Config) *Elector {
 	e := &Elector{cfg: cfg}
-	for _, d := range cfg.Duties {
+	for _, d := range cfg.Roles {
 		e.duties = append(e.duties, &duty{name: d})
 	}
 	return e
@@ -130,9 +130,9 @@
 	return d.votedFor, d.votedTerm, d.votedLife
 }
 
-// Raise reports that terms up to usedTerm were held by another node before the control nodes lost
+// RaiseUsedTerm reports that terms up to usedTerm were held by another node before the control nodes lost
 // their in-memory state. A node that holds the duty under one of these terms has to take a higher one.
-func (e *Elector) Raise(name string, usedTerm uint64) {
+func (e *Elector) RaiseUsedTerm(name string, usedTerm uint64) {
 	if d := e.duty(name); d != nil {
 		d.usedTerm = max(d.usedTerm, usedTerm)
 	}
@@ -162,7 +162,7 @@
 			}
 		case d.campaigning && now-d.requestedAt < e.cfg.Lease/2:
 			// Repeat the request: some voters may have started only now.
-			request := Message{Duty: d.name, Term: d.term, Life: e.cfg.Life}
+			request := Message{Role: d.name, Term: d.term, RunID: e.cfg.RunID}
 			if d.challenging {
 				request.Result = e.challengeResult(now, d)
 			}
@@ -198,7 +198,7 @@
 	}
 	for _, id := range roster {
 		if id != e.cfg.Self {
-			e.outbox = append(e.outbox, Envelope{id, Message{Duty: d.name, Resign: true}})
+			e.outbox = append(e.outbox, Envelope{id, Message{Role: d.name, Resign: true}})
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	}
 	d.term = term
 	d.votes = map[string]bool{}
-	request := Message{Duty: d.name, Term: term, Life: e.cfg.Life, Result: result}
+	request := Message{Role: d.name, Term: term, RunID: e.cfg.RunID, Result: result}
 	if !e.grantVote(now, d, e.cfg.Self, request) {
 		d.campaigning = false
 		return
@@ -271,7 +271,7 @@
 	if d.votedFor != candidate {
 		d.votedSince = now
 	}
-	d.votedFor, d.votedTerm, d.votedLife, d.voteExpires = candidate, request.Term, request.Life, now+e.cfg.Lease
+	d.votedFor, d.votedTerm, d.votedLife, d.voteExpires = candidate, request.Term, request.RunID, now+e.cfg.Lease
 	d.minTerm = max(d.minTerm, request.Term)
 	if d.holding && candidate != e.cfg.Self {
 		e.loseDuty(d)
@@ -281,7 +281,7 @@
 
 // Handle processes a message from another control node.
 func (e *Elector) Handle(now time.Duration, from string, m Message) {
-	d := e.duty(m.Duty)
+	d := e.duty(m.Role)
 	if d == nil {
 		return
 	}
@@ -290,29 +290,29 @@
 		if d.votedFor == from {
 			d.voteExpires = now
 		}
-	case m.Vote && (m.Ask || !d.campaigning && !d.holding):
+	case m.Answer && (m.PreVote || !d.campaigning && !d.holding):
 		e.handlePreVoteAnswer(now, d, from, m)
-	case m.Vote:
-		if m.OK && (m.Term != d.term || !d.campaigning) {
+	case m.Answer:
+		if m.Granted && (m.Term != d.term || !d.campaigning) {
 			return
 		}
-		if m.OK {
+		if m.Granted {
 			d.votes[from] = true
 			e.countVotes(d, e.cfg.Roster())
 			return
 		}
-		d.minTerm, d.usedTerm = max(d.minTerm, m.Term), max(d.usedTerm, m.Used)
+		d.minTerm, d.usedTerm = max(d.minTerm, m.Term), max(d.usedTerm, m.UsedTerm)
 		roster := e.cfg.Roster()
 		if !d.holding && !d.stillWinnable(from, m, roster) {
 			e.abandonCampaign(now, d, roster)
 		}
 	default:
-		ok := m.Ask && e.mayGrantVote(now, d, from, m) || !m.Ask && e.grantVote(now, d, from, m)
+		ok := m.PreVote && e.mayGrantVote(now, d, from, m) || !m.PreVote && e.grantVote(now, d, from, m)
 		term := m.Term
 		if !ok && d.minTerm > m.Term {
 			term = d.minTerm
 		}
-		e.outbox = append(e.outbox, Envelope{from, Message{Duty: m.Duty, Term: term, Vote: true, OK: ok, Ask: m.Ask, Used: d.usedTerm}})
+		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Answer: true, Granted: ok, PreVote: m.PreVote, UsedTerm: d.usedTerm}})
 	}
 }
 
@@ -363,16 +363,16 @@
 
 // State is the state of one duty in status output.
 type State struct {
-	Duty   string `json:"duty"`
+	Role   string `json:"duty"`
 	Holder string `json:"holder"`
 	Term   uint64 `json:"term"`
 	// ResultAgeS is the age of the newest result that this control node knows of.
-	ResultAgeS float64      `json:"resultAgeS"`
-	HandedOn   *HandOnState `json:"handedOn,omitempty"`
+	ResultAgeS float64        `json:"resultAgeS"`
+	Transfer   *TransferState `json:"handedOn,omitempty"`
 }
 
-// HandOnState is the last takeover of a duty in status output.
-type HandOnState struct {
+// TransferState is the last takeover of a duty in status output.
+type TransferState struct {
 	From       string  `json:"from"`
 	ResultAgeS float64 `json:"resultAgeS"` // age of the old holder's result at the takeover
 	AgoS       float64 `json:"agoS"`       // time since the takeover
@@ -382,12 +382,12 @@
 func (e *Elector) States(now time.Duration) (states []State) {
 	for _, d := range e.duties {
 		holder, term, _ := e.Holder(now, d.name)
-		state := State{Duty: d.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, d).Seconds()}
+		state := State{Role: d.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, d).Seconds()}
 		if takeover := d.lastTakeover; takeover != nil {
-			state.HandedOn = &HandOnState{takeover.From, takeover.ResultAge.Seconds(), (now - takeover.at).Round(time.Millisecond).Seconds()}
+			state.Transfer = &TransferState{takeover.From, takeover.ResultAge.Seconds(), (now - takeover.at).Round(time.Millisecond).Seconds()}
 		}
 		states = append(states, state)
 	}
-	sort.Slice(states, func(i, j int) bool { return states[i].Duty < states[j].Duty })
+	sort.Slice(states, func(i, j int) bool { return states[i].Role < states[j].Role })
 	return states
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -24,7 +24,7 @@
 	}
 	c.ids = ids
 	for _, id := range ids {
-		c.electors[id] = New(Config{Self: id, Duties: []string{"list"}, Lease: lease,
+		c.electors[id] = New(Config{Self: id, Roles: []string{"list"}, Lease: lease,
 			Roster: func() []string { return ids }, Alive: func(o string) bool { return !c.down[o] }})
 	}
 	return c
@@ -122,7 +122,7 @@
 	// Control nodes other than the holder learn of a term that was used before a restart.
 	for id, elector := range c.electors {
 		if id != next[0] && id != first {
-			elector.Raise("list", 100)
+			elector.RaiseUsedTerm("list", 100)
 		}
 	}
 	c.run(t, lease)
@@ -137,7 +137,7 @@
 func TestAbandonedCampaignReleasesDistantVotes(t *testing.T) {
 	ids := []string{"a", "near", "far"}
 	elector := func(self string) *Elector {
-		return New(Config{Self: self, Duties: []string{"list"}, Lease: lease,
+		return New(Config{Self: self, Roles: []string{"list"}, Lease: lease,
 			Roster: func() []string { return ids }, Alive: func(string) bool { return true }})
 	}
 	candidate, distant := elector("a"), elector("far")
@@ -156,7 +156,7 @@
 	if len(toDistant) == 0 {
 		t.Fatal("no vote was requested")
 	}
-	candidate.Handle(lease, "near", Message{Duty: "list", Term: toDistant[0].Term, Vote: true}) // refused
+	candidate.Handle(lease, "near", Message{Role: "list", Term: toDistant[0].Term, Answer: true}) // refused
 	collect()
 	for _, m := range toDistant {
 		distant.Handle(lease, "a", m)
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -53,7 +53,7 @@
 		return
 	}
 	preVote.active, preVote.requestedAt, preVote.term, preVote.votes = true, now, d.nextTerm(), map[string]bool{e.cfg.Self: true}
-	request := Message{Duty: d.name, Term: preVote.term, Life: e.cfg.Life, Ask: true, Result: e.challengeResult(now, d)}
+	request := Message{Role: d.name, Term: preVote.term, RunID: e.cfg.RunID, PreVote: true, Result: e.challengeResult(now, d)}
 	for _, id := range roster {
 		if id != e.cfg.Self {
 			e.outbox = append(e.outbox, Envelope{id, request})
@@ -68,7 +68,7 @@
 	if now >= max(d.voteExpires, e.startedAt)+time.Duration(e.rank(d, roster))*e.cfg.Lease/8 {
 		return true
 	}
-	rank, ok := e.Deputy(now, d.name)
+	rank, ok := e.StandbyRank(now, d.name)
 	ahead := ok && e.challengeResult(now, d) != nil
 	if ahead && !d.preVote.ahead {
 		d.preVote.aheadSince = now
@@ -78,9 +78,9 @@
 	return ahead && now >= max(d.preVote.aheadSince, voteSettled)+time.Duration(rank)*e.cfg.Lease/16
 }
 
-// Progressed is called when this control node has produced a newer result of a duty. It asks for
+// ResultUpdated is called when this control node has produced a newer result of a duty. It asks for
 // pre-votes at once if they are due, without waiting for the next Tick.
-func (e *Elector) Progressed(now time.Duration, name string) {
+func (e *Elector) ResultUpdated(now time.Duration, name string) {
 	if d := e.duty(name); d != nil && !d.holding && !d.campaigning && !e.leaving && now >= d.retryAt {
 		e.preVoteIfDue(now, d, e.cfg.Roster())
 	}
@@ -110,22 +110,22 @@
 	return Progress{Known: progress.Known, Own: now - request.Result.Age, Limit: progress.Limit}.ownAhead()
 }
 
-// HandOn is a takeover: this control node moved its vote for a duty from a holder with outdated results
+// Transfer is a takeover: this control node moved its vote for a duty from a holder with outdated results
 // to a challenger.
-type HandOn struct {
-	Duty, From, To string
+type Transfer struct {
+	Role, From, To string
 	ResultAge      time.Duration
 	at             time.Duration
 }
 
 // recordTakeover records that the vote moves from the current holder to a candidate.
 func (e *Elector) recordTakeover(now time.Duration, d *duty, candidate string) {
-	d.lastTakeover = &HandOn{Duty: d.name, From: d.votedFor, To: candidate, ResultAge: e.resultAge(now, d), at: now}
+	d.lastTakeover = &Transfer{Role: d.name, From: d.votedFor, To: candidate, ResultAge: e.resultAge(now, d), at: now}
 	e.takeovers = append(e.takeovers, *d.lastTakeover)
 }
 
-// TakeHandOns returns the takeovers since the last call.
-func (e *Elector) TakeHandOns() []HandOn {
+// DrainTransfers returns the takeovers since the last call.
+func (e *Elector) DrainTransfers() []Transfer {
 	takeovers := e.takeovers
 	e.takeovers = nil
 	return takeovers
@@ -153,8 +153,8 @@
 	if !d.preVote.active || answer.Term < d.preVote.term || d.campaigning || d.holding {
 		return
 	}
-	if !answer.OK {
-		d.usedTerm = max(d.usedTerm, answer.Used)
+	if !answer.Granted {
+		d.usedTerm = max(d.usedTerm, answer.UsedTerm)
 		if answer.Term > d.preVote.term {
 			d.minTerm = max(d.minTerm, answer.Term)
 		}
@@ -167,17 +167,17 @@
 // stillWinnable records a refusal and reports whether a challenge can still win a majority. A campaign
 // for a vacant duty, or under a term that is too low, is lost on its first refusal.
 func (d *duty) stillWinnable(from string, refusal Message, roster []string) bool {
-	if !d.challenging || max(refusal.Term, refusal.Used) > d.term {
+	if !d.challenging || max(refusal.Term, refusal.UsedTerm) > d.term {
 		return false
 	}
 	d.refusedBy[from] = true
 	return len(roster)-len(d.refusedBy) > len(roster)/2
 }
 
-// Deputy returns this control node's rank among the deputies of a duty's holder: the number of live
+// StandbyRank returns this control node's rank among the deputies of a duty's holder: the number of live
 // nodes of the roster that take over before it, not counting the holder. ok is false if this node is not
 // in the roster.
-func (e *Elector) Deputy(now time.Duration, name string) (rank int, ok bool) {
+func (e *Elector) StandbyRank(now time.Duration, name string) (rank int, ok bool) {
 	roster := e.cfg.Roster()
 	holder, _, _ := e.Holder(now, name)
 	for _, id := range rendezvous.Order(name, roster) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,13 +28,13 @@
 type Options struct {
 	// Shards is the number of shards that the gateways are divided into, see membership.List.Shards.
 	Shards int
-	// Pace is the fraction of the link's rate at which large responses are sent. 0 means no pacing.
-	Pace float64
+	// LargeResponseFraction is the fraction of the link's rate at which large responses are sent. 0 means no pacing.
+	LargeResponseFraction float64
 }
 
-// DefaultPace is the default of Options.Pace. The rest of the link's rate is for small responses, so
+// DefaultLargeResponseFraction is the default of Options.Pace. The rest of the link's rate is for small responses, so
 // that they needn't wait behind large ones.
-const DefaultPace = 0.65
+const DefaultLargeResponseFraction = 0.65
 
 // reservedFdFraction is the fraction of file descriptors that is not for clients but for files,
 // upstreams and other nodes.
@@ -48,7 +48,7 @@
 	members    *membership.Service
 	dispatcher *proxy.Dispatcher
 	handler    *proxy.Handler
-	arms       *rollout.Arms
+	arms       *rollout.Splitter
 	listener   *proxy.Listener
 	log        *slog.Logger
 
@@ -80,11 +80,11 @@
 
 // Run serves until ctx ends and then shuts down gracefully.
 func Run(ctx context.Context, cfg *settings.Settings, options Options, reload <-chan *settings.Settings) error {
-	beat := cfg.Beat()
-	g := &Gateway{settings: cfg, options: options, log: logging.For(logging.Gateway), commands: make(chan func(time.Duration), 256), startedAt: time.Now(),
+	beat := cfg.HeartbeatInterval()
+	g := &Gateway{settings: cfg, options: options, log: logging.Logger(logging.Gateway), commands: make(chan func(time.Duration), 256), startedAt: time.Now(),
 		configCopy: delivery.NewCopy(), shard: -1, clockOffset: newClockOffset()}
 	upstreamTimeout := settings.Seconds(cfg.Bounds.ContactS / 10)
-	endpoint, err := transport.New(cfg.GatewayAddress(cfg.IP), beat, logging.For(logging.Transport))
+	endpoint, err := transport.New(cfg.GatewayAddress(cfg.IP), beat, logging.Logger(logging.Transport))
 	if err != nil {
 		return err
 	}
@@ -94,28 +94,28 @@
 	if cfg.HasRegistry() {
 		regionOf = cfg.RegionOf
 	}
-	balancer := upstream.NewBalancer(upstream.Config{Self: endpoint.Self(), Zone: cfg.Zone, Region: regionOf,
-		RetryRatio: cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack, Window: settings.Seconds(cfg.Bounds.RetryWindowS),
-		Eject: upstreamTimeout, EjectMax: 8 * upstreamTimeout, Lag: maxListAge, Calm: beat})
+	balancer := upstream.NewBalancer(upstream.Config{Self: endpoint.Address(), Zone: cfg.Zone, RegionOf: regionOf,
+		RetryRatio: cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack, RetryWindow: settings.Seconds(cfg.Bounds.RetryWindowS),
+		EjectTime: upstreamTimeout, MaxEjectTime: 8 * upstreamTimeout, MaxListAge: maxListAge, StabilizationDelay: beat})
 	g.dispatcher = proxy.NewDispatcherAt(g.startedAt, balancer, upstreamTimeout, upstreamTimeout/6)
-	g.arms = rollout.NewArms(endpoint.Self(), settings.Seconds(cfg.Rollback()*controllerSilenceFraction), func() time.Duration { return time.Since(g.startedAt) })
+	g.arms = rollout.NewSplitter(endpoint.Address(), settings.Seconds(cfg.RollbackSeconds()*controllerSilenceFraction), func() time.Duration { return time.Since(g.startedAt) })
 	g.handler = proxy.NewHandler(g.dispatcher, g.arms)
 	g.limitLargeResponses()
-	g.readiness = newReadiness(g.handler.Confirmed)
+	g.readiness = newReadiness(g.handler.KeysConfirmed)
 	g.setUpTenants()
-	g.listener, err = proxy.NewListener(cfg.Bind.Front, int(float64(cfg.Limits.MaxFds)*(1-reservedFdFraction)), g.handler, logging.For(logging.Proxy))
+	g.listener, err = proxy.NewListener(cfg.Bind.Front, int(float64(cfg.Limits.MaxFds)*(1-reservedFdFraction)), g.handler, logging.Logger(logging.Proxy))
 	if err != nil {
 		return err
 	}
-	g.sources = delivery.Sources{Self: endpoint.Self(), Zone: cfg.Zone, Region: regionOf, Seeds: cfg.SeedControlNodes(), Patience: 3 * beat}
-	self := membership.Node{Address: endpoint.Self(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Data}
-	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlNodes(), Beat: beat, Forget: 40 * beat},
+	g.sources = delivery.Sources{Self: endpoint.Address(), Zone: cfg.Zone, Region: regionOf, Seeds: cfg.SeedControlAddresses(), Timeout: 3 * beat}
+	self := membership.Node{Address: endpoint.Address(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Data}
+	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlAddresses(), ProbeInterval: beat, DeadRetention: 40 * beat},
 		endpoint, g.nodesChanged)
-	transport.On(endpoint, delivery.IssueKind, func(from string, issue delivery.Issue) {
+	transport.HandleMessage(endpoint, delivery.UpdateKind, func(from string, issue delivery.Update) {
 		g.commands <- func(now time.Duration) { g.handleIssue(now, from, issue) }
 	})
 	if cfg.HasQuotas() {
-		transport.On(endpoint, delivery.AcquireReplyKind, g.handleAcquireReply)
+		transport.HandleMessage(endpoint, delivery.AcquireReplyKind, g.handleAcquireReply)
 	}
 	endpoint.Start()
 	go g.dispatcher.Run()
@@ -133,8 +133,8 @@
 	for {
 		select {
 		case reloaded := <-reload:
-			g.members.Seeds(reloaded.SeedControlNodes())
-			g.commands <- func(time.Duration) { g.sources.Seeds = reloaded.SeedControlNodes() }
+			g.members.SetSeeds(reloaded.SeedControlAddresses())
+			g.commands <- func(time.Duration) { g.sources.Seeds = reloaded.SeedControlAddresses() }
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -156,7 +156,7 @@
 	g.commands <- func(now time.Duration) {
 		scheduled := g.pendingNodes != nil
 		g.pendingNodes = nodes
-		if delay := g.nodesAppliedAt + g.settings.Beat()/2 - now; delay <= 0 {
+		if delay := g.nodesAppliedAt + g.settings.HeartbeatInterval()/2 - now; delay <= 0 {
 			g.applyNodes(now)
 		} else if !scheduled {
 			time.AfterFunc(delay, func() { g.commands <- g.applyNodes })
@@ -172,13 +172,13 @@
 	}
 	g.pendingNodes, g.nodesAppliedAt = nil, now
 	shards := nodes.Shards(g.options.Shards)
-	if shard, ok := shards[g.endpoint.Self()]; ok && shard != g.shard {
+	if shard, ok := shards[g.endpoint.Address()]; ok && shard != g.shard {
 		g.shard = shard
 		g.handler.SetShard(shard)
 	}
 	var gateways []membership.Node
 	for _, node := range nodes.Live(membership.Data) {
-		if !node.Draining || node.Address == g.endpoint.Self() {
+		if !node.Draining || node.Address == g.endpoint.Address() {
 			gateways = append(gateways, node)
 		}
 	}
@@ -208,15 +208,15 @@
 				continue
 			}
 			request := g.watchRequest(now)
-			request.Second = i > 0
+			request.Secondary = i > 0
 			if i == 0 {
 				request.Zone, request.Load = g.settings.Zone, g.load
 			}
 			g.endpoint.Send(address, delivery.WatchKind, request)
 		}
-		for _, address := range g.sources.AlsoAsk(now) {
+		for _, address := range g.sources.Fallbacks(now) {
 			request := g.watchRequest(now)
-			request.Second = true
+			request.Secondary = true
 			g.endpoint.Send(address, delivery.WatchKind, request)
 		}
 		g.dispatcher.Do(func(_ time.Duration, balancer *upstream.Balancer) {
@@ -249,7 +249,7 @@
 			if !wasReady && g.readiness.isReady() {
 				wasReady = true
 				if g.settings.HasRegistry() {
-					g.members.Open(g.settings.FrontPort())
+					g.members.AnnouncePort(g.settings.ClientPort())
 				}
 				ticker.Reset(beat)
 			}
@@ -261,22 +261,22 @@
 
 // watchRequest tells a control node what this gateway holds, and thereby asks for what it lacks.
 func (g *Gateway) watchRequest(now time.Duration) delivery.Watch {
-	request := delivery.Watch{Listing: g.list.Version, Packs: true}
-	g.configCopy.Tell(&request)
-	if g.settings.BoundsRevocation() || !g.readiness.itemsConfirmed.Load() {
-		request.Asked = g.clockOffset + max(now, 1)
+	request := delivery.Watch{ListVersion: g.list.Version, AcceptsPacks: true}
+	g.configCopy.FillWatch(&request)
+	if g.settings.RevocationBounded() || !g.readiness.itemsConfirmed.Load() {
+		request.AskedAt = g.clockOffset + max(now, 1)
 	}
 	return request
 }
 
 // handleIssue applies an update from a control node.
-func (g *Gateway) handleIssue(now time.Duration, from string, issue delivery.Issue) {
-	g.sources.Heard(now, from, issue.Fresh)
+func (g *Gateway) handleIssue(now time.Duration, from string, issue delivery.Update) {
+	g.sources.Received(now, from, issue.Fresh)
 	g.primary.Store(g.sources.First())
-	if issue.Led {
-		g.arms.Heard()
+	if issue.RolloutsControlled {
+		g.arms.ControllerSeen()
 	}
-	changed, err := g.configCopy.Take(issue)
+	changed, err := g.configCopy.Apply(issue)
 	if err != nil {
 		g.log.Warn("update with a damaged pack of records rejected", "from", from, "error", err)
 	}
@@ -286,17 +286,17 @@
 		g.applyConfig()
 	}
 	g.applyPending = changed && issue.More
-	if g.settings.BoundsRevocation() {
+	if g.settings.RevocationBounded() {
 		g.extendKeyLease(now, issue)
 	}
 	g.readiness.confirmItems(now, g.toLocalClock(now, issue), settings.Seconds(g.settings.Bounds.ContactS))
 	if g.readiness.itemsConfirmed.Load() {
-		g.handler.SetComplete()
+		g.handler.SetTableComplete()
 	}
 	if len(issue.Loads) > 0 && g.sources.First() == from {
 		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetLoads(now, issue.Loads) })
 	}
-	if issue.Listing != nil && g.list.Take(now, *issue.Listing) {
+	if issue.List != nil && g.list.Apply(now, *issue.List) {
 		list := g.list.All(now)
 		g.log.Info("list of upstreams updated", "term", g.list.Version.Term, "seq", g.list.Version.Seq, "upstreams", len(list))
 		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetList(now, list) })
@@ -312,10 +312,10 @@
 		infos[name] = upstream.ServiceInfo{MaxConns: service.MaxConns, HealthPath: service.HealthPath, WarmupS: service.WarmupS, WarmupPerS: service.WarmupPerS}
 	}
 	evacuated := g.evacuatedZones(table)
-	placements := table.Placements()
-	versions := map[string]upstream.Versions{}
+	placements := table.ServiceShards()
+	versions := map[string]upstream.ServiceVersions{}
 	for name, v := range table.Versions {
-		serviceVersions := upstream.Versions{Stands: v.Serves(), Ordered: v.Ordered()}
+		serviceVersions := upstream.ServiceVersions{Stable: v.StandingVersion(), SetByRollout: v.Ordered()}
 		if active := v.Active(); active != nil {
 			serviceVersions.Candidate = active.Candidate
 		}
@@ -326,11 +326,11 @@
 		balancer.SetVersions(now, versions)
 		balancer.SetEvacuated(now, evacuated)
 	})
-	g.arms.Set(table.Versions)
+	g.arms.SetPlans(table.Versions)
 	g.reportRollouts()
 	g.handler.SetTable(table)
 	g.listener.SetLimits(table.Limits)
-	g.readiness.hasItems.Store(table.Known)
+	g.readiness.hasItems.Store(table.HasItems)
 }
 
 // evacuatedZones returns the zones that get no requests. It logs changes with the generations of the
@@ -363,9 +363,9 @@
 	go func() {
 		for g.arms.Active() {
 			if to, _ := g.primary.Load().(string); to != "" {
-				g.endpoint.Send(to, delivery.ScoreKind, g.arms.Reports())
+				g.endpoint.Send(to, delivery.RolloutReportKind, g.arms.Reports())
 			}
-			time.Sleep(g.settings.Beat() / reportsPerBeat)
+			time.Sleep(g.settings.HeartbeatInterval() / reportsPerBeat)
 		}
 		g.reporting.Store(false)
 		g.reportRollouts() // a rollout may have begun just now
@@ -382,19 +382,19 @@
 			}
 		case "/v1/counters":
 			w.Header().Set("Content-Type", "application/json")
-			states := make(chan []upstream.State, 1)
+			states := make(chan []upstream.UpstreamStatus, 1)
 			g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.States(now) })
 			response := map[string]any{"node": g.settings.Node, "counters": g.handler.Counters(),
-				"connections": g.listener.Open(), "upstreams": <-states}
-			if g.settings.BoundsRevocation() {
+				"connections": g.listener.OpenConnections(), "upstreams": <-states}
+			if g.settings.RevocationBounded() {
 				response["keysLeaseS"] = (time.Duration(g.keyLeaseUntil.Load()) - time.Since(g.startedAt)).Seconds()
 			}
 			b, _ := json.MarshalIndent(response, "", "  ")
 			_, _ = w.Write(append(b, '\n'))
 		case "/metrics":
 			var b bytes.Buffer
-			metrics.Write(&b, "gateway", g.handler.Counters())
-			metrics.Gauge(&b, "gateway", "connections", uint64(g.listener.Open()))
+			metrics.WriteCounters(&b, "gateway", g.handler.Counters())
+			metrics.WriteGauge(&b, "gateway", "connections", uint64(g.listener.OpenConnections()))
 			_, _ = w.Write(b.Bytes())
 		default:
 			w.WriteHeader(http.StatusNotFound)
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -35,10 +35,10 @@
 	if rate <= 0 {
 		return
 	}
-	if g.options.Pace > 0 {
-		g.handler.Pace = proxy.NewPace(rate * g.options.Pace)
+	if g.options.LargeResponseFraction > 0 {
+		g.handler.Pacer = proxy.NewPacer(rate * g.options.LargeResponseFraction)
 	}
 	if g.settings.Bounds.GraceS > 0 {
-		g.handler.Link = proxy.NewLinkBudget(rate*responseFraction(g.options.Pace), settings.Seconds(g.settings.Bounds.GraceS))
+		g.handler.Link = proxy.NewLinkBudget(rate*responseFraction(g.options.LargeResponseFraction), settings.Seconds(g.settings.Bounds.GraceS))
 	}
 }
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -10,10 +10,10 @@
 func TestReadiness(t *testing.T) {
 	keysConfirmed := true
 	const now, contactS = 20 * time.Second, 3 * time.Second
-	update := func(fresh bool, asked time.Duration) delivery.Issue {
-		i := delivery.Issue{Fresh: fresh}
+	update := func(fresh bool, asked time.Duration) delivery.Update {
+		i := delivery.Update{Fresh: fresh}
 		if asked > 0 {
-			i.Sure = &delivery.Sure{Asked: asked}
+			i.Freshness = &delivery.Freshness{AskedAt: asked}
 		}
 		return i
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -24,10 +24,10 @@
 	g.log.Info("leaving")
 	g.readiness.leaving.Store(true)
 	g.handler.Drain()
-	g.handler.Pace.SetRate(linkRate(g.settings) * shutdownFraction)
+	g.handler.Pacer.SetRate(linkRate(g.settings) * shutdownFraction)
 	g.members.Leave(false)
 	began, grace := time.Now(), settings.Seconds(g.settings.Bounds.GraceS)
-	quiet := time.Duration(float64(g.settings.Beat()) * quietFraction)
+	quiet := time.Duration(float64(g.settings.HeartbeatInterval()) * quietFraction)
 	poll := time.NewTicker(quiet / 4)
 	defer poll.Stop()
 	var recognizedAt time.Time
@@ -37,7 +37,7 @@
 		}
 		var idle time.Duration // how long the platform has recognized the shutdown and no connection has arrived
 		if !recognizedAt.IsZero() {
-			idle = min(time.Since(recognizedAt), g.listener.Quiet())
+			idle = min(time.Since(recognizedAt), g.listener.SinceLastAccept())
 		}
 		if !stillAccepts(grace, time.Since(began), idle, quiet) {
 			break
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -35,12 +35,12 @@
 // setUpTenants enables the leases of API keys and the quotas if the settings require them. Their limits
 // hold for all gateways together, also for those without contact to control nodes.
 func (g *Gateway) setUpTenants() {
-	if g.settings.BoundsRevocation() {
-		g.handler.LeaseKeys(&g.keyLeaseUntil)
+	if g.settings.RevocationBounded() {
+		g.handler.SetKeyLease(&g.keyLeaseUntil)
 	}
 	if g.settings.HasQuotas() {
 		g.tokenRequests = newTokenRequests()
-		g.handler.DrawOn(g.acquireToken)
+		g.handler.SetQuota(g.acquireToken)
 	}
 }
 
@@ -79,18 +79,18 @@
 			clientGone = true
 		}
 		switch {
-		case reply.OK:
-			return func() { g.returnToken(to, tenant, reply.Life) }, apierror.Internal
+		case reply.Granted:
+			return func() { g.returnToken(to, tenant, reply.RunID) }, apierror.Internal
 		case clientGone:
 			g.cancelRequest(to, tenant, seq, replies)
-			return nil, apierror.ClientGone
-		case !timedOut && !reply.Away:
+			return nil, apierror.ClientLeftBeforeSend
+		case !timedOut && !reply.Unknown:
 			return nil, apierror.OverQuota
 		}
 		requests.mu.Lock()
 		delete(requests.pending, seq)
 		if to == nearer {
-			requests.avoidNearestUntil = time.Now().Add(g.settings.Beat())
+			requests.avoidNearestUntil = time.Now().Add(g.settings.HeartbeatInterval())
 		}
 		requests.mu.Unlock()
 		if timedOut {
@@ -104,7 +104,7 @@
 // node's version takes no tokens back.
 func (g *Gateway) returnToken(to, tenant string, incarnation uint64) {
 	if incarnation != 0 {
-		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, Life: incarnation})
+		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, RunID: incarnation})
 	}
 }
 
@@ -116,8 +116,8 @@
 	g.tokenRequests.mu.Unlock()
 	select {
 	case reply := <-replies:
-		if reply.OK {
-			g.returnToken(to, tenant, reply.Life)
+		if reply.Granted {
+			g.returnToken(to, tenant, reply.RunID)
 		}
 	default:
 	}
@@ -140,27 +140,27 @@
 
 // toLocalClock converts the time in Issue.Sure to this process's clock. It drops Sure if the time is in
 // the future: then the update answers an earlier process, whose clock had another offset.
-func (g *Gateway) toLocalClock(now time.Duration, issue delivery.Issue) delivery.Issue {
-	if issue.Sure == nil {
+func (g *Gateway) toLocalClock(now time.Duration, issue delivery.Update) delivery.Update {
+	if issue.Freshness == nil {
 		return issue
 	}
-	local := *issue.Sure
-	local.Asked -= g.clockOffset
-	issue.Sure = &local
-	if local.Asked > now { // a time far in the past needs no check, it is too old anyway
-		issue.Sure = nil
+	local := *issue.Freshness
+	local.AskedAt -= g.clockOffset
+	issue.Freshness = &local
+	if local.AskedAt > now { // a time far in the past needs no check, it is too old anyway
+		issue.Freshness = nil
 	}
 	return issue
 }
 
 // extendKeyLease extends the lease of the API keys by what an update says of the age of the records.
 // The lease counts from before the request was sent, so a delayed answer can't make it last too long.
-func (g *Gateway) extendKeyLease(now time.Duration, issue delivery.Issue) {
+func (g *Gateway) extendKeyLease(now time.Duration, issue delivery.Update) {
 	issue = g.toLocalClock(now, issue)
-	if issue.Sure == nil {
+	if issue.Freshness == nil {
 		return
 	}
-	until := issue.Sure.Asked - issue.Sure.Age + g.settings.KeyLease()
+	until := issue.Freshness.AskedAt - issue.Freshness.Age + g.settings.KeyLeaseDuration()
 	if int64(until) > g.keyLeaseUntil.Load() {
 		g.keyLeaseUntil.Store(int64(until))
 	}
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -35,26 +35,26 @@
 	for incarnation := range 3 {
 		controlNode := newEndpoint(t)
 		g := &Gateway{endpoint: newEndpoint(t), tokenRequests: newTokenRequests()}
-		g.tokenRequests.controlNodes = [2]string{controlNode.Self()}
+		g.tokenRequests.controlNodes = [2]string{controlNode.Address()}
 		controlNode.Handle(delivery.AcquireKind, func(from string, body []byte) (any, error) {
 			var request quota.AcquireRequest
 			if err := cbor.Unmarshal(body, &request); err != nil {
 				t.Error(err)
 			}
 			for _, seq := range askedSeqs { // late replies to earlier processes
-				g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: seq, OK: true})
+				g.handleAcquireReply(controlNode.Address(), quota.AcquireReply{Seq: seq, Granted: true})
 			}
 			askedSeqs = append(askedSeqs, request.Seq)
-			g.handleAcquireReply("another:1", quota.AcquireReply{Seq: request.Seq, OK: true})
-			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq})
-			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq, OK: true}) // twice
+			g.handleAcquireReply("another:1", quota.AcquireReply{Seq: request.Seq, Granted: true})
+			g.handleAcquireReply(controlNode.Address(), quota.AcquireReply{Seq: request.Seq})
+			g.handleAcquireReply(controlNode.Address(), quota.AcquireReply{Seq: request.Seq, Granted: true}) // twice
 			return nil, nil
 		})
 		g.endpoint.Start()
 		controlNode.Start()
 		for range 3 {
 			if _, kind := g.acquireToken(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
-				t.Errorf("incarnation %d: %v, want over quota", incarnation, apierror.AnswerFor(kind))
+				t.Errorf("incarnation %d: %v, want over quota", incarnation, apierror.ResponseFor(kind))
 			}
 		}
 	}
@@ -70,19 +70,19 @@
 			dispatcher := proxy.NewDispatcher(upstream.NewBalancer(upstream.Config{}), time.Second, time.Second)
 			g := &Gateway{settings: cfg, startedAt: time.Now(), clockOffset: newClockOffset(), handler: proxy.NewHandler(dispatcher, nil)}
 			g.setUpTenants()
-			if g.handler.Confirmed() {
+			if g.handler.KeysConfirmed() {
 				t.Errorf("%s: unconfirmed keys are used", ingress)
 			}
 			time.Sleep(time.Second)
 			confirmed := time.Since(g.startedAt)
-			g.extendKeyLease(confirmed, delivery.Issue{Sure: &delivery.Sure{Asked: g.clockOffset + confirmed}})
-			if !g.handler.Confirmed() {
+			g.extendKeyLease(confirmed, delivery.Update{Freshness: &delivery.Freshness{AskedAt: g.clockOffset + confirmed}})
+			if !g.handler.KeysConfirmed() {
 				t.Errorf("%s: confirmed keys are not used", ingress)
 			}
 			// A key is removed right after that. The acknowledgement is delayed.
-			acknowledged := cfg.HoldRevocation()
+			acknowledged := cfg.RevocationAckDelay()
 			time.Sleep(acknowledged + settings.Seconds(cfg.Bounds.RevokeS))
-			if g.handler.Confirmed() {
+			if g.handler.KeysConfirmed() {
 				t.Errorf("%s: keys are used for too long after a removal", ingress)
 			}
 		})
@@ -101,14 +101,14 @@
 		return nil, err
 	})
 	g := &Gateway{endpoint: newEndpoint(t), tokenRequests: newTokenRequests()}
-	g.tokenRequests.controlNodes = [2]string{controlNode.Self()}
+	g.tokenRequests.controlNodes = [2]string{controlNode.Address()}
 	ctx, cancel := context.WithCancel(t.Context())
 	respond := true
 	controlNode.Handle(delivery.AcquireKind, func(_ string, body []byte) (any, error) {
 		var request quota.AcquireRequest
 		err := cbor.Unmarshal(body, &request)
 		if respond {
-			g.handleAcquireReply(controlNode.Self(), quota.AcquireReply{Seq: request.Seq, OK: true, Life: 7})
+			g.handleAcquireReply(controlNode.Address(), quota.AcquireReply{Seq: request.Seq, Granted: true, RunID: 7})
 		} else {
 			cancel()
 		}
@@ -118,15 +118,15 @@
 	controlNode.Start()
 	returnUnused, kind := g.acquireToken(t.Context(), "t", 10*time.Second)
 	if kind != apierror.Internal {
-		t.Fatal(apierror.AnswerFor(kind))
+		t.Fatal(apierror.ResponseFor(kind))
 	}
 	returnUnused()
-	if r := <-returns; r != (quota.Return{Tenant: "t", Life: 7}) {
+	if r := <-returns; r != (quota.Return{Tenant: "t", RunID: 7}) {
 		t.Errorf("returned %+v", r)
 	}
 	respond = false
-	if _, kind := g.acquireToken(ctx, "t", time.Hour); kind != apierror.ClientGone || len(g.tokenRequests.pending) != 0 {
-		t.Errorf("%v, %d requests pending", apierror.AnswerFor(kind), len(g.tokenRequests.pending))
+	if _, kind := g.acquireToken(ctx, "t", time.Hour); kind != apierror.ClientLeftBeforeSend || len(g.tokenRequests.pending) != 0 {
+		t.Errorf("%v, %d requests pending", apierror.ResponseFor(kind), len(g.tokenRequests.pending))
 	}
 }
 
@@ -146,10 +146,10 @@
 		{"time in the future", func(g, _ *Gateway) time.Duration { return g.clockOffset + now + time.Second }, false},
 	} {
 		g, earlier := &Gateway{settings: cfg, clockOffset: newClockOffset()}, &Gateway{settings: cfg, clockOffset: newClockOffset()}
-		g.extendKeyLease(now, delivery.Issue{Sure: &delivery.Sure{Asked: c.asked(g, earlier)}})
+		g.extendKeyLease(now, delivery.Update{Freshness: &delivery.Freshness{AskedAt: c.asked(g, earlier)}})
 		want := int64(0)
 		if c.extends {
-			want = int64(now - time.Second + cfg.KeyLease())
+			want = int64(now - time.Second + cfg.KeyLeaseDuration())
 		}
 		if got := g.keyLeaseUntil.Load(); got != want {
 			t.Errorf("%s: lease lasts until %v, want %v", c.name, time.Duration(got), time.Duration(want))
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -53,5 +53,5 @@
 	return nil
 }
 
-// For returns the logger of a component. A later call of Setup doesn't affect it.
-func For(component string) *slog.Logger { return slog.Default().With(ComponentKey, component) }
+// Logger returns the logger of a component. A later call of Setup doesn't affect it.
+func Logger(component string) *slog.Logger { return slog.Default().With(ComponentKey, component) }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,8 +23,8 @@
 		if err := Setup(&out, c.format, c.level); err != nil {
 			t.Fatal(err)
 		}
-		For(Storage).Info("first", "bytes", 7)
-		For(Storage).Warn("second", "bytes", 8)
+		Logger(Storage).Info("first", "bytes", 7)
+		Logger(Storage).Warn("second", "bytes", 8)
 		if info, warn := strings.Contains(out.String(), "first"), strings.Contains(out.String(), "second"); info != c.info || warn != c.warn {
 			t.Errorf("format %s, level %s: %q", c.format, c.level, out.String())
 		}
@@ -38,7 +38,7 @@
 	if err := Setup(&out, FormatText, "info"); err != nil {
 		t.Fatal(err)
 	}
-	For(Election).Info("duty won", "duty", "list")
+	Logger(Election).Info("duty won", "duty", "list")
 	if !strings.HasSuffix(out.String(), "level=INFO msg=\"duty won\" component=election duty=list\n") {
 		t.Errorf("text: %q", out.String())
 	}
@@ -46,7 +46,7 @@
 	if err := Setup(&out, FormatJSON, "info"); err != nil {
 		t.Fatal(err)
 	}
-	For(Election).Info("duty won", "duty", "list")
+	Logger(Election).Info("duty won", "duty", "list")
 	var line map[string]string
 	if err := json.Unmarshal([]byte(out.String()), &line); err != nil || line["msg"] != "duty won" || line[ComponentKey] != Election || line["duty"] != "list" {
 		t.Errorf("json: %q, %v", out.String(), err)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -32,7 +32,7 @@
 
 func (c *cluster) start(i int) {
 	c.tables[addressOf(i)] = NewTable(Config{Self: Node{Address: addressOf(i), Name: fmt.Sprintf("edge-%02d", i), Zone: fmt.Sprintf("z%d", i%4)},
-		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, Beat: probeInterval, Forget: 100 * probeInterval})
+		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, ProbeInterval: probeInterval, DeadRetention: 100 * probeInterval})
 	c.down[addressOf(i)] = false
 }
 
@@ -85,7 +85,7 @@
 		if n := len(table.Nodes()); n != 15 {
 			t.Fatalf("%s knows %d nodes", address, n)
 		}
-		if n := len(table.WatchSet()); n != probeCount {
+		if n := len(table.ProbeSet()); n != probeCount {
 			t.Fatalf("%s probes %d nodes", address, n)
 		}
 	}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -73,7 +73,7 @@
 	service := &Service{table: NewTable(cfg), endpoint: endpoint, commands: make(chan func(time.Duration), 256),
 		startedAt: time.Now(), onChange: onChange, done: make(chan struct{})}
 	service.publish()
-	transport.On(endpoint, messageKind, func(from string, message Message) {
+	transport.HandleMessage(endpoint, messageKind, func(from string, message Message) {
 		select {
 		case service.commands <- func(now time.Duration) { service.table.Handle(now, from, message) }:
 		default: // the queue is full: drop the message, as the network may
@@ -97,13 +97,13 @@
 // Introduce makes a process that is not a member itself answer nodes that use it as a seed. known
 // returns the nodes that a joining node is told of; it may block.
 func Introduce(endpoint *transport.Endpoint, known func(joining Node) []Node) {
-	transport.On(endpoint, messageKind, func(from string, message Message) {
-		if message.From == nil || !message.Ping || message.From.Address != from {
+	transport.HandleMessage(endpoint, messageKind, func(from string, message Message) {
+		if message.Joining == nil || !message.Ping || message.Joining.Address != from {
 			return
 		}
 		go func() {
-			if nodes := known(*message.From); len(nodes) > 0 {
-				endpoint.Send(from, messageKind, Message{Whole: true, Nodes: nodes})
+			if nodes := known(*message.Joining); len(nodes) > 0 {
+				endpoint.Send(from, messageKind, Message{FullList: true, Nodes: nodes})
 			}
 		}()
 	})
@@ -112,15 +112,15 @@
 // List returns the newest list.
 func (s *Service) List() *List { return s.list.Load() }
 
-// Hopeful reports whether a node is alive or unknown, as opposed to suspect, dead or gone.
-func (s *Service) Hopeful(address string) bool {
+// NotSuspected reports whether a node is alive or unknown, as opposed to suspect, dead or gone.
+func (s *Service) NotSuspected(address string) bool {
 	n, ok := s.List().Get(address)
 	return !ok || n.State == Alive
 }
 
 // Run runs the table until Stop.
 func (s *Service) Run() {
-	interval := s.table.cfg.Beat
+	interval := s.table.cfg.ProbeInterval
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	step := func(fn func(time.Duration)) {
@@ -130,7 +130,7 @@
 			if envelope.Large {
 				s.endpoint.Send(envelope.To, messageKind, envelope.Msg)
 			} else {
-				s.endpoint.Toss(envelope.To, messageKind, envelope.Msg)
+				s.endpoint.SendDatagram(envelope.To, messageKind, envelope.Msg)
 			}
 		}
 		if changed {
@@ -155,13 +155,13 @@
 	s.commands <- func(now time.Duration) { s.table.Leave(now, gone) }
 }
 
-// Open announces the port at which this node serves client requests.
-func (s *Service) Open(port uint16) {
-	s.commands <- func(now time.Duration) { s.table.Open(now, port) }
+// AnnouncePort announces the port at which this node serves client requests.
+func (s *Service) AnnouncePort(port uint16) {
+	s.commands <- func(now time.Duration) { s.table.AnnouncePort(now, port) }
 }
 
-// Seeds replaces the seeds.
-func (s *Service) Seeds(seeds []string) {
+// SetSeeds replaces the seeds.
+func (s *Service) SetSeeds(seeds []string) {
 	s.commands <- func(time.Duration) { s.table.cfg.Seeds = seeds }
 }
 
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -20,7 +20,7 @@
 	}
 	startNode := func(plane Plane, seeds ...string) (*Service, *transport.Endpoint) {
 		endpoint := newEndpoint()
-		service := NewService(Config{Self: Node{Address: endpoint.Self(), Plane: plane}, Seeds: seeds, Beat: 50 * time.Millisecond, Forget: time.Minute}, endpoint, nil)
+		service := NewService(Config{Self: Node{Address: endpoint.Address(), Plane: plane}, Seeds: seeds, ProbeInterval: 50 * time.Millisecond, DeadRetention: time.Minute}, endpoint, nil)
 		endpoint.Start()
 		go service.Run()
 		t.Cleanup(service.Stop)
@@ -28,12 +28,12 @@
 	}
 	controlNode, controlEndpoint := startNode(Control)
 	introducer := newEndpoint()
-	Introduce(introducer, func(Node) []Node { return []Node{{Address: controlEndpoint.Self(), Plane: Control}} })
+	Introduce(introducer, func(Node) []Node { return []Node{{Address: controlEndpoint.Address(), Plane: Control}} })
 	introducer.Start()
-	gateway, gatewayEndpoint := startNode(Data, introducer.Self())
+	gateway, gatewayEndpoint := startNode(Data, introducer.Address())
 	for i := 0; ; i++ {
-		_, gatewayKnowsControl := gateway.List().Get(controlEndpoint.Self())
-		_, controlKnowsGateway := controlNode.List().Get(gatewayEndpoint.Self())
+		_, gatewayKnowsControl := gateway.List().Get(controlEndpoint.Address())
+		_, controlKnowsGateway := controlNode.List().Get(gatewayEndpoint.Address())
 		if gatewayKnowsControl && controlKnowsGateway {
 			break
 		}
@@ -43,7 +43,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, service := range []*Service{gateway, controlNode} {
-		if _, ok := service.List().Get(introducer.Self()); ok {
+		if _, ok := service.List().Get(introducer.Address()); ok {
 			t.Error("the introducer is in the list of nodes")
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -45,9 +45,9 @@
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
 	State       State  `cbor:"6,keyasint,omitempty"`
 	Draining    bool   `cbor:"7,keyasint,omitempty"`
-	// Front is the port for client requests, 0 if not announced. Gateways announce it only if they are
+	// ClientPort is the port for client requests, 0 if not announced. Gateways announce it only if they are
 	// to be listed in a service registry.
-	Front uint16 `cbor:"8,keyasint,omitempty"`
+	ClientPort uint16 `cbor:"8,keyasint,omitempty"`
 }
 
 // supersedes reports whether n is newer than other, a description of the same node.
@@ -65,16 +65,16 @@
 // probe, with Whole to a request for the full list, with Sums to a comparison of digests. A message
 // without these carries only changes.
 type Message struct {
-	Ping  bool   `cbor:"1,keyasint,omitempty"`
-	Seq   uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in its answer
-	Sum   uint64 `cbor:"3,keyasint,omitempty"` // digest of the sender's full list
-	Nodes []Node `cbor:"4,keyasint,omitempty"` // changes, or the full list
-	Whole bool   `cbor:"5,keyasint,omitempty"`
-	From  *Node  `cbor:"6,keyasint,omitempty"` // the sender, when it joins
-	// Sums are the sender's digests by range. A request is answered with the receiver's nodes of the
+	Ping     bool   `cbor:"1,keyasint,omitempty"`
+	Seq      uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in its answer
+	Digest   uint64 `cbor:"3,keyasint,omitempty"` // digest of the sender's full list
+	Nodes    []Node `cbor:"4,keyasint,omitempty"` // changes, or the full list
+	FullList bool   `cbor:"5,keyasint,omitempty"`
+	Joining  *Node  `cbor:"6,keyasint,omitempty"` // the sender, when it joins
+	// RangeDigests are the sender's digests by range. A request is answered with the receiver's nodes of the
 	// ranges that differ and its digests; to these the requester replies with its own nodes of the
 	// ranges that still differ.
-	Sums []uint64 `cbor:"7,keyasint,omitempty"`
+	RangeDigests []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // digestRanges is the number of address ranges whose digests are compared to repair differing lists.
@@ -95,10 +95,10 @@
 
 // Config configures a Table.
 type Config struct {
-	Self   Node
-	Seeds  []string      // addresses of control nodes
-	Beat   time.Duration // probe interval
-	Forget time.Duration // how long a dead node stays in the list
+	Self          Node
+	Seeds         []string      // addresses of control nodes
+	ProbeInterval time.Duration // probe interval
+	DeadRetention time.Duration // how long a dead node stays in the list
 }
 
 type entry struct {
@@ -200,7 +200,7 @@
 // sendDigests sends a peer the digests by range, after which both send each other the nodes of the
 // ranges that differ.
 func (t *Table) sendDigests(peer string) {
-	t.outbox = append(t.outbox, Envelope{To: peer, Msg: Message{Ping: true, Nodes: []Node{t.self.node}, Sums: slices.Clone(t.digestsByRange())}})
+	t.outbox = append(t.outbox, Envelope{To: peer, Msg: Message{Ping: true, Nodes: []Node{t.self.node}, RangeDigests: slices.Clone(t.digestsByRange())}})
 }
 
 // markChanged marks the list as changed and its digests as outdated.
@@ -236,25 +236,25 @@
 	if now < t.nextTick {
 		return
 	}
-	t.nextTick = now + t.cfg.Beat
+	t.nextTick = now + t.cfg.ProbeInterval
 	for address, e := range t.entries {
 		switch {
 		case e == t.self:
-		case e.node.State == Suspect && now-e.stateSince > 2*t.cfg.Beat:
+		case e.node.State == Suspect && now-e.stateSince > 2*t.cfg.ProbeInterval:
 			n := e.node
 			n.State = Dead
 			t.merge(now, n)
-		case e.node.State >= Dead && now-e.stateSince > t.cfg.Forget:
+		case e.node.State >= Dead && now-e.stateSince > t.cfg.DeadRetention:
 			delete(t.entries, address)
 			t.markChanged()
 		}
 	}
-	targets := t.WatchSet()
+	targets := t.ProbeSet()
 	if len(targets) == 0 || !t.joined {
 		for _, seed := range t.cfg.Seeds {
 			if seed != t.cfg.Self.Address {
 				self := t.self.node
-				t.outbox = append(t.outbox, Envelope{To: seed, Msg: Message{From: &self, Whole: true, Ping: true}, Large: true})
+				t.outbox = append(t.outbox, Envelope{To: seed, Msg: Message{Joining: &self, FullList: true, Ping: true}, Large: true})
 			}
 		}
 	}
@@ -278,14 +278,14 @@
 		}
 		t.probeSeq++
 		p.lastSent = t.probeSeq
-		t.outbox = append(t.outbox, Envelope{To: address, Msg: Message{Ping: true, Seq: t.probeSeq, Sum: t.digest(), Nodes: t.takeGossip()}})
+		t.outbox = append(t.outbox, Envelope{To: address, Msg: Message{Ping: true, Seq: t.probeSeq, Digest: t.digest(), Nodes: t.takeGossip()}})
 	}
 	t.probes = probes
 }
 
-// WatchSet returns the nodes that this one probes: those of highest rendezvous weight among the alive
+// ProbeSet returns the nodes that this one probes: those of highest rendezvous weight among the alive
 // and the suspect. Suspects are still probed so that they can refute the suspicion.
-func (t *Table) WatchSet() []string {
+func (t *Table) ProbeSet() []string {
 	var live []string
 	for address, e := range t.entries {
 		if e != t.self && e.node.State <= Suspect {
@@ -297,19 +297,19 @@
 
 // Handle processes a message from another node.
 func (t *Table) Handle(now time.Duration, from string, message Message) {
-	if message.From != nil {
+	if message.Joining != nil {
 		t.joined = true
 		old, known := t.entries[from]
-		if known && message.From.Incarnation <= old.node.Incarnation {
+		if known && message.Joining.Incarnation <= old.node.Incarnation {
 			// The process was restarted: its state supersedes that of its predecessor.
-			n := *message.From
+			n := *message.Joining
 			n.Incarnation = old.node.Incarnation
 			if old.node.State != Alive || n.Incarnation == old.node.Incarnation && message.Ping {
 				n.Incarnation++
 			}
 			t.merge(now, n)
 		} else {
-			t.merge(now, *message.From)
+			t.merge(now, *message.Joining)
 		}
 	}
 	for _, n := range message.Nodes {
@@ -318,11 +318,11 @@
 	if len(message.Nodes) > 0 || message.Seq > 0 {
 		t.joined = true
 	}
-	if e := t.entries[from]; e == nil && message.From == nil {
+	if e := t.entries[from]; e == nil && message.Joining == nil {
 		// The sender is unknown: send it the digests, since its answer to these describes the sender too.
 		// Other messages from unknown nodes are not answered, so that two nodes that don't accept each
 		// other do not exchange messages endlessly.
-		if message.Ping && len(message.Sums) == 0 {
+		if message.Ping && len(message.RangeDigests) == 0 {
 			t.sendDigests(from)
 		}
 		return
@@ -334,18 +334,18 @@
 			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Nodes: []Node{e.node}}})
 		}
 	}
-	if message.Whole {
+	if message.FullList {
 		if message.Ping {
-			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Whole: true, Nodes: t.Nodes()}, Large: true})
+			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{FullList: true, Nodes: t.Nodes()}, Large: true})
 		}
 		return
 	}
-	if len(message.Sums) > 0 {
-		answer := Message{Nodes: t.nodesInDifferingRanges(message.Sums)}
+	if len(message.RangeDigests) > 0 {
+		answer := Message{Nodes: t.nodesInDifferingRanges(message.RangeDigests)}
 		differ := len(answer.Nodes) > 0
 		if message.Ping {
-			answer.Sums = slices.Clone(t.digestsByRange())
-			differ = !slices.Equal(message.Sums, answer.Sums)
+			answer.RangeDigests = slices.Clone(t.digestsByRange())
+			differ = !slices.Equal(message.RangeDigests, answer.RangeDigests)
 		}
 		if differ {
 			t.outbox = append(t.outbox, Envelope{To: from, Msg: answer, Large: len(answer.Nodes) > maxGossipNodes})
@@ -353,9 +353,9 @@
 		return
 	}
 	if message.Ping {
-		t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Seq: message.Seq, Sum: t.digest(), Nodes: t.takeGossip()}})
+		t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Seq: message.Seq, Digest: t.digest(), Nodes: t.takeGossip()}})
 	} else if message.Seq > 0 {
-		if message.Sum == t.digest() {
+		if message.Digest == t.digest() {
 			delete(t.mismatches, from)
 		} else if t.mismatches[from]++; t.mismatches[from] >= 3 {
 			delete(t.mismatches, from)
@@ -369,9 +369,9 @@
 func (t *Table) merge(now time.Duration, n Node) {
 	if n.Address == t.cfg.Self.Address {
 		self := &t.self.node
-		if n.Incarnation > self.Incarnation || n.Incarnation == self.Incarnation && (n.State > self.State || n.Front != self.Front) {
+		if n.Incarnation > self.Incarnation || n.Incarnation == self.Incarnation && (n.State > self.State || n.ClientPort != self.ClientPort) {
 			self.Incarnation = n.Incarnation
-			if n.State > self.State || n.Front != self.Front {
+			if n.State > self.State || n.ClientPort != self.ClientPort {
 				self.Incarnation++ // refute
 			}
 			t.self.repeatsLeft, t.self.stateSince = gossipRepeats, now
@@ -395,14 +395,14 @@
 	}
 }
 
-// Open announces the port at which this node serves client requests.
-func (t *Table) Open(now time.Duration, port uint16) {
+// AnnouncePort announces the port at which this node serves client requests.
+func (t *Table) AnnouncePort(now time.Duration, port uint16) {
 	self := &t.self.node
-	if self.Front == port {
+	if self.ClientPort == port {
 		return
 	}
 	self.Incarnation++
-	self.Front = port
+	self.ClientPort = port
 	t.self.repeatsLeft, t.self.stateSince = gossipRepeats, now
 	t.markChanged()
 }
@@ -417,7 +417,7 @@
 	}
 	t.self.repeatsLeft = gossipRepeats
 	t.markChanged()
-	for _, address := range t.WatchSet() {
+	for _, address := range t.ProbeSet() {
 		t.outbox = append(t.outbox, Envelope{To: address, Msg: Message{Nodes: []Node{*self}}})
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -10,9 +10,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Write writes counters, sorted by name. The metric name is made of the part and the counter's
+// WriteCounters writes counters, sorted by name. The metric name is made of the part and the counter's
 // key in snake case, as in madderwing_desk_requests_total.
-func Write(w *bytes.Buffer, part string, counters map[string]uint64) {
+func WriteCounters(w *bytes.Buffer, part string, counters map[string]uint64) {
 	names := make([]string, 0, len(counters))
 	for n := range counters {
 		names = append(names, n)
@@ -23,8 +23,8 @@
 	}
 }
 
-// Gauge writes the current value of a gauge.
-func Gauge(w *bytes.Buffer, part, name string, value uint64) {
+// WriteGauge writes the current value of a gauge.
+func WriteGauge(w *bytes.Buffer, part, name string, value uint64) {
 	metrics.WriteGaugeUint64(w, "madderwing_"+part+"_"+snakeCase(name), value)
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -44,27 +44,27 @@
 	return Shard{}, ErrNoShard
 }
 
-// Order asks for a binding to be created, on the condition that the route is still at
+// BindRequest asks for a binding to be created, on the condition that the route is still at
 // the revision that the scheduler saw.
-type Order struct {
-	Binding config.RouteBinding `cbor:"1,keyasint"`
-	SawRev  uint64              `cbor:"2,keyasint"`
+type BindRequest struct {
+	Binding     config.RouteBinding `cbor:"1,keyasint"`
+	ExpectedRev uint64              `cbor:"2,keyasint"`
 }
 
 // Create sends orders to the node that owns the catalogue of routes. It calls done on the
 // scheduler's goroutine, with an error (nil for success) for each order.
-type Create func(orders []Order, done func(errs []error))
+type Create func(orders []BindRequest, done func(errs []error))
 
-// Batch is the maximum of bindings that are created in one call of Create.
-const Batch = 256
+// MaxBatch is the maximum of bindings that are created in one call of Create.
+const MaxBatch = 256
 
 // Scheduler binds unscheduled routes to shards by reconciliation. It is not safe for
 // concurrent use: one goroutine owns it.
 type Scheduler struct {
-	Strategy Strategy
-	Relist   time.Duration // interval between full lists
-	Pause    time.Duration // delay before a failed route is tried again
-	Create   Create
+	Strategy       Strategy
+	RelistInterval time.Duration // interval between full lists
+	RetryDelay     time.Duration // delay before a failed route is tried again
+	Create         Create
 
 	nextRelist     time.Duration
 	boundRev       map[string]uint64 // route -> revision after its binding was created
@@ -95,8 +95,8 @@
 	return otherServed
 }
 
-// Waiting says whether any route needs a binding and any shard has a working gateway.
-func Waiting(routes []*config.Route, shards []Shard) bool {
+// AnyUnscheduled says whether any route needs a binding and any shard has a working gateway.
+func AnyUnscheduled(routes []*config.Route, shards []Shard) bool {
 	if !slices.ContainsFunc(shards, func(s Shard) bool { return s.Gateways > 0 }) {
 		return false
 	}
@@ -112,7 +112,7 @@
 		s.retryAt, s.boundRev = map[string]time.Duration{}, map[string]uint64{}
 	}
 	if now >= s.nextRelist {
-		s.nextRelist = now + s.Relist
+		s.nextRelist = now + s.RelistInterval
 		s.boundRev = map[string]uint64{}
 	}
 	if s.inFlight {
@@ -121,7 +121,7 @@
 	}
 	s.batchRemaining = false
 	current := map[string]bool{}
-	var batch []Order
+	var batch []BindRequest
 	for _, route := range routes {
 		current[route.Name] = true
 		if !Unscheduled(route, shards) {
@@ -135,17 +135,17 @@
 		if rev, ok := s.boundRev[route.Name]; ok && rev > route.Rev {
 			continue // the binding was created, but the route given here is older
 		}
-		if len(batch) == Batch {
+		if len(batch) == MaxBatch {
 			s.batchRemaining = true
 			break
 		}
 		shard, err := s.Strategy.Schedule(route, shards)
 		if err != nil {
 			s.Errors++
-			s.retryAt[route.Name] = now + s.Pause
+			s.retryAt[route.Name] = now + s.RetryDelay
 			continue
 		}
-		batch = append(batch, Order{config.RouteBinding{Route: route.Name, Shard: shard.Label}, route.Rev})
+		batch = append(batch, BindRequest{config.RouteBinding{Route: route.Name, Shard: shard.Label}, route.Rev})
 	}
 	if !s.batchRemaining {
 		for name := range s.retryAt {
@@ -168,12 +168,12 @@
 			switch name := order.Binding.Route; {
 			case errs[i] == nil:
 				s.Bound++
-				s.boundRev[name] = order.SawRev + 1
+				s.boundRev[name] = order.ExpectedRev + 1
 			case apierror.KindOf(errs[i]) == apierror.Conflict:
 				s.Errors++ // the route was bound or changed by others; a later Reconcile gets it
 			default:
 				s.Errors++
-				s.retryAt[name] = now + s.Pause
+				s.retryAt[name] = now + s.RetryDelay
 			}
 		}
 		if s.batchRemaining {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -25,11 +25,11 @@
 		}
 		body += fmt.Sprintf(`{"name":"r%d","pathPrefix":"/%d/","routeKind":"mutating","deadlineS":1,"target":"a","generation":1}`, i, i)
 	}
-	c, err := config.Read([]byte(body + `]}]}}`))
+	c, err := config.ParseRequest([]byte(body + `]}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := c.Apply(store.records, &config.Reader{})
+	changes, err := c.Apply(store.records, &config.Decoder{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,13 +43,13 @@
 	}
 }
 
-func (store *fakeStore) create(orders []Order, done func([]error)) {
+func (store *fakeStore) create(orders []BindRequest, done func([]error)) {
 	errs := make([]error, len(orders))
 	for i, order := range orders {
 		errs[i] = store.err
 		if store.err == nil {
 			var changes []config.Record
-			if changes, errs[i] = config.Bind(store.records, order.Binding, order.SawRev); errs[i] == nil {
+			if changes, errs[i] = config.Bind(store.records, order.Binding, order.ExpectedRev); errs[i] == nil {
 				store.put(changes)
 				store.bindings++
 			}
@@ -60,7 +60,7 @@
 
 func (store *fakeStore) counts() map[int]int {
 	out := map[int]int{}
-	for _, r := range (&config.Reader{}).List(store.records) {
+	for _, r := range (&config.Decoder{}).Routes(store.records) {
 		if r.Status.Phase == config.PhaseScheduled {
 			out[r.Status.Shard]++
 		}
@@ -72,8 +72,8 @@
 
 func TestRoundRobinBindsEveryRouteOnce(t *testing.T) {
 	store := newFakeStore(t, 8)
-	sched := &Scheduler{Strategy: &RoundRobin{}, Relist: 30 * time.Second, Pause: time.Second, Create: store.create}
-	routes := (&config.Reader{}).List(store.records)
+	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	routes := (&config.Decoder{}).Routes(store.records)
 	sched.Reconcile(0, routes, twoShards, func() {})
 	sched.Reconcile(1, routes, twoShards, func() {}) // again with the same routes, now stale
 	if counts := store.counts(); counts[0] != 4 || counts[1] != 4 || store.bindings != 8 {
@@ -83,9 +83,9 @@
 
 func TestTwoSchedulersCannotBindOneRouteTwice(t *testing.T) {
 	store := newFakeStore(t, 6)
-	stale := (&config.Reader{}).List(store.records)
+	stale := (&config.Decoder{}).Routes(store.records)
 	for i := 0; i < 2; i++ {
-		sched := &Scheduler{Strategy: &RoundRobin{next: i}, Relist: time.Minute, Pause: time.Second, Create: store.create}
+		sched := &Scheduler{Strategy: &RoundRobin{next: i}, RelistInterval: time.Minute, RetryDelay: time.Second, Create: store.create}
 		sched.Reconcile(0, stale, twoShards, func() {})
 	}
 	if store.bindings != 6 {
@@ -106,7 +106,7 @@
 func TestErrorsAreRetriedUntilBindingSucceeds(t *testing.T) {
 	store := newFakeStore(t, 1)
 	store.err = errors.New("no quorum")
-	sched := &Scheduler{Strategy: &failingStrategy{remaining: 3}, Relist: time.Hour, Pause: time.Second, Create: store.create}
+	sched := &Scheduler{Strategy: &failingStrategy{remaining: 3}, RelistInterval: time.Hour, RetryDelay: time.Second, Create: store.create}
 	tries := 0
 	for now := time.Duration(0); store.bindings == 0 && now < time.Minute; now += 100 * time.Millisecond {
 		if now > 10*time.Second {
@@ -116,7 +116,7 @@
 		if !sched.Due(now) {
 			continue
 		}
-		sched.Reconcile(now, (&config.Reader{}).List(store.records), twoShards, func() {})
+		sched.Reconcile(now, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
 		if sched.Errors > before {
 			tries++
 		}
@@ -131,14 +131,14 @@
 
 func TestRouteIsReboundWhenShardLosesItsGateways(t *testing.T) {
 	store := newFakeStore(t, 4)
-	sched := &Scheduler{Strategy: &RoundRobin{}, Relist: 30 * time.Second, Pause: time.Second, Create: store.create}
-	sched.Reconcile(0, (&config.Reader{}).List(store.records), twoShards, func() {})
+	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	sched.Reconcile(0, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
 	none := []Shard{{Label: 0}, {Label: 1}}
-	sched.Reconcile(time.Second, (&config.Reader{}).List(store.records), none, func() {})
+	sched.Reconcile(time.Second, (&config.Decoder{}).Routes(store.records), none, func() {})
 	if counts := store.counts(); counts[0] != 2 || counts[1] != 2 {
 		t.Fatalf("routes per shard changed though no shard has gateways: %v", counts)
 	}
-	sched.Reconcile(2*time.Second, (&config.Reader{}).List(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
+	sched.Reconcile(2*time.Second, (&config.Decoder{}).Routes(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
 	if counts := store.counts(); counts[0] != 0 || counts[1] != 4 {
 		t.Fatalf("routes per shard after the loss of shard 0: %v", counts)
 	}
@@ -149,9 +149,9 @@
 func TestAnswersAfterResetAreIgnored(t *testing.T) {
 	store := newFakeStore(t, 3)
 	var answers []func([]error)
-	sched := &Scheduler{Strategy: &RoundRobin{}, Relist: time.Minute, Pause: time.Second,
-		Create: func(_ []Order, done func([]error)) { answers = append(answers, done) }}
-	routes := (&config.Reader{}).List(store.records)
+	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
+		Create: func(_ []BindRequest, done func([]error)) { answers = append(answers, done) }}
+	routes := (&config.Decoder{}).Routes(store.records)
 	sched.Reconcile(0, routes, twoShards, func() {})
 	sched.Reset()
 	answers[0](make([]error, 3))
@@ -167,21 +167,21 @@
 }
 
 func TestManyRoutesAreBoundInBatches(t *testing.T) {
-	store := newFakeStore(t, 3*Batch+10)
+	store := newFakeStore(t, 3*MaxBatch+10)
 	batches := 0
-	sched := &Scheduler{Strategy: &RoundRobin{}, Relist: time.Minute, Pause: time.Second}
-	sched.Create = func(orders []Order, done func([]error)) {
-		if batches++; len(orders) > Batch {
+	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
+	sched.Create = func(orders []BindRequest, done func([]error)) {
+		if batches++; len(orders) > MaxBatch {
 			t.Fatalf("a batch of %d bindings", len(orders))
 		}
 		store.create(orders, done)
 	}
-	reader := &config.Reader{}
+	reader := &config.Decoder{}
 	for pending := true; pending; {
 		pending = false
-		sched.Reconcile(0, reader.List(store.records), twoShards, func() { pending = true })
+		sched.Reconcile(0, reader.Routes(store.records), twoShards, func() { pending = true })
 	}
-	if store.bindings != 3*Batch+10 || batches != 4 {
+	if store.bindings != 3*MaxBatch+10 || batches != 4 {
 		t.Fatalf("%d bound in %d batches", store.bindings, batches)
 	}
 }
@@ -201,7 +201,7 @@
 		"no shard with gateways":          {[]*config.Route{bound, unbound}, empty, false},
 		"shard has lost all its gateways": {[]*config.Route{bound}, []Shard{{Label: 0, Gateways: 1}, {Label: 1}}, true},
 	} {
-		if waiting := Waiting(c.routes, c.shards); waiting != c.waiting {
+		if waiting := AnyUnscheduled(c.routes, c.shards); waiting != c.waiting {
 			t.Errorf("%s: waiting is %v", name, waiting)
 		}
 	}
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -40,17 +40,17 @@
 		if failedDials > 0 {
 			queueTimeout /= 2
 		}
-		request := &upstream.AcquireRequest{Service: x.service, Version: arm.Version(), Priority: x.priority(), Avoid: tried, Retry: sent > 0,
-			Regions: x.regions, Bound: x.regionBound, Aim: x.latencyTarget}
+		request := &upstream.AcquireRequest{Service: x.service, Version: arm.Version(), Priority: x.priority(), ExcludeIDs: tried, Retry: sent > 0,
+			Regions: x.regions, RegionRestricted: x.regionBound, LatencyTarget: x.latencyTarget}
 		// The balancer may interrupt the wait for a response only if the request can be retried.
 		if x.route.Repeatable() && x.bodyPrefix == nil && sent+1 < maxAttempts {
-			request.Hold = &upstream.WaitHandle{}
+			request.WaitHandle = &upstream.WaitHandle{}
 		}
 		x.stage = stageQueue
 		lease := h.dispatcher.acquire(request, queueTimeout, x.r.Context().Done())
-		if lease.Refused != upstream.Granted {
+		if lease.Refusal != upstream.Granted {
 			arm.End(rollout.Unscored)
-			if arm.Candidate() && !x.clientDisconnected() && time.Until(x.deadline) > 0 && lease.Refused != upstream.NoBudget && !h.arms.Whole(x.service) {
+			if arm.Candidate() && !x.clientDisconnected() && time.Until(x.deadline) > 0 && lease.Refusal != upstream.RetryBudgetExhausted && !h.arms.SingleArm(x.service) {
 				continue // the candidate has no free slot; try the prior version
 			}
 			if x.clientDisconnected() {
@@ -59,15 +59,15 @@
 			if lastErr != nil {
 				return lastErr
 			}
-			if lease.Refused == upstream.Unlisted {
-				return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no upstreams yet")
+			if lease.Refusal == upstream.ListNotReceived {
+				return apierror.NewRetryAfter(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no upstreams yet")
 			}
-			if lease.Refused == upstream.NoneLeft {
+			if lease.Refusal == upstream.NoEligibleUpstream {
 				return h.retryLater(x, apierror.NoUpstream)
 			}
 			return h.retryLater(x, apierror.Overloaded)
 		}
-		if !h.Confirmed() { // the API key may have been revoked while the request was queued
+		if !h.KeysConfirmed() { // the API key may have been revoked while the request was queued
 			h.dispatcher.releaseUnused(lease)
 			arm.End(rollout.Unscored)
 			if lastErr != nil {
@@ -77,21 +77,21 @@
 		}
 		arm.Sent(lease.Cold)
 		res := h.send(x, lease)
-		h.Stats.Tries.Add(1)
-		if lease.Abroad {
-			h.Stats.Abroad.Add(1)
+		h.Stats.Attempts.Add(1)
+		if lease.CrossRegion {
+			h.Stats.CrossRegion.Add(1)
 		}
 		if sent > 0 {
-			h.Stats.Repeats.Add(1)
+			h.Stats.Retries.Add(1)
 		}
 		tried = append(tried, lease.ID)
 		arm.Score(rolloutOutcome(res))
 		if res.unsent {
 			arm.End(rollout.Unscored)
-			outcome := upstream.Failing
+			outcome := upstream.ConnectionFailed
 			switch {
 			case res.disconnected:
-				outcome = upstream.Unused
+				outcome = upstream.NotSent
 			case res.deadlinePassed:
 				outcome = upstream.Served // not a failure of the upstream
 			}
@@ -121,7 +121,7 @@
 // mergeErrors returns the error to report for two successive attempts. Once a request may have been
 // executed, a later error must not promise that it was not, so the earlier one is kept.
 func mergeErrors(earlier, latest error) error {
-	if earlier != nil && !apierror.AnswerFor(apierror.KindOf(earlier)).NotRun {
+	if earlier != nil && !apierror.ResponseFor(apierror.KindOf(earlier)).NotExecuted {
 		return earlier
 	}
 	return latest
@@ -135,13 +135,13 @@
 	case res.deadlinePassed:
 		return rollout.TooLate
 	case res.err != nil:
-		return rollout.Broke
+		return rollout.BrokenResponse
 	case notExecuted(response):
 		return rollout.Unscored
 	case response.StatusCode >= http.StatusInternalServerError || impliesNotExecuted(response.StatusCode):
 		return rollout.Errored
 	case response.StatusCode < 300 && !sealed(response):
-		return rollout.Broke
+		return rollout.BrokenResponse
 	}
 	return rollout.Passed
 }
@@ -153,47 +153,47 @@
 	defer arm.End(rollout.Unscored) // deferred: the response is read to its end by one of the calls below
 	repeatable := x.route.Repeatable()
 	if res.disconnected {
-		h.finish(lease, res, upstream.Abandoned)
+		h.finish(lease, res, upstream.Cancelled)
 		return false, disconnectedAfterSend(x)
 	}
 	if res.err != nil {
-		h.Stats.Broken.Add(1)
+		h.Stats.BrokenResponses.Add(1)
 		if res.deadlinePassed {
 			h.finish(lease, res, upstream.Served)
-			return false, apierror.New(apierror.DeadlinePassed, "%s", x.service)
+			return false, apierror.New(apierror.DeadlineAfterSend, "%s", x.service)
 		}
-		if tooLarge := apierror.TooLarge(res.requestErr); tooLarge != nil {
+		if tooLarge := apierror.BodyTooLargeError(res.requestErr); tooLarge != nil {
 			h.finish(lease, res, upstream.Served)
 			return false, tooLarge
 		}
-		outcome := upstream.Failing
+		outcome := upstream.ConnectionFailed
 		switch {
 		case res.err == errNoAttemptID:
-			outcome = upstream.Full
+			outcome = upstream.Overloaded
 		case peerUnresponsive(res.err):
-			outcome = upstream.Silent
+			outcome = upstream.Unresponsive
 		case errors.Is(res.err, syscall.ECONNRESET):
-			outcome = upstream.Reset
+			outcome = upstream.ConnectionReset
 		}
 		h.finish(lease, res, outcome)
-		return repeatable, apierror.New(apierror.Broken, "%s: %v", x.service, res.err)
+		return repeatable, apierror.New(apierror.BadUpstreamResponse, "%s: %v", x.service, res.err)
 	}
 	response := res.response
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
-		h.finish(lease, res, upstream.Other)
+		h.finish(lease, res, upstream.WrongInstance)
 		return true, h.retryLater(x, apierror.NoUpstream)
 	case notExecuted(response):
-		h.finish(lease, res, upstream.Full)
+		h.finish(lease, res, upstream.Overloaded)
 		return true, h.retryLater(x, apierror.Overloaded)
 	case response.StatusCode < 300 && !sealed(response):
-		h.finish(lease, res, upstream.Failing)
-		return repeatable, apierror.New(apierror.Unsealed, "%s", x.service)
+		h.finish(lease, res, upstream.ConnectionFailed)
+		return repeatable, apierror.New(apierror.MissingSeal, "%s", x.service)
 	case impliesNotExecuted(response.StatusCode):
 		// To the client these statuses would promise that the request was not executed, but without
 		// Not-Executed that is unknown.
 		h.finish(lease, res, upstream.Served)
-		return false, apierror.New(apierror.Broken, "%s answered %d", x.service, response.StatusCode)
+		return false, apierror.New(apierror.BadUpstreamResponse, "%s answered %d", x.service, response.StatusCode)
 	}
 	fitsLink := response.StatusCode >= 300 || x.reservation.Begin(h.now(), res.bodySize())
 	if !fitsLink && repeatable && !h.draining.Load() {
@@ -204,11 +204,11 @@
 	if res.complete {
 		outcome := upstream.Served
 		if response.StatusCode >= http.StatusInternalServerError {
-			outcome = upstream.Poor
+			outcome = upstream.ServerError
 		}
-		if outlier := h.finish(lease, res, outcome); (outlier || arm.Candidate() && outcome == upstream.Poor) && repeatable && x.fallback == nil {
+		if outlier := h.finish(lease, res, outcome); (outlier || arm.Candidate() && outcome == upstream.ServerError) && repeatable && x.fallback == nil {
 			x.fallback = &res // sent to the client if no other upstream gives a better response
-			return true, apierror.New(apierror.Broken, "%s answered %d", x.service, response.StatusCode)
+			return true, apierror.New(apierror.BadUpstreamResponse, "%s answered %d", x.service, response.StatusCode)
 		}
 	}
 	h.respond(x, lease, res)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -32,7 +32,7 @@
 	for _, c := range []struct {
 		name, request string
 		respond       respondFunc
-		pace          *Pace
+		pace          *Pacer
 		noFreeSlot    bool // all slots of the upstream are taken
 		noConnection  bool // the upstream does not accept connections
 		status        int  // 0: the response is truncated
@@ -46,14 +46,14 @@
 		{name: "incomplete chunk of a request body", request: "POST /put/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 300000\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", respond: unresponsive, status: 503},
 		{name: "incomplete large request body", request: longRequest("POST", "/put/x", "one", longBody)[:300<<10], respond: unresponsive, status: 504},
 		{name: "large response that stops", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("z", 80<<10))},
-		{name: "no pace left", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPace(1)},
-		{name: "no pace left, chunked", request: longRequest("GET", "/put/x", "one", ""), respond: respondWith(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPace(1)},
+		{name: "no pace left", request: longRequest("GET", "/get/x", "one", ""), respond: respondWith(head + "Content-Length: 40000\r\n\r\n" + strings.Repeat("z", 40000)), pace: NewPacer(1)},
+		{name: "no pace left, chunked", request: longRequest("GET", "/put/x", "one", ""), respond: respondWith(head + "Transfer-Encoding: chunked\r\n\r\n9c40\r\n" + strings.Repeat("z", 40000) + "\r\n0\r\n\r\n"), pace: NewPacer(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			u := newFakeUpstream(t, "u", c.respond)
 			h := newDisconnectHarness(t, u)
-			h.handler.Pace = c.pace
+			h.handler.Pacer = c.pace
 			if c.noFreeSlot {
 				for n := range 4 {
 					holder := dialGateway(t, h.harness)
@@ -110,7 +110,7 @@
 		if got := status(c.path, c.key); got != c.statusIncomplete {
 			t.Errorf("%s %s, table incomplete: status %d", c.path, c.key, got)
 		}
-		h.handler.SetComplete()
+		h.handler.SetTableComplete()
 		if got := status(c.path, c.key); got != c.statusComplete {
 			t.Errorf("%s %s, table complete: status %d", c.path, c.key, got)
 		}
--- a/internal/proxy/dialing_test.go
+++ b/internal/proxy/dialing_test.go
@@ -30,8 +30,8 @@
 	} {
 		t.Run(fmt.Sprint(c.latencyTarget, c.refuse), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				dispatcher := NewDispatcher(upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, Window: 10 * time.Second,
-					Eject: peerTimeout, EjectMax: 4 * peerTimeout}), peerTimeout, peerTimeout/6)
+				dispatcher := NewDispatcher(upstream.NewBalancer(upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, RetryWindow: 10 * time.Second,
+					EjectTime: peerTimeout, MaxEjectTime: 4 * peerTimeout}), peerTimeout, peerTimeout/6)
 				dials := 0
 				dispatcher.connect = func(_ context.Context, _ string, limit time.Duration) (net.Conn, error) {
 					if limit < peerTimeout { // with a longer limit it is a trial connection, not for a request
@@ -42,7 +42,7 @@
 					}
 					return nil, os.ErrDeadlineExceeded
 				}
-				handler := NewHandler(dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
+				handler := NewHandler(dispatcher, rollout.NewSplitter("n", time.Hour, func() time.Duration { return 0 }))
 				handler.SetTable(buildTable(t, fmt.Sprintf(`{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50}],
 	 "limits":{"generation":1,"maxHeaderBytes":4096,"maxBodyBytes":1000000,"headerTimeoutS":1,"idleTimeoutS":15},
 	 "domains":[{"authority":"h.example","hostRoutes":[{"name":"g","pathPrefix":"/get/","routeKind":"idempotent",
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -98,13 +98,13 @@
 // disconnectedBeforeSend returns the error for a request that was not sent because its client had
 // disconnected. A client that has closed only its sending direction still receives it.
 func (h *Handler) disconnectedBeforeSend(x *Exchange) error {
-	return h.retryLater(x, apierror.ClientGone)
+	return h.retryLater(x, apierror.ClientLeftBeforeSend)
 }
 
 // disconnectedAfterSend returns the error for a request that was aborted at its upstream because its
 // client had disconnected.
 func disconnectedAfterSend(x *Exchange) error {
-	return apierror.New(apierror.ClientLeft, "%s", x.service)
+	return apierror.New(apierror.ClientLeftAfterSend, "%s", x.service)
 }
 
 // countDisconnect counts a request that has ended after its client had disconnected.
--- a/internal/proxy/disconnect_stages_test.go
+++ b/internal/proxy/disconnect_stages_test.go
@@ -100,7 +100,7 @@
 		return respondOK(c, r, n)
 	})
 	h := newDisconnectHarness(t, u)
-	h.handler.Pace = NewPace(1) // at 1 byte/s a chunk takes longer than any test
+	h.handler.Pacer = NewPacer(1) // at 1 byte/s a chunk takes longer than any test
 	h.handler.Link = NewLinkBudget(1<<30, time.Hour)
 	client := dialGateway(t, h.harness)
 	writeText(t, client, longRequest("GET", "/down/long", "one", ""))
@@ -132,13 +132,13 @@
 		writeText(t, client, strings.Replace(longRequest("GET", path, "one", ""), "300000", "300", 1))
 		waitFor(t, "the request has arrived", func() bool { return len(u.requests()) == 1 })
 		waitFor(t, "its slot is free", func() bool { return h.busySlots() == 0 })
-		waitFor(t, "its connection is closed", func() bool { return h.listener.Open() == 0 })
+		waitFor(t, "its connection is closed", func() bool { return h.listener.OpenConnections() == 0 })
 	}
 }
 
 // A chunk that is not written because its client has disconnected does not count against the rate.
 func TestPaceIsReturnedOnDisconnect(t *testing.T) {
-	pace := NewPace(1 << 10)
+	pace := NewPacer(1 << 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -219,7 +219,7 @@
 			}
 			waitFor(t, "its slot is free", func() bool { return h.busySlots() == 0 })
 			waitFor(t, "the disconnect is counted", func() bool { return h.handler.Counters()["gone"+stageNames[c.stage]] == 1 })
-			if n := h.handler.Stats.Repeats.Load() + h.handler.Stats.Broken.Load(); n != 0 {
+			if n := h.handler.Stats.Retries.Load() + h.handler.Stats.BrokenResponses.Load(); n != 0 {
 				t.Errorf("%d retries and upstream failures counted", n)
 			}
 			if n := len(blocking.requests()); n != 1 {
@@ -273,7 +273,7 @@
 			close(release)
 			waitFor(t, "its completion is counted", func() bool { return h.handler.Counters()["goneRanOn"] == 1 })
 			waitFor(t, "its slot is free", func() bool { return h.busySlots() == 0 })
-			if n := h.handler.Stats.Broken.Load(); n != 0 {
+			if n := h.handler.Stats.BrokenResponses.Load(); n != 0 {
 				t.Errorf("%d upstream failures counted", n)
 			}
 			res, _, err := h.roundTrip(t, "POST", longRequest("POST", "/put/x", "two", "b"))
@@ -334,7 +334,7 @@
 			}
 			close(release)
 			if disconnects {
-				waitFor(t, "the connection is closed", func() bool { return h.listener.Open() == 0 })
+				waitFor(t, "the connection is closed", func() bool { return h.listener.OpenConnections() == 0 })
 				if n := len(u.requests()); n != 1 {
 					t.Errorf("%d requests reached the upstream", n)
 				}
@@ -367,7 +367,7 @@
 		client.Close()
 		waitFor(t, "its slot is free", func() bool { return blocking.aborted.Load() == int64(n+1) && h.busySlots() == 0 })
 	}
-	states := make(chan []upstream.State, 1)
+	states := make(chan []upstream.UpstreamStatus, 1)
 	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { states <- s.States(now) })
 	for _, s := range <-states {
 		if s.Failed != 0 || s.Ejected {
@@ -400,7 +400,7 @@
 	}
 	close(blocking.respond) // for the mutating ones, which run to completion
 	waitFor(t, "all slots are free", func() bool { return h.busySlots() == 0 })
-	waitFor(t, "all connections are closed", func() bool { return h.listener.Open() == 0 })
+	waitFor(t, "all connections are closed", func() bool { return h.listener.OpenConnections() == 0 })
 	waitFor(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before+20 })
 }
 
@@ -427,7 +427,9 @@
 		client.Store(c)
 		path := []string{"/get/x", "/put/x"}[n/2%2]
 		writeText(t, c, longRequest("GET", path, fmt.Sprint(n), ""))
-		waitFor(t, "the connection is closed", func() bool { return h.handler.Stats.Requests.Load() == uint64(n+1) && h.listener.Open() == 0 })
+		waitFor(t, "the connection is closed", func() bool {
+			return h.handler.Stats.Requests.Load() == uint64(n+1) && h.listener.OpenConnections() == 0
+		})
 	}
 	waitFor(t, "all slots are free", func() bool { return h.busySlots() == 0 })
 }
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -60,17 +60,17 @@
 		case <-ticker.C:
 			d.balancer.Tick(time.Since(d.epoch))
 		}
-		for _, target := range d.balancer.Trials {
+		for _, target := range d.balancer.PendingTrials {
 			go d.tryConnection(target, target.Address)
 		}
-		d.balancer.Trials = nil
-		for _, probe := range d.balancer.Probes {
+		d.balancer.PendingTrials = nil
+		for _, probe := range d.balancer.PendingProbes {
 			go d.probe(probe)
 		}
-		d.balancer.Probes = nil
-		if len(d.balancer.Closed) > 0 {
-			closed := d.balancer.Closed
-			d.balancer.Closed = nil
+		d.balancer.PendingProbes = nil
+		if len(d.balancer.ConnsToClose) > 0 {
+			closed := d.balancer.ConnsToClose
+			d.balancer.ConnsToClose = nil
 			go func() {
 				for _, c := range closed {
 					c.Close()
@@ -88,7 +88,7 @@
 		if conn != nil {
 			conn.Expires = now + 10*d.peerTimeout
 		}
-		b.Tried(now, target, conn)
+		b.TrialDone(now, target, conn)
 	})
 }
 
@@ -108,7 +108,7 @@
 		}
 		conn.Close()
 	}
-	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Probed(now, probe.Upstream, remaining, ok) })
+	d.Do(func(now time.Duration, b *upstream.Balancer) { b.ProbeDone(now, probe.Upstream, remaining, ok) })
 }
 
 // parseWarmupLeft parses the remaining warm-up time in milliseconds; a missing header means zero. ok is
@@ -150,7 +150,7 @@
 // A lease whose Refused is not upstream.Granted says why there is none.
 func (d *Dispatcher) acquire(request *upstream.AcquireRequest, timeout time.Duration, canceled <-chan struct{}) upstream.SlotLease {
 	reply := make(chan upstream.SlotLease, 1)
-	request.Give = func(lease upstream.SlotLease) { reply <- lease }
+	request.OnResult = func(lease upstream.SlotLease) { reply <- lease }
 	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Acquire(now, request) })
 	timer := time.NewTimer(max(0, timeout))
 	defer timer.Stop()
@@ -160,19 +160,19 @@
 	case <-timer.C:
 	case <-canceled:
 	}
-	d.Do(func(_ time.Duration, b *upstream.Balancer) { b.Withdraw(request) })
+	d.Do(func(_ time.Duration, b *upstream.Balancer) { b.Cancel(request) })
 	return <-reply
 }
 
 // releaseUnused returns a lease over which nothing was sent.
 func (d *Dispatcher) releaseUnused(lease upstream.SlotLease) {
-	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Release(now, lease, lease.Conn, upstream.Unused) })
+	d.Do(func(now time.Duration, b *upstream.Balancer) { b.Release(now, lease, lease.Conn, upstream.NotSent) })
 }
 
 // release returns a lease, with its connection if that can be reused, and reports the outcome and load
 // of the upstream. With wantOutlier it waits for the balancer's verdict whether the upstream has
 // markedly more errors than others.
-func (d *Dispatcher) release(lease upstream.SlotLease, conn *upstream.Conn, idleTime time.Duration, outcome upstream.Outcome, load upstream.Told, wantOutlier bool) (outlier bool) {
+func (d *Dispatcher) release(lease upstream.SlotLease, conn *upstream.Conn, idleTime time.Duration, outcome upstream.Outcome, load upstream.ReportedLoad, wantOutlier bool) (outlier bool) {
 	var verdict chan bool
 	if wantOutlier {
 		verdict = make(chan bool, 1)
@@ -181,7 +181,7 @@
 		if conn != nil {
 			conn.Expires = now + idleTime
 		}
-		b.Tell(now, lease.Upstream, load)
+		b.ReportLoad(now, lease.Upstream, load)
 		isOutlier := b.Release(now, lease, conn, outcome)
 		if verdict != nil {
 			verdict <- isOutlier
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -72,14 +72,14 @@
 // kept for retries, and refuses the request if its deadline has passed.
 func (h *Handler) bufferBody(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.Request(x.service) })
+		h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.RecordRequest(x.service) })
 		if x.hasBody {
 			if err := h.readBody(x); err != nil {
 				return err
 			}
 		}
 		if time.Until(x.deadline) <= 0 {
-			return h.retryLater(x, apierror.Expired)
+			return h.retryLater(x, apierror.DeadlineBeforeSend)
 		}
 		return next(x)
 	}
@@ -102,11 +102,11 @@
 		return nil
 	}
 	x.bodyIncomplete = true
-	switch tooLarge := apierror.TooLarge(err); {
+	switch tooLarge := apierror.BodyTooLargeError(err); {
 	case tooLarge != nil:
 		return tooLarge
 	case isTimeout(err):
-		return h.retryLater(x, apierror.Expired)
+		return h.retryLater(x, apierror.DeadlineBeforeSend)
 	case connectionBroken(err):
 		return h.disconnectedBeforeSend(x)
 	}
--- a/internal/proxy/finish.go
+++ b/internal/proxy/finish.go
@@ -39,16 +39,16 @@
 	if conn != nil {
 		_ = conn.SetDeadline(time.Time{})
 	}
-	var load upstream.Told
+	var load upstream.ReportedLoad
 	if res.response != nil {
 		load = parseLoad(res.response.Header.Get(headerInstanceLoad))
 	}
-	return h.dispatcher.release(lease, conn, idleTime, outcome, load, outcome == upstream.Poor)
+	return h.dispatcher.release(lease, conn, idleTime, outcome, load, outcome == upstream.ServerError)
 }
 
 // parseLoad parses Instance-Load, in which an upstream reports its own load as "running,waiting,slots".
 // The slots are not used. An invalid value gives a zero result, whose Known is false.
-func parseLoad(header string) (load upstream.Told) {
+func parseLoad(header string) (load upstream.ReportedLoad) {
 	parts := strings.Split(header, ",")
 	if len(parts) != 3 {
 		return load
@@ -61,7 +61,7 @@
 		}
 		values[i] = value
 	}
-	return upstream.Told{Known: true, Running: values[0], Waiting: values[1]}
+	return upstream.ReportedLoad{Known: true, Running: values[0], Waiting: values[1]}
 }
 
 // idleTime returns how long the connection of a response may stay idle: the time-out of its Keep-Alive
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -15,12 +15,12 @@
 // Stats holds the counters of a Handler. Handler.Counters maps them to the names of the metrics.
 type Stats struct {
 	// Requests counts all requests. Ordinary and Exception count them by route; see chooseService. The
-	// others count by result: Served a response was passed on, Refused status 503 or 429, Late status
+	// others count by result: Served a response was passed on, Refused status 503 or 429, DeadlinePassed status
 	// 504, Failed other errors.
-	Requests, Ordinary, Exception, Served, Refused, Failed, Late atomic.Uint64
-	// Tries counts attempts at upstreams, Repeats retries among them, Dials new connections, Broken invalid
-	// or truncated responses, Abroad attempts in another region.
-	Tries, Repeats, Dials, Broken, Abroad atomic.Uint64
+	Requests, Ordinary, Exception, Served, Refused, Failed, DeadlinePassed atomic.Uint64
+	// Attempts counts attempts at upstreams, Retries retries among them, Dials new connections, BrokenResponses invalid
+	// or truncated responses, CrossRegion attempts in another region.
+	Attempts, Retries, Dials, BrokenResponses, CrossRegion atomic.Uint64
 	// LinkFull counts requests refused because the link had no capacity left for a long response.
 	LinkFull    atomic.Uint64
 	disconnects disconnectStats
@@ -37,21 +37,21 @@
 	chain         HandlerFunc
 	Stats         Stats
 	// arms splits the requests of a service under rollout between its prior and its candidate version.
-	arms *rollout.Arms
-	// Pace limits the rate of large responses; nil means no limit.
-	Pace *Pace
+	arms *rollout.Splitter
+	// Pacer limits the rate of large responses; nil means no limit.
+	Pacer *Pacer
 	// Link limits the bytes of long responses that are accepted at a time; nil means no limit.
 	Link *LinkBudget
 	// keysValidUntil is the time on the dispatcher's clock, in nanoseconds, until which the API keys
 	// in the table may be trusted; nil if their revocation needs no confirmation by every gateway.
 	keysValidUntil *atomic.Int64
 	// drawQuota charges a tenant's quota; nil if quotas are not in use.
-	drawQuota DrawQuota
+	drawQuota ChargeQuota
 }
 
 // NewHandler returns a handler that gets its upstreams from dispatcher. Its table is empty until
 // SetTable is called.
-func NewHandler(dispatcher *Dispatcher, arms *rollout.Arms) *Handler {
+func NewHandler(dispatcher *Dispatcher, arms *rollout.Splitter) *Handler {
 	h := &Handler{dispatcher: dispatcher, arms: arms}
 	h.shard.Store(-1)
 	h.table.Store((&config.Builder{}).Build(nil))
@@ -68,16 +68,16 @@
 // SetShard sets the shard that this gateway belongs to.
 func (h *Handler) SetShard(n int) { h.shard.Store(int64(n)) }
 
-// SetComplete records that the table has been complete once. Until then a missing route or key may
+// SetTableComplete records that the table has been complete once. Until then a missing route or key may
 // still arrive, so requests for it get a temporary error instead of a permanent one.
-func (h *Handler) SetComplete() { h.tableComplete.Store(true) }
+func (h *Handler) SetTableComplete() { h.tableComplete.Store(true) }
 
 // Drain prepares for the shutdown of the gateway: connections are closed after their next response,
 // and every request that was sent to an upstream is waited for.
 func (h *Handler) Drain() {
 	h.draining.Store(true)
-	h.Link.Leave(h.now())
-	h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.Leave() })
+	h.Link.BeginShutdown(h.now())
+	h.dispatcher.Do(func(_ time.Duration, b *upstream.Balancer) { b.BeginShutdown() })
 }
 
 // closeAfterResponse makes net/http close the client's connection after the response if this gateway
@@ -97,13 +97,13 @@
 	}
 	x := &Exchange{w: w, r: r, arrived: time.Now(), table: h.table.Load(), attemptID: r.Header.Get(headerAttemptID)}
 	if err := h.chain(x); err != nil {
-		switch answer := apierror.AnswerFor(apierror.KindOf(err)); {
-		case x.clientDisconnected() || apierror.KindOf(err) == apierror.ClientGone:
+		switch answer := apierror.ResponseFor(apierror.KindOf(err)); {
+		case x.clientDisconnected() || apierror.KindOf(err) == apierror.ClientLeftBeforeSend:
 			h.countDisconnect(x)
 		case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
 			h.Stats.Refused.Add(1)
 		case answer.Status == http.StatusGatewayTimeout:
-			h.Stats.Late.Add(1)
+			h.Stats.DeadlinePassed.Add(1)
 		default:
 			h.Stats.Failed.Add(1)
 		}
@@ -129,7 +129,7 @@
 // It is randomized so that requests refused together do not return together.
 func (h *Handler) retryLater(x *Exchange, kind apierror.Kind) error {
 	after := x.latencyTarget/8 + time.Duration(rand.Float64()*float64(x.latencyTarget/4))
-	return apierror.Later(kind, after, "%s", x.service)
+	return apierror.NewRetryAfter(kind, after, "%s", x.service)
 }
 
 // Counters returns the counters by the names under which the metrics report them.
@@ -137,9 +137,9 @@
 	stats := &h.Stats
 	counters := map[string]uint64{
 		"requests": stats.Requests.Load(), "ordinary": stats.Ordinary.Load(), "exception": stats.Exception.Load(), "served": stats.Served.Load(),
-		"refused": stats.Refused.Load(), "failed": stats.Failed.Load(), "late": stats.Late.Load(), "tries": stats.Tries.Load(),
-		"repeats": stats.Repeats.Load(), "dials": stats.Dials.Load(), "broken": stats.Broken.Load(),
-		"abroad": stats.Abroad.Load(), "linkFull": stats.LinkFull.Load(),
+		"refused": stats.Refused.Load(), "failed": stats.Failed.Load(), "late": stats.DeadlinePassed.Load(), "tries": stats.Attempts.Load(),
+		"repeats": stats.Retries.Load(), "dials": stats.Dials.Load(), "broken": stats.BrokenResponses.Load(),
+		"abroad": stats.CrossRegion.Load(), "linkFull": stats.LinkFull.Load(),
 	}
 	stats.disconnects.addTo(counters)
 	return counters
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -99,11 +99,11 @@
 // buildTable builds the configuration table from the body of one upsert call.
 func buildTable(t *testing.T, body string) *config.Table {
 	t.Helper()
-	c, err := config.Read([]byte(body))
+	c, err := config.ParseRequest([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := c.Apply(nil, &config.Reader{})
+	changes, err := c.Apply(nil, &config.Decoder{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,15 +118,15 @@
 // /down/ (download), /put/ (mutating) and /short/ (mutating, with a deadline of 50 ms).
 func newHarness(t *testing.T, upstreams ...*fakeUpstream) *harness {
 	t.Helper()
-	return newHarnessWith(t, upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, Window: 10 * time.Second,
-		Eject: 50 * time.Millisecond, EjectMax: time.Second}, 50*time.Millisecond, upstreams...)
+	return newHarnessWith(t, upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, RetryWindow: 10 * time.Second,
+		EjectTime: 50 * time.Millisecond, MaxEjectTime: time.Second}, 50*time.Millisecond, upstreams...)
 }
 
 func newHarnessWith(t *testing.T, balancerConfig upstream.Config, tickInterval time.Duration, upstreams ...*fakeUpstream) *harness {
 	t.Helper()
 	balancer := upstream.NewBalancer(balancerConfig)
 	dispatcher := NewDispatcher(balancer, 5*time.Second, tickInterval)
-	handler := NewHandler(dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
+	handler := NewHandler(dispatcher, rollout.NewSplitter("n", time.Hour, func() time.Duration { return 0 }))
 	body := `{"upsert":{"services":[{"name":"a","generation":1,"maxConns":50}],
 	 "limits":{"generation":1,"maxHeaderBytes":4096,"maxBodyBytes":1000000,"headerTimeoutS":0.2,"idleTimeoutS":15},
 	 "domains":[{"authority":"h.example","hostRoutes":[
@@ -135,7 +135,7 @@
 	 {"name":"p","pathPrefix":"/put/","routeKind":"mutating","deadlineS":5,"targetLatencyS":4,"target":"a","maxTries":2,"generation":1},
 	 {"name":"s","pathPrefix":"/short/","routeKind":"mutating","deadlineS":0.05,"targetLatencyS":0.05,"target":"a","maxTries":2,"generation":1}]}]}}`
 	handler.SetTable(buildTable(t, body))
-	handler.SetComplete()
+	handler.SetTableComplete()
 	go dispatcher.Run()
 	dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
 		s.SetServices(now, map[string]upstream.ServiceInfo{"a": {MaxConns: 50}}, nil)
--- a/internal/proxy/linkbudget.go
+++ b/internal/proxy/linkbudget.go
@@ -27,8 +27,8 @@
 	maxEstimates = 4096
 )
 
-// AnswerClass identifies requests whose responses are of similar size.
-type AnswerClass struct {
+// ResponseClass identifies requests whose responses are of similar size.
+type ResponseClass struct {
 	Service  string
 	Download bool
 }
@@ -52,28 +52,28 @@
 	started    float64 // unwritten bytes of responses that have started
 	buffered   float64 // bytes written to connections but not transferred yet, as of bufferedAt
 	bufferedAt time.Duration
-	estimates  map[AnswerClass]responseEstimate
+	estimates  map[ResponseClass]responseEstimate
 }
 
 // NewLinkBudget returns the budget of a link that transfers bytesPerSecond of long responses beside all
 // short ones, for a process that has the time grace to finish once it is told to shut down.
 func NewLinkBudget(bytesPerSecond float64, grace time.Duration) *LinkBudget {
-	return &LinkBudget{bytesPerSecond: bytesPerSecond, grace: grace, estimates: map[AnswerClass]responseEstimate{}}
+	return &LinkBudget{bytesPerSecond: bytesPerSecond, grace: grace, estimates: map[ResponseClass]responseEstimate{}}
 }
 
 // Reservation is the share of one response in the budget. A nil one is for a response without a limit.
 // Its methods must not be called concurrently.
 type Reservation struct {
 	budget    *LinkBudget
-	class     AnswerClass
+	class     ResponseClass
 	admitted  time.Duration
 	remaining float64 // bytes not written yet
 	started   bool
 	released  bool
 }
 
-// Leave notes that the process was told to shut down.
-func (b *LinkBudget) Leave(now time.Duration) {
+// BeginShutdown notes that the process was told to shut down.
+func (b *LinkBudget) BeginShutdown(now time.Duration) {
 	if b == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 // Admit reserves room for the response to a request with the given deadline. ok is false if the request
 // is a download whose response could not be transferred in time; it must then not be sent. Whether the
 // response to another request is long is known only once it starts; see Begin.
-func (b *LinkBudget) Admit(now time.Duration, class AnswerClass, deadline time.Duration) (reservation *Reservation, ok bool) {
+func (b *LinkBudget) Admit(now time.Duration, class ResponseClass, deadline time.Duration) (reservation *Reservation, ok bool) {
 	if b == nil {
 		return nil, true
 	}
@@ -168,7 +168,7 @@
 }
 
 // updateEstimate updates the estimate of a class with the size and delay of a response.
-func (b *LinkBudget) updateEstimate(class AnswerClass, size float64, delay time.Duration) {
+func (b *LinkBudget) updateEstimate(class ResponseClass, size float64, delay time.Duration) {
 	estimate, known := b.estimates[class]
 	if !known {
 		if len(b.estimates) >= maxEstimates {
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -62,7 +62,7 @@
 
 // admitRequest asks the budget to admit a request for a long response.
 func (m *linkModel) admitRequest() (admitted bool) {
-	r, ok := m.budget.Admit(m.now, AnswerClass{"s", true}, m.now+modelDeadline)
+	r, ok := m.budget.Admit(m.now, ResponseClass{"s", true}, m.now+modelDeadline)
 	if !ok {
 		m.refused++
 		return false
@@ -127,7 +127,7 @@
 	acceptUntil := sigterm + time.Duration(m.Float64()*acceptShare*float64(modelGrace))
 	for m.now < sigterm+modelGrace*95/100 {
 		if m.now == sigterm {
-			m.budget.Leave(m.now)
+			m.budget.BeginShutdown(m.now)
 			m.shuttingDown = true
 		}
 		if m.now < acceptUntil && m.Float64() < requestsPerSecond*modelStep.Seconds() && m.admitRequest() && m.now >= sigterm {
@@ -269,9 +269,9 @@
 	for _, serving := range []bool{true, false} {
 		b := NewLinkBudget(70<<10, 2*time.Second)
 		if !serving {
-			b.Leave(0)
+			b.BeginShutdown(0)
 		}
-		_, ok := b.Admit(0, AnswerClass{"a", true}, time.Second/2)
+		_, ok := b.Admit(0, ResponseClass{"a", true}, time.Second/2)
 		if ok != serving {
 			t.Errorf("a first download that takes 0.9 s, draining %v: admitted %v", !serving, ok)
 		}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -173,13 +173,13 @@
 	}
 }
 
-// Quiet returns the time since a connection was last accepted.
-func (l *Listener) Quiet() time.Duration {
+// SinceLastAccept returns the time since a connection was last accepted.
+func (l *Listener) SinceLastAccept() time.Duration {
 	return l.handler.now() - time.Duration(l.lastAccepted.Load())
 }
 
-// Open returns the number of open connections.
-func (l *Listener) Open() int64 { return l.openConns.Load() }
+// OpenConnections returns the number of open connections.
+func (l *Listener) OpenConnections() int64 { return l.openConns.Load() }
 
 // clientConn is a client's connection. If a request's header does not arrive in time, it sends a 408
 // response; net/http would close the connection without one.
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -16,22 +16,22 @@
 	paceChunk     = 4 << 10  // bytes written at a time
 )
 
-// Pace limits the total rate at which large responses are written. A nil Pace does not limit it.
-type Pace struct {
+// Pacer limits the total rate at which large responses are written. A nil Pacer does not limit it.
+type Pacer struct {
 	timePerByte time.Duration
 	mu          sync.Mutex
 	nextFree    time.Time // when the bytes granted so far will have been sent
 }
 
-// NewPace returns a limit of bytesPerSecond.
-func NewPace(bytesPerSecond float64) *Pace {
-	p := &Pace{}
+// NewPacer returns a limit of bytesPerSecond.
+func NewPacer(bytesPerSecond float64) *Pacer {
+	p := &Pacer{}
 	p.SetRate(bytesPerSecond)
 	return p
 }
 
 // SetRate changes the limit.
-func (p *Pace) SetRate(bytesPerSecond float64) {
+func (p *Pacer) SetRate(bytesPerSecond float64) {
 	if p == nil {
 		return
 	}
@@ -42,7 +42,7 @@
 
 // acquire waits until n more bytes may be written. If ctx ends before, it returns an error and they must
 // not be written.
-func (p *Pace) acquire(ctx context.Context, n int) error {
+func (p *Pacer) acquire(ctx context.Context, n int) error {
 	p.mu.Lock()
 	now := time.Now()
 	if p.nextFree.Before(now) {
@@ -69,7 +69,7 @@
 }
 
 // write writes a part of a response whose body has the given size (negative if unknown), until ctx ends.
-func (p *Pace) write(ctx context.Context, w io.Writer, data []byte, size int64) error {
+func (p *Pacer) write(ctx context.Context, w io.Writer, data []byte, size int64) error {
 	if p == nil || size >= 0 && size <= paceThreshold {
 		_, err := w.Write(data)
 		return err
--- a/internal/proxy/pace_test.go
+++ b/internal/proxy/pace_test.go
@@ -11,7 +11,7 @@
 // Large responses share one rate; a small response is written at once.
 func TestLargeResponsesShareOnePace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pace := NewPace(100 << 10)
+		pace := NewPacer(100 << 10)
 		begin := time.Now()
 		took := make([]time.Duration, 2)
 		var writes sync.WaitGroup
@@ -44,7 +44,7 @@
 // expected.
 func TestPaceCanBeRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pace := NewPace(50 << 10)
+		pace := NewPacer(50 << 10)
 		begin := time.Now()
 		time.AfterFunc(time.Second, func() { pace.SetRate(100 << 10) })
 		if err := pace.write(t.Context(), io.Discard, make([]byte, 150<<10), 150<<10); err != nil {
@@ -54,7 +54,7 @@
 		if took, slack := time.Since(begin), 150*time.Millisecond; took < 2*time.Second-slack || took > 2*time.Second+slack {
 			t.Errorf("took %v", took)
 		}
-		var unlimited *Pace
+		var unlimited *Pacer
 		unlimited.SetRate(1)
 	})
 }
--- a/internal/proxy/reserve.go
+++ b/internal/proxy/reserve.go
@@ -14,7 +14,7 @@
 // the link could not transfer in time.
 func (h *Handler) reserveLink(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		class := AnswerClass{Service: x.service, Download: x.route.RouteKind == routeDownload}
+		class := ResponseClass{Service: x.service, Download: x.route.RouteKind == routeDownload}
 		reservation, ok := h.Link.Admit(h.now(), class, x.deadline.Sub(h.dispatcher.epoch))
 		if !ok {
 			h.Stats.LinkFull.Add(1)
@@ -34,5 +34,5 @@
 	}
 	// The delay is short: another gateway can serve the request at once.
 	after := time.Duration((1 + rand.Float64()) / 16 * float64(x.latencyTarget))
-	return apierror.Later(apierror.Overloaded, after, "%s", x.service)
+	return apierror.NewRetryAfter(apierror.Overloaded, after, "%s", x.service)
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -77,7 +77,7 @@
 // writePart writes a part of a response's body to the client, at the pace of large responses if it is
 // one.
 func (h *Handler) writePart(ctx context.Context, x *Exchange, res result, part []byte) error {
-	err := h.Pace.write(ctx, x.w, part, res.response.ContentLength)
+	err := h.Pacer.write(ctx, x.w, part, res.response.ContentLength)
 	x.reservation.Wrote(h.now(), len(part))
 	return err
 }
@@ -107,16 +107,16 @@
 		return writeErr
 	case x.abortsOnDisconnect() && x.clientDisconnected():
 		res.err = http.ErrAbortHandler
-		h.finish(lease, res, upstream.Abandoned)
+		h.finish(lease, res, upstream.Cancelled)
 		return res.err
 	}
-	h.Stats.Broken.Add(1)
+	h.Stats.BrokenResponses.Add(1)
 	if res.err = readErr; readErr == nil {
 		res.err = writeErr
 	}
 	outcome := upstream.Served
 	if readErr != nil && !isTimeout(readErr) {
-		outcome = upstream.Failing
+		outcome = upstream.ConnectionFailed
 	}
 	h.finish(lease, res, outcome)
 	return res.err
--- a/internal/proxy/retire_test.go
+++ b/internal/proxy/retire_test.go
@@ -68,7 +68,7 @@
 		{"no configuration", noUpstreams, (&config.Builder{}).Build(nil), true},
 		{"empty list of upstreams", noUpstreams, h.handler.Table(), false},
 	} {
-		handler := NewHandler(c.dispatcher, rollout.NewArms("n", time.Hour, func() time.Duration { return 0 }))
+		handler := NewHandler(c.dispatcher, rollout.NewSplitter("n", time.Hour, func() time.Duration { return 0 }))
 		handler.SetTable(c.table)
 		req := httptest.NewRequest("GET", "/get/x", nil)
 		req.Host = "h.example"
--- a/internal/proxy/scenario_test.go
+++ b/internal/proxy/scenario_test.go
@@ -285,8 +285,8 @@
 		}()
 		upstreams = append(upstreams, &fakeUpstream{listener: l, id: fmt.Sprint("u", i)})
 	}
-	h := newHarnessWith(t, upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, Window: 10 * time.Second,
-		Eject: time.Millisecond, EjectMax: 4 * time.Millisecond}, 2*time.Millisecond, upstreams...)
+	h := newHarnessWith(t, upstream.Config{Self: "d", Zone: "z", RetryRatio: 1, RetrySlack: 60, RetryWindow: 10 * time.Second,
+		EjectTime: time.Millisecond, MaxEjectTime: 4 * time.Millisecond}, 2*time.Millisecond, upstreams...)
 	defer s.shutDown(t, h)
 	var failures []string
 	var mu sync.Mutex
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -54,7 +54,7 @@
 	}
 	x.stage, x.sent = stageSent, true
 	_ = conn.SetDeadline(x.deadline)
-	lease.Hold.On(conn)
+	lease.WaitHandle.SetConn(conn)
 	res.conn, res.stopClose = conn, x.closeOnDisconnect(conn)
 	defer func() { res.disconnected = res.err != nil && x.abortsOnDisconnect() && x.clientDisconnected() }()
 	sent, written := h.writeRequest(x, lease.ID, &res)
@@ -70,7 +70,7 @@
 // the response to this one. failed is set if nothing is to be sent.
 func (h *Handler) connection(x *Exchange, lease upstream.SlotLease) (conn *upstream.Conn, failed *result) {
 	conn = lease.Conn
-	if conn != nil && (x.attemptID == "" || lease.Upstream.Nameless.Load() || !idleAndOpen(conn)) {
+	if conn != nil && (x.attemptID == "" || lease.Upstream.AnonymousRefusals.Load() || !idleAndOpen(conn)) {
 		conn.Close()
 		conn = nil
 	}
@@ -136,9 +136,9 @@
 	response, err := conn.Reader.(*responseReader).readHeadFor(x.r.Method, x.attemptID)
 	switch {
 	case err == errNoAttemptID, err == nil && response.Header.Get(headerAttemptID) != x.attemptID:
-		lease.Upstream.Nameless.Store(true)
+		lease.Upstream.AnonymousRefusals.Store(true)
 	case err == nil && notExecuted(response):
-		lease.Upstream.Nameless.Store(false)
+		lease.Upstream.AnonymousRefusals.Store(false)
 	}
 	if err != nil {
 		res.err, res.deadlinePassed = err, isTimeout(err) && time.Until(x.deadline) <= 0
@@ -150,7 +150,7 @@
 		return
 	}
 	res.response = response
-	lease.Hold.On(nil) // a response has begun; the balancer must not interrupt it
+	lease.WaitHandle.SetConn(nil) // a response has begun; the balancer must not interrupt it
 	// Read as much as is held back, so that a truncated response is recognized before any of it reaches
 	// the client.
 	res.bodyStart, res.complete, err = readBodyStart(response)
@@ -160,7 +160,7 @@
 		return
 	}
 	if !res.complete {
-		h.dispatcher.Do(func(now time.Duration, b *upstream.Balancer) { b.Answering(now, lease) })
+		h.dispatcher.Do(func(now time.Duration, b *upstream.Balancer) { b.AnswerStarted(now, lease) })
 	}
 	select {
 	case err := <-sent:
--- a/internal/proxy/send_test.go
+++ b/internal/proxy/send_test.go
@@ -131,7 +131,7 @@
 			return err
 		})
 		err := read(&Exchange{w: w, r: r, table: handler.Table()})
-		if kind := apierror.KindOf(apierror.TooLarge(err)); kind != apierror.BodyTooLarge || len(w.Header()) > 0 {
+		if kind := apierror.KindOf(apierror.BodyTooLargeError(err)); kind != apierror.BodyTooLarge || len(w.Header()) > 0 {
 			t.Errorf("%v, headers %v", err, w.Header())
 		}
 	}))
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -18,22 +18,22 @@
 	if h.tableComplete.Load() {
 		return permanent
 	}
-	return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node does not know all items yet")
+	return apierror.NewRetryAfter(apierror.NoConfiguration, h.startupRetryAfter(), "this node does not know all items yet")
 }
 
-// DrawQuota charges one request to its tenant's quota, within timeout or until ctx ends. refusal is
+// ChargeQuota charges one request to its tenant's quota, within timeout or until ctx ends. refusal is
 // the kind of error to respond with, apierror.Internal for none. refund takes the charge back.
-type DrawQuota func(ctx context.Context, tenant string, timeout time.Duration) (refund func(), refusal apierror.Kind)
+type ChargeQuota func(ctx context.Context, tenant string, timeout time.Duration) (refund func(), refusal apierror.Kind)
 
-// LeaseKeys makes the handler trust API keys only until the time in lease, which is in nanoseconds on
+// SetKeyLease makes the handler trust API keys only until the time in lease, which is in nanoseconds on
 // the dispatcher's clock and extended by the caller.
-func (h *Handler) LeaseKeys(lease *atomic.Int64) { h.keysValidUntil = lease }
+func (h *Handler) SetKeyLease(lease *atomic.Int64) { h.keysValidUntil = lease }
 
-// DrawOn makes the handler charge requests to the quotas of their tenants through draw.
-func (h *Handler) DrawOn(draw DrawQuota) { h.drawQuota = draw }
+// SetQuota makes the handler charge requests to the quotas of their tenants through draw.
+func (h *Handler) SetQuota(draw ChargeQuota) { h.drawQuota = draw }
 
-// Confirmed reports whether API keys may be trusted now: they need no lease, or theirs has not expired.
-func (h *Handler) Confirmed() bool {
+// KeysConfirmed reports whether API keys may be trusted now: they need no lease, or theirs has not expired.
+func (h *Handler) KeysConfirmed() bool {
 	return h.keysValidUntil == nil || int64(time.Since(h.dispatcher.epoch)) < h.keysValidUntil.Load()
 }
 
@@ -41,17 +41,17 @@
 // except on public routes. While the keys are not confirmed, all requests are refused.
 func (h *Handler) authenticate(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		if !x.table.Known {
-			return apierror.Later(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no items yet")
+		if !x.table.HasItems {
+			return apierror.NewRetryAfter(apierror.NoConfiguration, h.startupRetryAfter(), "this node knows no items yet")
 		}
 		path, _, _ := strings.Cut(x.requestTarget(), "?")
 		x.route = x.table.Lookup(x.r.Host, path)
-		if x.table.Tenants || h.keysValidUntil != nil {
-			if !h.Confirmed() {
-				return apierror.Later(apierror.KeysUnconfirmed, h.dispatcher.peerTimeout, "out of touch")
+		if x.table.RequiresAPIKey || h.keysValidUntil != nil {
+			if !h.KeysConfirmed() {
+				return apierror.NewRetryAfter(apierror.KeysUnconfirmed, h.dispatcher.peerTimeout, "out of touch")
 			}
-			x.tenant = x.table.Readers[quota.Key(x.r.Header)]
-			if x.tenant == nil && x.table.Tenants && (x.route == nil || !x.route.Public) {
+			x.tenant = x.table.TenantByKey[quota.APIKey(x.r.Header)]
+			if x.tenant == nil && x.table.RequiresAPIKey && (x.route == nil || !x.route.Public) {
 				return h.missingFromTable(apierror.New(apierror.UnknownKey, "a tenant's key is needed"))
 			}
 		}
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -35,8 +35,8 @@
 	var keysValidUntil atomic.Int64
 	drawResult := apierror.Internal
 	chargedTenant, returned := "", 0
-	h.handler.LeaseKeys(&keysValidUntil)
-	h.handler.DrawOn(func(_ context.Context, tenant string, _ time.Duration) (func(), apierror.Kind) {
+	h.handler.SetKeyLease(&keysValidUntil)
+	h.handler.SetQuota(func(_ context.Context, tenant string, _ time.Duration) (func(), apierror.Kind) {
 		chargedTenant = tenant
 		return func() { returned++ }, drawResult
 	})
@@ -112,8 +112,8 @@
 		setTenantTable(t, h)
 		var keysValidUntil, returned atomic.Int64
 		keysValidUntil.Store(int64(time.Hour))
-		h.handler.LeaseKeys(&keysValidUntil)
-		h.handler.DrawOn(func(context.Context, string, time.Duration) (func(), apierror.Kind) {
+		h.handler.SetKeyLease(&keysValidUntil)
+		h.handler.SetQuota(func(context.Context, string, time.Duration) (func(), apierror.Kind) {
 			return func() { returned.Add(1) }, apierror.Internal
 		})
 		res, _, err := h.roundTrip(t, "GET", "GET /get/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nDeadline-Left: 1000\r\nAuthorization: Bearer k1\r\n\r\n")
@@ -130,10 +130,10 @@
 	setTenantTable(t, h)
 	var keysValidUntil atomic.Int64
 	keysValidUntil.Store(int64(time.Hour))
-	h.handler.LeaseKeys(&keysValidUntil)
-	h.handler.DrawOn(func(ctx context.Context, _ string, _ time.Duration) (func(), apierror.Kind) {
+	h.handler.SetKeyLease(&keysValidUntil)
+	h.handler.SetQuota(func(ctx context.Context, _ string, _ time.Duration) (func(), apierror.Kind) {
 		<-ctx.Done()
-		return nil, apierror.ClientGone
+		return nil, apierror.ClientLeftBeforeSend
 	})
 	client := dialGateway(t, h)
 	writeText(t, client, "GET /get/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nAuthorization: Bearer k1\r\n\r\n")
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -72,7 +72,7 @@
 		if hopByHop[name] || perConnection[name] || name == headerDeadlineLeft || name == headerTargetInstance || name == "Content-Length" || name == "Expect" {
 			continue
 		}
-		if x.table.Tenants && (name == headerTenant || name == "Authorization") {
+		if x.table.RequiresAPIKey && (name == headerTenant || name == "Authorization") {
 			continue // upstreams must not see the API key, and only the gateway sets the tenant
 		}
 		for _, v := range values {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -7,13 +7,13 @@
 
 // AllocatorConfig configures an Allocator.
 type AllocatorConfig struct {
-	Overshoot float64       // setting quotaOvershoot: fraction by which a quota may be exceeded
-	Slack     float64       // setting quotaSlack: requests by which a quota may be exceeded beyond that
-	Window    time.Duration // setting quotaWindowS: time over which quotas are checked
-	Life      time.Duration // lifetime of a share, counted from when the allocator's ownership was last confirmed
-	Sure      time.Duration // age of that confirmation up to which the caller lets an allocator answer reports
-	// Branches returns the addresses of all nodes that may hold shares.
-	Branches func() []string
+	Overshoot          float64       // setting quotaOvershoot: fraction by which a quota may be exceeded
+	Slack              float64       // setting quotaSlack: requests by which a quota may be exceeded beyond that
+	Window             time.Duration // setting quotaWindowS: time over which quotas are checked
+	ShareLifetime      time.Duration // lifetime of a share, counted from when the allocator's ownership was last confirmed
+	MaxConfirmationAge time.Duration // age of that confirmation up to which the caller lets an allocator answer reports
+	// Nodes returns the addresses of all nodes that may hold shares.
+	Nodes func() []string
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // rate and cap count the higher of the two, since an allocation may get lost.
 func (s *nodeShare) rate() float64 { return max(s.inUse.Rate, s.offered.Rate) }
-func (s *nodeShare) cap() float64  { return max(s.inUse.Cap, s.offered.Cap) }
+func (s *nodeShare) cap() float64  { return max(s.inUse.Capacity, s.offered.Capacity) }
 
 // nodeState is what the allocator knows of one node.
 type nodeState struct {
@@ -72,37 +72,37 @@
 	othersExpiredAt time.Duration         // from then on no share of a previous allocator is in use
 	nodes           map[string]*nodeState // by address, those with unexpired shares
 	accounts        map[string]*account   // by tenant
-	Lent            uint64
-	Refused         uint64
+	TokensGranted   uint64
+	TokensRefused   uint64
 }
 
 // NewAllocator returns an allocator that isn't active yet.
 func NewAllocator(cfg AllocatorConfig) *Allocator { return &Allocator{cfg: cfg} }
 
-// Begin activates the allocator under a term. inherited says that there may have been another
+// Activate activates the allocator under a term. inherited says that there may have been another
 // allocator; its ownership was confirmed no later than predecessorUntil.
-func (alloc *Allocator) Begin(now time.Duration, term Term, predecessorUntil time.Duration, inherited bool) {
+func (alloc *Allocator) Activate(now time.Duration, term Term, predecessorUntil time.Duration, inherited bool) {
 	if alloc.term == term && alloc.nodes != nil {
 		alloc.active = true // its ownership was unconfirmed for a while; no other node can have allocated anything since
 		return
 	}
 	alloc.term, alloc.active, alloc.othersExpiredAt, alloc.soleFrom, alloc.beganAt = term, true, now, now, now
 	if inherited {
-		alloc.soleFrom, alloc.othersExpiredAt = predecessorUntil+alloc.cfg.Sure, predecessorUntil+alloc.cfg.Life
+		alloc.soleFrom, alloc.othersExpiredAt = predecessorUntil+alloc.cfg.MaxConfirmationAge, predecessorUntil+alloc.cfg.ShareLifetime
 	}
 	alloc.nodes, alloc.accounts, alloc.reported = map[string]*nodeState{}, map[string]*account{}, map[string]bool{}
 }
 
-// End deactivates the allocator.
-func (alloc *Allocator) End() { alloc.active = false }
+// Deactivate deactivates the allocator.
+func (alloc *Allocator) Deactivate() { alloc.active = false }
 
-// Silent returns the nodes that haven't told this allocator what they hold, if there may have been
+// UnreportedNodes returns the nodes that haven't told this allocator what they hold, if there may have been
 // another allocator.
-func (alloc *Allocator) Silent() (out []string) {
+func (alloc *Allocator) UnreportedNodes() (out []string) {
 	if !alloc.active || alloc.othersExpiredAt == alloc.beganAt {
 		return nil
 	}
-	for _, id := range alloc.cfg.Branches() {
+	for _, id := range alloc.cfg.Nodes() {
 		if !alloc.reported[id] {
 			out = append(out, id)
 		}
@@ -110,13 +110,13 @@
 	return out
 }
 
-// Lending returns the allocator's term and reports whether it is active.
-func (alloc *Allocator) Lending() (Term, bool) { return alloc.term, alloc.active }
+// Active returns the allocator's term and reports whether it is active.
+func (alloc *Allocator) Active() (Term, bool) { return alloc.term, alloc.active }
 
 // budget returns the most that may be allocated of a quota: the quota and the usable part of Overshoot
 // and Slack.
 func (alloc *Allocator) budget(q Quota) Share {
-	return Share{Rate: q.Rate * (1 + usableFraction*alloc.cfg.Overshoot), Cap: q.Burst*(1+usableFraction*alloc.cfg.Overshoot) + usableFraction*alloc.cfg.Slack}
+	return Share{Rate: q.Rate * (1 + usableFraction*alloc.cfg.Overshoot), Capacity: q.Burst*(1+usableFraction*alloc.cfg.Overshoot) + usableFraction*alloc.cfg.Slack}
 }
 
 // isSole reports whether no other allocator can be allocating: either all nodes, each of which may have
@@ -125,7 +125,7 @@
 	if now >= alloc.soleFrom {
 		return true
 	}
-	for _, id := range alloc.cfg.Branches() {
+	for _, id := range alloc.cfg.Nodes() {
 		if !alloc.reported[id] {
 			return false
 		}
@@ -139,7 +139,7 @@
 	if now >= alloc.othersExpiredAt {
 		return 0
 	}
-	all, unreported := alloc.cfg.Branches(), 0
+	all, unreported := alloc.cfg.Nodes(), 0
 	for _, id := range all {
 		if !alloc.reported[id] {
 			unreported++
@@ -152,7 +152,7 @@
 func (alloc *Allocator) limit(now time.Duration, acct *account) Share {
 	budget := alloc.budget(acct.quota)
 	fraction := 1 - alloc.unreportedFraction(now)
-	return Share{Rate: budget.Rate * fraction, Cap: budget.Cap * fraction}
+	return Share{Rate: budget.Rate * fraction, Capacity: budget.Capacity * fraction}
 }
 
 // account returns the account of a tenant, which it creates if needed, and updates the quota in it.
@@ -161,7 +161,7 @@
 	if acct == nil {
 		acct = &account{quota: q, refilledAt: now}
 		if alloc.othersExpiredAt == alloc.beganAt {
-			acct.tokens = alloc.budget(q).Cap // no other allocator has allocated anything
+			acct.tokens = alloc.budget(q).Capacity // no other allocator has allocated anything
 		} else {
 			acct.initialTokens = initialFraction * (alloc.cfg.Overshoot*(q.Rate*alloc.cfg.Window.Seconds()+q.Burst) + alloc.cfg.Slack)
 		}
@@ -181,7 +181,7 @@
 		acct.directDemand *= math.Exp(-(now - acct.refilledAt).Seconds() / directDemandSeconds)
 		acct.refilledAt = now
 	}
-	acct.tokens = max(0, min(acct.tokens, limit.Cap-acct.cap))
+	acct.tokens = max(0, min(acct.tokens, limit.Capacity-acct.cap))
 }
 
 func (acct *account) subtract(share *nodeShare) {
@@ -220,12 +220,12 @@
 // allocator's ownership of the configuration was last confirmed. quotas holds the tenants' quotas.
 func (alloc *Allocator) Report(now, confirmedAt time.Duration, from string, report Report, quotas map[string]Quota) (Allocation, bool) {
 	alloc.Tick(now)
-	lifetime := alloc.cfg.Life - (now - confirmedAt)
+	lifetime := alloc.cfg.ShareLifetime - (now - confirmedAt)
 	if !alloc.active || lifetime <= 0 {
 		return Allocation{}, false
 	}
 	node := alloc.nodes[from]
-	if node != nil && node.incarnation != report.Life {
+	if node != nil && node.incarnation != report.RunID {
 		alloc.removeNode(now, from) // the process has restarted and holds nothing any more
 		node = nil
 	}
@@ -233,16 +233,16 @@
 		return Allocation{}, false
 	}
 	if node == nil {
-		if !report.Whole {
+		if !report.Complete {
 			return Allocation{}, false
 		}
-		node = &nodeState{incarnation: report.Life, shares: map[string]*nodeShare{}}
+		node = &nodeState{incarnation: report.RunID, shares: map[string]*nodeShare{}}
 		alloc.nodes[from] = node
 		alloc.reported[from] = true
 	}
-	node.seq, node.expiresAt = report.Seq, now+alloc.cfg.Life
+	node.seq, node.expiresAt = report.Seq, now+alloc.cfg.ShareLifetime
 	seen := map[string]bool{}
-	allocation := Allocation{Term: alloc.term, Seq: report.Seq, Life: lifetime}
+	allocation := Allocation{Term: alloc.term, Seq: report.Seq, Lifetime: lifetime}
 	for _, request := range report.Shares {
 		quota := quotas[request.Tenant]
 		if quota.Rate <= 0 || seen[request.Tenant] {
@@ -258,7 +258,7 @@
 		} else {
 			acct.subtract(share)
 		}
-		if !report.Whole && request.Demand < share.inUse.Demand {
+		if !report.Complete && request.Demand < share.inUse.Demand {
 			request.Demand = share.inUse.Demand
 		}
 		share.inUse = request
@@ -276,11 +276,11 @@
 			granted.Tokens += initial
 		}
 		acct.directDemand += float64(request.Tokens) / directDemandSeconds
-		alloc.Lent += uint64(granted.Tokens)
-		alloc.Refused += uint64(request.Tokens - granted.Tokens)
+		alloc.TokensGranted += uint64(granted.Tokens)
+		alloc.TokensRefused += uint64(request.Tokens - granted.Tokens)
 		allocation.Shares = append(allocation.Shares, granted)
 	}
-	if report.Whole {
+	if report.Complete {
 		for tenant, share := range node.shares {
 			if !seen[tenant] {
 				if acct := alloc.accounts[tenant]; acct != nil {
@@ -304,39 +304,39 @@
 		// token instead.
 		return Share{}
 	}
-	budget, fraction := alloc.budget(acct.quota), maxNodeFraction(max(1, len(alloc.cfg.Branches())))
+	budget, fraction := alloc.budget(acct.quota), maxNodeFraction(max(1, len(alloc.cfg.Nodes())))
 	factor := min(maxDemandFactor, maxAllocatedRate*limit.Rate/demand)
 	rate := max(0, min(request.Demand*factor, maxAllocatedRate*limit.Rate-acct.rate, fraction*budget.Rate))
-	capacity := max(0, min(rate*capSeconds, maxAllocatedCap*limit.Cap-acct.cap, fraction*budget.Cap))
+	capacity := max(0, min(rate*capSeconds, maxAllocatedCap*limit.Capacity-acct.cap, fraction*budget.Capacity))
 	if alloc.unreportedFraction(now) > 0 {
 		// The limit is too low while some nodes haven't reported. The node keeps at least what
 		// it holds.
-		rate, capacity = max(rate, request.Rate), max(capacity, request.Cap)
+		rate, capacity = max(rate, request.Rate), max(capacity, request.Capacity)
 	}
 	if capacity < 1 {
 		return Share{} // it would never hold a whole token
 	}
-	return Share{Rate: math.Floor(rate*100) / 100, Cap: math.Floor(capacity*100) / 100}
+	return Share{Rate: math.Floor(rate*100) / 100, Capacity: math.Floor(capacity*100) / 100}
 }
 
 // AllocationState is the state of one tenant's quota as the status shows it.
 type AllocationState struct {
-	Tenant   string  `json:"tenant"`
-	Rate     float64 `json:"ratePerS"`
-	Burst    float64 `json:"burst"`
-	Lent     float64 `json:"lentPerS"`
-	Demand   float64 `json:"demandPerS"`
-	Branches int     `json:"branches"`
+	Tenant    string  `json:"tenant"`
+	Rate      float64 `json:"ratePerS"`
+	Burst     float64 `json:"burst"`
+	Allocated float64 `json:"lentPerS"`
+	Demand    float64 `json:"demandPerS"`
+	Nodes     int     `json:"branches"`
 }
 
 // State returns what is allocated of a tenant's quota.
 func (alloc *Allocator) State(tenant string, q Quota) AllocationState {
 	state := AllocationState{Tenant: tenant, Rate: q.Rate, Burst: q.Burst}
 	if acct := alloc.accounts[tenant]; acct != nil && alloc.active {
-		state.Lent, state.Demand = math.Round(acct.rate*100)/100, math.Round(acct.demand*100)/100
+		state.Allocated, state.Demand = math.Round(acct.rate*100)/100, math.Round(acct.demand*100)/100
 		for _, node := range alloc.nodes {
 			if node.shares[tenant] != nil {
-				state.Branches++
+				state.Nodes++
 			}
 		}
 	}
--- a/internal/quota/key.go
+++ b/internal/quota/key.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Key returns the bearer token of a request, which is the tenant's API key. It is empty if the request
+// APIKey returns the bearer token of a request, which is the tenant's API key. It is empty if the request
 // has no Authorization header, several, or one of another scheme.
-func Key(h http.Header) string {
+func APIKey(h http.Header) string {
 	lines := h["Authorization"]
 	if len(lines) != 1 {
 		return ""
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -22,27 +22,27 @@
 
 // Share is the share of one tenant's quota that a node holds or is given.
 type Share struct {
-	Tenant string  `cbor:"1,keyasint"`
-	Rate   float64 `cbor:"2,keyasint,omitempty"` // requests per second
-	Cap    float64 `cbor:"3,keyasint,omitempty"` // bucket capacity in requests
-	Demand float64 `cbor:"4,keyasint,omitempty"` // in a report: requests per second that arrived
-	Tokens int     `cbor:"5,keyasint,omitempty"` // in a report: needed now; in an allocation: granted now, beside the share
+	Tenant   string  `cbor:"1,keyasint"`
+	Rate     float64 `cbor:"2,keyasint,omitempty"` // requests per second
+	Capacity float64 `cbor:"3,keyasint,omitempty"` // bucket capacity in requests
+	Demand   float64 `cbor:"4,keyasint,omitempty"` // in a report: requests per second that arrived
+	Tokens   int     `cbor:"5,keyasint,omitempty"` // in a report: needed now; in an allocation: granted now, beside the share
 }
 
 // Report tells the allocator what a node holds and needs.
 type Report struct {
-	Life   uint64  `cbor:"1,keyasint"` // incarnation of the node: changes with each start of its process
-	Seq    uint64  `cbor:"2,keyasint"`
-	Whole  bool    `cbor:"3,keyasint,omitempty"` // it lists everything that the node holds
-	Shares []Share `cbor:"4,keyasint,omitempty"`
+	RunID    uint64  `cbor:"1,keyasint"` // incarnation of the node: changes with each start of its process
+	Seq      uint64  `cbor:"2,keyasint"`
+	Complete bool    `cbor:"3,keyasint,omitempty"` // it lists everything that the node holds
+	Shares   []Share `cbor:"4,keyasint,omitempty"`
 }
 
 // Allocation is the answer to a report.
 type Allocation struct {
-	Term   Term          `cbor:"1,keyasint"`
-	Seq    uint64        `cbor:"2,keyasint"`
-	Life   time.Duration `cbor:"3,keyasint"` // lifetime of the shares, counted from when the report was made
-	Shares []Share       `cbor:"4,keyasint,omitempty"`
+	Term     Term          `cbor:"1,keyasint"`
+	Seq      uint64        `cbor:"2,keyasint"`
+	Lifetime time.Duration `cbor:"3,keyasint"` // lifetime of the shares, counted from when the report was made
+	Shares   []Share       `cbor:"4,keyasint,omitempty"`
 }
 
 // Quota is the limit of a tenant: requests per second, and requests at once. A rate of 0 means
@@ -55,7 +55,7 @@
 const (
 	Unknown Grant = iota // the limit is unknown here or the allocator didn't answer; another node may know
 	Granted
-	Over // the quota is used up
+	OverQuota // the quota is used up
 )
 
 // bucket is the token bucket of a node's share of one tenant's quota.
@@ -71,8 +71,8 @@
 
 // LocalQuota holds a node's shares of all tenants' quotas. NewLocalQuota returns one.
 type LocalQuota struct {
-	Life             uint64
-	Patience         time.Duration // how long a request waits for the allocator's answer
+	RunID            uint64
+	AnswerTimeout    time.Duration // how long a request waits for the allocator's answer
 	term             Term
 	sharesExpireAt   time.Duration // 0: there are none, or they have expired
 	seq              uint64        // of the last report
@@ -88,7 +88,7 @@
 // so one for an earlier incarnation could otherwise be taken for this one's.
 func NewLocalQuota(incarnation, lastSeq uint64, patience time.Duration) *LocalQuota {
 	const reportsPerLife = 1 << 32 // room before the number overflows
-	return &LocalQuota{Life: incarnation, Patience: patience, seq: min(lastSeq, math.MaxUint64-reportsPerLife)}
+	return &LocalQuota{RunID: incarnation, AnswerTimeout: patience, seq: min(lastSeq, math.MaxUint64-reportsPerLife)}
 }
 
 // SetLimits sets the quotas of all tenants. A rate of 0 means unlimited.
@@ -155,16 +155,16 @@
 	return ok && q.Rate == 0
 }
 
-// Heeds reports whether the node self obeys an allocator's recall, that is, answers it with a complete
+// ObeysRecall reports whether the node self obeys an allocator's recall, that is, answers it with a complete
 // report. A recall from the node itself is ignored: the caller ends its own allocator on a recall, and
 // would lose its record of all allocated shares.
-func (lq *LocalQuota) Heeds(self, from string, term Term) bool {
+func (lq *LocalQuota) ObeysRecall(self, from string, term Term) bool {
 	return from != self && !term.Less(lq.term)
 }
 
-// Take acquires a token of a tenant's quota for one request. done is called with the result, either
+// Acquire acquires a token of a tenant's quota for one request. done is called with the result, either
 // immediately or when the allocator has answered. ask says that a report to the allocator is due now.
-func (lq *LocalQuota) Take(now time.Duration, tenant string, done func(Grant)) (ask bool) {
+func (lq *LocalQuota) Acquire(now time.Duration, tenant string, done func(Grant)) (ask bool) {
 	if q, ok := lq.limits[tenant]; !ok || q.Rate == 0 {
 		done(grantWithoutLimit(ok))
 		return false
@@ -179,15 +179,15 @@
 		return false
 	}
 	tenantBucket.waiting = append(tenantBucket.waiting, done)
-	return !lq.Awaits(now)
+	return !lq.AwaitsAnswer(now)
 }
 
-// GiveBack returns a token whose request was not sent to any upstream. Tokens of earlier incarnations
+// ReturnToken returns a token whose request was not sent to any upstream. Tokens of earlier incarnations
 // of this process are ignored. A token may come back at any time, since its request could have been
 // sent at any time: bucket and capacity limit bursts as they do for requests in flight.
-func (lq *LocalQuota) GiveBack(now time.Duration, incarnation uint64, tenant string) {
+func (lq *LocalQuota) ReturnToken(now time.Duration, incarnation uint64, tenant string) {
 	b := lq.buckets[tenant]
-	if b == nil || incarnation != lq.Life {
+	if b == nil || incarnation != lq.RunID {
 		return
 	}
 	lq.expireShares(now)
@@ -195,10 +195,10 @@
 	b.tokens = min(b.cap, b.tokens+1)
 }
 
-// Expire ends the wait of all requests if the allocator hasn't answered in time. They get Unknown,
+// TimeOut ends the wait of all requests if the allocator hasn't answered in time. They get Unknown,
 // since that says nothing about the quota.
-func (lq *LocalQuota) Expire(now time.Duration) {
-	if now-lq.reportedAt <= lq.Patience {
+func (lq *LocalQuota) TimeOut(now time.Duration) {
+	if now-lq.reportedAt <= lq.AnswerTimeout {
 		return
 	}
 	lq.awaiting = false
@@ -217,7 +217,7 @@
 	lq.expireShares(now)
 	lq.seq++
 	lq.reportedAt, lq.awaiting = now, true
-	report := Report{Life: lq.Life, Seq: lq.seq, Whole: complete}
+	report := Report{RunID: lq.RunID, Seq: lq.seq, Complete: complete}
 	seconds := (now - lq.demandReportedAt).Seconds()
 	names := make([]string, 0, len(lq.buckets))
 	for name := range lq.buckets {
@@ -257,14 +257,14 @@
 	return report
 }
 
-// Lent applies an allocation. Only the answer to the last report counts, and none from an allocator
+// Apply applies an allocation. Only the answer to the last report counts, and none from an allocator
 // that has been replaced.
-func (lq *LocalQuota) Lent(now time.Duration, allocation Allocation) {
+func (lq *LocalQuota) Apply(now time.Duration, allocation Allocation) {
 	if allocation.Seq != lq.seq || !lq.awaiting || allocation.Term.Less(lq.term) {
 		return
 	}
 	lq.awaiting, lq.term = false, allocation.Term
-	expiresAt := lq.reportedAt + allocation.Life
+	expiresAt := lq.reportedAt + allocation.Lifetime
 	if now >= expiresAt {
 		return
 	}
@@ -276,7 +276,7 @@
 			continue
 		}
 		tenantBucket.refill(now)
-		tenantBucket.rate, tenantBucket.cap = share.Rate, share.Cap
+		tenantBucket.rate, tenantBucket.cap = share.Rate, share.Capacity
 		// Granted tokens serve the waiting requests first; the rest goes into the bucket.
 		available := min(tenantBucket.tokens, tenantBucket.cap) + float64(share.Tokens)
 		for len(tenantBucket.waiting) > 0 && available >= 1 {
@@ -288,19 +288,19 @@
 		tenantBucket.tokens = min(available, tenantBucket.cap)
 		if share.Tokens < tenantBucket.reportedWaiting {
 			// The quota is used up, also for requests that arrived after the report.
-			tenantBucket.answerWaiting(Over)
+			tenantBucket.answerWaiting(OverQuota)
 		}
 		tenantBucket.reportedWaiting = 0
 	}
 }
 
-// Awaits reports whether the allocator's answer is still awaited.
-func (lq *LocalQuota) Awaits(now time.Duration) bool {
-	return lq.awaiting && now-lq.reportedAt <= lq.Patience
+// AwaitsAnswer reports whether the allocator's answer is still awaited.
+func (lq *LocalQuota) AwaitsAnswer(now time.Duration) bool {
+	return lq.awaiting && now-lq.reportedAt <= lq.AnswerTimeout
 }
 
-// Waiting reports whether any request waits for the allocator's answer.
-func (lq *LocalQuota) Waiting() bool {
+// HasWaiting reports whether any request waits for the allocator's answer.
+func (lq *LocalQuota) HasWaiting() bool {
 	for _, b := range lq.buckets {
 		if len(b.waiting) > 0 {
 			return true
@@ -318,18 +318,18 @@
 // AcquireReply answers the AcquireRequest with the same Seq. OK: the token is granted. Away: the node
 // can't tell, another one may. Neither: the quota is used up.
 type AcquireReply struct {
-	Seq  uint64 `cbor:"1,keyasint"`
-	OK   bool   `cbor:"2,keyasint,omitempty"`
-	Away bool   `cbor:"3,keyasint,omitempty"`
-	// Life is the node's incarnation, to which the token can be returned (see Return). Nodes of
+	Seq     uint64 `cbor:"1,keyasint"`
+	Granted bool   `cbor:"2,keyasint,omitempty"`
+	Unknown bool   `cbor:"3,keyasint,omitempty"`
+	// RunID is the node's incarnation, to which the token can be returned (see Return). Nodes of
 	// versions that take no tokens back send 0.
-	Life uint64 `cbor:"4,keyasint,omitempty"`
+	RunID uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Return returns an unused token. Life is that of the AcquireReply that granted it.
 type Return struct {
 	Tenant string `cbor:"1,keyasint"`
-	Life   uint64 `cbor:"2,keyasint"`
+	RunID  uint64 `cbor:"2,keyasint"`
 }
 
 // Recall asks a node to report to a new allocator immediately.
