--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -15,8 +15,8 @@
 var quotas = map[string]Quota{"small": {12, 12}, "large": {300, 300}, "open": {0, 0}}
 
 func allocatorConfig(nodes ...string) AllocatorConfig {
-	return AllocatorConfig{Overshoot: 0.1, Slack: 20, Window: 5 * time.Second, Life: 4200 * ms, Sure: 2400 * ms,
-		Branches: func() []string { return nodes }}
+	return AllocatorConfig{Overshoot: 0.1, Slack: 20, Window: 5 * time.Second, ShareLifetime: 4200 * ms, MaxConfirmationAge: 2400 * ms,
+		Nodes: func() []string { return nodes }}
 }
 
 // world simulates nodes, allocators and a network that loses, delays and reorders messages. Nodes
@@ -69,7 +69,7 @@
 func (w *world) startProcess(node *testNode) {
 	node.local = NewLocalQuota(w.rng.Uint64()|1, w.rng.Uint64(), 300*ms)
 	node.local.SetLimits(quotas)
-	node.allocator.End()
+	node.allocator.Deactivate()
 	node.confirmedAt, node.reportsTo, node.reportComplete = 0, -1, true
 }
 
@@ -86,7 +86,7 @@
 
 func (w *world) report(i int) {
 	node := w.nodes[i]
-	if node.reportsTo < 0 || node.local.Awaits(w.now) {
+	if node.reportsTo < 0 || node.local.AwaitsAnswer(w.now) {
 		return
 	}
 	report := node.local.Report(w.now, node.reportComplete)
@@ -97,8 +97,8 @@
 		}
 		if allocation, ok := target.allocator.Report(w.now, target.confirmedAt, node.id, report, quotas); ok {
 			w.send(i, func(receiver *testNode) { // may have restarted by then
-				receiver.local.Lent(w.now, allocation)
-				if receiver.reportComplete || receiver.local.Waiting() {
+				receiver.local.Apply(w.now, allocation)
+				if receiver.reportComplete || receiver.local.HasWaiting() {
 					w.report(i)
 				}
 			})
@@ -114,13 +114,13 @@
 		predecessorUntil = max(predecessorUntil, node.confirmedAt)
 	}
 	node := w.nodes[i]
-	node.allocator.Begin(w.now, Term{N: number, Owner: "a", Life: 1}, predecessorUntil, number > 1)
+	node.allocator.Activate(w.now, Term{Number: number, Owner: "a", RunID: 1}, predecessorUntil, number > 1)
 	node.confirmedAt = w.now
 	for j := range w.nodes {
 		w.send(j, func(receiver *testNode) {
-			if j == i || receiver.local.Heeds(receiver.id, w.nodes[i].id, Term{N: number, Owner: "a", Life: 1}) {
+			if j == i || receiver.local.ObeysRecall(receiver.id, w.nodes[i].id, Term{Number: number, Owner: "a", RunID: 1}) {
 				if j != i {
-					receiver.allocator.End()
+					receiver.allocator.Deactivate()
 					receiver.confirmedAt = 0
 				}
 				receiver.reportsTo, receiver.reportComplete = i, true
@@ -153,15 +153,15 @@
 			if i == leader && node.confirmedAt > 0 {
 				node.confirmedAt = w.now // confirmed by its majority
 			}
-			node.local.Expire(w.now)
+			node.local.TimeOut(w.now)
 			if w.now >= node.nextReportAt {
 				node.nextReportAt, node.reportComplete = w.now+time.Second, true
 				w.report(i)
 				for j := range w.nodes { // nodes that missed the recall learn of the allocator eventually
 					if allocatorIndex := leader; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
-						allocatorTerm := Term{N: term, Owner: "a", Life: 1}
+						allocatorTerm := Term{Number: term, Owner: "a", RunID: 1}
 						w.send(j, func(receiver *testNode) {
-							if receiver.local.Heeds(receiver.id, "", allocatorTerm) || receiver.reportsTo < 0 {
+							if receiver.local.ObeysRecall(receiver.id, "", allocatorTerm) || receiver.reportsTo < 0 {
 								receiver.reportsTo, receiver.reportComplete = allocatorIndex, true
 							}
 						})
@@ -171,13 +171,13 @@
 			for _, tenant := range []string{"small", "large", "open"} {
 				if w.rng.Float64() < rates[tenant]*0.005/float64(len(w.nodes)) {
 					w.requested[tenant]++
-					if node.local.Take(w.now, tenant, func(g Grant) {
+					if node.local.Acquire(w.now, tenant, func(g Grant) {
 						switch {
 						case g != Granted:
 							w.refused++
 						case w.unused > 0 && w.rng.Float64() < w.unused:
-							incarnation := node.local.Life
-							w.send(i, func(target *testNode) { target.local.GiveBack(w.now, incarnation, tenant) })
+							incarnation := node.local.RunID
+							w.send(i, func(target *testNode) { target.local.ReturnToken(w.now, incarnation, tenant) })
 						default:
 							w.grantedAt[tenant] = append(w.grantedAt[tenant], w.now)
 						}
@@ -272,89 +272,89 @@
 		tenant      string
 		want        float64
 	}{{6, "small", 0}, {0, "small", 0}, {7, "ghost", 0}, {7, "small", 1}, {7, "small", 2}, {7, "small", 2}} {
-		if local.GiveBack(ms, c.incarnation, c.tenant); tenantBucket.tokens != c.want {
+		if local.ReturnToken(ms, c.incarnation, c.tenant); tenantBucket.tokens != c.want {
 			t.Errorf("%+v: %g tokens", c, tenantBucket.tokens)
 		}
 	}
-	if local.GiveBack(2*time.Hour, 7, "small"); tenantBucket.tokens != 0 {
+	if local.ReturnToken(2*time.Hour, 7, "small"); tenantBucket.tokens != 0 {
 		t.Errorf("expired share: %g tokens, want 0", tenantBucket.tokens)
 	}
 }
 
 func TestGrants(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
-	allocator.Begin(0, Term{N: 1, Owner: "a", Life: 1}, 0, false)
+	allocator.Activate(0, Term{Number: 1, Owner: "a", RunID: 1}, 0, false)
 	local := NewLocalQuota(1, 0, 300*ms)
 	local.SetLimits(quotas)
 	var got []Grant
-	if !local.Take(10*ms, "small", func(g Grant) { got = append(got, g) }) {
+	if !local.Acquire(10*ms, "small", func(g Grant) { got = append(got, g) }) {
 		t.Fatal("no report to the allocator requested")
 	}
 	allocation, ok := allocator.Report(20*ms, 20*ms, "a", local.Report(10*ms, true), quotas)
 	if !ok {
 		t.Fatal("allocator did not answer the report")
 	}
-	local.Lent(30*ms, allocation)
+	local.Apply(30*ms, allocation)
 	if len(got) != 1 || got[0] != Granted {
 		t.Errorf("first request: %v, want Granted", got)
 	}
-	if local.Take(31*ms, "ghost", func(g Grant) { got = append(got, g) }) || len(got) != 2 || got[1] != Unknown {
+	if local.Acquire(31*ms, "ghost", func(g Grant) { got = append(got, g) }) || len(got) != 2 || got[1] != Unknown {
 		t.Errorf("tenant with unknown limit: %v, want Unknown", got)
 	}
 	// Without answers from the allocator the share serves until it is used up. After that the node
 	// doesn't know whether the tenant is over its quota.
 	drain := func(now time.Duration) {
-		for len(got) < 100 && !local.Waiting() {
-			local.Take(now, "small", func(g Grant) { got = append(got, g) })
+		for len(got) < 100 && !local.HasWaiting() {
+			local.Acquire(now, "small", func(g Grant) { got = append(got, g) })
 		}
 	}
 	drain(40 * ms)
 	local.Report(50*ms, false)
-	if local.Expire(50*ms + local.Patience + 1); got[len(got)-1] != Unknown {
+	if local.TimeOut(50*ms + local.AnswerTimeout + 1); got[len(got)-1] != Unknown {
 		t.Errorf("allocator did not answer: %v, want Unknown", got)
 	}
 	// The allocator answers that the quota is used up.
 	drain(500 * ms)
 	report := local.Report(510*ms, false)
-	local.Lent(520*ms, Allocation{Term: Term{N: 1, Owner: "a", Life: 1}, Seq: report.Seq, Life: time.Second, Shares: []Share{{Tenant: "small"}}})
-	if got[len(got)-1] != Over {
+	local.Apply(520*ms, Allocation{Term: Term{Number: 1, Owner: "a", RunID: 1}, Seq: report.Seq, Lifetime: time.Second, Shares: []Share{{Tenant: "small"}}})
+	if got[len(got)-1] != OverQuota {
 		t.Errorf("quota used up: %v, want Over", got)
 	}
 }
 
 func TestStaleReportsAndAllocationsAreIgnored(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b", "c"))
-	allocator.Begin(0, Term{N: 2, Owner: "a", Life: 1}, 0, false)
+	allocator.Activate(0, Term{Number: 2, Owner: "a", RunID: 1}, 0, false)
 	local := NewLocalQuota(1, 0, 300*ms)
 	local.SetLimits(quotas)
 	first, _ := allocator.Report(ms, ms, "a", local.Report(0, true), quotas)
 	second, _ := allocator.Report(2*ms, 2*ms, "a", local.Report(ms, true), quotas)
-	local.Lent(3*ms, first)
-	if !local.Awaits(3 * ms) {
+	local.Apply(3*ms, first)
+	if !local.AwaitsAnswer(3 * ms) {
 		t.Error("answer to an older report was applied")
 	}
-	local.Lent(3*ms, second)
-	if local.Awaits(3 * ms) {
+	local.Apply(3*ms, second)
+	if local.AwaitsAnswer(3 * ms) {
 		t.Error("answer to the last report was not applied")
 	}
-	if _, ok := allocator.Report(4*ms, 4*ms, "a", Report{Life: 1, Seq: 1, Whole: true}, quotas); ok {
+	if _, ok := allocator.Report(4*ms, 4*ms, "a", Report{RunID: 1, Seq: 1, Complete: true}, quotas); ok {
 		t.Error("old report was answered")
 	}
-	if _, ok := allocator.Report(4*ms, 4*ms, "b", Report{Life: 5, Seq: 1}, quotas); ok {
+	if _, ok := allocator.Report(4*ms, 4*ms, "b", Report{RunID: 5, Seq: 1}, quotas); ok {
 		t.Error("first report of a node was answered although it is not complete")
 	}
-	if _, ok := allocator.Report(10*time.Second, ms, "c", Report{Life: 7, Seq: 1, Whole: true}, quotas); ok {
+	if _, ok := allocator.Report(10*time.Second, ms, "c", Report{RunID: 7, Seq: 1, Complete: true}, quotas); ok {
 		t.Error("allocator answered although its confirmation is too old")
 	}
 }
 
 func TestKey(t *testing.T) {
 	for line, want := range map[string]string{"Bearer abc": "abc", "bearer abc": "abc", "Basic abc": "", "abc": "", "Bearer ": ""} {
-		if got := Key(http.Header{"Authorization": {line}}); got != want {
+		if got := APIKey(http.Header{"Authorization": {line}}); got != want {
 			t.Errorf("%q: %q", line, got)
 		}
 	}
-	if got := Key(http.Header{"Authorization": {"Bearer a", "Bearer b"}}); got != "" {
+	if got := APIKey(http.Header{"Authorization": {"Bearer a", "Bearer b"}}); got != "" {
 		t.Errorf("two headers: key %q, want none", got)
 	}
 }
@@ -362,14 +362,14 @@
 // Two owners may have epochs with the same number. If nodes ordered these differently than the owners
 // do, a node that had heard of the earlier owner would reject the later one's allocations forever.
 func TestNodeFollowsLaterOfTwoOwnersWithSameNumber(t *testing.T) {
-	early, late := Term{N: 1, Owner: "a", Life: 9}, Term{N: 1, Owner: "b", Life: 3}
+	early, late := Term{Number: 1, Owner: "a", RunID: 9}, Term{Number: 1, Owner: "b", RunID: 3}
 	local := NewLocalQuota(1, 0, 300*ms)
 	local.SetLimits(quotas)
 	for i, term := range []Term{early, late, early} {
 		now := time.Duration(i) * time.Second
 		report := local.Report(now, true)
-		local.Lent(now+ms, Allocation{Term: term, Seq: report.Seq, Life: time.Second})
-		if applied := !local.Awaits(now + ms); applied != (i < 2) {
+		local.Apply(now+ms, Allocation{Term: term, Seq: report.Seq, Lifetime: time.Second})
+		if applied := !local.AwaitsAnswer(now + ms); applied != (i < 2) {
 			t.Errorf("allocation %d of %v: applied is %v", i, term, applied)
 		}
 	}
@@ -378,18 +378,18 @@
 func TestHeeds(t *testing.T) {
 	local := NewLocalQuota(1, 0, 300*ms)
 	report := local.Report(0, true)
-	local.Lent(ms, Allocation{Term: Term{N: 2, Owner: "b", Life: 1}, Seq: report.Seq, Life: time.Second})
+	local.Apply(ms, Allocation{Term: Term{Number: 2, Owner: "b", RunID: 1}, Seq: report.Seq, Lifetime: time.Second})
 	for _, c := range []struct {
 		from string
 		term Term
 		want bool
 	}{
-		{"b", Term{N: 3, Owner: "b", Life: 1}, true},
-		{"b", Term{N: 2, Owner: "b", Life: 1}, true}, // it has lost its state, or repeats the recall
-		{"c", Term{N: 1, Owner: "c", Life: 1}, false},
-		{"a", Term{N: 3, Owner: "a", Life: 1}, false}, // the node itself
+		{"b", Term{Number: 3, Owner: "b", RunID: 1}, true},
+		{"b", Term{Number: 2, Owner: "b", RunID: 1}, true}, // it has lost its state, or repeats the recall
+		{"c", Term{Number: 1, Owner: "c", RunID: 1}, false},
+		{"a", Term{Number: 3, Owner: "a", RunID: 1}, false}, // the node itself
 	} {
-		if got := local.Heeds("a", c.from, c.term); got != c.want {
+		if got := local.ObeysRecall("a", c.from, c.term); got != c.want {
 			t.Errorf("%s under %v: %v", c.from, c.term, got)
 		}
 	}
@@ -399,14 +399,14 @@
 // the same number.
 func TestAllocationForEarlierIncarnationIsIgnored(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
-	allocator.Begin(0, Term{N: 1, Owner: "a", Life: 1}, 0, false)
+	allocator.Activate(0, Term{Number: 1, Owner: "a", RunID: 1}, 0, false)
 	earlier, current := NewLocalQuota(1, 77, 300*ms), NewLocalQuota(2, 5, 300*ms)
 	allocation, ok := allocator.Report(ms, ms, "b", earlier.Report(0, true), quotas)
 	if !ok {
 		t.Fatal("allocator did not answer the report")
 	}
 	current.Report(2*ms, true)
-	if current.Lent(3*ms, allocation); !current.Awaits(3 * ms) {
+	if current.Apply(3*ms, allocation); !current.AwaitsAnswer(3 * ms) {
 		t.Error("allocation for the earlier incarnation was applied")
 	}
 	highest := NewLocalQuota(3, math.MaxUint64, 300*ms)
@@ -421,14 +421,14 @@
 // expired.
 func TestNewAllocatorMovesSharesOnceAllNodesReported(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b", "c"))
-	allocator.Begin(0, Term{N: 2, Owner: "a", Life: 1}, 0, true)
+	allocator.Activate(0, Term{Number: 2, Owner: "a", RunID: 1}, 0, true)
 	seq := map[string]uint64{}
 	held := map[string]Share{}
 	report := func(now time.Duration, id string, demand float64) {
 		seq[id]++
 		s := held[id]
 		s.Tenant, s.Demand, s.Tokens = "large", demand, 0
-		allocation, ok := allocator.Report(now, now, id, Report{Life: 1, Seq: seq[id], Whole: true, Shares: []Share{s}}, quotas)
+		allocation, ok := allocator.Report(now, now, id, Report{RunID: 1, Seq: seq[id], Complete: true, Shares: []Share{s}}, quotas)
 		if !ok || len(allocation.Shares) != 1 {
 			t.Fatalf("at %v: node %s got no answer: %+v", now, id, allocation)
 		}
@@ -456,16 +456,16 @@
 // An allocator whose ownership was unconfirmed for a while still knows what it has allocated.
 func TestAllocatorKeepsStateWhileUnconfirmed(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
-	term := Term{N: 1, Owner: "a", Life: 1}
-	allocator.Begin(0, term, 0, false)
-	report := Report{Life: 1, Seq: 1, Whole: true, Shares: []Share{{Tenant: "large", Demand: 100}}}
+	term := Term{Number: 1, Owner: "a", RunID: 1}
+	allocator.Activate(0, term, 0, false)
+	report := Report{RunID: 1, Seq: 1, Complete: true, Shares: []Share{{Tenant: "large", Demand: 100}}}
 	allocation, ok := allocator.Report(ms, ms, "b", report, quotas)
 	if !ok || len(allocation.Shares) != 1 || allocation.Shares[0].Rate < 100 {
 		t.Fatalf("allocation: %+v", allocation)
 	}
-	allocator.End()
-	allocator.Begin(2*ms, term, 0, false)
-	if got := allocator.State("large", quotas["large"]); got.Lent != allocation.Shares[0].Rate {
-		t.Errorf("state shows %v allocated, want %v", got.Lent, allocation.Shares[0].Rate)
+	allocator.Deactivate()
+	allocator.Activate(2*ms, term, 0, false)
+	if got := allocator.State("large", quotas["large"]); got.Allocated != allocation.Shares[0].Rate {
+		t.Errorf("state shows %v allocated, want %v", got.Allocated, allocation.Shares[0].Rate)
 	}
 }
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -48,22 +48,22 @@
 	}
 }
 
-// Ask returns the JSON answer to the query for a host name from a client in a region and zone.
-func (d *Directory) Ask(name, region, zone string) ([]byte, error) {
+// Answer returns the JSON answer to the query for a host name from a client in a region and zone.
+func (d *Directory) Answer(name, region, zone string) ([]byte, error) {
 	if name == "" {
-		return nil, apierror.New(apierror.BadQuestion, "name: missing")
+		return nil, apierror.New(apierror.BadQuery, "name: missing")
 	}
 	if region == "" && zone == "" {
-		return nil, apierror.New(apierror.BadQuestion, "region and zone: missing")
+		return nil, apierror.New(apierror.BadQuery, "region and zone: missing")
 	}
 	current := d.view.Load()
 	if len(current.gateways) == 0 {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "no node known yet")
+		return nil, apierror.NewRetryAfter(apierror.NoQuorum, d.ttl, "no node known yet")
 	}
 	if d.InContact != nil && !d.InContact() {
-		return nil, apierror.Later(apierror.NoQuorum, d.ttl, "out of contact")
+		return nil, apierror.NewRetryAfter(apierror.NoQuorum, d.ttl, "out of contact")
 	}
-	client := Asker{Zone: zone, Region: region, Residency: d.residency(name)}
+	client := Query{Zone: zone, Region: region, Residency: d.residency(name)}
 	key := strings.Join(append([]string{zone, region}, client.Residency...), "\x00")
 	current.mu.Lock()
 	defer current.mu.Unlock()
@@ -86,12 +86,12 @@
 	var body []byte
 	switch {
 	case r.URL.Path != "/v1/resolve":
-		err = apierror.New(apierror.UnknownPage, "%s", r.URL.Path)
+		err = apierror.New(apierror.UnknownPath, "%s", r.URL.Path)
 	case r.Method != http.MethodGet:
 		err = apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
 	default:
 		query := r.URL.Query()
-		body, err = d.Ask(query.Get("name"), query.Get("region"), query.Get("zone"))
+		body, err = d.Answer(query.Get("name"), query.Get("region"), query.Get("zone"))
 	}
 	if err != nil {
 		d.Refused.Add(1)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -10,20 +10,20 @@
 
 // Gateway is what the registry knows of one gateway.
 type Gateway struct {
-	Address string // on which it serves clients
-	Zone    string
-	Region  string
-	Open    bool // ready, not shutting down and not suspected to have failed
+	Address   string // on which it serves clients
+	Zone      string
+	Region    string
+	Available bool // ready, not shutting down and not suspected to have failed
 }
 
-// Asker is a client's query: where the client is, and where the host that it wants is served.
-type Asker struct {
+// Query is a client's query: where the client is, and where the host that it wants is served.
+type Query struct {
 	Zone, Region string
 	Residency    []string // regions in which the host is served; empty: all
 }
 
-// MaxAnswer is the maximum number of addresses in an answer.
-const MaxAnswer = 64
+// MaxAddresses is the maximum number of addresses in an answer.
+const MaxAddresses = 64
 
 // minOpenFraction is the fraction of a zone's gateways that must be open for its clients to get
 // addresses of that zone only.
@@ -33,7 +33,7 @@
 // of these are open, those of its region; if there are none, those of any region. Only if the regions
 // in which the host is served have no open gateway are gateways of other regions returned. If no
 // gateway is known to be open, all are returned, so the answer is empty only without gateways.
-func Resolve(gateways []Gateway, client Asker) []string {
+func Resolve(gateways []Gateway, client Query) []string {
 	region := client.Region
 	zoneKnown := false
 	for _, g := range gateways {
@@ -56,7 +56,7 @@
 		for _, g := range gateways {
 			if matches(g) {
 				known++
-				if g.Open {
+				if g.Available {
 					open = append(open, g.Address)
 				}
 			}
@@ -87,9 +87,9 @@
 
 // truncate limits an answer to MaxAnswer addresses and sorts it. Which gateways it leaves out depends
 // on the client's zone and region.
-func truncate(client Asker, list []string) []string {
-	if len(list) > MaxAnswer {
-		list = rendezvous.Pick(client.Zone+"/"+client.Region, list, MaxAnswer)
+func truncate(client Query, list []string) []string {
+	if len(list) > MaxAddresses {
+		list = rendezvous.Pick(client.Zone+"/"+client.Region, list, MaxAddresses)
 	}
 	sort.Strings(list)
 	return list
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -15,9 +15,9 @@
 	for _, z := range []string{"a1/a", "a2/a", "b1/b", "b2/b"} {
 		zone, region, _ := strings.Cut(z, "/")
 		for i := range n {
-			g := Gateway{Address: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Region: region, Open: true}
+			g := Gateway{Address: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Region: region, Available: true}
 			for _, prefix := range closed {
-				g.Open = g.Open && !strings.HasPrefix(g.Address, prefix)
+				g.Available = g.Available && !strings.HasPrefix(g.Address, prefix)
 			}
 			out = append(out, g)
 		}
@@ -29,20 +29,20 @@
 	cases := []struct {
 		name     string
 		gateways []Gateway
-		query    Asker
+		query    Query
 		want     string // number of addresses by zone
 	}{
-		{"own zone", gateways(4), Asker{Zone: "a1", Region: "a"}, "a1:4"},
-		{"own zone with some gateways down", gateways(4, "a1-0"), Asker{Zone: "a1", Region: "a"}, "a1:3"},
-		{"too few open in the own zone: its region", gateways(4, "a1-0", "a1-1", "a1-2"), Asker{Zone: "a1", Region: "a"}, "a1:1 a2:4"},
-		{"own region down: other regions", gateways(2, "a"), Asker{Zone: "a1", Region: "a"}, "b1:2 b2:2"},
-		{"unknown zone of a known region", gateways(2), Asker{Zone: "x", Region: "b"}, "b1:2 b2:2"},
-		{"the zone's region overrides the one in the query", gateways(2, "a1"), Asker{Zone: "a1", Region: "b"}, "a2:2"},
-		{"unknown zone and region", gateways(1), Asker{Zone: "x", Region: "y"}, "a1:1 a2:1 b1:1 b2:1"},
-		{"host served in another region only", gateways(2), Asker{Zone: "a1", Region: "a", Residency: []string{"b"}}, "b1:2 b2:2"},
-		{"the host's region down: any region", gateways(2, "b"), Asker{Zone: "a1", Region: "a", Residency: []string{"b"}}, "a1:2 a2:2"},
-		{"no open gateway known: all", gateways(1, "a", "b"), Asker{Zone: "a1", Region: "a"}, "a1:1 a2:1 b1:1 b2:1"},
-		{"at most MaxAnswer addresses", gateways(200), Asker{Zone: "a1", Region: "a"}, "a1:64"},
+		{"own zone", gateways(4), Query{Zone: "a1", Region: "a"}, "a1:4"},
+		{"own zone with some gateways down", gateways(4, "a1-0"), Query{Zone: "a1", Region: "a"}, "a1:3"},
+		{"too few open in the own zone: its region", gateways(4, "a1-0", "a1-1", "a1-2"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:4"},
+		{"own region down: other regions", gateways(2, "a"), Query{Zone: "a1", Region: "a"}, "b1:2 b2:2"},
+		{"unknown zone of a known region", gateways(2), Query{Zone: "x", Region: "b"}, "b1:2 b2:2"},
+		{"the zone's region overrides the one in the query", gateways(2, "a1"), Query{Zone: "a1", Region: "b"}, "a2:2"},
+		{"unknown zone and region", gateways(1), Query{Zone: "x", Region: "y"}, "a1:1 a2:1 b1:1 b2:1"},
+		{"host served in another region only", gateways(2), Query{Zone: "a1", Region: "a", Residency: []string{"b"}}, "b1:2 b2:2"},
+		{"the host's region down: any region", gateways(2, "b"), Query{Zone: "a1", Region: "a", Residency: []string{"b"}}, "a1:2 a2:2"},
+		{"no open gateway known: all", gateways(1, "a", "b"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:1 b1:1 b2:1"},
+		{"at most MaxAnswer addresses", gateways(200), Query{Zone: "a1", Region: "a"}, "a1:64"},
 	}
 	for _, c := range cases {
 		count := map[string]int{}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -23,14 +23,14 @@
 	return h
 }
 
-// Name is the hash of a name that candidates are chosen for.
-type Name uint64
+// NameHash is the hash of a name that candidates are chosen for.
+type NameHash uint64
 
-// Of hashes a name.
-func Of(name string) Name { return Name(hash(offset64, name) * prime64) }
+// HashName hashes a name.
+func HashName(name string) NameHash { return NameHash(hash(offset64, name) * prime64) }
 
 // Weight returns the weight of a candidate.
-func (n Name) Weight(candidate string) uint64 {
+func (n NameHash) Weight(candidate string) uint64 {
 	v := hash(uint64(n), candidate)
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
@@ -40,7 +40,7 @@
 }
 
 // Weight returns the weight of a candidate for a name.
-func Weight(name, candidate string) uint64 { return Of(name).Weight(candidate) }
+func Weight(name, candidate string) uint64 { return HashName(name).Weight(candidate) }
 
 type weighted struct {
 	weight    uint64
@@ -57,7 +57,7 @@
 
 // Order returns the candidates for a name by decreasing weight.
 func Order(name string, candidates []string) []string {
-	hashed := Of(name)
+	hashed := HashName(name)
 	candidateWeights := make([]weighted, len(candidates))
 	for i, c := range candidates {
 		candidateWeights[i] = weighted{hashed.Weight(c), c}
@@ -72,7 +72,7 @@
 	if n >= len(candidates) {
 		return Order(name, candidates)
 	}
-	hashed := Of(name)
+	hashed := HashName(name)
 	top := make([]weighted, 0, n+1)
 	for _, c := range candidates {
 		next := weighted{hashed.Weight(c), c}
--- a/internal/replication/append.go
+++ b/internal/replication/append.go
@@ -38,7 +38,7 @@
 	if part.commit.Epoch == part.ownEpoch {
 		commit = part.commit.Seq
 	}
-	msg := &Append{Key: part.name, Epoch: part.ownEpoch, Base: base, Seq: part.position.Seq, Commit: commit, Round: m.heartbeats.round, Roster: m.partitions[RosterKey].position}
+	msg := &Append{Partition: part.name, Epoch: part.ownEpoch, Base: base, Seq: part.position.Seq, Commit: commit, Round: m.heartbeats.round, VoterSet: m.partitions[VoterSetPartition].position}
 	msg.setDigest(part.Sums, m.olderVersions())
 	return msg
 }
@@ -55,7 +55,7 @@
 		done(ErrNotOwner)
 		return
 	}
-	part.queue = append(part.queue, proposal{fn, now + m.cfg.Patience, done})
+	part.queue = append(part.queue, proposal{fn, now + m.cfg.ProposalTimeout, done})
 	m.runProposals(part)
 }
 
@@ -72,7 +72,7 @@
 	var entries []storageEntry
 	var ran []proposal
 	for i, p := range queue {
-		if part.name == RosterKey && len(changes) > 0 {
+		if part.name == VoterSetPartition && len(changes) > 0 {
 			// Only one change of the voter set per log entry: see membership.go.
 			part.queue = queue[i:]
 			break
@@ -133,7 +133,7 @@
 		return msg
 	}
 	withSure := *msg
-	withSure.Sure = &Sure{echo.runID, echo.clock, m.now - echo.receivedAt, m.now - part.confirmedAt}
+	withSure.Freshness = &Freshness{echo.runID, echo.clock, m.now - echo.receivedAt, m.now - part.confirmedAt}
 	return &withSure
 }
 
@@ -145,7 +145,7 @@
 	if !older && !e.Less(part.promised) {
 		return nil
 	}
-	reply := &AppendAck{Key: part.name, Epoch: e}
+	reply := &AppendAck{Partition: part.name, Epoch: e}
 	if e.Less(part.promised) {
 		reply.Promised = part.promised
 	}
@@ -168,8 +168,8 @@
 }
 
 func (m *Replica) onAppend(from string, msg *Append) {
-	part := m.partition(msg.Key)
-	if reply := m.rejection(part, msg.Epoch, msg.Roster); reply != nil {
+	part := m.partition(msg.Partition)
+	if reply := m.rejection(part, msg.Epoch, msg.VoterSet); reply != nil {
 		reply.Round = msg.Round
 		m.send(from, Message{Body: reply})
 		return
@@ -183,25 +183,25 @@
 	case part.position == msg.Base && part.position != to:
 		base := part.position
 		var entries []storageEntry
-		if msg.Mend != nil {
-			entries = m.replace(part, msg.Mend, msg.Changes)
+		if msg.ReplaceRanges != nil {
+			entries = m.replace(part, msg.ReplaceRanges, msg.Changes)
 		} else {
 			entries = m.apply(part, msg.Changes)
 			part.log.add(base, to, msg.Changes)
 		}
 		part.position = to
 		m.write(append(entries, part.meta()), nil)
-	case part.position == to && msg.Mend != nil && !msg.matchesDigest(part.Sums):
-		m.write(append(m.replace(part, msg.Mend, msg.Changes), part.meta()), nil)
+	case part.position == to && msg.ReplaceRanges != nil && !msg.matchesDigest(part.Sums):
+		m.write(append(m.replace(part, msg.ReplaceRanges, msg.Changes), part.meta()), nil)
 	}
-	reply := &AppendAck{Key: msg.Key, Epoch: msg.Epoch, Round: msg.Round}
+	reply := &AppendAck{Partition: msg.Partition, Epoch: msg.Epoch, Round: msg.Round}
 	reply.OK = !part.position.Less(to) && !(part.position == to && !msg.matchesDigest(part.Sums))
 	if reply.OK {
 		m.noteCommitted(part, commit)
 	}
 	// When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
-	if msg.Sure != nil && msg.Sure.Life == m.cfg.Life && msg.Commit > 0 && part.commit == commit {
-		part.freshAsOf = max(part.freshAsOf, msg.Sure.Mark+msg.Sure.Held-msg.Sure.Age)
+	if msg.Freshness != nil && msg.Freshness.RunID == m.cfg.RunID && msg.Commit > 0 && part.commit == commit {
+		part.freshAsOf = max(part.freshAsOf, msg.Freshness.Mark+msg.Freshness.Held-msg.Freshness.Age)
 	}
 	m.replyWhenDurable(part, from, reply)
 }
@@ -233,7 +233,7 @@
 }
 
 func (m *Replica) onAppendAck(from, id string, ack *AppendAck) {
-	part := m.partition(ack.Key)
+	part := m.partition(ack.Partition)
 	if ack.Outdated != nil {
 		m.adoptVoterSet(ack.Outdated)
 	}
@@ -252,7 +252,7 @@
 		return
 	}
 	part.ackedAt[id] = m.now
-	if s, ok := m.heartbeats.sent[ack.Round]; ok && part.name == RosterKey {
+	if s, ok := m.heartbeats.sent[ack.Round]; ok && part.name == VoterSetPartition {
 		// The time when the round was sent counts: a delayed answer is no evidence that the
 		// member is still there.
 		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
@@ -294,7 +294,7 @@
 	// Commit the newest position that is durable here and at enough others.
 	if ownAck := part.acks[m.self]; part.commit.Less(part.position) && ownAck.Epoch == part.ownEpoch {
 		var seqs []uint64
-		recent := func(id string) bool { return id == m.self || m.now-part.ackedAt[id] <= m.cfg.Vacant }
+		recent := func(id string) bool { return id == m.self || m.now-part.ackedAt[id] <= m.cfg.ElectionTimeout }
 		for id, a := range part.acks {
 			if a.Epoch == part.ownEpoch && a.Seq <= ownAck.Seq && recent(id) {
 				seqs = append(seqs, a.Seq)
@@ -306,7 +306,7 @@
 			if !part.commit.Less(p) {
 				break
 			}
-			if m.hasQuorum(part.name != RosterKey, func(id string) bool {
+			if m.hasQuorum(part.name != VoterSetPartition, func(id string) bool {
 				return !part.acks[id].Less(p) && part.acks[id].Epoch == part.ownEpoch && recent(id)
 			}) {
 				m.commit(part, p)
@@ -359,7 +359,7 @@
 	}
 	m.effects.Committed = append(m.effects.Committed, part.name)
 	entries := []storageEntry{part.meta()}
-	if part.name == RosterKey && !m.bootstrapped {
+	if part.name == VoterSetPartition && !m.bootstrapped {
 		m.bootstrapped = true
 		entries = append(entries, m.nodeEntry())
 	}
--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -15,12 +15,12 @@
 // mayBootstrap reports whether this member may propose the initial voter set or be appointed its
 // only member.
 func (m *Replica) mayBootstrap() bool {
-	return !m.bootstrapped && len(m.firstSeeds) > 0 && len(m.partitions[RosterKey].Records) == 0
+	return !m.bootstrapped && len(m.firstSeeds) > 0 && len(m.partitions[VoterSetPartition].Records) == 0
 }
 
 // bootstrapping reports whether this member takes part in the bootstrap of a system.
 func (m *Replica) bootstrapping() bool {
-	return m.mayBootstrap() || !m.bootstrapped && len(m.bootstrapSeeds()) > 0 && len(m.partitions[RosterKey].Records) > 0
+	return m.mayBootstrap() || !m.bootstrapped && len(m.bootstrapSeeds()) > 0 && len(m.partitions[VoterSetPartition].Records) > 0
 }
 
 // bootstrapSeeds returns the seeds of the system's first start if this member has stored them,
@@ -60,13 +60,13 @@
 	if !m.bootstrapping() || m.now < m.nextBootstrapAt {
 		return
 	}
-	m.nextBootstrapAt = m.now + m.cfg.Beat/2
-	part := m.partitions[RosterKey]
+	m.nextBootstrapAt = m.now + m.cfg.HeartbeatInterval/2
+	part := m.partitions[VoterSetPartition]
 	m.seedIDs[m.cfg.Self] = m.self
 	seeds := m.bootstrapSeeds()
 	for _, seed := range seeds {
 		if _, relay := m.relays[seed]; seed != m.cfg.Self && m.seedIDs[seed] == "" && (!relay || seed == seeds[0]) {
-			m.send(seed, Message{Body: &Found{}})
+			m.send(seed, Message{Body: &BootstrapRequest{}})
 		}
 	}
 	m.bootstrapVoterSet(part)
@@ -80,14 +80,14 @@
 		if !m.proposeInitialVoterSet(part) {
 			return
 		}
-	case part.position.Epoch.N != 1 || part.position.Seq != 1 || part.position.Epoch.Owner != m.cfg.Self:
+	case part.position.Epoch.Number != 1 || part.position.Seq != 1 || part.position.Epoch.Owner != m.cfg.Self:
 		return
 	}
 	m.whenDurable(func() {
 		m.bootstrapAcks[m.cfg.Self] = true
-		for _, to := range m.Roster() {
+		for _, to := range m.Voters() {
 			if !m.bootstrapAcks[to] {
-				m.send(to, Message{Body: &Found{part.position, part.Pick(allRanges)}})
+				m.send(to, Message{Body: &BootstrapRequest{part.position, part.Pick(allRanges)}})
 			}
 		}
 		m.finishBootstrap()
@@ -101,7 +101,7 @@
 	if len(members) == 0 || !m.mayBootstrap() || slices.ContainsFunc(members, func(seed string) bool { return m.seedIDs[seed] == "" }) {
 		return false
 	}
-	part.promised = Epoch{1, m.cfg.Self, m.cfg.Life}
+	part.promised = Epoch{1, m.cfg.Self, m.cfg.RunID}
 	var records []Record
 	for _, seed := range members {
 		records = append(records, voterRecord(m.seedIDs[seed], 1, voterStable))
@@ -112,12 +112,12 @@
 	return true
 }
 
-func (m *Replica) onBootstrapRequest(from string, f *Found) {
-	part := m.partitions[RosterKey]
+func (m *Replica) onBootstrapRequest(from string, f *BootstrapRequest) {
+	part := m.partitions[VoterSetPartition]
 	switch {
 	case len(f.Records) == 0:
 		if len(part.Records) == 0 && !m.bootstrapped {
-			m.whenDurable(func() { m.send(from, Message{Body: &Founded{Passive: !m.mayBootstrap()}}) })
+			m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{MayNotPropose: !m.mayBootstrap()}}) })
 		}
 		return
 	case len(part.Records) == 0:
@@ -131,23 +131,23 @@
 	case part.position.Less(f.At):
 		return
 	}
-	m.whenDurable(func() { m.send(from, Message{Body: &Founded{At: f.At}}) })
+	m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{At: f.At}}) })
 }
 
-func (m *Replica) onBootstrapReply(from, id string, f *Founded) {
+func (m *Replica) onBootstrapReply(from, id string, f *BootstrapReply) {
 	switch {
 	case !m.bootstrapping():
 	case f.Relay:
 		m.relays[from] = f.Appointed
 	case f.At.Seq == 0:
-		m.seedIDs[from], m.passive[from] = id, f.Passive
-	case f.At == m.partitions[RosterKey].position:
+		m.seedIDs[from], m.passive[from] = id, f.MayNotPropose
+	case f.At == m.partitions[VoterSetPartition].position:
 		m.bootstrapAcks[from] = true
 		m.finishBootstrap()
 		return
 	}
 	if m.mayBootstrap() {
-		m.bootstrapVoterSet(m.partitions[RosterKey])
+		m.bootstrapVoterSet(m.partitions[VoterSetPartition])
 	}
 }
 
@@ -155,12 +155,12 @@
 	if m.bootstrapped {
 		return
 	}
-	for _, a := range m.Roster() {
+	for _, a := range m.Voters() {
 		if !m.bootstrapAcks[a] {
 			return
 		}
 	}
 	m.bootstrapped = true
 	m.write([]storageEntry{m.nodeEntry()}, nil)
-	m.startElection(m.partitions[RosterKey], true)
+	m.startElection(m.partitions[VoterSetPartition], true)
 }
--- a/internal/replication/bootstrap_test.go
+++ b/internal/replication/bootstrap_test.go
@@ -14,7 +14,7 @@
 // mayBootstrapFrom reports whether a disk holds the seeds of a system's first start, or a voter set.
 func mayBootstrapFrom(disk replicationtest.Disk) bool {
 	var v nodeValue
-	return cbor.Unmarshal(disk[nodeEntryKey], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+RosterKey] != nil)
+	return cbor.Unmarshal(disk[nodeEntryKey], &v) == nil && (len(v.FirstSeeds) > 0 || disk[metaPrefix+VoterSetPartition] != nil)
 }
 
 // bootstrapRun starts four machines, three of which are seeds, and kills some of them at one step of
@@ -37,7 +37,7 @@
 	steps, proposedEpochs := 0, map[Epoch]bool{}
 	cannotBootstrap := false
 	sim.drop = func(from string, e Envelope) bool {
-		if request := bodyAs[*Found](e.Msg); request != nil && len(request.Records) > 0 {
+		if request := bodyAs[*BootstrapRequest](e.Msg); request != nil && len(request.Records) > 0 {
 			proposedEpochs[request.At.Epoch] = true
 		}
 		if steps == r.step {
@@ -115,7 +115,7 @@
 		sim.seeds = append([]string(nil), sim.ids[:3]...)
 		proposers := map[string]bool{}
 		sim.drop = func(from string, e Envelope) bool {
-			if f := bodyAs[*Found](e.Msg); f != nil && len(f.Records) > 0 {
+			if f := bodyAs[*BootstrapRequest](e.Msg); f != nil && len(f.Records) > 0 {
 				proposers[from] = true
 			}
 			return false
@@ -151,14 +151,14 @@
 				if _, ok := appointed[e.To]; !ok {
 					return false
 				}
-				if bodyAs[*Found](e.Msg) != nil {
+				if bodyAs[*BootstrapRequest](e.Msg) != nil {
 					if appointed[e.To] == "" && e.To == sim.seeds[0] {
 						appointed[e.To] = from
 					}
 					sim.after(time.Millisecond, func() {
 						if n := sim.nodes[from]; n.up {
 							sim.runOn(from, n.runID, func() {
-								n.replica.Handle(sim.clock(n), e.To, Message{Body: &Founded{Relay: true, Appointed: appointed[e.To]}})
+								n.replica.Handle(sim.clock(n), e.To, Message{Body: &BootstrapReply{Relay: true, Appointed: appointed[e.To]}})
 							})
 						}
 					})
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -109,7 +109,7 @@
 		return
 	}
 	noteSent := func(bytes int) {
-		part.lastCatchUp[id] = catchUpSent{base, m.now + m.cfg.Beat*time.Duration(bytes)/maxChunkBytes}
+		part.lastCatchUp[id] = catchUpSent{base, m.now + m.cfg.HeartbeatInterval*time.Duration(bytes)/maxChunkBytes}
 	}
 	if base != part.position {
 		// Send the committed part first, in a message of its own, so that the member can show
@@ -143,12 +143,12 @@
 	records := part.Pick(ranges)
 	if recordBytes(records) <= maxChunkBytes {
 		msg := m.newAppend(part, base)
-		msg.Mend, msg.Changes = ranges, records
+		msg.ReplaceRanges, msg.Changes = ranges, records
 		m.send(to, Message{Body: msg})
 		noteSent(recordBytes(records))
 		return
 	}
-	snapshot := &outgoingSnapshot{position: part.position, sums: part.Sums, ranges: ranges, resendAfter: m.cfg.Beat}
+	snapshot := &outgoingSnapshot{position: part.position, sums: part.Sums, ranges: ranges, resendAfter: m.cfg.HeartbeatInterval}
 	for begin, i, bytes := 0, 0, 0; i < len(records); i++ {
 		bytes += recordBytes(records[i : i+1])
 		if last := i == len(records)-1; last || bytes+recordBytes(records[i+1:i+2]) > maxChunkBytes {
@@ -177,7 +177,7 @@
 
 func (m *Replica) sendSnapshotChunk(part *partition, to string, s *outgoingSnapshot) {
 	s.sentAt = m.now
-	m.send(to, Message{Body: &SnapshotChunk{Key: part.name, Epoch: part.ownEpoch, Roster: m.partitions[RosterKey].position, At: s.position, Sums: s.sums,
+	m.send(to, Message{Body: &SnapshotChunk{Partition: part.name, Epoch: part.ownEpoch, VoterSet: m.partitions[VoterSetPartition].position, At: s.position, Sums: s.sums,
 		Index: s.nextChunk, Count: len(s.chunks), Ranges: s.ranges, Records: s.chunks[s.nextChunk]}})
 }
 
@@ -189,8 +189,8 @@
 }
 
 func (m *Replica) onSnapshotChunk(from string, chunk *SnapshotChunk) {
-	part := m.partition(chunk.Key)
-	if reply := m.rejection(part, chunk.Epoch, chunk.Roster); reply != nil {
+	part := m.partition(chunk.Partition)
+	if reply := m.rejection(part, chunk.Epoch, chunk.VoterSet); reply != nil {
 		m.send(from, Message{Body: reply})
 		return
 	}
@@ -204,7 +204,7 @@
 		snapshot.records = append(snapshot.records, chunk.Records...)
 	}
 	if snapshot.nextChunk < chunk.Count {
-		m.send(from, Message{Body: &SnapshotAck{chunk.Key, chunk.Epoch, chunk.At, snapshot.nextChunk}})
+		m.send(from, Message{Body: &SnapshotAck{chunk.Partition, chunk.Epoch, chunk.At, snapshot.nextChunk}})
 		return
 	}
 	part.incoming = nil
@@ -217,7 +217,7 @@
 	for _, r := range snapshot.records {
 		sums[antientropy.RangeOf(r.Name)] ^= r.Sum()
 	}
-	reply := &AppendAck{Key: chunk.Key, Epoch: chunk.Epoch}
+	reply := &AppendAck{Partition: chunk.Partition, Epoch: chunk.Epoch}
 	if sums == chunk.Sums && !chunk.At.Less(part.position) {
 		entries := m.replace(part, chunk.Ranges, snapshot.records)
 		part.position = chunk.At
@@ -230,7 +230,7 @@
 }
 
 func (m *Replica) onSnapshotAck(from, id string, ack *SnapshotAck) {
-	part := m.partition(ack.Key)
+	part := m.partition(ack.Partition)
 	s := part.outgoing[id]
 	if part.role != roleOwner || ack.Epoch != part.ownEpoch || s == nil || s.position != ack.At {
 		return
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -81,8 +81,8 @@
 		at := Position{part.promised, part.position.Seq + 5}
 		follower.replica.Take()
 		for i, records := range tc.records {
-			follower.replica.Handle(sim.clock(follower), owner.id, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Key: testPartition, Epoch: part.promised,
-				Roster: follower.replica.partitions[RosterKey].position, At: at, Sums: set.Sums, Index: tc.index[i], Count: 2, Ranges: allRanges, Records: records}})
+			follower.replica.Handle(sim.clock(follower), owner.id, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Partition: testPartition, Epoch: part.promised,
+				VoterSet: follower.replica.partitions[VoterSetPartition].position, At: at, Sums: set.Sums, Index: tc.index[i], Count: 2, Ranges: allRanges, Records: records}})
 		}
 		follower.replica.Durable(sim.clock(follower), follower.replica.lastWrite)
 		applied := false
@@ -133,7 +133,7 @@
 			sim.runUntil(sim.now + 5*time.Second)
 			var member *node
 			for _, id := range sim.ids {
-				if o := sim.nodes[id]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[RosterKey].role != roleOwner {
+				if o := sim.nodes[id]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[VoterSetPartition].role != roleOwner {
 					member = o
 				}
 			}
--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -39,7 +39,7 @@
 
 // checkHolds checks that the records in have are at least as new as those in want.
 func (sim *cluster) checkHolds(member, partition string, have, want map[string]Record) {
-	if partition == RosterKey {
+	if partition == VoterSetPartition {
 		return // records of the voter set are erased; its contents are compared by position
 	}
 	for name, r := range want {
@@ -53,7 +53,7 @@
 // checkFreshness checks that a member's copy contains everything acknowledged up to the time as of
 // which the member reports it to be the newest, and that no two owners are confirmed at once.
 func (sim *cluster) checkFreshness(n *node) {
-	if at, ok := n.replica.Current(testPartition); ok {
+	if at, ok := n.replica.FreshAsOf(testPartition); ok {
 		have, _, _ := n.replica.Committed(testPartition)
 		sim.freshnessClaims++
 		for i := len(sim.acks) - 1; i >= 0 && i > len(sim.acks)-40; i-- {
@@ -62,19 +62,19 @@
 			}
 		}
 	}
-	term, ok := n.replica.Tenure(sim.clock(n), testPartition)
+	term, ok := n.replica.OwnershipTerm(sim.clock(n), testPartition)
 	if !ok {
 		return
 	}
-	sim.confirmedAt[term.Epoch], sim.predecessorUntil[term.Epoch] = max(sim.confirmedAt[term.Epoch], n.startedAt+term.Sure), n.startedAt+term.Free
+	sim.confirmedAt[term.Epoch], sim.predecessorUntil[term.Epoch] = max(sim.confirmedAt[term.Epoch], n.startedAt+term.ConfirmedAt), n.startedAt+term.PredecessorUntil
 	for later, predecessorUntil := range sim.predecessorUntil {
 		if term.Epoch.Less(later) && sim.confirmedAt[term.Epoch] > predecessorUntil {
 			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, term.Epoch, sim.confirmedAt[term.Epoch], later, predecessorUntil)
 		}
 	}
 	for earlier, confirmedAt := range sim.confirmedAt {
-		if earlier.Less(term.Epoch) && confirmedAt > n.startedAt+term.Free {
-			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, earlier, confirmedAt, term.Epoch, n.startedAt+term.Free)
+		if earlier.Less(term.Epoch) && confirmedAt > n.startedAt+term.PredecessorUntil {
+			sim.fatal("at %v: owner %v was confirmed until %v, but %v takes earlier owners to have been confirmed until %v only", sim.now, earlier, confirmedAt, term.Epoch, n.startedAt+term.PredecessorUntil)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	var text bytes.Buffer
 	for _, r := range sortedRecords(records) {
 		fmt.Fprintf(&text, "%s=%d/%v/%s ", r.Name, r.Gen, r.Dropped, r.Data)
-		if partition != RosterKey {
+		if partition != VoterSetPartition {
 			sim.checkSameContents(n.id, partition, r)
 		}
 	}
@@ -151,7 +151,7 @@
 // ownershipProblem names a partition that doesn't have exactly one owner that has committed in its
 // term; empty if there is none.
 func (sim *cluster) ownershipProblem() string {
-	for _, partition := range append([]string{RosterKey}, sim.partitions...) {
+	for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
 		n := 0
 		for _, id := range sim.ids {
 			if part := sim.nodes[id].replica.partitions[partition]; sim.nodes[id].up && part.role == roleOwner && part.commit == part.position || sim.nodes[id].up && part.role == roleOwner && part.commit.Epoch == part.ownEpoch {
@@ -187,7 +187,7 @@
 				return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, running)
 			}
 		}
-		for _, partition := range append([]string{RosterKey}, sim.partitions...) {
+		for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
 			have, pos, ok := n.replica.Committed(partition)
 			if !ok || pos.Seq == 0 {
 				return fmt.Sprintf("%s has no committed copy of %s", id, partition)
@@ -199,7 +199,7 @@
 				return fmt.Sprintf("%s has %d records of %s, %d are committed", id, len(have), partition, len(sim.committed[partition]))
 			}
 			for name, r := range sim.committed[partition] {
-				if sim.operatorsStopped && partition != RosterKey && have[name].Gen != r.Gen {
+				if sim.operatorsStopped && partition != VoterSetPartition && have[name].Gen != r.Gen {
 					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", id, partition, name, have[name].Gen, r.Gen)
 				}
 			}
--- a/internal/replication/cluster_disk_test.go
+++ b/internal/replication/cluster_disk_test.go
@@ -44,7 +44,7 @@
 		mustReport := !n.diskFailed || write.rewrite
 		n.diskFailed, n.writesToRefuse = true, max(n.writesToRefuse-1, 0)
 		if mustReport {
-			sim.after(testHeartbeat/2, func() { sim.runOn(n.id, runID, func() { n.replica.Failed(sim.clock(n)) }) })
+			sim.after(testHeartbeat/2, func() { sim.runOn(n.id, runID, func() { n.replica.WriteFailed(sim.clock(n)) }) })
 		}
 		return
 	}
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -109,7 +109,7 @@
 	first := f.index % len(healthy)
 	for i, n := range healthy {
 		switch {
-		case f.target == owner && n.replica.partitions[testPartition].role == roleOwner, f.target == voterSetOwner && n.replica.partitions[RosterKey].role == roleOwner:
+		case f.target == owner && n.replica.partitions[testPartition].role == roleOwner, f.target == voterSetOwner && n.replica.partitions[VoterSetPartition].role == roleOwner:
 			first = i
 		case f.target == newest && n.id == sim.ids[len(sim.ids)-1]:
 			first = i
--- a/internal/replication/cluster_nodes_test.go
+++ b/internal/replication/cluster_nodes_test.go
@@ -58,11 +58,11 @@
 	n.diskBusyUntil, n.startedAt, n.pendingWrites = 0, sim.now, nil
 	sim.lastRunID++
 	n.lastPosition, n.ownEpochs = map[string]Position{}, map[string]Epoch{}
-	cfg := Config{Self: id, Life: sim.lastRunID, Identity: sim.rng.Uint64() | 1, Seeds: sim.seeds, Faults: sim.faults,
+	cfg := Config{Self: id, RunID: sim.lastRunID, Identity: sim.rng.Uint64() | 1, Seeds: sim.seeds, Faults: sim.faults,
 		Left:  func(o string) bool { return sim.nodes[o] != nil && sim.nodes[o].left },
 		Peers: func() []string { return sim.ids },
 		Zone:  func(o string) string { return sim.zones[o] }, Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, Keys: sim.partitions,
-		Beat: testHeartbeat, Vacant: testElectionTimeout, Patience: 900 * time.Millisecond, HandBack: 4 * time.Second, Sure: []string{testPartition},
+		HeartbeatInterval: testHeartbeat, ElectionTimeout: testElectionTimeout, ProposalTimeout: 900 * time.Millisecond, TransferBackDelay: 4 * time.Second, FreshnessPartitions: []string{testPartition},
 		Alive: func(o string) bool { return sim.seesAlive(id, o) }}
 	n.bootstrap = false
 	replica, err := NewReplica(cfg, n.disk)
@@ -212,7 +212,7 @@
 				runID = n.runID
 				sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
 			}
-			safeToLeave = n.replica.MayGo(sim.clock(n))
+			safeToLeave = n.replica.SafeToLeave(sim.clock(n))
 		}
 		if safeToLeave || sim.now >= until {
 			n.left = true
@@ -313,13 +313,13 @@
 // both. Until then the owner of the voter set transfers it to another member.
 func (sim *cluster) separateOwners() (owner, voterSetOwner *node) {
 	sim.waitFor("the voter set and the test partition have different owners", 40*time.Second, func() string {
-		owner, voterSetOwner = sim.ownerOf(testPartition), sim.ownerOf(RosterKey)
+		owner, voterSetOwner = sim.ownerOf(testPartition), sim.ownerOf(VoterSetPartition)
 		if owner != nil && voterSetOwner != nil && owner != voterSetOwner {
 			return ""
 		}
 		if voterSetOwner != nil {
 			sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() {
-				part := voterSetOwner.replica.partitions[RosterKey]
+				part := voterSetOwner.replica.partitions[VoterSetPartition]
 				voterSetOwner.replica.transfer(part)
 				voterSetOwner.replica.becomeFollower(part, ErrNotOwner)
 				part.noElectionUntil = sim.clock(voterSetOwner) + time.Minute
--- a/internal/replication/cluster_operators_test.go
+++ b/internal/replication/cluster_operators_test.go
@@ -136,7 +136,7 @@
 		owner := ""
 		if asked.up && asked.frozenUntil <= sim.now {
 			if owner = asked.replica.Owner(sim.clock(asked), partition); owner == "" {
-				owner = asked.replica.Founder(sim.clock(asked), partition)
+				owner = asked.replica.InitialOwner(sim.clock(asked), partition)
 			}
 		}
 		if sim.operatorsStopped {
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -19,7 +19,7 @@
 		return
 	}
 	part.role, part.roleSince, part.preVote = roleCandidate, m.now, !transferred
-	part.ownEpoch = Epoch{max(part.promised.N, part.position.Epoch.N, part.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.Life}
+	part.ownEpoch = Epoch{max(part.promised.Number, part.position.Epoch.Number, part.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.RunID}
 	part.votes, part.quietSince = map[string]*Vote{}, map[string]time.Duration{}
 	if part.preVote {
 		part.votes[m.self] = &Vote{At: part.position}
@@ -53,7 +53,7 @@
 		if part.votes[m.lastIdentity[to]] != nil {
 			continue
 		}
-		m.send(to, Message{Body: &VoteRequest{Key: part.name, Epoch: part.ownEpoch, Roster: m.partitions[RosterKey].position, At: part.position, PreVote: part.preVote}})
+		m.send(to, Message{Body: &VoteRequest{Partition: part.name, Epoch: part.ownEpoch, VoterSet: m.partitions[VoterSetPartition].position, At: part.position, PreVote: part.preVote}})
 	}
 	m.tallyVotes(part)
 }
@@ -61,14 +61,14 @@
 // hasLiveOwner reports whether, as far as this member knows, the partition has an owner in contact
 // with a quorum (if it is this member) or with this member.
 func (m *Replica) hasLiveOwner(part *partition) bool {
-	limit := m.cfg.Vacant * 3 / 4
+	limit := m.cfg.ElectionTimeout * 3 / 4
 	return part.role == roleOwner && m.now-part.quorumAt <= limit || part.role != roleOwner && part.hasOwner && m.now-part.ownerContact <= limit
 }
 
 func (m *Replica) onVoteRequest(from string, req *VoteRequest) {
-	part := m.partition(req.Key)
-	part.maxSeenEpoch = max(part.maxSeenEpoch, req.Epoch.N)
-	older := m.olderVoterSet(req.Roster)
+	part := m.partition(req.Partition)
+	part.maxSeenEpoch = max(part.maxSeenEpoch, req.Epoch.Number)
+	older := m.olderVoterSet(req.VoterSet)
 	behind := req.At.Less(part.position)
 	granted := !req.Epoch.Less(part.promised) && !older && !behind
 	if req.PreVote && granted && m.hasLiveOwner(part) && part.promised.Owner != from {
@@ -79,7 +79,7 @@
 		part.lastContact, part.hadContact, part.hasOwner = m.now, true, false
 		m.write([]storageEntry{part.meta()}, nil)
 	}
-	vote := &Vote{Key: req.Key, Epoch: req.Epoch, OK: granted, Promised: part.promised, At: part.position, PreVote: req.PreVote, Sums: part.Sums}
+	vote := &Vote{Partition: req.Partition, Epoch: req.Epoch, Granted: granted, Promised: part.promised, At: part.position, PreVote: req.PreVote, Sums: part.Sums}
 	if older {
 		vote.Outdated = m.voterSetCopy()
 	}
@@ -87,9 +87,9 @@
 		vote.At = req.At // this member can't become owner, so the candidate must not withdraw in its favor
 	}
 	m.whenDurable(func() {
-		vote.OK = vote.OK && (req.PreVote || part.promised == req.Epoch)
-		if vote.OK && !req.PreVote && part.trackFreshness {
-			vote.Quiet = m.now - part.lastConfirmSent
+		vote.Granted = vote.Granted && (req.PreVote || part.promised == req.Epoch)
+		if vote.Granted && !req.PreVote && part.trackFreshness {
+			vote.SinceConfirmed = m.now - part.lastConfirmSent
 		}
 		m.send(from, Message{Body: vote})
 	})
@@ -101,34 +101,34 @@
 }
 
 func (m *Replica) onVote(from, id string, vote *Vote) {
-	part := m.partition(vote.Key)
-	voterSetBefore := m.partitions[RosterKey].position
+	part := m.partition(vote.Partition)
+	voterSetBefore := m.partitions[VoterSetPartition].position
 	if vote.Outdated != nil {
 		m.adoptVoterSet(vote.Outdated)
 	}
 	if part.role != roleCandidate || part.ownEpoch != vote.Epoch || part.preVote != vote.PreVote {
 		return
 	}
-	if !vote.OK || part.position.Less(vote.At) {
-		part.maxSeenEpoch = max(part.maxSeenEpoch, vote.Promised.N)
+	if !vote.Granted || part.position.Less(vote.At) {
+		part.maxSeenEpoch = max(part.maxSeenEpoch, vote.Promised.Number)
 		switch {
 		case !vote.PreVote && part.ownEpoch.Less(vote.Promised):
 			m.stepDown(part, vote.Promised)
 			m.write([]storageEntry{part.meta()}, nil)
 		case vote.Outdated != nil:
-			if voterSetBefore != m.partitions[RosterKey].position {
+			if voterSetBefore != m.partitions[VoterSetPartition].position {
 				m.requestVotes(part) // under the newer voter set
 			}
 		case vote.PreVote && part.position.Less(vote.At):
 			// Only a pre-vote ends here: in a binding vote a majority decides, whatever the
 			// other members hold.
 			m.becomeFollower(part, ErrNoQuorum)
-			part.noElectionUntil = m.now + m.cfg.Beat
+			part.noElectionUntil = m.now + m.cfg.HeartbeatInterval
 		}
 		return
 	}
 	part.votes[id] = vote
-	part.quietSince[id] = m.now - vote.Quiet
+	part.quietSince[id] = m.now - vote.SinceConfirmed
 	m.tallyVotes(part)
 }
 
@@ -201,13 +201,15 @@
 	}
 }
 
-// Heirs returns the addresses of the voters in the order in which they take over a partition.
-func (m *Replica) Heirs(name string) []string { return slices.Clone(m.successors(m.partition(name))) }
+// Successors returns the addresses of the voters in the order in which they take over a partition.
+func (m *Replica) Successors(name string) []string {
+	return slices.Clone(m.successors(m.partition(name)))
+}
 
 // successors is Heirs without the copy; the order is computed once per voter set.
 func (m *Replica) successors(part *partition) []string {
 	if s := m.voterSet(); part.successorsFor != s {
-		part.successorsFor, part.successorList = s, rendezvous.Order(part.name, m.Roster())
+		part.successorsFor, part.successorList = s, rendezvous.Order(part.name, m.Voters())
 	}
 	return part.successorList
 }
@@ -250,7 +252,7 @@
 	ack := &ProbeAck{}
 	for _, name := range m.names {
 		if part := m.partitions[name]; part.role != roleFollower || m.Owner(m.now, name) != "" {
-			ack.Owned = append(ack.Owned, name)
+			ack.OwnedPartitions = append(ack.OwnedPartitions, name)
 		}
 	}
 	m.send(from, Message{Body: ack})
@@ -258,7 +260,7 @@
 
 func (m *Replica) onProbeAck(from string, ack *ProbeAck) {
 	m.probeAcks[from] = map[string]bool{}
-	for _, name := range ack.Owned {
+	for _, name := range ack.OwnedPartitions {
 		m.probeAcks[from][name] = true
 	}
 }
@@ -272,10 +274,10 @@
 			return false
 		}
 	}
-	if !hasQuorumOf(m.Roster(), false, func(id string) bool { return id == m.cfg.Self || m.probeAcks[id] != nil }) {
+	if !hasQuorumOf(m.Voters(), false, func(id string) bool { return id == m.cfg.Self || m.probeAcks[id] != nil }) {
 		return false
 	}
-	for _, id := range m.Heirs(name) {
+	for _, id := range m.Successors(name) {
 		if id == m.cfg.Self {
 			return true
 		}
@@ -290,7 +292,7 @@
 // or else the first live one.
 func (m *Replica) transfer(part *partition) {
 	var successor string
-	for _, id := range m.Heirs(part.name) {
+	for _, id := range m.Successors(part.name) {
 		if id == m.cfg.Self || !m.cfg.Alive(id) {
 			continue
 		}
@@ -313,16 +315,16 @@
 func (m *Replica) transferBack(part *partition) {
 	preferred := m.successors(part)[0]
 	at, _ := part.ackedPosition(preferred)
-	stable := preferred != m.cfg.Self && m.cfg.HandBack > 0 && m.cfg.Alive(preferred) && part.commit == part.position && len(part.waiters)+len(part.queue) == 0 &&
-		at == part.position && m.now-part.ackedAt[m.lastIdentity[preferred]] <= m.cfg.Vacant && m.now-part.roleSince > m.cfg.HandBack &&
-		(part.name != RosterKey || m.allVotersAnswering())
+	stable := preferred != m.cfg.Self && m.cfg.TransferBackDelay > 0 && m.cfg.Alive(preferred) && part.commit == part.position && len(part.waiters)+len(part.queue) == 0 &&
+		at == part.position && m.now-part.ackedAt[m.lastIdentity[preferred]] <= m.cfg.ElectionTimeout && m.now-part.roleSince > m.cfg.TransferBackDelay &&
+		(part.name != VoterSetPartition || m.allVotersAnswering())
 	if !stable {
 		part.stableSince = m.now
 		return
 	}
-	if m.now-part.stableSince >= m.cfg.HandBack {
+	if m.now-part.stableSince >= m.cfg.TransferBackDelay {
 		m.becomeFollower(part, ErrNotOwner)
-		part.noElectionUntil = m.now + m.cfg.Vacant
+		part.noElectionUntil = m.now + m.cfg.ElectionTimeout
 		m.send(preferred, Message{Body: &Transfer{part.name}})
 	}
 }
--- a/internal/replication/erased_records_test.go
+++ b/internal/replication/erased_records_test.go
@@ -43,7 +43,7 @@
 			}
 			addAndErase(0, steps)
 			index := slices.IndexFunc(sim.healthy(), func(n *node) bool {
-				return n.replica.partitions[testPartition].role != roleOwner && n.replica.partitions[RosterKey].role != roleOwner
+				return n.replica.partitions[testPartition].role != roleOwner && n.replica.partitions[VoterSetPartition].role != roleOwner
 			})
 			sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 12 * time.Second})
 			sim.runUntil(sim.now + 100*time.Millisecond)
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -50,7 +50,7 @@
 
 // listEntry is a partition's entry in the list, with the list version that added it.
 type listEntry struct {
-	KeyStatus
+	PartitionStatus
 	version uint64
 }
 
@@ -88,8 +88,8 @@
 // notePeer records which process is at an address and whether it understands heartbeats.
 func (m *Replica) notePeer(from, id string, msg Message) {
 	p := m.peers[from]
-	if p == nil || p.id != id || p.runID != msg.Life {
-		p = &peer{id: id, runID: msg.Life}
+	if p == nil || p.id != id || p.runID != msg.RunID {
+		p = &peer{id: id, runID: msg.RunID}
 		m.peers[from] = p
 		m.heartbeats.dueTo[from] = true
 	}
@@ -183,15 +183,15 @@
 		s.partitions = append(s.partitions, sentPartition{part, part.position})
 	}
 	state.sent[state.round] = s
-	for ; state.oldest < state.round && m.now-state.sent[state.oldest].at > roundRetention*m.cfg.Vacant; state.oldest++ {
+	for ; state.oldest < state.round && m.now-state.sent[state.oldest].at > roundRetention*m.cfg.ElectionTimeout; state.oldest++ {
 		delete(state.sent, state.oldest)
 	}
 	return state.round
 }
 
 // status is the entry of an owned partition in a heartbeat.
-func (m *Replica) status(part *partition) KeyStatus {
-	s := KeyStatus{Key: part.name, Epoch: part.ownEpoch.N, Seq: part.position.Seq, Sum: part.Sums.Fold()}
+func (m *Replica) status(part *partition) PartitionStatus {
+	s := PartitionStatus{Partition: part.name, Epoch: part.ownEpoch.Number, Seq: part.position.Seq, Sum: part.Sums.Fold()}
 	if part.commit.Epoch == part.ownEpoch {
 		s.Commit = part.commit.Seq
 	}
@@ -205,7 +205,7 @@
 	for _, part := range owned {
 		previous, ok := state.listed[part.name]
 		s := m.status(part)
-		if ok && previous.KeyStatus == s {
+		if ok && previous.PartitionStatus == s {
 			continue
 		}
 		if ok {
@@ -247,19 +247,19 @@
 			return h
 		}
 		state := &m.heartbeats
-		h := &Heartbeat{Round: round, Roster: m.partitions[RosterKey].position, Base: base, Version: state.version, Digest: state.digest}
+		h := &Heartbeat{Round: round, VoterSet: m.partitions[VoterSetPartition].position, Base: base, Version: state.version, Digest: state.digest}
 		for _, part := range owned {
 			if l := state.listed[part.name]; l.version > base {
-				h.Keys = append(h.Keys, l.KeyStatus)
+				h.Keys = append(h.Keys, l.PartitionStatus)
 			}
 		}
 		if base > 0 {
 			for name, version := range state.removed {
 				if version > base {
-					h.Gone = append(h.Gone, name)
+					h.Removed = append(h.Removed, name)
 				}
 			}
-			slices.Sort(h.Gone)
+			slices.Sort(h.Removed)
 		}
 		m.setAges(h, owned)
 		made[base] = h
@@ -268,7 +268,7 @@
 }
 
 func (m *Replica) partialHeartbeat(round uint64, partitions []*partition) *Heartbeat {
-	h := &Heartbeat{Round: round, Roster: m.partitions[RosterKey].position, Partial: true}
+	h := &Heartbeat{Round: round, VoterSet: m.partitions[VoterSetPartition].position, Partial: true}
 	for _, part := range partitions {
 		h.Keys = append(h.Keys, m.status(part))
 	}
@@ -291,13 +291,13 @@
 	if confirmedAt == neverConfirmed {
 		return
 	}
-	h.Sure = &Sure{Age: m.now - confirmedAt}
+	h.Freshness = &Freshness{Age: m.now - confirmedAt}
 	for _, part := range partitions {
 		switch {
 		case part.confirmedAt == neverConfirmed:
-			h.Ages = append(h.Ages, KeyAge{part.name, -1})
+			h.Ages = append(h.Ages, PartitionAge{part.name, -1})
 		case part.confirmedAt < confirmedAt:
-			h.Ages = append(h.Ages, KeyAge{part.name, m.now - part.confirmedAt})
+			h.Ages = append(h.Ages, PartitionAge{part.name, m.now - part.confirmedAt})
 		}
 	}
 }
@@ -305,14 +305,14 @@
 // withClockEcho returns the heartbeat with the echo of its receiver's clock. Without one the
 // ages mean nothing to the receiver and are left out.
 func (m *Replica) withClockEcho(h *Heartbeat, to string) *Heartbeat {
-	if h.Sure == nil {
+	if h.Freshness == nil {
 		return h
 	}
 	echoed := *h
 	if echo, ok := m.clockEchoes[m.lastIdentity[to]]; ok {
-		echoed.Sure = &Sure{echo.runID, echo.clock, m.now - echo.receivedAt, h.Sure.Age}
+		echoed.Freshness = &Freshness{echo.runID, echo.clock, m.now - echo.receivedAt, h.Freshness.Age}
 	} else {
-		echoed.Sure, echoed.Ages = nil, nil
+		echoed.Freshness, echoed.Ages = nil, nil
 	}
 	return &echoed
 }
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -7,11 +7,11 @@
 )
 
 func (m *Replica) onHeartbeatAck(from, id string, ack *HeartbeatAck) {
-	if ack.Life != m.cfg.Life {
+	if ack.RunID != m.cfg.RunID {
 		return // addressed to an earlier process of this member
 	}
 	p := m.peers[from]
-	if ack.Lacks {
+	if ack.ListMissing {
 		p.listVersion = 0
 		return
 	}
@@ -45,8 +45,8 @@
 // partitions.
 func (m *Replica) handleDeviations(from, id string, ack *HeartbeatAck) map[string]bool {
 	deviating := map[string]bool{}
-	for _, d := range ack.Deviate {
-		deviating[d.Key] = true
+	for _, d := range ack.Deviations {
+		deviating[d.Partition] = true
 		deviation := *d
 		deviation.Round = ack.Round
 		m.onAppendAck(from, id, &deviation)
@@ -62,7 +62,7 @@
 	}
 	part.ackedAt[id] = m.now
 	part.confirmedRounds[id] = max(part.confirmedRounds[id], round)
-	if s, ok := m.heartbeats.sent[round]; ok && part.name == RosterKey {
+	if s, ok := m.heartbeats.sent[round]; ok && part.name == VoterSetPartition {
 		// The time when the round was sent counts: a delayed answer is no evidence that the
 		// member is still there.
 		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
@@ -91,7 +91,7 @@
 		}
 		at := Position{}
 		if l := state.listed[part.name]; l.version <= ack.Version {
-			at = Position{Epoch{l.Epoch, m.cfg.Self, m.cfg.Life}, l.Seq}
+			at = Position{Epoch{l.Epoch, m.cfg.Self, m.cfg.RunID}, l.Seq}
 		}
 		m.noteConfirmedBy(part, id, ack.Round, at)
 		if known && part.firstRound <= state.confirmedRound {
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -13,16 +13,16 @@
 	runID     uint64
 	version   uint64
 	digest    uint64
-	statuses  []KeyStatus
+	statuses  []PartitionStatus
 	lastHeard time.Duration
 }
 
 func (l *ownerList) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(l.statuses, name, func(s KeyStatus, name string) int { return cmp.Compare(s.Key, name) })
+	return slices.BinarySearchFunc(l.statuses, name, func(s PartitionStatus, name string) int { return cmp.Compare(s.Partition, name) })
 }
 
-func (l *ownerList) put(s KeyStatus) {
-	i, ok := l.find(s.Key)
+func (l *ownerList) put(s PartitionStatus) {
+	i, ok := l.find(s.Partition)
 	if ok {
 		l.digest ^= l.statuses[i].digest()
 		l.statuses[i] = s
@@ -64,7 +64,7 @@
 	for _, s := range h.Keys {
 		l.put(s)
 	}
-	for _, name := range h.Gone {
+	for _, name := range h.Removed {
 		l.remove(name)
 	}
 	if l.digest != h.Digest {
@@ -78,7 +78,7 @@
 // Config.Vacant.
 func (m *Replica) expireLists() {
 	for from, l := range m.ownerLists {
-		if m.now-l.lastHeard > 20*m.cfg.Vacant {
+		if m.now-l.lastHeard > 20*m.cfg.ElectionTimeout {
 			delete(m.ownerLists, from)
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func (m *Replica) onHeartbeat(from string, runID uint64, h *Heartbeat) {
-	ack := &HeartbeatAck{Life: runID, Round: h.Round, Partial: h.Partial}
+	ack := &HeartbeatAck{RunID: runID, Round: h.Round, Partial: h.Partial}
 	statuses := h.Keys
 	if !h.Partial {
 		l, state := m.applyList(from, runID, h)
@@ -99,36 +99,36 @@
 		case listStale:
 			return
 		case listMissing:
-			ack.Lacks = true
+			ack.ListMissing = true
 			m.send(from, Message{Body: ack})
 			return
 		}
 		statuses, ack.Version = l.statuses, l.version
 	}
-	older := m.olderVoterSet(h.Roster)
+	older := m.olderVoterSet(h.VoterSet)
 	ages := map[string]time.Duration{}
 	for _, a := range h.Ages {
-		ages[a.Key] = a.Age
+		ages[a.Partition] = a.Age
 	}
 	heard := make([]heardPartition, 0, len(statuses))
 	for _, s := range statuses {
-		part, e := m.partition(s.Key), Epoch{s.Epoch, from, runID}
+		part, e := m.partition(s.Partition), Epoch{s.Epoch, from, runID}
 		switch {
 		case e.Less(part.promised):
-			ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: part.promised})
+			ack.Deviations = append(ack.Deviations, &AppendAck{Partition: s.Partition, Epoch: e, Promised: part.promised})
 		case !older:
 			heard = append(heard, heardPartition{part, e})
 			if !m.applyPartitionStatus(part, e, s) {
 				sums := part.Sums
-				ack.Deviate = append(ack.Deviate, &AppendAck{Key: s.Key, Epoch: e, Promised: e, At: part.position, Sums: &sums})
+				ack.Deviations = append(ack.Deviations, &AppendAck{Partition: s.Partition, Epoch: e, Promised: e, At: part.position, Sums: &sums})
 			}
-			m.updateFreshness(part, e, s, h.Sure, ages)
+			m.updateFreshness(part, e, s, h.Freshness, ages)
 		}
 	}
 	if older {
 		ack.Outdated = m.voterSetCopy()
 	}
-	if h.Round == 0 && len(ack.Deviate) == 0 && !older {
+	if h.Round == 0 && len(ack.Deviations) == 0 && !older {
 		return
 	}
 	m.whenDurable(func() { m.replyHeartbeat(from, ack, heard) })
@@ -136,7 +136,7 @@
 
 // applyPartitionStatus applies an owner's status of one partition and reports whether this member
 // holds what the owner does.
-func (m *Replica) applyPartitionStatus(part *partition, e Epoch, s KeyStatus) bool {
+func (m *Replica) applyPartitionStatus(part *partition, e Epoch, s PartitionStatus) bool {
 	m.followOwner(part, e)
 	to := Position{e, s.Seq}
 	m.noteCommitted(part, Position{e, s.Commit})
@@ -145,11 +145,11 @@
 
 // updateFreshness updates the time as of which the copy of a partition is known to be the newest.
 // When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
-func (m *Replica) updateFreshness(part *partition, e Epoch, s KeyStatus, sure *Sure, ages map[string]time.Duration) {
-	if sure == nil || sure.Life != m.cfg.Life || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
+func (m *Replica) updateFreshness(part *partition, e Epoch, s PartitionStatus, sure *Freshness, ages map[string]time.Duration) {
+	if sure == nil || sure.RunID != m.cfg.RunID || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
 		return
 	}
-	age, differs := ages[s.Key]
+	age, differs := ages[s.Partition]
 	if !differs {
 		age = sure.Age
 	}
@@ -161,12 +161,12 @@
 // replyHeartbeat answers once all that this member holds is durable. Partitions for which it has
 // promised another epoch in the meantime are no longer confirmed.
 func (m *Replica) replyHeartbeat(from string, ack *HeartbeatAck, heard []heardPartition) {
-	for _, d := range ack.Deviate {
-		d.Promised = m.partition(d.Key).promised
+	for _, d := range ack.Deviations {
+		d.Promised = m.partition(d.Partition).promised
 	}
 	for _, h := range heard {
 		if h.promised != h.epoch {
-			ack.Deviate = append(ack.Deviate, &AppendAck{Key: h.name, Epoch: h.epoch, Promised: h.promised})
+			ack.Deviations = append(ack.Deviations, &AppendAck{Partition: h.name, Epoch: h.epoch, Promised: h.promised})
 			continue
 		}
 		if h.trackFreshness {
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// KeyStatus is an owner's status of one of its partitions. The full epoch consists of the number
+// PartitionStatus is an owner's status of one of its partitions. The full epoch consists of the number
 // here and the sender's address and process run (Epoch.Owner, Epoch.Life).
-type KeyStatus struct {
-	Key    string `cbor:"1,keyasint"`
-	Epoch  uint64 `cbor:"2,keyasint"`
-	Seq    uint64 `cbor:"3,keyasint,omitempty"`
-	Commit uint64 `cbor:"4,keyasint,omitempty"`
-	Sum    uint64 `cbor:"5,keyasint,omitempty"` // digest of all records
+type PartitionStatus struct {
+	Partition string `cbor:"1,keyasint"`
+	Epoch     uint64 `cbor:"2,keyasint"`
+	Seq       uint64 `cbor:"3,keyasint,omitempty"`
+	Commit    uint64 `cbor:"4,keyasint,omitempty"`
+	Sum       uint64 `cbor:"5,keyasint,omitempty"` // digest of all records
 }
 
 // digest is the entry's contribution to the digest of the list.
-func (s KeyStatus) digest() uint64 {
+func (s PartitionStatus) digest() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(s.Key))
+	_, _ = h.Write([]byte(s.Partition))
 	sum := h.Sum64()
 	for _, v := range [...]uint64{s.Epoch, s.Seq, s.Commit, s.Sum} {
 		sum = (sum^v)*0x9e3779b97f4a7c15 + 1
@@ -29,38 +29,38 @@
 	return sum
 }
 
-// KeyAge is how long ago the ownership of one partition was confirmed, where that differs from
+// PartitionAge is how long ago the ownership of one partition was confirmed, where that differs from
 // Heartbeat.Sure.Age. Negative: it has not been confirmed yet.
-type KeyAge struct {
-	Key string        `cbor:"1,keyasint"`
-	Age time.Duration `cbor:"2,keyasint"`
+type PartitionAge struct {
+	Partition string        `cbor:"1,keyasint"`
+	Age       time.Duration `cbor:"2,keyasint"`
 }
 
 // Heartbeat covers all partitions of an owner once per heartbeat interval or, if it is partial,
 // those that it names.
 type Heartbeat struct {
-	Round   uint64      `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
-	Roster  Position    `cbor:"2,keyasint"`
-	Partial bool        `cbor:"3,keyasint,omitempty"`
-	Base    uint64      `cbor:"4,keyasint,omitempty"` // list version that Keys and Gone are relative to; 0: Keys is the whole list
-	Version uint64      `cbor:"5,keyasint,omitempty"`
-	Digest  uint64      `cbor:"6,keyasint,omitempty"` // digest of the list at Version
-	Keys    []KeyStatus `cbor:"7,keyasint,omitempty"`
-	Gone    []string    `cbor:"8,keyasint,omitempty"` // partitions that the sender no longer owns
-	Sure    *Sure       `cbor:"9,keyasint,omitempty"`
-	Ages    []KeyAge    `cbor:"10,keyasint,omitempty"`
+	Round     uint64            `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
+	VoterSet  Position          `cbor:"2,keyasint"`
+	Partial   bool              `cbor:"3,keyasint,omitempty"`
+	Base      uint64            `cbor:"4,keyasint,omitempty"` // list version that Keys and Gone are relative to; 0: Keys is the whole list
+	Version   uint64            `cbor:"5,keyasint,omitempty"`
+	Digest    uint64            `cbor:"6,keyasint,omitempty"` // digest of the list at Version
+	Keys      []PartitionStatus `cbor:"7,keyasint,omitempty"`
+	Removed   []string          `cbor:"8,keyasint,omitempty"` // partitions that the sender no longer owns
+	Freshness *Freshness        `cbor:"9,keyasint,omitempty"`
+	Ages      []PartitionAge    `cbor:"10,keyasint,omitempty"`
 }
 
 // HeartbeatAck answers a Heartbeat. It confirms the epochs of all partitions that the heartbeat
 // covered, except those in Deviate, unless the owner's voter set is outdated or the member lacks
 // the list.
 type HeartbeatAck struct {
-	Life     uint64        `cbor:"1,keyasint"` // the owner's process run (Message.Life)
-	Round    uint64        `cbor:"2,keyasint,omitempty"`
-	Partial  bool          `cbor:"3,keyasint,omitempty"`
-	Lacks    bool          `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
-	Version  uint64        `cbor:"5,keyasint,omitempty"` // list version that the member holds
-	Mark     time.Duration `cbor:"6,keyasint,omitempty"` // the member's clock
-	Deviate  []*AppendAck  `cbor:"7,keyasint,omitempty"` // partitions in which the member's copy differs from the owner's, or for which it has promised another epoch
-	Outdated *Holding      `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
+	RunID       uint64         `cbor:"1,keyasint"` // the owner's process run (Message.Life)
+	Round       uint64         `cbor:"2,keyasint,omitempty"`
+	Partial     bool           `cbor:"3,keyasint,omitempty"`
+	ListMissing bool           `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
+	Version     uint64         `cbor:"5,keyasint,omitempty"` // list version that the member holds
+	Mark        time.Duration  `cbor:"6,keyasint,omitempty"` // the member's clock
+	Deviations  []*AppendAck   `cbor:"7,keyasint,omitempty"` // partitions in which the member's copy differs from the owner's, or for which it has promised another epoch
+	Outdated    *PartitionCopy `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -71,8 +71,8 @@
 
 // notAtFirstSuccessor counts the partitions that their first successors don't own.
 func (sim *cluster) notAtFirstSuccessor() (n int) {
-	for _, partition := range append([]string{RosterKey}, sim.partitions...) {
-		if owner := sim.ownerOf(partition); owner == nil || owner.replica.Heirs(partition)[0] != owner.id || len(owner.replica.Roster()) < len(sim.ids) {
+	for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
+		if owner := sim.ownerOf(partition); owner == nil || owner.replica.Successors(partition)[0] != owner.id || len(owner.replica.Voters()) < len(sim.ids) {
 			n++
 		}
 	}
@@ -108,7 +108,7 @@
 	owner := sim.ownerOf(testPartition)
 	var owned []string
 	for _, part := range owner.replica.ownedPartitions() {
-		if part.name != RosterKey {
+		if part.name != VoterSetPartition {
 			owned = append(owned, part.name)
 		}
 	}
@@ -190,13 +190,13 @@
 	owner := sim.ownerOf(testPartition)
 	var other string
 	for _, part := range owner.replica.ownedPartitions() {
-		if part.name != testPartition && part.name != RosterKey {
+		if part.name != testPartition && part.name != VoterSetPartition {
 			other = part.name
 		}
 	}
-	successor := sim.nodes[owner.replica.Heirs(testPartition)[1]]
+	successor := sim.nodes[owner.replica.Successors(testPartition)[1]]
 	if successor == owner {
-		successor = sim.nodes[owner.replica.Heirs(testPartition)[0]]
+		successor = sim.nodes[owner.replica.Successors(testPartition)[0]]
 	}
 	epochBefore, otherEpoch := owner.replica.partitions[testPartition].ownEpoch, owner.replica.partitions[other].ownEpoch
 	sim.drop = func(_ string, e Envelope) bool { // the owner receives nothing from its successor's election
@@ -245,8 +245,8 @@
 	}
 	for _, id := range sim.ids {
 		if other := sim.nodes[id]; other != owner {
-			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: owner.replica.cfg.Life, Round: part.firstRound - 1, Version: owner.replica.heartbeats.version}})
+			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
+				Body: &HeartbeatAck{RunID: owner.replica.cfg.RunID, Round: part.firstRound - 1, Version: owner.replica.heartbeats.version}})
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
@@ -254,8 +254,8 @@
 	}
 	for _, id := range sim.ids {
 		if other := sim.nodes[id]; other != owner {
-			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: 1, Protocol: protocolHeartbeat,
-				Body: &HeartbeatAck{Life: owner.replica.cfg.Life + 1, Round: owner.replica.heartbeats.round, Version: owner.replica.heartbeats.version}})
+			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
+				Body: &HeartbeatAck{RunID: owner.replica.cfg.RunID + 1, Round: owner.replica.heartbeats.round, Version: owner.replica.heartbeats.version}})
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
@@ -280,12 +280,12 @@
 	m.Take()
 	m.write(nil, nil) // a write is pending
 	heartbeatEpoch := part.promised
-	heartbeat := &Heartbeat{Round: 7, Roster: m.partitions[RosterKey].position, Partial: true,
-		Keys: []KeyStatus{{Key: testPartition, Epoch: part.promised.N, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
-	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, Life: owner.replica.cfg.Life, Protocol: protocolHeartbeat, Body: heartbeat})
-	newer := Epoch{part.promised.N + 1, follower.id, 99}
-	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, Life: owner.replica.cfg.Life, Protocol: protocolHeartbeat,
-		Body: &VoteRequest{Key: testPartition, Epoch: newer, Roster: m.partitions[RosterKey].position, At: part.position}})
+	heartbeat := &Heartbeat{Round: 7, VoterSet: m.partitions[VoterSetPartition].position, Partial: true,
+		Keys: []PartitionStatus{{Partition: testPartition, Epoch: part.promised.Number, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
+	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat, Body: heartbeat})
+	newer := Epoch{part.promised.Number + 1, follower.id, 99}
+	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat,
+		Body: &VoteRequest{Partition: testPartition, Epoch: newer, VoterSet: m.partitions[VoterSetPartition].position, At: part.position}})
 	if part.promised != newer {
 		t.Fatalf("the follower promised %v", part.promised)
 	}
@@ -293,9 +293,9 @@
 	reported, confirmed := false, false
 	for _, e := range m.Take().Send {
 		if a := bodyAs[*HeartbeatAck](e.Msg); a != nil && a.Round == 7 {
-			for _, d := range a.Deviate {
-				reported = reported || d.Key == testPartition && d.Promised == newer
-				confirmed = confirmed || d.Key == testPartition && d.Promised == heartbeatEpoch
+			for _, d := range a.Deviations {
+				reported = reported || d.Partition == testPartition && d.Promised == newer
+				confirmed = confirmed || d.Partition == testPartition && d.Promised == heartbeatEpoch
 			}
 		}
 	}
@@ -307,9 +307,9 @@
 // A list that no longer matches the owner's is detected by its digest and requested anew; a heartbeat
 // with an older version of the list is ignored.
 func TestOwnerListIsAppliedOnlyToItsBase(t *testing.T) {
-	full := []KeyStatus{{Key: "a", Epoch: 1, Seq: 2, Commit: 2}, {Key: "b", Epoch: 1, Seq: 1}}
+	full := []PartitionStatus{{Partition: "a", Epoch: 1, Seq: 2, Commit: 2}, {Partition: "b", Epoch: 1, Seq: 1}}
 	digest := full[0].digest() ^ full[1].digest()
-	changed := KeyStatus{Key: "b", Epoch: 1, Seq: 5, Commit: 5}
+	changed := PartitionStatus{Partition: "b", Epoch: 1, Seq: 5, Commit: 5}
 	changedDigest := full[0].digest() ^ changed.digest()
 	member := &Replica{ownerLists: map[string]*ownerList{}}
 	for _, tc := range []struct { // applied one by one at the same member
@@ -321,11 +321,11 @@
 		{"no list to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
 		{"the whole list", Heartbeat{Version: 2, Digest: digest, Keys: full}, 1, listApplied},
 		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listApplied},
-		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: changedDigest, Keys: []KeyStatus{changed}}, 1, listMissing},
-		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []KeyStatus{changed}}, 2, listMissing},
-		{"a change", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []KeyStatus{changed}}, 1, listApplied},
+		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 1, listMissing},
+		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 2, listMissing},
+		{"a change", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 1, listApplied},
 		{"late", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listStale},
-		{"a partition is removed", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Gone: []string{"a"}}, 1, listApplied},
+		{"a partition is removed", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Removed: []string{"a"}}, 1, listApplied},
 		{"digest mismatch", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
 		{"the list was dropped after the mismatch", Heartbeat{Base: 4, Version: 4, Digest: changed.digest()}, 1, listMissing},
 	} {
@@ -369,7 +369,7 @@
 	for end := sim.now + 4*testHeartbeat; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 		for _, id := range sim.ids {
 			n := sim.nodes[id]
-			if at, ok := n.replica.Current(testPartition); !ok || sim.clock(n)-at > 3*testHeartbeat {
+			if at, ok := n.replica.FreshAsOf(testPartition); !ok || sim.clock(n)-at > 3*testHeartbeat {
 				t.Fatalf("%s (without heartbeats: %v) reports its copy as fresh as of %v (%v), at %v", id, n.withoutHeartbeats, at, ok, sim.clock(n))
 			}
 		}
@@ -409,14 +409,14 @@
 			heartbeat := &Heartbeat{Partial: partial}
 			m.setAges(heartbeat, partitions)
 			for _, part := range partitions {
-				i := slices.IndexFunc(heartbeat.Ages, func(a KeyAge) bool { return a.Key == part.name })
+				i := slices.IndexFunc(heartbeat.Ages, func(a PartitionAge) bool { return a.Partition == part.name })
 				reported := time.Duration(-1)
 				if i >= 0 {
 					reported = heartbeat.Ages[i].Age
-				} else if heartbeat.Sure != nil {
-					reported = heartbeat.Sure.Age
+				} else if heartbeat.Freshness != nil {
+					reported = heartbeat.Freshness.Age
 				}
-				if part.confirmedAt == neverConfirmed && reported >= 0 && heartbeat.Sure != nil || part.confirmedAt != neverConfirmed && (reported < m.now-part.confirmedAt || reported > m.now-part.confirmedAt+300*time.Millisecond) {
+				if part.confirmedAt == neverConfirmed && reported >= 0 && heartbeat.Freshness != nil || part.confirmedAt != neverConfirmed && (reported < m.now-part.confirmedAt || reported > m.now-part.confirmedAt+300*time.Millisecond) {
 					t.Errorf("%v partial %v: %s was confirmed %v ago, reported as %v", ages, partial, part.name, m.now-part.confirmedAt, reported)
 				}
 			}
@@ -449,8 +449,8 @@
 		}
 		for _, id := range sim.ids {
 			if other := sim.nodes[id]; other != owner {
-				m.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, Life: other.replica.cfg.Life, Protocol: protocolHeartbeat,
-					Body: &HeartbeatAck{Life: m.cfg.Life, Round: round, Partial: partial, Version: version}})
+				m.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: other.replica.cfg.RunID, Protocol: protocolHeartbeat,
+					Body: &HeartbeatAck{RunID: m.cfg.RunID, Round: round, Partial: partial, Version: version}})
 				if part.confirmedRounds[other.replica.self] != round || part.acks[other.replica.self] != before {
 					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, part.confirmedRounds[other.replica.self], part.acks[other.replica.self], round, before)
 				}
@@ -468,13 +468,13 @@
 	sim := newClusterWithPartitions(t, 1, 3)
 	member := sim.nodes[sim.ids[0]]
 	epochs := map[string]Epoch{}
-	for end := sim.now + 20*member.replica.cfg.Vacant; sim.now < end; sim.runUntil(sim.now + testHeartbeat/2) {
+	for end := sim.now + 20*member.replica.cfg.ElectionTimeout; sim.now < end; sim.runUntil(sim.now + testHeartbeat/2) {
 		for _, partition := range sim.partitions {
-			term, ok := member.replica.Tenure(sim.clock(member), partition)
+			term, ok := member.replica.OwnershipTerm(sim.clock(member), partition)
 			if _, seen := epochs[partition]; !seen {
 				epochs[partition] = term.Epoch
 			}
-			if at, current := member.replica.Current(partition); !ok || term.Epoch != epochs[partition] || !current || sim.clock(member)-at > 2*testHeartbeat {
+			if at, current := member.replica.FreshAsOf(partition); !ok || term.Epoch != epochs[partition] || !current || sim.clock(member)-at > 2*testHeartbeat {
 				t.Fatalf("%v: %s is owned: %v, under %v, at first %v; fresh: %v, as of %v", sim.clock(member), partition, ok, term.Epoch, epochs[partition], current, at)
 			}
 		}
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -8,15 +8,15 @@
 // leaves.
 func (m *Replica) tickLeaving() {
 	if m.survey == nil {
-		m.survey = &survey{voterSet: m.partitions[RosterKey].position, replies: map[string]*StateReport{}}
+		m.survey = &survey{voterSet: m.partitions[VoterSetPartition].position, replies: map[string]*StateReport{}}
 	}
 	m.sendSurvey(m.otherVoters())
 }
 
-// MayGo reports whether a leaving member is no longer needed. That is so if it is not a voter. It is
+// SafeToLeave reports whether a leaving member is no longer needed. That is so if it is not a voter. It is
 // also so if it may leave as a voter that then counts as lost and, for each partition, there is
 // another owner and a majority without this member holds everything that this member holds.
-func (m *Replica) MayGo(now time.Duration) bool {
+func (m *Replica) SafeToLeave(now time.Duration) bool {
 	m.now = now
 	if !m.leaving || !m.isVoter() {
 		return true
@@ -38,7 +38,7 @@
 				return false
 			}
 			for _, s := range m.survey.replies[id].Keys {
-				if s.Key == name {
+				if s.Partition == name {
 					return !s.At.Less(part.position)
 				}
 			}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -70,7 +70,7 @@
 		return m.cachedVoterSet
 	}
 	s := &voterSet{}
-	for name, r := range m.partitions[RosterKey].Records {
+	for name, r := range m.partitions[VoterSetPartition].Records {
 		if r.Dropped {
 			continue
 		}
@@ -135,8 +135,8 @@
 	return false
 }
 
-// Roster returns the addresses of all voters, old and new.
-func (m *Replica) Roster() []string {
+// Voters returns the addresses of all voters, old and new.
+func (m *Replica) Voters() []string {
 	var out []string
 	for _, id := range m.voterSet().all() {
 		if a := addressOf(id); !slices.Contains(out, a) {
@@ -149,7 +149,7 @@
 // otherVoters returns the addresses of the other voters.
 func (m *Replica) otherVoters() []string {
 	var out []string
-	for _, a := range m.Roster() {
+	for _, a := range m.Voters() {
 		if a != m.cfg.Self {
 			out = append(out, a)
 		}
@@ -169,8 +169,8 @@
 	return out
 }
 
-// Everyone returns the addresses of this member, the other voters and the learners.
-func (m *Replica) Everyone() []string {
+// Members returns the addresses of this member, the other voters and the learners.
+func (m *Replica) Members() []string {
 	out := append([]string{m.cfg.Self}, m.others()...)
 	sort.Strings(out)
 	return out
@@ -179,9 +179,9 @@
 // activeLearners returns the learners that have asked to become voters recently.
 func (m *Replica) activeLearners() (out []string) {
 	for id, at := range m.learners {
-		if m.now-at <= m.cfg.Vacant+m.cfg.Beat {
+		if m.now-at <= m.cfg.ElectionTimeout+m.cfg.HeartbeatInterval {
 			out = append(out, id)
-		} else if m.now-at > 20*m.cfg.Vacant {
+		} else if m.now-at > 20*m.cfg.ElectionTimeout {
 			delete(m.learners, id)
 		}
 	}
@@ -237,17 +237,19 @@
 func (m *Replica) mayOwn() bool { return m.isAnyOf(m.voterSet().newVoters) }
 
 // olderVoterSet reports whether p is older than this member's voter set.
-func (m *Replica) olderVoterSet(p Position) bool { return p.Less(m.partitions[RosterKey].position) }
+func (m *Replica) olderVoterSet(p Position) bool {
+	return p.Less(m.partitions[VoterSetPartition].position)
+}
 
-func (m *Replica) voterSetCopy() *Holding {
-	part := m.partitions[RosterKey]
-	return &Holding{At: part.position, Records: part.Pick(allRanges)}
+func (m *Replica) voterSetCopy() *PartitionCopy {
+	part := m.partitions[VoterSetPartition]
+	return &PartitionCopy{At: part.position, Records: part.Pick(allRanges)}
 }
 
 // adoptVoterSet takes over a newer voter set, sent by a member that rejected a message because this
 // member's voter set is outdated.
-func (m *Replica) adoptVoterSet(h *Holding) {
-	part := m.partitions[RosterKey]
+func (m *Replica) adoptVoterSet(h *PartitionCopy) {
+	part := m.partitions[VoterSetPartition]
 	if !part.position.Less(h.At) {
 		return
 	}
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -23,26 +23,26 @@
 // Record is one entry of a partition.
 type Record = antientropy.Record
 
-// RosterKey is the partition of the voter set; the names of its records are the identities of the
+// VoterSetPartition is the partition of the voter set; the names of its records are the identities of the
 // voters.
-const RosterKey = "roster"
+const VoterSetPartition = "roster"
 
 // Epoch identifies one ownership of a partition, as a term does in Raft. No two processes ever use
 // the same one.
 type Epoch struct {
-	N     uint64 `cbor:"1,keyasint,omitempty"`
-	Owner string `cbor:"2,keyasint,omitempty"`
-	Life  uint64 `cbor:"3,keyasint,omitempty"`
+	Number uint64 `cbor:"1,keyasint,omitempty"`
+	Owner  string `cbor:"2,keyasint,omitempty"`
+	RunID  uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 func (e Epoch) Less(o Epoch) bool {
-	if e.N != o.N {
-		return e.N < o.N
+	if e.Number != o.Number {
+		return e.Number < o.Number
 	}
 	if e.Owner != o.Owner {
 		return e.Owner < o.Owner
 	}
-	return e.Life < o.Life
+	return e.RunID < o.RunID
 }
 
 // Position is a position in a partition's log.
@@ -61,48 +61,48 @@
 // VoteRequest asks a member to vote for the sender and to promise to follow no older epoch. A
 // pre-vote only asks whether the vote would be granted, and changes nothing.
 type VoteRequest struct {
-	Key     string   `cbor:"1,keyasint"`
-	Epoch   Epoch    `cbor:"2,keyasint"`
-	Roster  Position `cbor:"3,keyasint"`
-	At      Position `cbor:"4,keyasint"` // position of the candidate's copy
-	PreVote bool     `cbor:"5,keyasint,omitempty"`
+	Partition string   `cbor:"1,keyasint"`
+	Epoch     Epoch    `cbor:"2,keyasint"`
+	VoterSet  Position `cbor:"3,keyasint"`
+	At        Position `cbor:"4,keyasint"` // position of the candidate's copy
+	PreVote   bool     `cbor:"5,keyasint,omitempty"`
 }
 
 // Vote answers VoteRequest. It is granted only to a candidate whose copy is at least as new as
 // the member's own, so a candidate with a majority of votes holds everything that was
 // committed.
 type Vote struct {
-	Key      string   `cbor:"1,keyasint"`
-	Epoch    Epoch    `cbor:"2,keyasint"`
-	OK       bool     `cbor:"3,keyasint,omitempty"`
-	Promised Epoch    `cbor:"4,keyasint"`
-	At       Position `cbor:"5,keyasint"`
-	Outdated *Holding `cbor:"9,keyasint,omitempty"` // the newer voter set, if the candidate's is older
-	// Quiet is how long ago the member last confirmed another epoch. It is set for partitions whose
+	Partition string         `cbor:"1,keyasint"`
+	Epoch     Epoch          `cbor:"2,keyasint"`
+	Granted   bool           `cbor:"3,keyasint,omitempty"`
+	Promised  Epoch          `cbor:"4,keyasint"`
+	At        Position       `cbor:"5,keyasint"`
+	Outdated  *PartitionCopy `cbor:"9,keyasint,omitempty"` // the newer voter set, if the candidate's is older
+	// SinceConfirmed is how long ago the member last confirmed another epoch. It is set for partitions whose
 	// members must know how fresh their copies are.
-	Quiet   time.Duration    `cbor:"8,keyasint,omitempty"`
-	PreVote bool             `cbor:"10,keyasint,omitempty"`
-	Sums    antientropy.Sums `cbor:"11,keyasint"` // digests of the member's copy
+	SinceConfirmed time.Duration    `cbor:"8,keyasint,omitempty"`
+	PreVote        bool             `cbor:"10,keyasint,omitempty"`
+	Sums           antientropy.Sums `cbor:"11,keyasint"` // digests of the member's copy
 }
 
 // Append brings a member from the position Base to the position Seq of Epoch. Without Changes
 // and Mend it serves members of protocol 0 as a heartbeat. With Mend, it replaces the whole
 // ranges listed there by Changes.
 type Append struct {
-	Key     string   `cbor:"1,keyasint"`
-	Epoch   Epoch    `cbor:"2,keyasint"`
-	Base    Position `cbor:"3,keyasint"`
-	Seq     uint64   `cbor:"4,keyasint,omitempty"`
-	Commit  uint64   `cbor:"5,keyasint,omitempty"`
-	Round   uint64   `cbor:"6,keyasint,omitempty"`
-	Roster  Position `cbor:"7,keyasint"`
-	Changes []Record `cbor:"8,keyasint,omitempty"`
-	Mend    []int    `cbor:"9,keyasint,omitempty"`
+	Partition     string   `cbor:"1,keyasint"`
+	Epoch         Epoch    `cbor:"2,keyasint"`
+	Base          Position `cbor:"3,keyasint"`
+	Seq           uint64   `cbor:"4,keyasint,omitempty"`
+	Commit        uint64   `cbor:"5,keyasint,omitempty"`
+	Round         uint64   `cbor:"6,keyasint,omitempty"`
+	VoterSet      Position `cbor:"7,keyasint"`
+	Changes       []Record `cbor:"8,keyasint,omitempty"`
+	ReplaceRanges []int    `cbor:"9,keyasint,omitempty"`
 	// Sum is the digest of all records at the new position (antientropy.Sums.Fold). Members of
 	// versions without it send and read the digests by range, Sums.
-	Sums *antientropy.Sums `cbor:"10,keyasint,omitempty"`
-	Sure *Sure             `cbor:"11,keyasint,omitempty"`
-	Sum  uint64            `cbor:"12,keyasint,omitempty"`
+	Sums      *antientropy.Sums `cbor:"10,keyasint,omitempty"`
+	Freshness *Freshness        `cbor:"11,keyasint,omitempty"`
+	Sum       uint64            `cbor:"12,keyasint,omitempty"`
 }
 
 // setDigest sets the digest of the records at the new position; withSums adds the digests by
@@ -123,108 +123,108 @@
 	return a.Sum == sums.Fold()
 }
 
-// Sure tells a member how long ago the owner's ownership was last confirmed, and thus how old the
+// Freshness tells a member how long ago the owner's ownership was last confirmed, and thus how old the
 // member's copy may be. It consists of durations: the member's own clock reading is echoed with
 // the time for which the owner held it, so the member can date the confirmation by its own
 // clock, however long the message was in transit.
-type Sure struct {
-	Life uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.Life)
-	Mark time.Duration `cbor:"2,keyasint"`
-	Held time.Duration `cbor:"3,keyasint"`
-	Age  time.Duration `cbor:"4,keyasint"`
+type Freshness struct {
+	RunID uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.Life)
+	Mark  time.Duration `cbor:"2,keyasint"`
+	Held  time.Duration `cbor:"3,keyasint"`
+	Age   time.Duration `cbor:"4,keyasint"`
 }
 
 // AppendAck answers Append. If the member lags behind, Sums are the digests of what it holds.
 type AppendAck struct {
-	Key      string            `cbor:"1,keyasint"`
-	Epoch    Epoch             `cbor:"2,keyasint"`
-	OK       bool              `cbor:"3,keyasint,omitempty"`
-	Promised Epoch             `cbor:"4,keyasint"`
-	At       Position          `cbor:"5,keyasint"`
-	Round    uint64            `cbor:"6,keyasint,omitempty"`
-	Sums     *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Mark     time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this partition
-	Outdated *Holding          `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
+	Partition string            `cbor:"1,keyasint"`
+	Epoch     Epoch             `cbor:"2,keyasint"`
+	OK        bool              `cbor:"3,keyasint,omitempty"`
+	Promised  Epoch             `cbor:"4,keyasint"`
+	At        Position          `cbor:"5,keyasint"`
+	Round     uint64            `cbor:"6,keyasint,omitempty"`
+	Sums      *antientropy.Sums `cbor:"7,keyasint,omitempty"`
+	Mark      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this partition
+	Outdated  *PartitionCopy    `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
 
 // SnapshotChunk is a part of a snapshot: the records of some ranges at a position. A member
 // that has applied all chunks has the digests Sums.
 type SnapshotChunk struct {
-	Key     string           `cbor:"1,keyasint"`
-	Epoch   Epoch            `cbor:"2,keyasint"`
-	Roster  Position         `cbor:"3,keyasint"`
-	At      Position         `cbor:"4,keyasint"`
-	Sums    antientropy.Sums `cbor:"5,keyasint"`
-	Index   int              `cbor:"6,keyasint,omitempty"`
-	Count   int              `cbor:"7,keyasint"`
-	Ranges  []int            `cbor:"8,keyasint,omitempty"` // all ranges of the snapshot
-	Records []Record         `cbor:"9,keyasint,omitempty"`
+	Partition string           `cbor:"1,keyasint"`
+	Epoch     Epoch            `cbor:"2,keyasint"`
+	VoterSet  Position         `cbor:"3,keyasint"`
+	At        Position         `cbor:"4,keyasint"`
+	Sums      antientropy.Sums `cbor:"5,keyasint"`
+	Index     int              `cbor:"6,keyasint,omitempty"`
+	Count     int              `cbor:"7,keyasint"`
+	Ranges    []int            `cbor:"8,keyasint,omitempty"` // all ranges of the snapshot
+	Records   []Record         `cbor:"9,keyasint,omitempty"`
 }
 
 // SnapshotAck asks for the next chunk of a snapshot.
 type SnapshotAck struct {
-	Key   string   `cbor:"1,keyasint"`
-	Epoch Epoch    `cbor:"2,keyasint"`
-	At    Position `cbor:"3,keyasint"`
-	Next  int      `cbor:"4,keyasint,omitempty"`
+	Partition string   `cbor:"1,keyasint"`
+	Epoch     Epoch    `cbor:"2,keyasint"`
+	At        Position `cbor:"3,keyasint"`
+	Next      int      `cbor:"4,keyasint,omitempty"`
 }
 
 // StateQuery asks a member for the durable positions of its copies.
 type StateQuery struct {
-	Round   uint64   `cbor:"1,keyasint"`
-	Leaving bool     `cbor:"2,keyasint,omitempty"` // the sender is about to leave
-	Roster  Position `cbor:"3,keyasint"`           // the sender's voter set
+	Round    uint64   `cbor:"1,keyasint"`
+	Leaving  bool     `cbor:"2,keyasint,omitempty"` // the sender is about to leave
+	VoterSet Position `cbor:"3,keyasint"`           // the sender's voter set
 }
 
 // StateReport answers StateQuery: the member's voter set, below which it no longer accepts
 // anything, and the positions of its copies under it.
 type StateReport struct {
-	Round  uint64   `cbor:"1,keyasint"`
-	Roster Position `cbor:"2,keyasint"`
-	Keys   []Stand  `cbor:"3,keyasint,omitempty"`
+	Round    uint64              `cbor:"1,keyasint"`
+	VoterSet Position            `cbor:"2,keyasint"`
+	Keys     []PartitionPosition `cbor:"3,keyasint,omitempty"`
 	// Outdated is a newer, committed voter set for a sender that is leaving: nothing is replicated
 	// to it any more once it has been removed from the voter set.
-	Outdated *Holding `cbor:"4,keyasint,omitempty"`
+	Outdated *PartitionCopy `cbor:"4,keyasint,omitempty"`
 }
 
-// Stand is the position of a member's copy of a partition and the newest epoch that it has promised
+// PartitionPosition is the position of a member's copy of a partition and the newest epoch that it has promised
 // to follow.
-type Stand struct {
-	Key      string   `cbor:"1,keyasint"`
-	Promised Epoch    `cbor:"2,keyasint"`
-	At       Position `cbor:"3,keyasint"`
+type PartitionPosition struct {
+	Partition string   `cbor:"1,keyasint"`
+	Promised  Epoch    `cbor:"2,keyasint"`
+	At        Position `cbor:"3,keyasint"`
 }
 
-// Holding is a copy of a partition at a position.
-type Holding struct {
+// PartitionCopy is a copy of a partition at a position.
+type PartitionCopy struct {
 	At      Position `cbor:"3,keyasint"`
 	Records []Record `cbor:"4,keyasint,omitempty"`
 }
 
-// Found proposes the initial voter set of a new system. Without Records it only asks whether the
+// BootstrapRequest proposes the initial voter set of a new system. Without Records it only asks whether the
 // receiver is there.
-type Found struct {
+type BootstrapRequest struct {
 	At      Position `cbor:"1,keyasint"`
 	Records []Record `cbor:"2,keyasint"`
 }
 
-// Founded acknowledges that the sender holds the initial voter set durably. At the zero position
+// BootstrapReply acknowledges that the sender holds the initial voter set durably. At the zero position
 // it only says that the sender is there and has no voter set.
-type Founded struct {
+type BootstrapReply struct {
 	At Position `cbor:"1,keyasint"`
 	// Relay says that the sender has no disk and can't be a member. Appointed is the member
 	// that it appoints as the only initial member in case all seeds are relays; empty if it
 	// isn't known here.
 	Relay     bool   `cbor:"2,keyasint,omitempty"`
 	Appointed string `cbor:"3,keyasint,omitempty"`
-	// Passive says that the sender may not propose the initial voter set because its disk holds no
+	// MayNotPropose says that the sender may not propose the initial voter set because its disk holds no
 	// seeds of a first start.
-	Passive bool `cbor:"4,keyasint,omitempty"`
+	MayNotPropose bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Transfer asks a member to take over a partition at once.
 type Transfer struct {
-	Key string `cbor:"1,keyasint"`
+	Partition string `cbor:"1,keyasint"`
 }
 
 // Probe asks, after a start, which partitions have an owner.
@@ -234,7 +234,7 @@
 // under way. It binds nobody; it only saves a restarted member the wait for owners that don't
 // exist.
 type ProbeAck struct {
-	Owned []string `cbor:"1,keyasint,omitempty"`
+	OwnedPartitions []string `cbor:"1,keyasint,omitempty"`
 }
 
 // Join says that the sender is not a voter. Owners replicate to it as a learner, and the owner of
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -11,9 +11,9 @@
 	m.Propose(now, name, func(map[string]Record) ([]Record, error) { return nil, nil }, done)
 }
 
-// Current returns a time on this member's clock as of which its committed copy of a partition was
+// FreshAsOf returns a time on this member's clock as of which its committed copy of a partition was
 // certainly the newest that anybody could have been told of.
-func (m *Replica) Current(name string) (time.Duration, bool) {
+func (m *Replica) FreshAsOf(name string) (time.Duration, bool) {
 	part := m.partition(name)
 	if part.commit.Seq == 0 || part.commit != part.position && part.undo == nil {
 		return 0, false
@@ -27,20 +27,20 @@
 // neverConfirmed is the value of confirmedAt while the ownership has not been confirmed yet.
 const neverConfirmed time.Duration = -1
 
-// Tenure describes a member's ownership of a partition.
-type Tenure struct {
-	Epoch Epoch
-	Since time.Duration // when the member won the election
-	Sure  time.Duration // when it was last certain that there was no other owner
-	Heir  bool          // the partition had records when the ownership began, so others may have owned it before
-	Free  time.Duration // no earlier owner was confirmed later than this
+// OwnershipTerm describes a member's ownership of a partition.
+type OwnershipTerm struct {
+	Epoch            Epoch
+	Since            time.Duration // when the member won the election
+	ConfirmedAt      time.Duration // when it was last certain that there was no other owner
+	Inherited        bool          // the partition had records when the ownership began, so others may have owned it before
+	PredecessorUntil time.Duration // no earlier owner was confirmed later than this
 }
 
-// Tenure describes this member's ownership of a partition. ok is false unless the ownership was
+// OwnershipTerm describes this member's ownership of a partition. ok is false unless the ownership was
 // confirmed within the last Config.Vacant.
-func (m *Replica) Tenure(now time.Duration, name string) (t Tenure, ok bool) {
+func (m *Replica) OwnershipTerm(now time.Duration, name string) (t OwnershipTerm, ok bool) {
 	part := m.partition(name)
-	return Tenure{part.ownEpoch, part.ownerSince, part.confirmedAt, part.inherited, part.predecessorUntil}, part.role == roleOwner && part.confirmedAt != neverConfirmed && now-part.confirmedAt <= m.cfg.Vacant
+	return OwnershipTerm{part.ownEpoch, part.ownerSince, part.confirmedAt, part.inherited, part.predecessorUntil}, part.role == roleOwner && part.confirmedAt != neverConfirmed && now-part.confirmedAt <= m.cfg.ElectionTimeout
 }
 
 // Committed returns the records of a partition at the newest position that this member knows to be
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -14,22 +14,22 @@
 // Config is the configuration of a member. The driver derives the durations from the bounds in
 // the settings.
 type Config struct {
-	Self      string               // the member's address
-	Life      uint64               // unique to each run of the process
-	Identity  uint64               // for a disk that has none yet; unique to each disk
-	Seeds     []string             // sorted
-	Bootstrap bool                 // setting: with an empty disk, take part in the bootstrap of a new system
-	Empty     bool                 // the disk held nothing, or nothing readable
-	Keys      []string             // partitions that exist from the start, besides the voter set
-	Beat      time.Duration        // interval between an owner's heartbeats
-	Vacant    time.Duration        // election timeout: silence after which a partition is taken over
-	Patience  time.Duration        // how long a proposal may wait
-	HandBack  time.Duration        // how long everything must be stable before a partition goes back to its first successor; 0: never
-	Alive     func(id string) bool // whether the process at an address seems alive
-	Sure      []string             // partitions whose members must know how fresh their copy is
-	// SurePrefix is the prefix of further such partitions, which are created on demand; empty:
+	Self                string               // the member's address
+	RunID               uint64               // unique to each run of the process
+	Identity            uint64               // for a disk that has none yet; unique to each disk
+	Seeds               []string             // sorted
+	Bootstrap           bool                 // setting: with an empty disk, take part in the bootstrap of a new system
+	Empty               bool                 // the disk held nothing, or nothing readable
+	Keys                []string             // partitions that exist from the start, besides the voter set
+	HeartbeatInterval   time.Duration        // interval between an owner's heartbeats
+	ElectionTimeout     time.Duration        // election timeout: silence after which a partition is taken over
+	ProposalTimeout     time.Duration        // how long a proposal may wait
+	TransferBackDelay   time.Duration        // how long everything must be stable before a partition goes back to its first successor; 0: never
+	Alive               func(id string) bool // whether the process at an address seems alive
+	FreshnessPartitions []string             // partitions whose members must know how fresh their copy is
+	// FreshnessPrefix is the prefix of further such partitions, which are created on demand; empty:
 	// there are none.
-	SurePrefix string
+	FreshnessPrefix string
 
 	Faults int                    // how many members may be lost at once with all guarantees kept
 	Left   func(id string) bool   // the process at an address has announced that it left; nil: never known
@@ -158,10 +158,10 @@
 		runIDs: map[string]uint64{}, voterSetAnsweredAt: map[string]time.Duration{}, lastIdentity: map[string]string{},
 		learners: map[string]time.Duration{}, leavers: map[string]time.Duration{}, probeAcks: map[string]map[string]bool{},
 		heartbeats: newHeartbeatState(), peers: map[string]*peer{}, clockEchoes: map[string]clockEcho{}, ownerLists: map[string]*ownerList{}}
-	for _, name := range append([]string{RosterKey}, cfg.Keys...) {
+	for _, name := range append([]string{VoterSetPartition}, cfg.Keys...) {
 		m.partition(name)
 	}
-	for _, name := range cfg.Sure {
+	for _, name := range cfg.FreshnessPartitions {
 		m.partition(name).trackFreshness = true
 	}
 	for entryKey, value := range disk {
@@ -204,7 +204,7 @@
 	part := m.partitions[name]
 	if part == nil {
 		part = &partition{name: name, Set: antientropy.NewSet(), knownSince: m.now}
-		part.trackFreshness = m.cfg.SurePrefix != "" && strings.HasPrefix(name, m.cfg.SurePrefix)
+		part.trackFreshness = m.cfg.FreshnessPrefix != "" && strings.HasPrefix(name, m.cfg.FreshnessPrefix)
 		m.partitions[name] = part
 		m.names = append(m.names, name)
 		sort.Strings(m.names)
@@ -221,7 +221,7 @@
 }
 
 func (m *Replica) send(to string, msg Message) {
-	msg.Life, msg.Identity, msg.Protocol = m.cfg.Life, m.identity, protocolHeartbeat
+	msg.RunID, msg.Identity, msg.Protocol = m.cfg.RunID, m.identity, protocolHeartbeat
 	m.effects.Send = append(m.effects.Send, Envelope{to, msg})
 }
 
@@ -240,10 +240,10 @@
 func (m *Replica) Handle(now time.Duration, from string, msg Message) {
 	m.now = now
 	id := idOf(from, msg.Identity)
-	m.runIDs[id], m.lastIdentity[from] = msg.Life, id
+	m.runIDs[id], m.lastIdentity[from] = msg.RunID, id
 	m.notePeer(from, id, msg)
 	if msg.Body != nil {
-		msg.Body.handle(m, sender{from, id, msg.Life})
+		msg.Body.handle(m, sender{from, id, msg.RunID})
 	}
 }
 
@@ -266,26 +266,26 @@
 	if !m.isVoter() {
 		return
 	}
-	if now-m.startedAt < 2*m.cfg.Beat {
+	if now-m.startedAt < 2*m.cfg.HeartbeatInterval {
 		for _, to := range m.others() {
 			m.send(to, Message{Body: &Probe{}})
 		}
 	}
-	diskStalled := m.firstPending <= m.lastWrite && now-m.pendingSince > m.cfg.Vacant/2
-	heartbeatDue, alone := now-m.heartbeats.lastFullAt >= m.cfg.Beat, m.decidesAlone()
+	diskStalled := m.firstPending <= m.lastWrite && now-m.pendingSince > m.cfg.ElectionTimeout/2
+	heartbeatDue, alone := now-m.heartbeats.lastFullAt >= m.cfg.HeartbeatInterval, m.decidesAlone()
 	m.expireLists()
 	for _, name := range m.names {
 		part := m.partitions[name]
 		m.expireWaiters(part)
 		switch part.role {
 		case roleOwner:
-			if now-part.quorumAt > m.cfg.Vacant || diskStalled {
+			if now-part.quorumAt > m.cfg.ElectionTimeout || diskStalled {
 				// The owner is cut off, was suspended for a while, or its disk doesn't respond.
 				if diskStalled {
 					m.transfer(part)
 				}
 				m.becomeFollower(part, ErrNoQuorum)
-				part.noElectionUntil = now + m.cfg.Vacant
+				part.noElectionUntil = now + m.cfg.ElectionTimeout
 			} else if heartbeatDue {
 				m.heartbeats.dueAll = true
 				if alone {
@@ -294,26 +294,26 @@
 				m.transferBack(part)
 			}
 		case roleCandidate:
-			if part.preVote && now-part.roleSince > m.cfg.Beat || now-part.roleSince > m.cfg.Vacant {
+			if part.preVote && now-part.roleSince > m.cfg.HeartbeatInterval || now-part.roleSince > m.cfg.ElectionTimeout {
 				m.becomeFollower(part, ErrNoQuorum)
-				part.noElectionUntil = now + m.cfg.Beat*time.Duration(1+m.rankAmongLive(part))/2
-			} else if part.votes[m.self] != nil && now-part.votesRequestedAt >= m.cfg.Beat/4 {
+				part.noElectionUntil = now + m.cfg.HeartbeatInterval*time.Duration(1+m.rankAmongLive(part))/2
+			} else if part.votes[m.self] != nil && now-part.votesRequestedAt >= m.cfg.HeartbeatInterval/4 {
 				m.requestVotes(part) // a request or a vote may have been lost
 			}
 		case roleFollower:
-			if part.hadContact && now-part.lastContact <= m.cfg.Vacant {
+			if part.hadContact && now-part.lastContact <= m.cfg.ElectionTimeout {
 				continue
 			}
-			wait := m.cfg.Vacant + time.Duration(m.rankAmongLive(part))*m.cfg.Vacant/2
+			wait := m.cfg.ElectionTimeout + time.Duration(m.rankAmongLive(part))*m.cfg.ElectionTimeout/2
 			since := part.lastContact
 			if !part.hadContact {
 				// Just started: give an existing owner time to make itself known.
-				wait = m.cfg.Beat + m.cfg.Beat/2 + time.Duration(m.rankAmongAll(part.name))*m.cfg.Vacant/4
+				wait = m.cfg.HeartbeatInterval + m.cfg.HeartbeatInterval/2 + time.Duration(m.rankAmongAll(part.name))*m.cfg.ElectionTimeout/4
 				since = m.startedAt
 				if part.knownSince > m.startedAt {
 					// A new partition can't have had an owner, unless this member missed that; then
 					// the owner will make itself known.
-					wait = time.Duration(m.rankAmongAll(part.name)) * m.cfg.Vacant / 4
+					wait = time.Duration(m.rankAmongAll(part.name)) * m.cfg.ElectionTimeout / 4
 					since = part.knownSince
 				}
 				if m.probesFoundNoOwner(name) {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -32,7 +32,7 @@
 				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.id, got)
 			}
 			sim.runUntil(sim.now + 8*time.Second)
-			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.id].replica.Voting() {
+			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.id].replica.IsVoter() {
 				t.Fatalf("seed %d: the lost member did not catch up", seed)
 			}
 		}
@@ -53,12 +53,12 @@
 	sim.start(id)
 	sim.runUntil(sim.now + 5*time.Second)
 	n := sim.nodes[id]
-	if n.replica.self == formerIdentity || n.replica.Voting() {
+	if n.replica.self == formerIdentity || n.replica.IsVoter() {
 		t.Fatalf("the member still is %s, or votes", formerIdentity)
 	}
 	for _, m := range []Message{
-		{Body: &VoteRequest{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Roster: Position{Epoch: Epoch{N: 99}}, At: Position{Epoch: Epoch{N: 99}}}},
-		{Body: &Append{Key: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Base: Position{Epoch{99, sim.ids[0], 1}, 5}, Seq: 6, Roster: Position{Epoch: Epoch{N: 99}}}},
+		{Body: &VoteRequest{Partition: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, VoterSet: Position{Epoch: Epoch{Number: 99}}, At: Position{Epoch: Epoch{Number: 99}}}},
+		{Body: &Append{Partition: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Base: Position{Epoch{99, sim.ids[0], 1}, 5}, Seq: 6, VoterSet: Position{Epoch: Epoch{Number: 99}}}},
 		{Body: &StateQuery{Round: 1}},
 	} {
 		n.replica.Take()
@@ -79,7 +79,7 @@
 	}
 	sim.start(down)
 	sim.runUntil(sim.now + 6*time.Second)
-	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen < 7 || slices.Contains(n.replica.voterSet().all(), formerIdentity) {
+	if !n.replica.IsVoter() || n.replica.partitions[testPartition].Records["x"].Gen < 7 || slices.Contains(n.replica.voterSet().all(), formerIdentity) {
 		t.Fatalf("the member did not become a voter again: %s %+v %+v", n.replica.self, n.replica.voterSet(), n.replica.partitions[testPartition].Records)
 	}
 }
@@ -165,7 +165,7 @@
 	}
 	sim.runUntil(sim.now + 10*time.Second)
 	for _, id := range sim.ids {
-		if sim.nodes[id].replica.Voting() || len(sim.nodes[id].replica.Roster()) > 0 {
+		if sim.nodes[id].replica.IsVoter() || len(sim.nodes[id].replica.Voters()) > 0 {
 			t.Fatalf("%s bootstrapped again although the system had existed before", id)
 		}
 	}
@@ -213,7 +213,7 @@
 		for i := 0; i < 10; i++ {
 			var owner *node
 			for sim.runUntil(sim.now + 200*time.Millisecond); owner == nil && sim.now < time.Minute; sim.runUntil(sim.now + 100*time.Millisecond) {
-				owner = sim.ownerOf(RosterKey)
+				owner = sim.ownerOf(VoterSetPartition)
 			}
 			if owner == nil {
 				t.Fatal("the voter set has no owner")
@@ -240,8 +240,8 @@
 	}
 	sim.runUntil(sim.now + time.Second)
 	for _, id := range sim.ids {
-		if id != lost && len(sim.nodes[id].replica.Roster()) != 3 {
-			t.Fatalf("%s has the voter set %v", id, sim.nodes[id].replica.Roster())
+		if id != lost && len(sim.nodes[id].replica.Voters()) != 3 {
+			t.Fatalf("%s has the voter set %v", id, sim.nodes[id].replica.Voters())
 		}
 	}
 	other := sim.ids[3]
@@ -255,7 +255,7 @@
 	sim.nodes[replacement] = &node{id: replacement, disk: map[string][]byte{}}
 	sim.start(replacement)
 	sim.runUntil(sim.now + 6*time.Second)
-	if !sim.nodes[replacement].replica.Voting() {
+	if !sim.nodes[replacement].replica.IsVoter() {
 		t.Fatal("the replacement is not a voter")
 	}
 	sim.crash(sim.ids[0], false)
@@ -267,7 +267,7 @@
 	sim.start(sim.ids[0])
 	sim.start(lost)
 	sim.runUntil(sim.now + 8*time.Second)
-	if n := sim.nodes[lost]; !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+	if n := sim.nodes[lost]; !n.replica.IsVoter() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
 		t.Fatal("the retired machine did not rejoin as a new member")
 	}
 }
@@ -285,7 +285,7 @@
 			t.Fatal("the member was not retired within a minute")
 		}
 		for _, id := range sim.ids {
-			if n := sim.nodes[id]; n.up && n.replica.partitions[RosterKey].role == roleOwner {
+			if n := sim.nodes[id]; n.up && n.replica.partitions[VoterSetPartition].role == roleOwner {
 				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { done = done || e == nil }) })
 			}
 		}
@@ -294,8 +294,8 @@
 	sim.start(retired)
 	sim.runUntil(sim.now + 10*time.Second)
 	n := sim.nodes[retired]
-	if !n.replica.Voting() || n.replica.partitions[testPartition].Records["x"].Gen != 2 || len(sim.waitForOwner(t).replica.Roster()) != 4 {
-		t.Fatalf("voting %v, x=%d, voter set %v", n.replica.Voting(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Roster())
+	if !n.replica.IsVoter() || n.replica.partitions[testPartition].Records["x"].Gen != 2 || len(sim.waitForOwner(t).replica.Voters()) != 4 {
+		t.Fatalf("voting %v, x=%d, voter set %v", n.replica.IsVoter(), n.replica.partitions[testPartition].Records["x"].Gen, n.replica.Voters())
 	}
 }
 
@@ -304,7 +304,7 @@
 func TestPartitionsReturnToFirstSuccessor(t *testing.T) {
 	sim := newCluster(t, 21, 4)
 	sim.runUntil(6 * time.Second)
-	successor := sim.waitForOwner(t).replica.Heirs(testPartition)[0]
+	successor := sim.waitForOwner(t).replica.Successors(testPartition)[0]
 	sim.crash(successor, false)
 	sim.mustPut(t, "x", 1)
 	sim.start(successor)
@@ -338,11 +338,11 @@
 		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
-			if len(name) > len(recordPrefix) && name[:len(recordPrefix)] == recordPrefix && unmarshal(b, &r) && r.Key == RosterKey {
+			if len(name) > len(recordPrefix) && name[:len(recordPrefix)] == recordPrefix && unmarshal(b, &r) && r.Key == VoterSetPartition {
 				delete(disk, name)
 				if !r.Record.Dropped {
 					r.Record.Name = addressOf(r.Record.Name)
-					disk[recordPrefix+RosterKey+"/"+r.Record.Name] = marshal(r)
+					disk[recordPrefix+VoterSetPartition+"/"+r.Record.Name] = marshal(r)
 				}
 			}
 		}
@@ -366,7 +366,7 @@
 	for seed := int64(1); seed <= 10; seed++ {
 		sim := newCluster(t, seed, 5)
 		sim.runUntil(6 * time.Second)
-		successor := sim.mustPut(t, "x", 1).replica.Heirs(testPartition)[0]
+		successor := sim.mustPut(t, "x", 1).replica.Successors(testPartition)[0]
 		for _, id := range sim.ids {
 			sim.crash(id, id == successor)
 		}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -66,7 +66,7 @@
 		sim, owner := newLosslessCluster(t, seed, 5, 2, 5, time.Second)
 		others := sim.machinesExcept(owner)
 		sim.drop = func(from string, e Envelope) bool {
-			return from == owner.id && (e.To == others[2].id || e.To == others[3].id) && bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Key == testPartition
+			return from == owner.id && (e.To == others[2].id || e.To == others[3].id) && bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Partition == testPartition
 		}
 		if err := sim.put(owner, "x", 2); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -113,7 +113,7 @@
 		sim.runUntil(sim.now + time.Duration(seed)*100*time.Millisecond)
 		var wiped *node
 		for _, id := range sim.ids {
-			if n := sim.nodes[id]; n != owner && n.replica.partitions[RosterKey].role != roleOwner {
+			if n := sim.nodes[id]; n != owner && n.replica.partitions[VoterSetPartition].role != roleOwner {
 				wiped = n
 				break
 			}
@@ -122,7 +122,7 @@
 		sim.runUntil(sim.now + 500*time.Millisecond)
 		sim.start(wiped.id)
 		sim.runUntil(sim.now + 6*time.Second)
-		if !wiped.replica.Voting() {
+		if !wiped.replica.IsVoter() {
 			t.Fatalf("seed %d: the member that lost its disk is not a voter", seed)
 		}
 		n := sim.mustPut(t, "x", 3)
@@ -153,7 +153,7 @@
 				sim.runUntil(sim.now + 3*time.Second)
 				added := sim.startReplacement()
 				sim.waitFor(fmt.Sprintf("the member added to %d (seed %d, under load: %v) is a voter", members, seed, underLoad), 3*time.Second, func() string {
-					if added.replica.mayOwn() && !added.replica.voterSet().joint && added.replica.partitions[RosterKey].commit == added.replica.partitions[RosterKey].position {
+					if added.replica.mayOwn() && !added.replica.voterSet().joint && added.replica.partitions[VoterSetPartition].commit == added.replica.partitions[VoterSetPartition].position {
 						return ""
 					}
 					return fmt.Sprint(*added.replica.voterSet())
@@ -169,7 +169,7 @@
 		for index := 0; index < 4; index++ {
 			t.Run(fmt.Sprint(kindNames[kind], index), func(t *testing.T) {
 				sim, _ := newLosslessCluster(t, int64(index+1), 4, 1, 4, 3*time.Second)
-				partitions := append([]string{RosterKey}, sim.partitions...)
+				partitions := append([]string{VoterSetPartition}, sim.partitions...)
 				before := map[string]Epoch{}
 				for _, partition := range partitions {
 					before[partition] = sim.ownerOf(partition).replica.partitions[partition].ownEpoch
@@ -211,19 +211,19 @@
 			leaving := sim.waitForOwner(t)
 			sim.runUntil(sim.now + time.Second)
 			sim.drop = func(from string, e Envelope) bool {
-				return bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Key == testPartition || bodyAs[*SnapshotChunk](e.Msg) != nil || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).Key == testPartition
+				return bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Partition == testPartition || bodyAs[*SnapshotChunk](e.Msg) != nil || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).Partition == testPartition
 			}
 			_ = sim.put(leaving, "x", 2) // only the leaving member may hold it
 			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			for end := sim.now + 3*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
-				if leaving.replica.MayGo(sim.clock(leaving)) && leaving.replica.isVoter() {
+				if leaving.replica.SafeToLeave(sim.clock(leaving)) && leaving.replica.isVoter() {
 					t.Fatalf("%d members, seed %d: the member may leave with x=2 at %v", tc.members, seed, sim.machinesWithCopy("x", 2))
 				}
 			}
 			sim.drop = nil
 			begin := sim.now
 			sim.waitFor("the member may leave", 5*time.Second, func() string {
-				if leaving.replica.MayGo(sim.clock(leaving)) {
+				if leaving.replica.SafeToLeave(sim.clock(leaving)) {
 					return ""
 				}
 				return fmt.Sprint(*leaving.replica.voterSet())
@@ -231,7 +231,7 @@
 			if took := sim.now - begin; took > 4*time.Second {
 				t.Fatalf("%d members, seed %d: the member waited for %v", tc.members, seed, took)
 			}
-			if setOwner := sim.ownerOf(RosterKey); setOwner != nil && len(setOwner.replica.voterSet().newVoters) > setOwner.replica.minVoters() && slices.Contains(setOwner.replica.voterSet().newVoters, leaving.replica.self) {
+			if setOwner := sim.ownerOf(VoterSetPartition); setOwner != nil && len(setOwner.replica.voterSet().newVoters) > setOwner.replica.minVoters() && slices.Contains(setOwner.replica.voterSet().newVoters, leaving.replica.self) {
 				t.Fatalf("%d members, seed %d: the member may leave as a voter, although the others have enough voters", tc.members, seed)
 			}
 		}
@@ -251,7 +251,7 @@
 			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			begin := sim.now
 			sim.waitFor("the member may leave", 2*time.Second, func() string {
-				if leaving.replica.MayGo(sim.clock(leaving)) {
+				if leaving.replica.SafeToLeave(sim.clock(leaving)) {
 					return ""
 				}
 				return fmt.Sprint(tc, seed, *leaving.replica.voterSet())
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// Failed reports that a write failed. The whole state is written again until that succeeds;
+// WriteFailed reports that a write failed. The whole state is written again until that succeeds;
 // messages that depend on it are sent only then.
-func (m *Replica) Failed(now time.Duration) {
+func (m *Replica) WriteFailed(now time.Duration) {
 	m.now = now
 	m.effects.Rewrite = true
 }
@@ -179,7 +179,7 @@
 
 // invalidateCaches drops what was computed from a partition's records.
 func (m *Replica) invalidateCaches(part *partition) {
-	if part.name == RosterKey {
+	if part.name == VoterSetPartition {
 		m.cachedVoterSet = nil
 	}
 }
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -4,16 +4,16 @@
 
 import "time"
 
-// View is the status of a partition as one member sees it.
-type View struct {
-	Key      string
-	Owner    string
-	Epoch    uint64
-	Seq      uint64
-	Commit   uint64
-	Owning   bool // this member is the owner
-	Records  int
-	HeardAgo time.Duration // since the last contact with an owner or candidate
+// PartitionView is the status of a partition as one member sees it.
+type PartitionView struct {
+	Partition    string
+	Owner        string
+	Epoch        uint64
+	Seq          uint64
+	Commit       uint64
+	Owning       bool // this member is the owner
+	Records      int
+	SinceContact time.Duration // since the last contact with an owner or candidate
 }
 
 // Owner returns the address of the member believed to own a partition; empty if none is known.
@@ -22,15 +22,15 @@
 	if part.role == roleOwner {
 		return m.cfg.Self
 	}
-	if part.role == roleCandidate || !part.hadContact || now-part.lastContact > m.cfg.Vacant || part.promised.Owner == m.cfg.Self {
+	if part.role == roleCandidate || !part.hadContact || now-part.lastContact > m.cfg.ElectionTimeout || part.promised.Owner == m.cfg.Self {
 		return ""
 	}
 	return part.promised.Owner
 }
 
-// Founder returns the member to contact for a partition that, as far as this member knows, has
+// InitialOwner returns the member to contact for a partition that, as far as this member knows, has
 // never had an owner; empty if it has had one or no member is available.
-func (m *Replica) Founder(now time.Duration, name string) string {
+func (m *Replica) InitialOwner(now time.Duration, name string) string {
 	m.now = now
 	return m.initialOwner(m.partition(name))
 }
@@ -39,7 +39,7 @@
 	if part.hadContact || part.role != roleFollower || part.promised != (Epoch{}) {
 		return ""
 	}
-	for _, id := range m.Heirs(part.name) {
+	for _, id := range m.Successors(part.name) {
 		if id == m.cfg.Self || m.cfg.Alive(id) {
 			return id
 		}
@@ -47,18 +47,18 @@
 	return ""
 }
 
-// Keys returns the names of all partitions that this member has heard of.
-func (m *Replica) Keys() []string { return append([]string(nil), m.names...) }
+// Partitions returns the names of all partitions that this member has heard of.
+func (m *Replica) Partitions() []string { return append([]string(nil), m.names...) }
 
-// Voting reports whether the member is a voter.
-func (m *Replica) Voting() bool { return m.isVoter() }
+// IsVoter reports whether the member is a voter.
+func (m *Replica) IsVoter() bool { return m.isVoter() }
 
-// Views returns the status of all partitions.
-func (m *Replica) Views(now time.Duration) []View {
-	var out []View
+// PartitionViews returns the status of all partitions.
+func (m *Replica) PartitionViews(now time.Duration) []PartitionView {
+	var out []PartitionView
 	for _, name := range m.names {
 		part := m.partitions[name]
-		out = append(out, View{name, m.Owner(now, name), part.promised.N, part.position.Seq, part.commit.Seq, part.role == roleOwner, len(part.Records), now - part.lastContact})
+		out = append(out, PartitionView{name, m.Owner(now, name), part.promised.Number, part.position.Seq, part.commit.Seq, part.role == roleOwner, len(part.Records), now - part.lastContact})
 	}
 	return out
 }
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -15,7 +15,7 @@
 	if m.now < m.nextJoinAt || m.leaving {
 		return
 	}
-	m.nextJoinAt = m.now + m.cfg.Beat
+	m.nextJoinAt = m.now + m.cfg.HeartbeatInterval
 	targets := m.otherVoters()
 	known := m.cfg.Seeds
 	if m.cfg.Peers != nil {
@@ -39,7 +39,7 @@
 	}
 	at, known := m.learners[id]
 	m.learners[id] = m.now
-	if known && m.now-at <= m.cfg.Vacant {
+	if known && m.now-at <= m.cfg.ElectionTimeout {
 		return
 	}
 	m.heartbeats.dueTo[from] = true
@@ -65,29 +65,29 @@
 	if id == m.self {
 		return false, false
 	}
-	silence := m.now - max(m.voterSetAnsweredAt[id], m.partitions[RosterKey].ownerSince)
+	silence := m.now - max(m.voterSetAnsweredAt[id], m.partitions[VoterSetPartition].ownerSince)
 	current := m.lastIdentity[address]
 	at, leaving := m.leavers[id]
 	switch {
-	case leaving && m.now-at <= m.cfg.Beat && m.mustBeRemovedFirst(len(m.voterSet().newVoters)):
+	case leaving && m.now-at <= m.cfg.HeartbeatInterval && m.mustBeRemovedFirst(len(m.voterSet().newVoters)):
 		return true, true
 	case current != id && m.voterSetAnsweredAt[current] > m.voterSetAnsweredAt[id]:
 		return true, true // another disk is in use at the voter's address
-	case m.cfg.Left != nil && m.cfg.Left(address) && silence > m.cfg.Beat:
+	case m.cfg.Left != nil && m.cfg.Left(address) && silence > m.cfg.HeartbeatInterval:
 		return true, true
 	}
 	// Every voter is sent a heartbeat at each interval, so silence is strong evidence, even if
 	// no other member watches that voter. If others don't see it alive either, less silence is
 	// enough.
-	failed = silence > m.cfg.Vacant && !m.cfg.Alive(address) || silence > 2*m.cfg.Vacant
-	return failed, failed && silence > 2*m.cfg.Vacant
+	failed = silence > m.cfg.ElectionTimeout && !m.cfg.Alive(address) || silence > 2*m.cfg.ElectionTimeout
+	return failed, failed && silence > 2*m.cfg.ElectionTimeout
 }
 
 // suspected reports whether a voter is silent and may soon count as failed.
 func (m *Replica) suspected(voter string) bool {
 	id := m.voterIdentity(voter)
 	failed, _ := m.failed(voter)
-	return !failed && id != m.self && !m.cfg.Alive(addressOf(voter)) && m.now-m.voterSetAnsweredAt[id] > m.cfg.Beat*3/2
+	return !failed && id != m.self && !m.cfg.Alive(addressOf(voter)) && m.now-m.voterSetAnsweredAt[id] > m.cfg.HeartbeatInterval*3/2
 }
 
 // allVotersAnswering reports whether all voters have answered recently and no change is wanted.
@@ -96,7 +96,7 @@
 func (m *Replica) allVotersAnswering() bool {
 	s := m.voterSet()
 	for _, voter := range s.newVoters {
-		if id := m.voterIdentity(voter); id != m.self && m.now-m.voterSetAnsweredAt[id] > m.cfg.Vacant {
+		if id := m.voterIdentity(voter); id != m.self && m.now-m.voterSetAnsweredAt[id] > m.cfg.ElectionTimeout {
 			return false
 		}
 	}
@@ -106,15 +106,15 @@
 // survey collects what the members hold, for a change of the voter set or for a member that
 // leaves.
 type survey struct {
-	voterSet Position         // position of the voter set that the survey is for
-	required map[string]Stand // by partition: the newest position and promised epoch reported; nil: not known yet
+	voterSet Position                     // position of the voter set that the survey is for
+	required map[string]PartitionPosition // by partition: the newest position and promised epoch reported; nil: not known yet
 	replies  map[string]*StateReport
 }
 
 // tickVoterSetChange continues a change of the voter set, or begins one that is wanted. It does
 // something only at the owner of the voter set.
 func (m *Replica) tickVoterSetChange() {
-	part := m.partitions[RosterKey]
+	part := m.partitions[VoterSetPartition]
 	if m.leaving {
 		return // the survey in progress is that of MayGo
 	}
@@ -135,17 +135,17 @@
 func (m *Replica) sendSurvey(to []string) {
 	m.surveyRound++
 	for _, a := range to {
-		m.send(a, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[RosterKey].position}})
+		m.send(a, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[VoterSetPartition].position}})
 	}
 	m.reportState(func(s *StateReport) { m.onStateReport(m.self, s) })
 }
 
 // reportState passes on the positions of this member's copies once these are durable.
 func (m *Replica) reportState(then func(*StateReport)) {
-	report := &StateReport{Round: m.surveyRound, Roster: m.partitions[RosterKey].position}
+	report := &StateReport{Round: m.surveyRound, VoterSet: m.partitions[VoterSetPartition].position}
 	for _, name := range m.names {
 		if part := m.partitions[name]; part.promised != (Epoch{}) || part.position.Seq > 0 {
-			report.Keys = append(report.Keys, Stand{name, part.promised, part.position})
+			report.Keys = append(report.Keys, PartitionPosition{name, part.promised, part.position})
 		}
 	}
 	m.whenDurable(func() { then(report) })
@@ -157,7 +157,7 @@
 	}
 	m.reportState(func(report *StateReport) {
 		report.Round = query.Round
-		if part := m.partitions[RosterKey]; query.Leaving && query.Roster.Less(part.position) && part.commit == part.position {
+		if part := m.partitions[VoterSetPartition]; query.Leaving && query.VoterSet.Less(part.position) && part.commit == part.position {
 			report.Outdated = m.voterSetCopy()
 		}
 		m.send(from, Message{Body: report})
@@ -187,22 +187,22 @@
 	if sv.required != nil {
 		return true
 	}
-	reported := func(id string) bool { return sv.replies[id] != nil && sv.replies[id].Roster == sv.voterSet }
+	reported := func(id string) bool { return sv.replies[id] != nil && sv.replies[id].VoterSet == sv.voterSet }
 	if !m.hasQuorum(false, reported) {
 		return false
 	}
-	sv.required = map[string]Stand{}
+	sv.required = map[string]PartitionPosition{}
 	for _, voter := range m.voterSet().all() {
 		if id := m.voterIdentity(voter); reported(id) {
 			for _, reported := range sv.replies[id].Keys {
-				need := sv.required[reported.Key]
+				need := sv.required[reported.Partition]
 				if need.At.Less(reported.At) {
 					need.At = reported.At
 				}
 				if need.Promised.Less(reported.Promised) {
 					need.Promised = reported.Promised
 				}
-				sv.required[reported.Key] = need
+				sv.required[reported.Partition] = need
 			}
 		}
 	}
@@ -212,12 +212,12 @@
 // meetsRequired reports whether a member has reported that it holds everything required.
 func (sv *survey) meetsRequired(id string) bool {
 	report := sv.replies[id]
-	if report == nil || report.Roster != sv.voterSet {
+	if report == nil || report.VoterSet != sv.voterSet {
 		return false
 	}
-	have := map[string]Stand{}
+	have := map[string]PartitionPosition{}
 	for _, s := range report.Keys {
-		have[s.Key] = s
+		have[s.Partition] = s
 	}
 	for partition, need := range sv.required {
 		if held := have[partition]; held.At.Less(need.At) || held.Promised.Less(need.Promised) {
@@ -229,7 +229,7 @@
 
 // proposeVoterSetChange proposes the next voter set if the survey allows it.
 func (m *Replica) proposeVoterSetChange() {
-	part, survey := m.partitions[RosterKey], m.survey
+	part, survey := m.partitions[VoterSetPartition], m.survey
 	if part.role != roleOwner || part.commit != part.position || survey.voterSet != part.position || !survey.computeRequired(m) {
 		return
 	}
@@ -249,7 +249,7 @@
 	}
 	m.survey = nil
 	at := part.position
-	m.Propose(m.now, RosterKey, func(have map[string]Record) ([]Record, error) {
+	m.Propose(m.now, VoterSetPartition, func(have map[string]Record) ([]Record, error) {
 		if part.position != at {
 			return nil, nil // the voter set has changed in the meantime
 		}
@@ -336,7 +336,7 @@
 		}
 	}
 	for _, id := range m.promotable() {
-		if failedVoters > 0 || len(s.newVoters) < maxVoters || !slices.Contains(s.newVoters, id) && slices.Contains(m.Roster(), addressOf(id)) {
+		if failedVoters > 0 || len(s.newVoters) < maxVoters || !slices.Contains(s.newVoters, id) && slices.Contains(m.Voters(), addressOf(id)) {
 			return true
 		}
 	}
@@ -422,7 +422,7 @@
 
 // Retire removes a member that has failed for good from the voter set, by its address.
 func (m *Replica) Retire(now time.Duration, address string, done func(error)) {
-	m.Propose(now, RosterKey, func(have map[string]Record) ([]Record, error) {
+	m.Propose(now, VoterSetPartition, func(have map[string]Record) ([]Record, error) {
 		s := m.voterSet()
 		next := map[string]voterState{}
 		known, isVoter, alive := false, false, false
--- a/internal/replication/voter_set_change_test.go
+++ b/internal/replication/voter_set_change_test.go
@@ -22,9 +22,9 @@
 		noVoterSet := true
 		sim.drop = func(_ string, e Envelope) bool {
 			m := e.Msg
-			return noVoterSet && e.To == owner.id && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Key == RosterKey || bodyAs[*AppendAck](m) != nil && bodyAs[*AppendAck](m).Outdated != nil ||
+			return noVoterSet && e.To == owner.id && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == VoterSetPartition || bodyAs[*AppendAck](m) != nil && bodyAs[*AppendAck](m).Outdated != nil ||
 				bodyAs[*HeartbeatAck](m) != nil && bodyAs[*HeartbeatAck](m).Outdated != nil ||
-				bodyAs[*Vote](m) != nil && bodyAs[*Vote](m).Outdated != nil || bodyAs[*StateReport](m) != nil && bodyAs[*StateReport](m).Outdated != nil || bodyAs[*SnapshotChunk](m) != nil && bodyAs[*SnapshotChunk](m).Key == RosterKey)
+				bodyAs[*Vote](m) != nil && bodyAs[*Vote](m).Outdated != nil || bodyAs[*StateReport](m) != nil && bodyAs[*StateReport](m).Outdated != nil || bodyAs[*SnapshotChunk](m) != nil && bodyAs[*SnapshotChunk](m).Partition == VoterSetPartition)
 		}
 		removed := others[:2]
 		for _, n := range removed {
@@ -33,8 +33,8 @@
 			n.failures++ // remove decrements the count later
 			sim.runUntil(sim.now + 9*time.Second)
 		}
-		newer := sim.committedAt[RosterKey]
-		if got := owner.replica.partitions[RosterKey].position; !got.Less(newer) || len(owner.replica.voterSet().newVoters) != 5 || !slices.Contains(owner.replica.voterSet().newVoters, removed[0].replica.self) {
+		newer := sim.committedAt[VoterSetPartition]
+		if got := owner.replica.partitions[VoterSetPartition].position; !got.Less(newer) || len(owner.replica.voterSet().newVoters) != 5 || !slices.Contains(owner.replica.voterSet().newVoters, removed[0].replica.self) {
 			t.Fatalf("seed %d: the owner has learned of the voter set %v", seed, *owner.replica.voterSet())
 		}
 		// It can reach only those two.
@@ -52,7 +52,7 @@
 			sim.runUntil(sim.now + 50*time.Millisecond)
 		}
 		for _, n := range append(removed, owner) {
-			if n.replica.partitions[testPartition].role == roleOwner || n.replica.partitions[RosterKey].role == roleOwner {
+			if n.replica.partitions[testPartition].role == roleOwner || n.replica.partitions[VoterSetPartition].role == roleOwner {
 				t.Fatalf("seed %d: %s owns a partition among removed members", seed, n.id)
 			}
 		}
@@ -86,7 +86,7 @@
 				if err := sim.put(n, "x", 50); err == nil {
 					t.Fatalf("seed %d: %s acknowledged", seed, n.id)
 				}
-				for _, partition := range []string{testPartition, RosterKey} {
+				for _, partition := range []string{testPartition, VoterSetPartition} {
 					if n.replica.partitions[partition].role == roleOwner && n.replica.partitions[partition].ownerSince >= begin-n.startedAt {
 						t.Fatalf("seed %d: %s owns %s", seed, n.id, partition)
 					}
@@ -201,7 +201,7 @@
 			case c.now < jointSince+time.Second && crossesCut(lacking, from, e.To):
 				return true // the joint voter set is delayed
 			}
-			return slices.ContainsFunc(lacking, func(n *node) bool { return n.id == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Key == testPartition || bodyAs[*SnapshotChunk](m) != nil)
+			return slices.ContainsFunc(lacking, func(n *node) bool { return n.id == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == testPartition || bodyAs[*SnapshotChunk](m) != nil)
 		}
 		c.untilJoint()
 		if err := c.put(c.owner, "x", 2); err != nil {
@@ -251,9 +251,9 @@
 		sim := newClusterWithVoters(t, 5, 5, 2, 5)
 		sim.mustPut(t, "x", 1)
 		sim.runUntil(sim.now + 2*time.Second)
-		owner, voterSetOwner := sim.waitForOwner(t), sim.ownerOf(RosterKey)
+		owner, voterSetOwner := sim.waitForOwner(t), sim.ownerOf(VoterSetPartition)
 		candidate := sim.lastMachineExcept(owner, voterSetOwner)
-		m, part, voterSet := candidate.replica, candidate.replica.partitions[testPartition], candidate.replica.partitions[RosterKey]
+		m, part, voterSet := candidate.replica, candidate.replica.partitions[testPartition], candidate.replica.partitions[VoterSetPartition]
 		m.startElection(part, true)
 		m.Durable(sim.clock(candidate), m.lastWrite)
 		if removed {
@@ -263,11 +263,11 @@
 					next[voter] = voterLeaving
 				}
 			}
-			m.Handle(sim.clock(candidate), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Key: RosterKey, Epoch: voterSet.promised,
-				Base: voterSet.position, Seq: voterSet.position.Seq + 1, Roster: Position{voterSet.promised, voterSet.position.Seq + 1}, Changes: voterSetRecords(voterSet.Records, next)}})
+			m.Handle(sim.clock(candidate), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Partition: VoterSetPartition, Epoch: voterSet.promised,
+				Base: voterSet.position, Seq: voterSet.position.Seq + 1, VoterSet: Position{voterSet.promised, voterSet.position.Seq + 1}, Changes: voterSetRecords(voterSet.Records, next)}})
 		}
 		for _, id := range sim.ids {
-			m.Handle(sim.clock(candidate), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Key: testPartition, Epoch: part.ownEpoch, OK: true, Promised: part.ownEpoch, At: part.position}})
+			m.Handle(sim.clock(candidate), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Partition: testPartition, Epoch: part.ownEpoch, Granted: true, Promised: part.ownEpoch, At: part.position}})
 		}
 		if (part.role == roleOwner) == removed {
 			t.Errorf("removed: %v, owns the partition: %v", removed, part.role == roleOwner)
@@ -280,7 +280,7 @@
 func TestDelayedMessagesDoNotKeepFailedVoterAlive(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		sim, _ := newLosslessCluster(t, seed, 6, 2, 5, 3*time.Second)
-		voterSetOwner := sim.ownerOf(RosterKey)
+		voterSetOwner := sim.ownerOf(VoterSetPartition)
 		failed := sim.lastMachineExcept(voterSetOwner)
 		var lastMessages []Envelope
 		sim.drop = func(from string, e Envelope) bool {
--- a/internal/replication/voter_set_status.go
+++ b/internal/replication/voter_set_status.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Standing is the status of the voter set as one member sees it.
-type Standing struct {
-	Seats    []string       `json:"seats"` // each an address and the identity of a disk
-	Joint    bool           `json:"joint"` // a change is in progress
-	Learners []LearnerState `json:"learners"`
-	Bears    int            `json:"bears"`  // how many more of the members that seem alive may be lost now
-	Wanted   int            `json:"wanted"` // how many losses should be tolerated
+// VoterSetStatus is the status of the voter set as one member sees it.
+type VoterSetStatus struct {
+	Voters           []string       `json:"seats"` // each an address and the identity of a disk
+	Joint            bool           `json:"joint"` // a change is in progress
+	Learners         []LearnerState `json:"learners"`
+	Tolerates        int            `json:"bears"`  // how many more of the members that seem alive may be lost now
+	LossesToTolerate int            `json:"wanted"` // how many losses should be tolerated
 }
 
 // LearnerState is the status of a member that is not a voter. Behind is the number of partitions
@@ -25,11 +25,11 @@
 	Behind int    `json:"behind"`
 }
 
-// Standing returns the status of the voter set and the losses that it tolerates.
-func (m *Replica) Standing(now time.Duration) Standing {
+// VoterSetStatus returns the status of the voter set and the losses that it tolerates.
+func (m *Replica) VoterSetStatus(now time.Duration) VoterSetStatus {
 	m.now = now
 	s := m.voterSet()
-	out := Standing{Seats: s.all(), Joint: s.joint, Learners: []LearnerState{}, Wanted: m.cfg.Faults}
+	out := VoterSetStatus{Voters: s.all(), Joint: s.joint, Learners: []LearnerState{}, LossesToTolerate: m.cfg.Faults}
 	tolerance := func(voters []string) int {
 		live := 0
 		for _, voter := range voters {
@@ -39,9 +39,9 @@
 		}
 		return live - ackQuorum(len(voters))
 	}
-	out.Bears = tolerance(s.newVoters)
+	out.Tolerates = tolerance(s.newVoters)
 	if s.joint {
-		out.Bears = min(out.Bears, tolerance(s.oldVoters))
+		out.Tolerates = min(out.Tolerates, tolerance(s.oldVoters))
 	}
 	for _, id := range m.activeLearners() {
 		if slices.Contains(s.newVoters, id) {
@@ -80,17 +80,17 @@
 }
 
 // String returns the status in one line.
-func (s Standing) String() string {
+func (s VoterSetStatus) String() string {
 	var voters []string
-	for _, id := range s.Seats {
+	for _, id := range s.Voters {
 		voters = append(voters, addressOf(id))
 	}
 	text := fmt.Sprintf("%d seats: %s", len(voters), strings.Join(voters, " "))
 	if s.Joint {
 		text += "; a change is under way"
 	}
-	if n := len(s.Seats); n > 0 && n-ackQuorum(n) < s.Wanted {
-		text += fmt.Sprintf("; too few: %d may be lost, %d are to be borne", n-ackQuorum(n), s.Wanted)
+	if n := len(s.Voters); n > 0 && n-ackQuorum(n) < s.LossesToTolerate {
+		text += fmt.Sprintf("; too few: %d may be lost, %d are to be borne", n-ackQuorum(n), s.LossesToTolerate)
 	}
 	return text
 }
--- a/internal/replication/voter_set_status_test.go
+++ b/internal/replication/voter_set_status_test.go
@@ -12,7 +12,7 @@
 	sim := newClusterInZones(t, 5, 5, 2, 5)
 	sim.lossless = true
 	sim.runUntil(3 * time.Second)
-	tolerates := func(id string) int { return sim.nodes[id].replica.Standing(sim.clock(sim.nodes[id])).Bears }
+	tolerates := func(id string) int { return sim.nodes[id].replica.VoterSetStatus(sim.clock(sim.nodes[id])).Tolerates }
 	for _, id := range sim.ids {
 		if got := tolerates(id); got != 2 {
 			t.Fatalf("%s tolerates the loss of %d of 5", id, got)
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -6,7 +6,7 @@
 
 // Message is a message between members.
 type Message struct {
-	Life     uint64 // the sender's process run
+	RunID    uint64 // the sender's process run
 	Identity uint64 // the sender's disk
 	Protocol uint64 // the newest protocol version that the sender understands
 	Body     Body   // nil: a type that only newer versions know
@@ -24,13 +24,15 @@
 	runID   uint64
 }
 
-func (b *VoteRequest) handle(m *Replica, from sender)   { m.onVoteRequest(from.address, b) }
-func (b *Vote) handle(m *Replica, from sender)          { m.onVote(from.address, from.id, b) }
-func (b *Append) handle(m *Replica, from sender)        { m.onAppend(from.address, b) }
-func (b *AppendAck) handle(m *Replica, from sender)     { m.onAppendAck(from.address, from.id, b) }
-func (b *Found) handle(m *Replica, from sender)         { m.onBootstrapRequest(from.address, b) }
-func (b *Founded) handle(m *Replica, from sender)       { m.onBootstrapReply(from.address, from.id, b) }
-func (b *Transfer) handle(m *Replica, _ sender)         { m.startElection(m.partition(b.Key), true) }
+func (b *VoteRequest) handle(m *Replica, from sender)      { m.onVoteRequest(from.address, b) }
+func (b *Vote) handle(m *Replica, from sender)             { m.onVote(from.address, from.id, b) }
+func (b *Append) handle(m *Replica, from sender)           { m.onAppend(from.address, b) }
+func (b *AppendAck) handle(m *Replica, from sender)        { m.onAppendAck(from.address, from.id, b) }
+func (b *BootstrapRequest) handle(m *Replica, from sender) { m.onBootstrapRequest(from.address, b) }
+func (b *BootstrapReply) handle(m *Replica, from sender) {
+	m.onBootstrapReply(from.address, from.id, b)
+}
+func (b *Transfer) handle(m *Replica, _ sender)         { m.startElection(m.partition(b.Partition), true) }
 func (*Join) handle(m *Replica, from sender)            { m.onJoin(from.address, from.id) }
 func (*Probe) handle(m *Replica, from sender)           { m.onProbe(from.address) }
 func (b *ProbeAck) handle(m *Replica, from sender)      { m.onProbeAck(from.address, b) }
@@ -44,30 +46,30 @@
 // wireMessage is the encoded form of Message; exactly one of the pointers is set. The numbers 5
 // and 6 were used for full copies, which snapshots replace; they must not be used again.
 type wireMessage struct {
-	VoteRequest   *VoteRequest   `cbor:"1,keyasint,omitempty"`
-	Vote          *Vote          `cbor:"2,keyasint,omitempty"`
-	Append        *Append        `cbor:"3,keyasint,omitempty"`
-	AppendAck     *AppendAck     `cbor:"4,keyasint,omitempty"`
-	Found         *Found         `cbor:"7,keyasint,omitempty"`
-	Founded       *Founded       `cbor:"8,keyasint,omitempty"`
-	Transfer      *Transfer      `cbor:"9,keyasint,omitempty"`
-	Join          *Join          `cbor:"10,keyasint,omitempty"`
-	Life          uint64         `cbor:"11,keyasint,omitempty"`
-	Probe         *Probe         `cbor:"12,keyasint,omitempty"`
-	ProbeAck      *ProbeAck      `cbor:"13,keyasint,omitempty"`
-	Identity      uint64         `cbor:"14,keyasint,omitempty"`
-	SnapshotChunk *SnapshotChunk `cbor:"15,keyasint,omitempty"`
-	SnapshotAck   *SnapshotAck   `cbor:"16,keyasint,omitempty"`
-	StateQuery    *StateQuery    `cbor:"17,keyasint,omitempty"`
-	StateReport   *StateReport   `cbor:"18,keyasint,omitempty"`
-	Heartbeat     *Heartbeat     `cbor:"19,keyasint,omitempty"`
-	HeartbeatAck  *HeartbeatAck  `cbor:"20,keyasint,omitempty"`
-	Protocol      uint64         `cbor:"21,keyasint,omitempty"`
+	VoteRequest   *VoteRequest      `cbor:"1,keyasint,omitempty"`
+	Vote          *Vote             `cbor:"2,keyasint,omitempty"`
+	Append        *Append           `cbor:"3,keyasint,omitempty"`
+	AppendAck     *AppendAck        `cbor:"4,keyasint,omitempty"`
+	Found         *BootstrapRequest `cbor:"7,keyasint,omitempty"`
+	Founded       *BootstrapReply   `cbor:"8,keyasint,omitempty"`
+	Transfer      *Transfer         `cbor:"9,keyasint,omitempty"`
+	Join          *Join             `cbor:"10,keyasint,omitempty"`
+	Life          uint64            `cbor:"11,keyasint,omitempty"`
+	Probe         *Probe            `cbor:"12,keyasint,omitempty"`
+	ProbeAck      *ProbeAck         `cbor:"13,keyasint,omitempty"`
+	Identity      uint64            `cbor:"14,keyasint,omitempty"`
+	SnapshotChunk *SnapshotChunk    `cbor:"15,keyasint,omitempty"`
+	SnapshotAck   *SnapshotAck      `cbor:"16,keyasint,omitempty"`
+	StateQuery    *StateQuery       `cbor:"17,keyasint,omitempty"`
+	StateReport   *StateReport      `cbor:"18,keyasint,omitempty"`
+	Heartbeat     *Heartbeat        `cbor:"19,keyasint,omitempty"`
+	HeartbeatAck  *HeartbeatAck     `cbor:"20,keyasint,omitempty"`
+	Protocol      uint64            `cbor:"21,keyasint,omitempty"`
 }
 
 // MarshalCBOR encodes a message.
 func (m Message) MarshalCBOR() ([]byte, error) {
-	w := wireMessage{Life: m.Life, Identity: m.Identity, Protocol: m.Protocol}
+	w := wireMessage{Life: m.RunID, Identity: m.Identity, Protocol: m.Protocol}
 	switch b := m.Body.(type) {
 	case *VoteRequest:
 		w.VoteRequest = b
@@ -77,9 +79,9 @@
 		w.Append = b
 	case *AppendAck:
 		w.AppendAck = b
-	case *Found:
+	case *BootstrapRequest:
 		w.Found = b
-	case *Founded:
+	case *BootstrapReply:
 		w.Founded = b
 	case *Transfer:
 		w.Transfer = b
@@ -111,7 +113,7 @@
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return err
 	}
-	*m = Message{Life: w.Life, Identity: w.Identity, Protocol: w.Protocol}
+	*m = Message{RunID: w.Life, Identity: w.Identity, Protocol: w.Protocol}
 	switch {
 	case w.VoteRequest != nil:
 		m.Body = w.VoteRequest
--- a/internal/replication/wire_test.go
+++ b/internal/replication/wire_test.go
@@ -11,11 +11,11 @@
 // Each message type has a fixed number on the wire, by which older versions know it.
 func TestMessagesOnTheWire(t *testing.T) {
 	for body, number := range map[Body]uint64{
-		&VoteRequest{Key: "k"}: 1, &Vote{Key: "k"}: 2, &Append{Key: "k"}: 3, &AppendAck{Key: "k"}: 4, &Found{}: 7, &Founded{}: 8,
-		&Transfer{Key: "k"}: 9, &Join{}: 10, &Probe{}: 12, &ProbeAck{Owned: []string{"k"}}: 13, &SnapshotChunk{Key: "k", Count: 1}: 15,
-		&SnapshotAck{Key: "k"}: 16, &StateQuery{Round: 1}: 17, &StateReport{Round: 1}: 18, &Heartbeat{Round: 1}: 19, &HeartbeatAck{Life: 1}: 20,
+		&VoteRequest{Partition: "k"}: 1, &Vote{Partition: "k"}: 2, &Append{Partition: "k"}: 3, &AppendAck{Partition: "k"}: 4, &BootstrapRequest{}: 7, &BootstrapReply{}: 8,
+		&Transfer{Partition: "k"}: 9, &Join{}: 10, &Probe{}: 12, &ProbeAck{OwnedPartitions: []string{"k"}}: 13, &SnapshotChunk{Partition: "k", Count: 1}: 15,
+		&SnapshotAck{Partition: "k"}: 16, &StateQuery{Round: 1}: 17, &StateReport{Round: 1}: 18, &Heartbeat{Round: 1}: 19, &HeartbeatAck{RunID: 1}: 20,
 	} {
-		sent := Message{Life: 5, Identity: 6, Protocol: 1, Body: body}
+		sent := Message{RunID: 5, Identity: 6, Protocol: 1, Body: body}
 		b, err := cbor.Marshal(sent)
 		if err != nil {
 			t.Fatal(err)
@@ -35,9 +35,9 @@
 // knows.
 func TestMessagesOfOtherVersions(t *testing.T) {
 	for text, want := range map[string]Message{
-		"a309a101616b0b050e06":     {Life: 5, Identity: 6, Body: &Transfer{Key: "k"}},
-		"a40aa00b050e061501":       {Life: 5, Identity: 6, Protocol: 1, Body: &Join{}},
-		"a40b050e061502181ea10101": {Life: 5, Identity: 6, Protocol: 2},
+		"a309a101616b0b050e06":     {RunID: 5, Identity: 6, Body: &Transfer{Partition: "k"}},
+		"a40aa00b050e061501":       {RunID: 5, Identity: 6, Protocol: 1, Body: &Join{}},
+		"a40b050e061502181ea10101": {RunID: 5, Identity: 6, Protocol: 2},
 	} {
 		b, err := hex.DecodeString(text)
 		if err != nil {
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Arms is a gateway's part in rollouts. It chooses the arm of each request, scores the
+// Splitter is a gateway's part in rollouts. It chooses the arm of each request, scores the
 // answers, and stops sending requests to a candidate that is bad as this gateway sees it.
-type Arms struct {
+type Splitter struct {
 	nodeID string
 	// controllerTimeout is how long a candidate keeps getting requests after the last
 	// notice that every rollout has a controller.
@@ -34,12 +34,12 @@
 	inFlight    map[*Sample]struct{}
 }
 
-// NewArms creates the state of a gateway without rollouts. clock is a monotonic clock.
-func NewArms(nodeID string, controllerTimeout time.Duration, clock func() time.Duration) *Arms {
-	return &Arms{nodeID: nodeID, controllerTimeout: controllerTimeout, clock: clock, splits: map[string]*serviceSplit{}}
+// NewSplitter creates the state of a gateway without rollouts. clock is a monotonic clock.
+func NewSplitter(nodeID string, controllerTimeout time.Duration, clock func() time.Duration) *Splitter {
+	return &Splitter{nodeID: nodeID, controllerTimeout: controllerTimeout, clock: clock, splits: map[string]*serviceSplit{}}
 }
 
-func (a *Arms) splitFor(service string) *serviceSplit {
+func (a *Splitter) splitFor(service string) *serviceSplit {
 	split := a.splits[service]
 	if split == nil {
 		split = &serviceSplit{accumulated: map[string]float64{}, sums: Sums{}, baseline: Sums{}, inFlight: map[*Sample]struct{}{}}
@@ -48,8 +48,8 @@
 	return split
 }
 
-// Set applies the newest plans. A plan that is no newer than the known one is ignored.
-func (a *Arms) Set(services map[string]Service) {
+// SetPlans applies the newest plans. A plan that is no newer than the known one is ignored.
+func (a *Splitter) SetPlans(services map[string]Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name, service := range services {
@@ -57,7 +57,7 @@
 			continue
 		}
 		split := a.splitFor(name)
-		if split.plan != nil && service.Plan.Gen <= split.plan.Gen {
+		if split.plan != nil && service.Plan.Generation <= split.plan.Generation {
 			continue
 		}
 		if service.Plan.Order != split.order {
@@ -74,16 +74,16 @@
 	}
 }
 
-// Heard records a notice that every active rollout has a controller.
-func (a *Arms) Heard() {
+// ControllerSeen records a notice that every active rollout has a controller.
+func (a *Splitter) ControllerSeen() {
 	a.mu.Lock()
 	a.controllerSeenAt = a.clock()
 	a.mu.Unlock()
 }
 
-// Whole reports whether all requests of a service go to one arm, so that a retry cannot
+// SingleArm reports whether all requests of a service go to one arm, so that a retry cannot
 // use the other: the candidate has full weight, or the service has had no rollout.
-func (a *Arms) Whole(service string) bool {
+func (a *Splitter) SingleArm(service string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	plan := a.splitFor(service).plan
@@ -92,7 +92,7 @@
 
 // Sample is one attempt to send a request to an upstream.
 type Sample struct {
-	arms          *Arms
+	arms          *Splitter
 	split         *serviceSplit
 	order         uint64
 	generation    uint64
@@ -109,7 +109,7 @@
 // requests for the candidate are evenly spaced, not a random sample, so that each stratum
 // sends its share and no more. With preferPrior, which retries set, the request goes to the
 // prior arm unless the candidate has full weight.
-func (a *Arms) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
+func (a *Splitter) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	split := a.splitFor(service)
@@ -119,7 +119,7 @@
 	if plan == nil || plan.Final() {
 		return sample
 	}
-	sample.order, sample.generation, sample.bucket = split.order, plan.Gen, bucketOf(stratum)
+	sample.order, sample.generation, sample.bucket = split.order, plan.Generation, bucketOf(stratum)
 	if a.chooseCandidate(split, stratum, preferPrior) {
 		sample.arm, sample.version = Candidate, plan.Candidate
 	}
@@ -129,7 +129,7 @@
 	return sample
 }
 
-func (a *Arms) chooseCandidate(split *serviceSplit, stratum string, preferPrior bool) bool {
+func (a *Splitter) chooseCandidate(split *serviceSplit, stratum string, preferPrior bool) bool {
 	weight := split.plan.Weight
 	switch {
 	case weight <= 0 || split.stopReason != "":
@@ -163,7 +163,7 @@
 const maxStrata = 4096
 
 // initialAccumulated is a hash of the node and the stratum, as a number from 0 to below 1.
-func (a *Arms) initialAccumulated(stratum string) float64 {
+func (a *Splitter) initialAccumulated(stratum string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a.nodeID + "\x00" + stratum))
 	v := h.Sum64() * 0x9e3779b97f4a7c15
@@ -214,7 +214,7 @@
 	}
 	pair := split.sums[s.bucket]
 	cell := &pair[s.arm]
-	if s.generation != plan.Gen {
+	if s.generation != plan.Generation {
 		cell.Begun++ // begun under an older generation; a request counts for the one in which it ends
 	}
 	if outcome == Unscored || s.sentAt == 0 {
@@ -257,13 +257,13 @@
 	Service string `cbor:"1,keyasint"`
 	Gen     uint64 `cbor:"2,keyasint"`
 	Sums    Sums   `cbor:"3,keyasint,omitempty"`
-	// Busy is the number of requests in flight here to any version but the candidate.
-	Busy  int    `cbor:"4,keyasint,omitempty"`
-	Brake string `cbor:"5,keyasint,omitempty"` // why this gateway has stopped the candidate; empty: it has not
+	// OtherInFlight is the number of requests in flight here to any version but the candidate.
+	OtherInFlight int    `cbor:"4,keyasint,omitempty"`
+	StopReason    string `cbor:"5,keyasint,omitempty"` // why this gateway has stopped the candidate; empty: it has not
 }
 
 // Active reports whether any rollout is active.
-func (a *Arms) Active() bool {
+func (a *Splitter) Active() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, split := range a.splits {
@@ -275,7 +275,7 @@
 }
 
 // Reports returns the reports on all active rollouts, by name of service.
-func (a *Arms) Reports() (out []Report) {
+func (a *Splitter) Reports() (out []Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock()
@@ -285,10 +285,10 @@
 			continue
 		}
 		split.judgeCandidate(now)
-		report := Report{Service: name, Gen: split.plan.Gen, Sums: split.sumsWithInFlight(now), Brake: split.stopReason}
+		report := Report{Service: name, Gen: split.plan.Generation, Sums: split.sumsWithInFlight(now), StopReason: split.stopReason}
 		for sample := range split.inFlight {
 			if sample.arm != Candidate || sample.order != split.order {
-				report.Busy++
+				report.OtherInFlight++
 			}
 		}
 		out = append(out, report)
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -13,9 +13,9 @@
 		for _, routes := range []int{10, 100, 1000, 4000} {
 			b.Run(fmt.Sprintf("rollout=%v/routes=%d", active, routes), func(b *testing.B) {
 				now := time.Duration(0)
-				arms := NewArms("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
+				arms := NewSplitter("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
 				if active {
-					arms.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary, Weight: 0.05}}})
+					arms.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary, Weight: 0.05}}})
 				}
 				names := make([]string, routes)
 				for i := range names {
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -14,8 +14,8 @@
 // progress at once.
 const maxTakenCalls = 8
 
-// TakenCall is an operator's call that was executed.
-type TakenCall struct {
+// ExecutedCall is an operator's call that was executed.
+type ExecutedCall struct {
 	ID       uint64        `cbor:"1,keyasint"`
 	Version  string        `cbor:"2,keyasint"`
 	Within   time.Duration `cbor:"3,keyasint,omitempty"`
@@ -28,21 +28,21 @@
 	// ID is a random number that the control node that receives the call gives it. It stays
 	// the same however often that node forwards the call.
 	ID uint64
-	// Recent reports whether the operator of an executed call may still send it again; the
+	// MayBeResent reports whether the operator of an executed call may still send it again; the
 	// repeat gets another ID.
-	Recent func(id uint64) bool
-	// Basis is the Order of the newest rollout of the service that the control node knew when
+	MayBeResent func(id uint64) bool
+	// BaseOrder is the Order of the newest rollout of the service that the control node knew when
 	// it received the call, 0 for none; nil: not given.
-	Basis *uint64
+	BaseOrder *uint64
 }
 
 // checkBasis returns an error if a call is based on an older rollout than the plan, so that
 // another call has been executed since the call was received.
 func (p *Plan) checkBasis(call Call) *apierror.Error {
-	if call.Basis == nil || *call.Basis == p.Order {
+	if call.BaseOrder == nil || *call.BaseOrder == p.Order {
 		return nil
 	}
-	return apierror.New(apierror.Outdated, "the newest rollout is number %d, the order rests on %d", p.Order, *call.Basis)
+	return apierror.New(apierror.OutdatedOrder, "the newest rollout is number %d, the order rests on %d", p.Order, *call.BaseOrder)
 }
 
 // Reversal is an order to reverse a rollout.
@@ -57,7 +57,7 @@
 
 // hasTaken reports whether a plan records a call as executed.
 func (p *Plan) hasTaken(id uint64) bool {
-	for _, t := range p.Taken {
+	for _, t := range p.ExecutedCalls {
 		if t.ID == id && id != 0 {
 			return true
 		}
@@ -67,9 +67,9 @@
 
 // hasRecent reports whether a plan records a call that matches and that its operator may
 // still send again.
-func (p *Plan) hasRecent(call Call, matches func(TakenCall) bool) bool {
-	for _, t := range p.Taken {
-		if matches(t) && call.Recent != nil && call.Recent(t.ID) {
+func (p *Plan) hasRecent(call Call, matches func(ExecutedCall) bool) bool {
+	for _, t := range p.ExecutedCalls {
+		if matches(t) && call.MayBeResent != nil && call.MayBeResent(t.ID) {
 			return true
 		}
 	}
@@ -77,8 +77,8 @@
 }
 
 // appendTaken returns the newest executed calls with t as the last.
-func (p *Plan) appendTaken(t TakenCall) []TakenCall {
-	all := append(append([]TakenCall(nil), p.Taken...), t)
+func (p *Plan) appendTaken(t ExecutedCall) []ExecutedCall {
+	all := append(append([]ExecutedCall(nil), p.ExecutedCalls...), t)
 	return all[max(0, len(all)-maxTakenCalls):]
 }
 
@@ -87,24 +87,24 @@
 // name to be rolled out again. A call that was executed before changes nothing either, nor
 // does an order that equals a recent one, whatever was ordered since. standingVersion is the
 // version that serves now; it is the prior version of the new rollout.
-func Begin(records map[string]Record, ask Ask, standingVersion string, call Call) ([]Record, error) {
-	oldRecord, known := records[Key(ask.Service)]
+func Begin(records map[string]Record, ask OrderRequest, standingVersion string, call Call) ([]Record, error) {
+	oldRecord, known := records[PartitionOf(ask.Service)]
 	next := &Plan{Service: ask.Service, Prior: standingVersion, Candidate: ask.Version, Order: 1,
 		Within: settings.Seconds(ask.WithinS)}
 	current := &Plan{}
 	if known {
 		var ok bool
-		if current, ok = Read(oldRecord); !ok {
+		if current, ok = DecodePlan(oldRecord); !ok {
 			return nil, apierror.New(apierror.Internal, "the record of %s cannot be read", ask.Service)
 		}
-		resent := current.hasRecent(call, func(t TakenCall) bool {
+		resent := current.hasRecent(call, func(t ExecutedCall) bool {
 			return !t.Reversal && t.Version == ask.Version && t.Within == next.Within
 		})
 		switch {
 		case current.Candidate == ask.Version && (current.Final() || current.Within == next.Within), current.hasTaken(call.ID), resent:
 			return nil, nil
 		case !current.Final():
-			return nil, apierror.New(apierror.UnderWay, "%s is on its way to %s", ask.Service, current.Candidate)
+			return nil, apierror.New(apierror.RolloutInProgress, "%s is on its way to %s", ask.Service, current.Candidate)
 		}
 		if err := current.checkBasis(call); err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 		next.Order = current.Order + 1
 	}
 	if call.ID != 0 {
-		next.Taken = current.appendTaken(TakenCall{ID: call.ID, Version: ask.Version, Within: next.Within})
+		next.ExecutedCalls = current.appendTaken(ExecutedCall{ID: call.ID, Version: ask.Version, Within: next.Within})
 	}
 	if next.Prior == next.Candidate {
 		next.Stage, next.Weight = Complete, 1
@@ -125,35 +125,35 @@
 // and another rollout was reversed so recently that this may be a repeat of that call, the
 // result is the error MaybeRepeated.
 func Abort(records map[string]Record, service string, reversal Reversal, age time.Duration, call Call) ([]Record, error) {
-	oldRecord, known := records[Key(service)]
-	current, ok := Read(oldRecord)
+	oldRecord, known := records[PartitionOf(service)]
+	current, ok := DecodePlan(oldRecord)
 	if !known || !ok {
 		return nil, apierror.New(apierror.NoRollout, "%s", service)
 	}
-	earlierReversal := func(t TakenCall) bool { return t.Reversal && t.Version != current.Candidate }
+	earlierReversal := func(t ExecutedCall) bool { return t.Reversal && t.Version != current.Candidate }
 	switch {
 	case current.hasTaken(call.ID):
 		return nil, nil
 	case reversal.Version != "" && reversal.Version != current.Candidate:
-		for _, t := range current.Taken {
+		for _, t := range current.ExecutedCalls {
 			if t.Reversal && t.Version == reversal.Version {
 				return nil, nil
 			}
 		}
-		return nil, apierror.New(apierror.UnderWay, "the newest rollout of %s is to %s, not to %s", service, current.Candidate, reversal.Version)
+		return nil, apierror.New(apierror.RolloutInProgress, "the newest rollout of %s is to %s, not to %s", service, current.Candidate, reversal.Version)
 	case current.Stage == Reverted:
 		return nil, nil
 	case current.Final():
-		return nil, apierror.New(apierror.UnderWay, "the rollout of %s is complete", service)
+		return nil, apierror.New(apierror.RolloutInProgress, "the rollout of %s is complete", service)
 	case !reversal.Named && current.hasRecent(call, earlierReversal):
-		return nil, apierror.New(apierror.MaybeRepeated, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
+		return nil, apierror.New(apierror.PossibleDuplicate, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
 	}
 	if err := current.checkBasis(call); err != nil {
 		return nil, err
 	}
 	next := current.reverse("ordered by the operator", age)
 	if call.ID != 0 {
-		next.Taken = current.appendTaken(TakenCall{ID: call.ID, Version: current.Candidate, Reversal: true})
+		next.ExecutedCalls = current.appendTaken(ExecutedCall{ID: call.ID, Version: current.Candidate, Reversal: true})
 	}
 	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -31,7 +31,7 @@
 }
 
 func (nodes *controlNodes) call(node int, id uint64) Call {
-	return Call{ID: id, Recent: func(id uint64) bool {
+	return Call{ID: id, MayBeResent: func(id uint64) bool {
 		return nodes.controllers[node].Recent(nodes.clock(node), "s", id, nodes.resendWindow)
 	}}
 }
@@ -40,13 +40,13 @@
 	for _, r := range changes {
 		nodes.records[r.Name] = r
 		for i, c := range nodes.controllers {
-			c.Saw(nodes.clock(i), r)
+			c.RecordCommitted(nodes.clock(i), r)
 		}
 	}
 }
 
 func (nodes *controlNodes) begin(node int, id uint64, version string) error {
-	changes, err := Begin(nodes.records, Ask{"s", version, 12}, "v1", nodes.call(node, id))
+	changes, err := Begin(nodes.records, OrderRequest{"s", version, 12}, "v1", nodes.call(node, id))
 	nodes.commit(changes)
 	return err
 }
@@ -59,10 +59,10 @@
 
 // complete completes the active rollout.
 func (nodes *controlNodes) complete() {
-	p, _ := Read(nodes.records[Key("s")])
+	p, _ := DecodePlan(nodes.records[PartitionOf("s")])
 	next := *p
 	next.Stage, next.Weight = Complete, 1
-	changes, err := Advance(nodes.records, p.Gen, &next)
+	changes, err := Advance(nodes.records, p.Generation, &next)
 	if err != nil {
 		nodes.t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 // checkNewest checks the candidate, the stage and the order number of the newest rollout.
 func (nodes *controlNodes) checkNewest(version string, stage Stage, order uint64) {
 	nodes.t.Helper()
-	if p, _ := Read(nodes.records[Key("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
+	if p, _ := DecodePlan(nodes.records[PartitionOf("s")]); p.Candidate != version || p.Stage != stage || p.Order != order {
 		nodes.t.Fatalf("%s is %v as order %d, want %s, %v, %d", p.Candidate, p.Stage, p.Order, version, stage, order)
 	}
 }
@@ -126,7 +126,7 @@
 	nodes.checkOutcome(nodes.abort(0, 2, Reversal{Version: "v2"}), acknowledged)
 	nodes.checkOutcome(nodes.begin(0, 3, "v3"), acknowledged)
 	nodes.now += 2 * time.Second
-	nodes.checkOutcome(nodes.abort(1, 4, Reversal{Version: "v3"}), apierror.MaybeRepeated)
+	nodes.checkOutcome(nodes.abort(1, 4, Reversal{Version: "v3"}), apierror.PossibleDuplicate)
 	nodes.checkNewest("v3", Shadow, 2)
 	nodes.checkOutcome(nodes.abort(1, 5, Reversal{Version: "v3", Named: true}), acknowledged)
 	nodes.checkNewest("v3", Reverted, 2)
@@ -143,7 +143,7 @@
 	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
 	nodes.complete()
 	nodes.checkOutcome(nodes.begin(0, 2, "v3"), acknowledged)
-	nodes.checkOutcome(nodes.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.UnderWay)
+	nodes.checkOutcome(nodes.abort(0, 3, Reversal{Version: "v2", Named: true}), apierror.RolloutInProgress)
 	nodes.checkNewest("v3", Shadow, 2)
 }
 
@@ -177,11 +177,11 @@
 		nodes.complete()
 		nodes.now += 2 * nodes.resendWindow
 	}
-	p, _ := Read(nodes.records[Key("s")])
-	if len(p.Taken) != maxTakenCalls || p.Taken[maxTakenCalls-1].ID != 40 {
-		t.Errorf("the plan records %d calls: %v", len(p.Taken), p.Taken)
+	p, _ := DecodePlan(nodes.records[PartitionOf("s")])
+	if len(p.ExecutedCalls) != maxTakenCalls || p.ExecutedCalls[maxTakenCalls-1].ID != 40 {
+		t.Errorf("the plan records %d calls: %v", len(p.ExecutedCalls), p.ExecutedCalls)
 	}
-	if n := len(nodes.records[Key("s")].Data); n > 512 {
+	if n := len(nodes.records[PartitionOf("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
 	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
@@ -193,7 +193,7 @@
 // however late it comes.
 func TestOutdatedCallIsRefused(t *testing.T) {
 	basis := func(number uint64) *uint64 { return &number }
-	plan := Plan{Service: "s", Prior: "v1", Candidate: "v3", Order: 2, Stage: Reverted, Taken: []TakenCall{{ID: 7, Version: "v3"}}}
+	plan := Plan{Service: "s", Prior: "v1", Candidate: "v3", Order: 2, Stage: Reverted, ExecutedCalls: []ExecutedCall{{ID: 7, Version: "v3"}}}
 	activePlan := plan
 	activePlan.Stage = Canary
 	for name, c := range map[string]struct {
@@ -203,20 +203,20 @@
 		want   apierror.Kind
 		passes bool
 	}{
-		"order based on the newest":                      {plan, false, Call{ID: 9, Basis: basis(2)}, 0, true},
+		"order based on the newest":                      {plan, false, Call{ID: 9, BaseOrder: basis(2)}, 0, true},
 		"order without a basis, from an earlier release": {plan, false, Call{ID: 9}, 0, true},
-		"order based on the previous one":                {plan, false, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
-		"order based on no rollout":                      {plan, false, Call{ID: 9, Basis: basis(0)}, apierror.Outdated, false},
-		"order that was executed":                        {plan, false, Call{ID: 7, Basis: basis(1)}, 0, true},
-		"reversal based on the newest":                   {activePlan, true, Call{ID: 9, Basis: basis(2)}, 0, true},
-		"reversal based on the previous one":             {activePlan, true, Call{ID: 9, Basis: basis(1)}, apierror.Outdated, false},
+		"order based on the previous one":                {plan, false, Call{ID: 9, BaseOrder: basis(1)}, apierror.OutdatedOrder, false},
+		"order based on no rollout":                      {plan, false, Call{ID: 9, BaseOrder: basis(0)}, apierror.OutdatedOrder, false},
+		"order that was executed":                        {plan, false, Call{ID: 7, BaseOrder: basis(1)}, 0, true},
+		"reversal based on the newest":                   {activePlan, true, Call{ID: 9, BaseOrder: basis(2)}, 0, true},
+		"reversal based on the previous one":             {activePlan, true, Call{ID: 9, BaseOrder: basis(1)}, apierror.OutdatedOrder, false},
 	} {
-		records := map[string]Record{Key("s"): c.plan.encode(4)}
+		records := map[string]Record{PartitionOf("s"): c.plan.encode(4)}
 		var err error
 		if c.abort {
 			_, err = Abort(records, "s", Reversal{}, 0, c.call)
 		} else {
-			_, err = Begin(records, Ask{"s", "v2", 12}, "v1", c.call)
+			_, err = Begin(records, OrderRequest{"s", "v2", 12}, "v1", c.call)
 		}
 		if passes := err == nil; passes != c.passes || !passes && apierror.KindOf(err) != c.want {
 			t.Errorf("%s: %v", name, err)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -50,14 +50,14 @@
 	return state
 }
 
-// Saw records a committed record as it reaches this node.
-func (c *Controller) Saw(now time.Duration, rec Record) {
-	plan, ok := Read(rec)
+// RecordCommitted records a committed record as it reaches this node.
+func (c *Controller) RecordCommitted(now time.Duration, rec Record) {
+	plan, ok := DecodePlan(rec)
 	if !ok {
 		return
 	}
 	state := c.stateOf(plan.Service)
-	if plan.Gen <= state.generation {
+	if plan.Generation <= state.generation {
 		return
 	}
 	state.recordCalls(now, plan)
@@ -71,7 +71,7 @@
 			state.baseline = state.gathered.Sums
 		}
 	}
-	state.generation, state.recordSeenAt, state.ageWhenSeen = plan.Gen, now, age
+	state.generation, state.recordSeenAt, state.ageWhenSeen = plan.Generation, now, age
 	if !plan.Final() || plan.Order != state.order {
 		state.gathered = Gathered{} // the sums that decided a rollout are kept for the administration API
 	}
@@ -81,7 +81,7 @@
 // recordCalls records when each executed call of a plan was first seen here.
 func (s *rolloutState) recordCalls(now time.Duration, p *Plan) {
 	calls := map[uint64]time.Duration{}
-	for _, t := range p.Taken {
+	for _, t := range p.ExecutedCalls {
 		calls[t.ID] = now
 		if at, ok := s.callsSeenAt[t.ID]; ok {
 			calls[t.ID] = at
@@ -112,41 +112,41 @@
 // View returns the view of the last evaluation of a service's rollout.
 func (c *Controller) View(service string) View { return c.stateOf(service).lastView }
 
-// Led reports whether every active rollout had a known controller at the last call of Look.
-func (c *Controller) Led() bool { return c.allControlled }
+// AllControlled reports whether every active rollout had a known controller at the last call of Look.
+func (c *Controller) AllControlled() bool { return c.allControlled }
 
-// Heard stores the reports of a gateway.
-func (c *Controller) Heard(now time.Duration, from string, reports []Report) {
+// ReceiveReports stores the reports of a gateway.
+func (c *Controller) ReceiveReports(now time.Duration, from string, reports []Report) {
 	for _, report := range reports {
 		c.stateOf(report.Service).gatewayReports[from] = received[Report]{now, report}
 	}
 }
 
-// Take stores what another control node has gathered.
-func (c *Controller) Take(now time.Duration, from string, all []Gathered) {
+// ReceiveGathered stores what another control node has gathered.
+func (c *Controller) ReceiveGathered(now time.Duration, from string, all []Gathered) {
 	for _, gathered := range all {
 		c.stateOf(gathered.Service).peerReports[from] = received[Gathered]{now, gathered}
 	}
 }
 
-// Move is a transition from one plan to the next that a controller has decided on.
-type Move struct {
+// Transition is a transition from one plan to the next that a controller has decided on.
+type Transition struct {
 	From, To *Plan
 }
 
-// Surroundings is what a controller needs to know from its node.
-type Surroundings struct {
-	Self  string
-	Owner func(key string) string // the node that owns a key; empty: none known
-	Fresh time.Duration           // age up to which a report counts
+// Environment is what a controller needs to know from its node.
+type Environment struct {
+	Self         string
+	Owner        func(key string) string // the node that owns a key; empty: none known
+	MaxReportAge time.Duration           // age up to which a report counts
 	// Fill adds to a view the figures on the gateways and on the service's upstreams. told
 	// has the requests in flight to other versions, by gateway that has reported.
 	Fill func(v *View, p *Plan, told map[string]int)
 }
 
-// Look evaluates the active rollouts. It returns the transitions to commit, and by control
+// Evaluate evaluates the active rollouts. It returns the transitions to commit, and by control
 // node the gathered reports to send to it as the controller of their rollouts.
-func (c *Controller) Look(now time.Duration, services map[string]Service, surroundings Surroundings) (moves []Move, tell map[string][]Gathered) {
+func (c *Controller) Evaluate(now time.Duration, services map[string]Service, surroundings Environment) (moves []Transition, tell map[string][]Gathered) {
 	c.allControlled, tell = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		service := services[name]
@@ -155,40 +155,40 @@
 			continue
 		}
 		state := c.stateOf(name)
-		gathered := Gather(name, state.generation, pruneExpired(state.gatewayReports, now, surroundings.Fresh))
-		switch owner := surroundings.Owner(Key(name)); owner {
+		gathered := Gather(name, state.generation, pruneExpired(state.gatewayReports, now, surroundings.MaxReportAge))
+		switch owner := surroundings.Owner(PartitionOf(name)); owner {
 		case surroundings.Self:
 		case "":
 			c.allControlled = false
 			continue
 		default:
-			if len(gathered.Nodes) > 0 {
+			if len(gathered.OtherInFlightByGateway) > 0 {
 				tell[owner] = append(tell[owner], gathered)
 			}
 			continue
 		}
-		for _, g := range pruneExpired(state.peerReports, now, surroundings.Fresh) {
+		for _, g := range pruneExpired(state.peerReports, now, surroundings.MaxReportAge) {
 			if g.Gen == state.generation {
 				gathered.Add(g)
 			}
 		}
 		state.gathered = gathered
-		if state.generation != plan.Gen || state.pendingFrom == plan.Gen {
+		if state.generation != plan.Generation || state.pendingFrom == plan.Generation {
 			continue
 		}
-		view := View{Age: state.age(now), Stage: now - state.recordSeenAt, Sums: gathered.Sums, Base: state.baseline, Braked: gathered.Braked, Brake: gathered.Brake}
-		surroundings.Fill(&view, plan, gathered.Nodes)
+		view := View{Age: state.age(now), SinceRecord: now - state.recordSeenAt, Sums: gathered.Sums, Baseline: state.baseline, StoppedGateways: gathered.StoppedGateways, StopReason: gathered.StopReason}
+		surroundings.Fill(&view, plan, gathered.OtherInFlightByGateway)
 		state.lastView = view
 		if next := Next(plan, view); next != nil {
-			state.pendingFrom = plan.Gen
-			moves = append(moves, Move{plan, next})
+			state.pendingFrom = plan.Generation
+			moves = append(moves, Transition{plan, next})
 		}
 	}
 	return moves, tell
 }
 
-// Moved records that the commit of a transition has ended, with success or without.
-func (c *Controller) Moved(m Move) { c.stateOf(m.From.Service).pendingFrom = 0 }
+// TransitionEnded records that the commit of a transition has ended, with success or without.
+func (c *Controller) TransitionEnded(m Transition) { c.stateOf(m.From.Service).pendingFrom = 0 }
 
 // pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -8,22 +8,22 @@
 
 // View is the state of a rollout when its controller evaluates it.
 type View struct {
-	Age   time.Duration // of the order
-	Stage time.Duration // time since the current record was first seen here
-	// Sums are of the gateways that have the current record in force; Base are of an
+	Age         time.Duration // of the order
+	SinceRecord time.Duration // time since the current record was first seen here
+	// Sums are of the gateways that have the current record in force; Baseline are of an
 	// earlier record.
-	Sums, Base Sums
-	// Live is the number of gateways that carry traffic, Heard the number of these that
-	// have reported the current record as in force, Busy the number of requests in flight
-	// there to other versions, and Braked the number of gateways that have stopped the
+	Sums, Baseline Sums
+	// LiveGateways is the number of gateways that carry traffic, ReportingGateways the number of these that
+	// have reported the current record as in force, OtherInFlight the number of requests in flight
+	// there to other versions, and StoppedGateways the number of gateways that have stopped the
 	// candidate by themselves. Brake is the reason that one of the latter gave.
-	Live, Heard, Busy, Braked int
-	Brake                     string
-	// Warm is the number of slots of the candidate's warm upstreams, Slots that of all its
-	// upstreams, and Standing that of the version that serves without a weight. Load is the
+	LiveGateways, ReportingGateways, OtherInFlight, StoppedGateways int
+	StopReason                                                      string
+	// WarmSlots is the number of slots of the candidate's warm upstreams, Slots that of all its
+	// upstreams, and StandingSlots that of the version that serves without a weight. Load is the
 	// number of requests that the service has in flight.
-	Warm, Slots, Standing float64
-	Load                  float64
+	WarmSlots, Slots, StandingSlots float64
+	Load                            float64
 	// ExposureShare is the share of the requests during the order's time that a bad version
 	// may get.
 	ExposureShare float64
@@ -81,11 +81,11 @@
 	// The minimum has an upper bound, since an order may allow days. The published design
 	// has hours, in which people look at the candidate; here they look at the status.
 	minDuration := min(time.Duration(current.minDurationShare*float64(plan.Within)), maxMinDuration)
-	if view.Stage < minDuration || view.Live == 0 || float64(view.Heard) < minReportingShare*float64(view.Live) {
+	if view.SinceRecord < minDuration || view.LiveGateways == 0 || float64(view.ReportingGateways) < minReportingShare*float64(view.LiveGateways) {
 		return nil
 	}
 	candidate := view.Sums.All()[Candidate]
-	if current.weight > 0 && view.Stage < maxWaitFactor*minDuration {
+	if current.weight > 0 && view.SinceRecord < maxWaitFactor*minDuration {
 		if candidate.Ended < current.minAnswers || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
 			return nil
 		}
@@ -94,8 +94,8 @@
 	next.Age = view.Age
 	if current.stage == Full {
 		// The prior version stops at once on completion, so no request to it may be in flight.
-		if view.Heard < view.Live || view.Busy > 0 {
-			if view.Braked > 0 && view.Stage > 2*minDuration {
+		if view.ReportingGateways < view.LiveGateways || view.OtherInFlight > 0 {
+			if view.StoppedGateways > 0 && view.SinceRecord > 2*minDuration {
 				return &next // a new generation of the same step clears a stop by one gateway that the sums do not confirm
 			}
 			return nil
@@ -118,20 +118,20 @@
 		return false
 	case target.stage == Canary:
 		return true // cold upstreams are rate-limited; requests beyond that go to the prior version
-	case target.weight*view.Load > maxWarmUtilization*view.Warm:
+	case target.weight*view.Load > maxWarmUtilization*view.WarmSlots:
 		return false
 	}
-	return view.Load > 0 || view.Warm >= minWarmShare*target.weight*view.Standing
+	return view.Load > 0 || view.WarmSlots >= minWarmShare*target.weight*view.StandingSlots
 }
 
 // reversalReason is the reason to reverse a rollout; empty: there is none.
 func reversalReason(view View) string {
-	if reason := Overall.Judge(view.Sums, view.Base); reason != "" {
+	if reason := Overall.Judge(view.Sums, view.Baseline); reason != "" {
 		return reason
 	}
 	// A single gateway may misjudge a candidate. Two are believed, or one if it is the only one.
-	if view.Braked >= min(2, view.Live) && view.Braked > 0 {
-		return fmt.Sprintf("%d nodes have stopped it: %s", view.Braked, view.Brake)
+	if view.StoppedGateways >= min(2, view.LiveGateways) && view.StoppedGateways > 0 {
+		return fmt.Sprintf("%d nodes have stopped it: %s", view.StoppedGateways, view.StopReason)
 	}
 	return ""
 }
@@ -139,22 +139,22 @@
 // Gathered is the sum of the reports of several gateways on one rollout.
 type Gathered struct {
 	Report
-	Nodes  map[string]int `cbor:"6,keyasint,omitempty"` // by gateway: requests in flight to other versions
-	Braked int            `cbor:"7,keyasint,omitempty"` // gateways that have stopped the candidate by themselves
+	OtherInFlightByGateway map[string]int `cbor:"6,keyasint,omitempty"` // by gateway: requests in flight to other versions
+	StoppedGateways        int            `cbor:"7,keyasint,omitempty"` // gateways that have stopped the candidate by themselves
 }
 
 // Gather adds up the reports, by gateway, on one generation of a plan.
 func Gather(service string, gen uint64, reports map[string]Report) Gathered {
-	gathered := Gathered{Report: Report{Service: service, Gen: gen, Sums: Sums{}}, Nodes: map[string]int{}}
+	gathered := Gathered{Report: Report{Service: service, Gen: gen, Sums: Sums{}}, OtherInFlightByGateway: map[string]int{}}
 	for node, r := range reports {
 		if r.Gen != gen {
 			continue
 		}
 		gathered.Sums.Add(r.Sums)
-		gathered.Nodes[node] = r.Busy
-		if r.Brake != "" {
-			gathered.Brake = r.Brake
-			gathered.Braked++
+		gathered.OtherInFlightByGateway[node] = r.OtherInFlight
+		if r.StopReason != "" {
+			gathered.StopReason = r.StopReason
+			gathered.StoppedGateways++
 		}
 	}
 	return gathered
@@ -163,9 +163,9 @@
 // Add adds the reports of other gateways that another control node has gathered.
 func (g *Gathered) Add(other Gathered) {
 	g.Sums.Add(other.Sums)
-	g.Braked += other.Braked
-	if g.Brake == "" {
-		g.Brake = other.Brake
+	g.StoppedGateways += other.StoppedGateways
+	if g.StopReason == "" {
+		g.StopReason = other.StopReason
 	}
-	maps.Copy(g.Nodes, other.Nodes)
+	maps.Copy(g.OtherInFlightByGateway, other.OtherInFlightByGateway)
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -34,8 +34,8 @@
 // of the catalogue.
 const StandingPrefix = "standing/"
 
-// Key is the key of a service's rollout.
-func Key(service string) string { return Prefix + service }
+// PartitionOf is the key of a service's rollout.
+func PartitionOf(service string) string { return Prefix + service }
 
 // Stage is the stage of a rollout. It only advances. The numbers are stored in records.
 type Stage int
@@ -67,19 +67,19 @@
 	// first saw the record, so a takeover never makes an order younger.
 	Age    time.Duration `cbor:"8,keyasint,omitempty"`
 	Reason string        `cbor:"9,keyasint,omitempty"` // of a reversal
-	// Taken has the newest executed calls for the service, including those for earlier
+	// ExecutedCalls has the newest executed calls for the service, including those for earlier
 	// rollouts, so that their repeats are recognised.
-	Taken []TakenCall `cbor:"10,keyasint,omitempty"`
-	// Gen is the generation of the record. It is not part of the record's data.
-	Gen uint64 `cbor:"-"`
+	ExecutedCalls []ExecutedCall `cbor:"10,keyasint,omitempty"`
+	// Generation is the generation of the record. It is not part of the record's data.
+	Generation uint64 `cbor:"-"`
 }
 
 // Final reports whether the rollout was completed or reversed.
 func (p *Plan) Final() bool { return p.Stage >= Complete }
 
-// Standing is the version that gets all requests that no weight assigns to a candidate: the
+// StandingVersion is the version that gets all requests that no weight assigns to a candidate: the
 // prior version, or the candidate once the rollout is complete.
-func (p *Plan) Standing() string {
+func (p *Plan) StandingVersion() string {
 	if p.Stage == Complete {
 		return p.Candidate
 	}
@@ -94,13 +94,13 @@
 	return "serving"
 }
 
-// Read decodes a plan from its record; false: the record was dropped or is malformed.
-func Read(r Record) (*Plan, bool) {
+// DecodePlan decodes a plan from its record; false: the record was dropped or is malformed.
+func DecodePlan(r Record) (*Plan, bool) {
 	p := &Plan{}
 	if r.Dropped || cbor.Unmarshal(r.Data, p) != nil {
 		return nil, false
 	}
-	p.Gen = r.Gen
+	p.Generation = r.Gen
 	return p, true
 }
 
@@ -109,11 +109,11 @@
 	if err != nil {
 		panic(err)
 	}
-	return Record{Name: Key(p.Service), Gen: gen, Data: data}
+	return Record{Name: PartitionOf(p.Service), Gen: gen, Data: data}
 }
 
-// Ask is an operator's order as the administration API receives it.
-type Ask struct {
+// OrderRequest is an operator's order as the administration API receives it.
+type OrderRequest struct {
 	Service string  `json:"target" cbor:"1,keyasint"`
 	Version string  `json:"targetVersion" cbor:"2,keyasint"`
 	WithinS float64 `json:"withinS" cbor:"3,keyasint"`
@@ -122,15 +122,15 @@
 //go:embed schema.json
 var schemaText []byte
 
-var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompile("rollout.json", schemaText) })
+var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompileSchema("rollout.json", schemaText) })
 
-// ReadAsk parses an order and validates it against the schema.
-func ReadAsk(body []byte) (a Ask, err error) {
-	if err := settings.Validate(schema(), body); err != nil {
-		return a, apierror.New(apierror.BadOrder, "%v", err)
+// ParseOrderRequest parses an order and validates it against the schema.
+func ParseOrderRequest(body []byte) (a OrderRequest, err error) {
+	if err := settings.ValidateSchema(schema(), body); err != nil {
+		return a, apierror.New(apierror.BadRolloutOrder, "%v", err)
 	}
 	if err := json.Unmarshal(body, &a); err != nil {
-		return a, apierror.New(apierror.BadOrder, "%v", err)
+		return a, apierror.New(apierror.BadRolloutOrder, "%v", err)
 	}
 	return a, nil
 }
@@ -138,8 +138,8 @@
 // Advance returns the record of the plan next. It returns the error Conflict if the stored
 // plan is final or not of the generation from which next was computed.
 func Advance(records map[string]Record, expectedGeneration uint64, next *Plan) ([]Record, error) {
-	oldRecord := records[Key(next.Service)]
-	current, ok := Read(oldRecord)
+	oldRecord := records[PartitionOf(next.Service)]
+	current, ok := DecodePlan(oldRecord)
 	if !ok || oldRecord.Gen != expectedGeneration || current.Final() || next.Stage < current.Stage || next.Order != current.Order {
 		return nil, apierror.New(apierror.Conflict, "the rollout of %s has gone on", next.Service)
 	}
@@ -156,18 +156,18 @@
 // that it supersedes: 0 for the first version of a service, more if all upstreams of the
 // version that served were replaced without an order.
 type Standing struct {
-	Version string `cbor:"1,keyasint"`
-	After   uint64 `cbor:"2,keyasint,omitempty"`
+	Version    string `cbor:"1,keyasint"`
+	Supersedes uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ReadStanding decodes a Standing from its record.
-func ReadStanding(r Record) (s Standing, ok bool) {
+// DecodeStanding decodes a Standing from its record.
+func DecodeStanding(r Record) (s Standing, ok bool) {
 	return s, !r.Dropped && cbor.Unmarshal(r.Data, &s) == nil
 }
 
-// Adopt returns the records that store versions, by service. A service whose record no longer
+// StoreStanding returns the records that store versions, by service. A service whose record no longer
 // has the expected generation is left out.
-func Adopt(records map[string]Record, versions map[string]Standing, expectedGenerations map[string]uint64) (out []Record) {
+func StoreStanding(records map[string]Record, versions map[string]Standing, expectedGenerations map[string]uint64) (out []Record) {
 	for service, standing := range versions {
 		name := StandingPrefix + service
 		if records[name].Gen != expectedGenerations[service] {
@@ -188,17 +188,17 @@
 	Standing Standing // Version is empty until one was seen
 }
 
-// Serves is the version that serves without a weight; empty: unknown.
-func (s Service) Serves() string {
+// StandingVersion is the version that serves without a weight; empty: unknown.
+func (s Service) StandingVersion() string {
 	if !s.Ordered() {
 		return s.Standing.Version
 	}
-	return s.Plan.Standing()
+	return s.Plan.StandingVersion()
 }
 
 // Ordered reports whether the version that serves is the result of an order.
 func (s Service) Ordered() bool {
-	return s.Plan != nil && !(s.Plan.Final() && s.Standing.After >= s.Plan.Gen)
+	return s.Plan != nil && !(s.Plan.Final() && s.Standing.Supersedes >= s.Plan.Generation)
 }
 
 // Active returns the plan unless it is final; otherwise nil.
@@ -209,23 +209,23 @@
 	return s.Plan
 }
 
-// Names reports whether a record of this name holds a Plan or a Standing.
-func Names(record string) bool {
+// HoldsVersion reports whether a record of this name holds a Plan or a Standing.
+func HoldsVersion(record string) bool {
 	return strings.HasPrefix(record, Prefix) || strings.HasPrefix(record, StandingPrefix)
 }
 
-// Services decodes the records on versions, by service.
-func Services(records map[string]Record) map[string]Service {
+// DecodeServices decodes the records on versions, by service.
+func DecodeServices(records map[string]Record) map[string]Service {
 	services := map[string]Service{}
 	for name, record := range records {
 		if service, ok := strings.CutPrefix(name, Prefix); ok {
-			if plan, ok := Read(record); ok {
+			if plan, ok := DecodePlan(record); ok {
 				v := services[service]
 				v.Plan = plan
 				services[service] = v
 			}
 		} else if service, ok := strings.CutPrefix(name, StandingPrefix); ok {
-			if standing, ok := ReadStanding(record); ok {
+			if standing, ok := DecodeStanding(record); ok {
 				v := services[service]
 				v.Standing = standing
 				services[service] = v
