--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -15,10 +15,10 @@
 // The outcomes. Unscored says nothing about the version: the request was not sent, was
 // rejected without being executed, or its client closed the connection.
 const (
-	Passed  Outcome = iota
-	Errored         // the upstream itself answered with an error
-	Broke           // the connection broke, or the answer was malformed
-	TooLate         // no answer by the deadline
+	Passed         Outcome = iota
+	Errored                // the upstream itself answered with an error
+	BrokenResponse         // the connection broke, or the answer was malformed
+	TooLate                // no answer by the deadline
 	Unscored
 	failureKinds = 3 // Errored, Broke, TooLate
 )
@@ -56,10 +56,10 @@
 	// Of the answers of upstreams that are not cold: their number, the sums of their latency
 	// scores and of the squares of these, and their number in each bin of the latency
 	// histogram. The score falls from 1 at no latency to 0 at four times the latency target.
-	N    uint64   `cbor:"4,keyasint,omitempty"`
-	Sum  float64  `cbor:"5,keyasint,omitempty"`
-	Sq   float64  `cbor:"6,keyasint,omitempty"`
-	Hist []uint64 `cbor:"7,keyasint,omitempty"`
+	LatencyCount     uint64   `cbor:"4,keyasint,omitempty"`
+	ScoreSum         float64  `cbor:"5,keyasint,omitempty"`
+	ScoreSquareSum   float64  `cbor:"6,keyasint,omitempty"`
+	LatencyHistogram []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Failed is the number of failures of all kinds.
@@ -88,18 +88,18 @@
 
 func (c *Cell) recordLatency(elapsed, latencyTarget time.Duration) {
 	latencyScore := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
-	c.N++
-	c.Sum += latencyScore
-	c.Sq += latencyScore * latencyScore
+	c.LatencyCount++
+	c.ScoreSum += latencyScore
+	c.ScoreSquareSum += latencyScore * latencyScore
 	bin := latencyBin(elapsed)
-	for len(c.Hist) <= bin {
-		c.Hist = append(c.Hist, 0)
+	for len(c.LatencyHistogram) <= bin {
+		c.LatencyHistogram = append(c.LatencyHistogram, 0)
 	}
-	c.Hist[bin]++
+	c.LatencyHistogram[bin]++
 }
 
-// Tail is an upper bound of the 99th percentile of the latencies: the end of its bin.
-func (c *Cell) Tail() time.Duration {
+// LatencyP99 is an upper bound of the 99th percentile of the latencies: the end of its bin.
+func (c *Cell) LatencyP99() time.Duration {
 	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tailBin())/2))
 }
 
@@ -110,29 +110,29 @@
 	for i := range c.Fails {
 		c.Fails[i] += other.Fails[i]
 	}
-	c.N += other.N
-	c.Sum += other.Sum
-	c.Sq += other.Sq
-	for len(c.Hist) < len(other.Hist) {
-		c.Hist = append(c.Hist, 0)
+	c.LatencyCount += other.LatencyCount
+	c.ScoreSum += other.ScoreSum
+	c.ScoreSquareSum += other.ScoreSquareSum
+	for len(c.LatencyHistogram) < len(other.LatencyHistogram) {
+		c.LatencyHistogram = append(c.LatencyHistogram, 0)
 	}
-	for i, n := range other.Hist {
-		c.Hist[i] += n
+	for i, n := range other.LatencyHistogram {
+		c.LatencyHistogram[i] += n
 	}
 }
 
 // countBeyond is the number of answers in the bins after bin.
 func (c *Cell) countBeyond(bin int) (n uint64) {
-	for i := bin + 1; i < len(c.Hist); i++ {
-		n += c.Hist[i]
+	for i := bin + 1; i < len(c.LatencyHistogram); i++ {
+		n += c.LatencyHistogram[i]
 	}
 	return n
 }
 
 // tailBin is the first bin beyond which no more than a hundredth of the answers lie.
 func (c *Cell) tailBin() int {
-	for bin := range c.Hist {
-		if c.countBeyond(bin)*100 <= c.N {
+	for bin := range c.LatencyHistogram {
+		if c.countBeyond(bin)*100 <= c.LatencyCount {
 			return bin
 		}
 	}
@@ -180,11 +180,11 @@
 // Criterion is the condition for a candidate to count as bad. It is fixed before any traffic
 // moves.
 type Criterion struct {
-	Alpha float64 // significance level of one test of one bucket of strata
-	Min   uint64  // failures, or answers where latencies are compared, below which nothing is tested
-	// Alone is the share of failures at which a candidate is bad where the prior arm has
+	Alpha       float64 // significance level of one test of one bucket of strata
+	MinFailures uint64  // failures, or answers where latencies are compared, below which nothing is tested
+	// FailureShareAlone is the share of failures at which a candidate is bad where the prior arm has
 	// too few answers for a comparison.
-	Alone float64
+	FailureShareAlone float64
 }
 
 const (
@@ -200,9 +200,9 @@
 // that significance level.
 var (
 	// Overall is for the sums of all gateways at the controller.
-	Overall = Criterion{Alpha: 0.05 / 500, Min: 8, Alone: 0.25}
+	Overall = Criterion{Alpha: 0.05 / 500, MinFailures: 8, FailureShareAlone: 0.25}
 	// Local is for a gateway that stops the candidate by itself.
-	Local = Criterion{Alpha: 0.05 / 5000, Min: 5, Alone: 0.4}
+	Local = Criterion{Alpha: 0.05 / 5000, MinFailures: 5, FailureShareAlone: 0.4}
 )
 
 // Judge compares the arms, in all strata together and in each bucket, and returns what is
@@ -236,13 +236,13 @@
 	candidateCounts := append([]uint64{candidate.Failed()}, candidate.Fails[:]...)
 	priorCounts := append([]uint64{prior.Failed()}, prior.Fails[:]...)
 	for i, failures := range candidateCounts {
-		if failures < c.Min {
+		if failures < c.MinFailures {
 			continue
 		}
 		share := float64(failures) / float64(candidate.Ended)
 		switch {
-		case prior.Ended < c.Min*2 || usesBaseline && i != 1:
-			if share >= c.Alone {
+		case prior.Ended < c.MinFailures*2 || usesBaseline && i != 1:
+			if share >= c.FailureShareAlone {
 				return fmt.Sprintf("%d of %d answers %s", failures, candidate.Ended, failureNames[i])
 			}
 		default:
@@ -256,26 +256,26 @@
 			}
 		}
 	}
-	if candidate.N < c.Min || prior.N < c.Min*4 {
+	if candidate.LatencyCount < c.MinFailures || prior.LatencyCount < c.MinFailures*4 {
 		return ""
 	}
 	// The mean of the latency scores.
-	if scoreDrop := prior.Sum/float64(prior.N) - candidate.Sum/float64(candidate.N); scoreDrop >= minEffect && !usesBaseline {
+	if scoreDrop := prior.ScoreSum/float64(prior.LatencyCount) - candidate.ScoreSum/float64(candidate.LatencyCount); scoreDrop >= minEffect && !usesBaseline {
 		if welchPValue(candidate, prior) < c.Alpha {
-			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", scoreDrop, candidate.N)
+			return fmt.Sprintf("answers take longer: mean score down by %.2f over %d", scoreDrop, candidate.LatencyCount)
 		}
 	}
 	// The tail of the latencies.
-	if prior.N >= 50 {
+	if prior.LatencyCount >= 50 {
 		lastBin := prior.tailBin() + tailMarginBins
 		candidateLate, priorLate := candidate.countBeyond(lastBin), prior.countBeyond(lastBin)
 		minExcess := minTailExcess
 		if usesBaseline {
 			minExcess = 3 * minTailExcess
 		}
-		if candidateLate >= c.Min && float64(candidateLate)/float64(candidate.N)-float64(priorLate)/float64(prior.N) >= minExcess &&
-			proportionsPValue(candidateLate, candidate.N, priorLate, prior.N) < c.Alpha {
-			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", candidateLate, candidate.N)
+		if candidateLate >= c.MinFailures && float64(candidateLate)/float64(candidate.LatencyCount)-float64(priorLate)/float64(prior.LatencyCount) >= minExcess &&
+			proportionsPValue(candidateLate, candidate.LatencyCount, priorLate, prior.LatencyCount) < c.Alpha {
+			return fmt.Sprintf("%d of %d answers beyond 1.3 times the prior version's p99", candidateLate, candidate.LatencyCount)
 		}
 	}
 	return ""
@@ -301,15 +301,15 @@
 // welchPValue is the p-value of the one-sided Welch's t-test. The null hypothesis is that the
 // mean score of a is not below that of b.
 func welchPValue(a, b Cell) float64 {
-	if a.N < 2 || b.N < 2 {
+	if a.LatencyCount < 2 || b.LatencyCount < 2 {
 		return 1
 	}
-	mean := func(c Cell) float64 { return c.Sum / float64(c.N) }
+	mean := func(c Cell) float64 { return c.ScoreSum / float64(c.LatencyCount) }
 	variance := func(c Cell) float64 {
-		n := float64(c.N)
-		return max(0, (c.Sq-c.Sum*c.Sum/n)/(n-1))
+		n := float64(c.LatencyCount)
+		return max(0, (c.ScoreSquareSum-c.ScoreSum*c.ScoreSum/n)/(n-1))
 	}
-	va, vb := variance(a)/float64(a.N), variance(b)/float64(b.N)
+	va, vb := variance(a)/float64(a.LatencyCount), variance(b)/float64(b.LatencyCount)
 	if va+vb == 0 {
 		if mean(a) < mean(b) {
 			return 0
@@ -317,6 +317,6 @@
 		return 1
 	}
 	t := (mean(a) - mean(b)) / math.Sqrt(va+vb)
-	df := (va + vb) * (va + vb) / (va*va/float64(a.N-1) + vb*vb/float64(b.N-1))
+	df := (va + vb) * (va + vb) / (va*va/float64(a.LatencyCount-1) + vb*vb/float64(b.LatencyCount-1))
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}.CDF(t)
 }
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -17,7 +17,7 @@
 	}
 	// {0, 1} against {2, 3}: t = -2 / sqrt(0.5) with 2 degrees of freedom, whose
 	// distribution is 1/2 + t / (2 sqrt(2 + t t)).
-	a, b := Cell{N: 2, Sum: 1, Sq: 1}, Cell{N: 2, Sum: 5, Sq: 13}
+	a, b := Cell{LatencyCount: 2, ScoreSum: 1, ScoreSquareSum: 1}, Cell{LatencyCount: 2, ScoreSum: 5, ScoreSquareSum: 13}
 	statistic := -2 / math.Sqrt(0.5)
 	if p, want := welchPValue(a, b), 0.5+statistic/(2*math.Sqrt(2+statistic*statistic)); math.Abs(p-want) > 1e-9 {
 		t.Errorf("Welch's t-test: p = %v, want %v", p, want)
@@ -25,7 +25,7 @@
 	if p := welchPValue(b, a); p < 0.9 {
 		t.Errorf("Welch's t-test with the samples exchanged: p = %v", p)
 	}
-	if proportionsPValue(0, 0, 1, 2) != 1 || welchPValue(Cell{N: 1}, b) != 1 {
+	if proportionsPValue(0, 0, 1, 2) != 1 || welchPValue(Cell{LatencyCount: 1}, b) != 1 {
 		t.Error("samples that are too small for a test must give p = 1")
 	}
 }
@@ -89,7 +89,7 @@
 	ba.Add(a)
 	sumAB, sumBA := ab.All(), ba.All()
 	for arm := range sumAB {
-		if sumAB[arm].Ended != sumBA[arm].Ended || sumAB[arm].Failed() != sumBA[arm].Failed() || math.Abs(sumAB[arm].Sum-sumBA[arm].Sum) > 1e-9 || sumAB[arm].N != sumBA[arm].N {
+		if sumAB[arm].Ended != sumBA[arm].Ended || sumAB[arm].Failed() != sumBA[arm].Failed() || math.Abs(sumAB[arm].ScoreSum-sumBA[arm].ScoreSum) > 1e-9 || sumAB[arm].LatencyCount != sumBA[arm].LatencyCount {
 			t.Errorf("arm %d: %+v and %+v", arm, sumAB[arm], sumBA[arm])
 		}
 	}
@@ -112,10 +112,10 @@
 		}
 	}
 	stage := func(s Stage) {
-		p, _ := Read(records[Key("s")])
+		p, _ := DecodePlan(records[PartitionOf("s")])
 		next := *p
 		next.Stage = s
-		changes, err := Advance(records, p.Gen, &next)
+		changes, err := Advance(records, p.Generation, &next)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,50 +123,50 @@
 	}
 	for i, c := range []struct {
 		before  func()
-		ask     Ask
+		ask     OrderRequest
 		kind    apierror.Kind
 		changes bool
 	}{
-		{nil, Ask{"s", "v2", 12}, -1, true},
-		{nil, Ask{"s", "v2", 12}, -1, false},
-		{nil, Ask{"s", "v3", 12}, apierror.UnderWay, false},
-		{nil, Ask{"s", "v2", 13}, apierror.UnderWay, false},
-		{func() { stage(Reverted) }, Ask{"s", "v2", 12}, -1, false},
-		{nil, Ask{"s", "v3", 12}, -1, true},
-		{func() { stage(Complete) }, Ask{"s", "v3", 12}, -1, false},
-		{nil, Ask{"s", "v1", 12}, -1, true},
+		{nil, OrderRequest{"s", "v2", 12}, -1, true},
+		{nil, OrderRequest{"s", "v2", 12}, -1, false},
+		{nil, OrderRequest{"s", "v3", 12}, apierror.RolloutInProgress, false},
+		{nil, OrderRequest{"s", "v2", 13}, apierror.RolloutInProgress, false},
+		{func() { stage(Reverted) }, OrderRequest{"s", "v2", 12}, -1, false},
+		{nil, OrderRequest{"s", "v3", 12}, -1, true},
+		{func() { stage(Complete) }, OrderRequest{"s", "v3", 12}, -1, false},
+		{nil, OrderRequest{"s", "v1", 12}, -1, true},
 	} {
 		if c.before != nil {
 			c.before()
 		}
-		changes, err := Begin(records, c.ask, Services(records)["s"].Serves(), Call{})
+		changes, err := Begin(records, c.ask, DecodeServices(records)["s"].StandingVersion(), Call{})
 		if kind(err) != c.kind || (len(changes) > 0) != c.changes {
 			t.Errorf("%d: %v, %d changes", i, err, len(changes))
 		}
 		put(changes)
 	}
-	if p, _ := Read(records[Key("s")]); p.Prior != "v3" || p.Order != 3 {
+	if p, _ := DecodePlan(records[PartitionOf("s")]); p.Prior != "v3" || p.Order != 3 {
 		t.Errorf("the last rollout moves from %q and is number %d", p.Prior, p.Order)
 	}
 	// An order for the version that serves is complete at once.
-	changes, _ := Begin(map[string]Record{}, Ask{"s", "v1", 3}, "v1", Call{})
-	if p, _ := Read(changes[0]); p.Stage != Complete {
+	changes, _ := Begin(map[string]Record{}, OrderRequest{"s", "v1", 3}, "v1", Call{})
+	if p, _ := DecodePlan(changes[0]); p.Stage != Complete {
 		t.Errorf("the rollout to the version that serves is %v", p.Stage)
 	}
 }
 
 func TestOutdatedTransitionIsRefused(t *testing.T) {
-	changes, _ := Begin(map[string]Record{}, Ask{"s", "v2", 12}, "v1", Call{})
+	changes, _ := Begin(map[string]Record{}, OrderRequest{"s", "v2", 12}, "v1", Call{})
 	records := map[string]Record{changes[0].Name: changes[0]}
-	started, _ := Read(changes[0])
+	started, _ := DecodePlan(changes[0])
 	canary := *started
 	canary.Stage, canary.Weight = Canary, 0.03
-	advanced, err := Advance(records, started.Gen, &canary)
+	advanced, err := Advance(records, started.Generation, &canary)
 	if err != nil {
 		t.Fatal(err)
 	}
 	records[advanced[0].Name] = advanced[0]
-	if _, err := Advance(records, started.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Advance(records, started.Generation, &canary); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a transition committed twice: %v", err)
 	}
 	reversed, err := Abort(records, "s", Reversal{}, time.Second, Call{})
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	records[reversed[0].Name] = reversed[0]
-	if _, err := Advance(records, started.Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
+	if _, err := Advance(records, started.Generation, &canary); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a transition computed before a reversal: %v", err)
 	}
 	if _, err := Advance(records, reversed[0].Gen, &canary); apierror.KindOf(err) != apierror.Conflict {
@@ -198,8 +198,8 @@
 		`{"target":"a",`: "JSON",
 		`[]`:             "top",
 	} {
-		_, err := ReadAsk([]byte(body))
-		if why == "" && err != nil || why != "" && (apierror.KindOf(err) != apierror.BadOrder || !strings.Contains(err.Error(), why)) {
+		_, err := ParseOrderRequest([]byte(body))
+		if why == "" && err != nil || why != "" && (apierror.KindOf(err) != apierror.BadRolloutOrder || !strings.Contains(err.Error(), why)) {
 			t.Errorf("%s: %v", body, err)
 		}
 	}
@@ -207,32 +207,32 @@
 
 func TestStandingVersions(t *testing.T) {
 	records := map[string]Record{}
-	for _, r := range Adopt(records, map[string]Standing{"s": {Version: "v1"}}, map[string]uint64{}) {
+	for _, r := range StoreStanding(records, map[string]Standing{"s": {Version: "v1"}}, map[string]uint64{}) {
 		records[r.Name] = r
 	}
-	if got := Services(records)["s"].Serves(); got != "v1" {
+	if got := DecodeServices(records)["s"].StandingVersion(); got != "v1" {
 		t.Errorf("serving %q, want v1", got)
 	}
-	if changes := Adopt(records, map[string]Standing{"s": {Version: "v9"}}, map[string]uint64{}); changes != nil {
+	if changes := StoreStanding(records, map[string]Standing{"s": {Version: "v9"}}, map[string]uint64{}); changes != nil {
 		t.Error("a standing version was replaced by a caller that did not know its generation")
 	}
-	started, _ := Begin(records, Ask{"s", "v2", 12}, "v1", Call{})
+	started, _ := Begin(records, OrderRequest{"s", "v2", 12}, "v1", Call{})
 	records[started[0].Name] = started[0]
-	if s := Services(records)["s"]; s.Serves() != "v1" || s.Active() == nil {
-		t.Errorf("active rollout: serving %q", s.Serves())
+	if s := DecodeServices(records)["s"]; s.StandingVersion() != "v1" || s.Active() == nil {
+		t.Errorf("active rollout: serving %q", s.StandingVersion())
 	}
-	p, _ := Read(started[0])
+	p, _ := DecodePlan(started[0])
 	next := *p
 	next.Stage, next.Weight = Complete, 1
-	completed, _ := Advance(records, p.Gen, &next)
+	completed, _ := Advance(records, p.Generation, &next)
 	records[completed[0].Name] = completed[0]
-	if s := Services(records)["s"]; s.Serves() != "v2" || s.Active() != nil {
-		t.Errorf("complete: serving %q", s.Serves())
+	if s := DecodeServices(records)["s"]; s.StandingVersion() != "v2" || s.Active() != nil {
+		t.Errorf("complete: serving %q", s.StandingVersion())
 	}
-	for _, r := range Adopt(records, map[string]Standing{"s": {Version: "v5", After: completed[0].Gen}}, map[string]uint64{"s": 1}) {
+	for _, r := range StoreStanding(records, map[string]Standing{"s": {Version: "v5", Supersedes: completed[0].Gen}}, map[string]uint64{"s": 1}) {
 		records[r.Name] = r
 	}
-	if got := Services(records)["s"].Serves(); got != "v5" {
+	if got := DecodeServices(records)["s"].StandingVersion(); got != "v5" {
 		t.Errorf("replaced without an order: serving %q, want v5", got)
 	}
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -31,7 +31,7 @@
 	candidateRequests  []candidateRequest
 	plans              []Plan
 	freezeInTransition bool
-	heldTransition     *Move // decided on by the frozen owner, not committed yet
+	heldTransition     *Transition // decided on by the frozen owner, not committed yet
 }
 
 type candidateRequest struct {
@@ -41,7 +41,7 @@
 
 type simGateway struct {
 	id           string
-	arms         *Arms
+	arms         *Splitter
 	disconnected bool
 	generation   uint64
 	requestsDue  float64
@@ -67,15 +67,15 @@
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
 		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
-		gateway.arms = NewArms(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
+		gateway.arms = NewSplitter(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
 		s.gateways = append(s.gateways, gateway)
 	}
 	for i := 0; i < 3; i++ {
 		s.controllers = append(s.controllers, NewController())
 		s.shownRecords = append(s.shownRecords, nil)
 	}
-	s.capacity = View{Slots: 300, Warm: 0, Standing: 300, Load: 120}
-	s.schedule(4*time.Second, func() { s.capacity.Warm = 300 })
+	s.capacity = View{Slots: 300, WarmSlots: 0, StandingSlots: 300, Load: 120}
+	s.schedule(4*time.Second, func() { s.capacity.WarmSlots = 300 })
 	return s
 }
 
@@ -87,7 +87,7 @@
 func (s *simulation) commit(changes []Record) {
 	for _, r := range changes {
 		s.records[r.Name] = r
-		plan, _ := Read(r)
+		plan, _ := DecodePlan(r)
 		s.plans = append(s.plans, *plan)
 		for _, gateway := range s.gateways {
 			if plan.Stage == Complete && !gateway.disconnected && gateway.priorInFlight > 0 {
@@ -109,7 +109,7 @@
 		return
 	}
 	s.shownRecords[controller] = append(s.shownRecords[controller], record)
-	s.controllers[controller].Saw(s.now, record)
+	s.controllers[controller].RecordCommitted(s.now, record)
 }
 
 func (s *simulation) deliver(gateway *simGateway, record Record) {
@@ -117,11 +117,11 @@
 		return
 	}
 	gateway.generation = record.Gen
-	gateway.arms.Set(Services(map[string]Record{record.Name: record}))
+	gateway.arms.SetPlans(DecodeServices(map[string]Record{record.Name: record}))
 }
 
 func (s *simulation) order(version string) {
-	changes, err := Begin(s.records, Ask{"s", version, testOrderTime.Seconds()}, "v1", Call{})
+	changes, err := Begin(s.records, OrderRequest{"s", version, testOrderTime.Seconds()}, "v1", Call{})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 }
 
 func (s *simulation) plan() *Plan {
-	p, _ := Read(s.records[Key("s")])
+	p, _ := DecodePlan(s.records[PartitionOf("s")])
 	return p
 }
 
@@ -216,17 +216,17 @@
 			records[r.Name] = r
 		}
 	}
-	moves, gatheredFor := s.controllers[index].Look(s.now, Services(records), Surroundings{Self: fmt.Sprint(index), Owner: owner, Fresh: 1600 * time.Millisecond,
+	moves, gatheredFor := s.controllers[index].Evaluate(s.now, DecodeServices(records), Environment{Self: fmt.Sprint(index), Owner: owner, MaxReportAge: 1600 * time.Millisecond,
 		Fill: func(v *View, _ *Plan, told map[string]int) {
-			v.Slots, v.Warm, v.Standing, v.Load = s.capacity.Slots, s.capacity.Warm, s.capacity.Standing, s.capacity.Load
+			v.Slots, v.WarmSlots, v.StandingSlots, v.Load = s.capacity.Slots, s.capacity.WarmSlots, s.capacity.StandingSlots, s.capacity.Load
 			for _, gateway := range s.gateways {
 				if gateway.disconnected {
 					continue
 				}
-				v.Live++
+				v.LiveGateways++
 				if busy, ok := told[gateway.id]; ok {
-					v.Heard++
-					v.Busy += busy
+					v.ReportingGateways++
+					v.OtherInFlight += busy
 				}
 			}
 		}})
@@ -235,7 +235,7 @@
 		fmt.Sscan(to, &j)
 		s.schedule(s.now+2*time.Millisecond, func() {
 			if j != s.frozen {
-				s.controllers[j].Take(s.now, fmt.Sprint(index), all)
+				s.controllers[j].ReceiveGathered(s.now, fmt.Sprint(index), all)
 			}
 		})
 	}
@@ -245,11 +245,11 @@
 			s.loseOwner(index, false)
 			continue
 		}
-		changes, err := Advance(s.records, move.From.Gen, move.To)
+		changes, err := Advance(s.records, move.From.Generation, move.To)
 		if err == nil {
 			s.commit(changes)
 		}
-		s.controllers[index].Moved(move)
+		s.controllers[index].TransitionEnded(move)
 	}
 }
 
@@ -262,13 +262,13 @@
 		s.frozen = -1
 		if move := s.heldTransition; move != nil {
 			s.heldTransition = nil
-			if changes, err := Advance(s.records, move.From.Gen, move.To); err == nil {
+			if changes, err := Advance(s.records, move.From.Generation, move.To); err == nil {
 				s.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
 		if wiped {
 			s.controllers[index], s.shownRecords[index] = NewController(), nil
-			if r, ok := s.records[Key("s")]; ok {
+			if r, ok := s.records[PartitionOf("s")]; ok {
 				s.showRecord(index, r)
 			}
 		}
@@ -303,10 +303,10 @@
 					to = (to + 1) % 3
 				}
 				if reports := gateway.arms.Reports(); len(reports) > 0 {
-					s.controllers[to].Heard(s.now, gateway.id, reports)
+					s.controllers[to].ReceiveReports(s.now, gateway.id, reports)
 				}
 				if s.owner >= 0 {
-					gateway.arms.Heard()
+					gateway.arms.ControllerSeen()
 				}
 			}
 		}
@@ -463,9 +463,9 @@
 		{"slow", func(int) bool { return false }, 1900 * time.Millisecond, true},
 	} {
 		now := time.Duration(0)
-		arms := NewArms("n", time.Hour, func() time.Duration { return now })
-		plan := Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Percentage, Weight: 0.25, Gen: 5}
-		arms.Set(map[string]Service{"s": {Plan: &plan}})
+		arms := NewSplitter("n", time.Hour, func() time.Duration { return now })
+		plan := Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Percentage, Weight: 0.25, Generation: 5}
+		arms.SetPlans(map[string]Service{"s": {Plan: &plan}})
 		candidateRequests := 0
 		for i := range 4000 {
 			sample := arms.Begin("s", "r idempotent", time.Second, false)
@@ -485,12 +485,12 @@
 				arms.Reports()
 			}
 		}
-		if stopped := arms.Reports()[0].Brake != ""; stopped != c.stops || stopped && candidateRequests > 60 {
+		if stopped := arms.Reports()[0].StopReason != ""; stopped != c.stops || stopped && candidateRequests > 60 {
 			t.Errorf("%s: stopped = %v, after %d requests to the candidate", c.name, stopped, candidateRequests)
 		}
 		next := plan
-		next.Gen, next.Stage, next.Weight = 6, Reverted, 0
-		arms.Set(map[string]Service{"s": {Plan: &next}})
+		next.Generation, next.Stage, next.Weight = 6, Reverted, 0
+		arms.SetPlans(map[string]Service{"s": {Plan: &next}})
 		if sample := arms.Begin("s", "r idempotent", time.Second, false); sample.Version() != "" {
 			t.Errorf("%s: a reversed candidate gets a request", c.name)
 		}
@@ -499,17 +499,17 @@
 
 // A large answer is scored when it begins, and its request is in flight until it ends.
 func TestScoredRequestIsInFlightUntilItEnds(t *testing.T) {
-	arms := NewArms("n", time.Hour, func() time.Duration { return time.Second })
-	arms.Set(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Gen: 1, Stage: Canary}}})
+	arms := NewSplitter("n", time.Hour, func() time.Duration { return time.Second })
+	arms.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary}}})
 	sample := arms.Begin("s", "r download", time.Second, false)
 	sample.Sent(false)
 	sample.Score(Passed)
-	if report := arms.Reports()[0]; report.Busy != 1 || report.Sums.All()[Prior].Ended != 1 {
+	if report := arms.Reports()[0]; report.OtherInFlight != 1 || report.Sums.All()[Prior].Ended != 1 {
 		t.Errorf("after Score: %+v", report)
 	}
-	sample.End(Broke)
+	sample.End(BrokenResponse)
 	report := arms.Reports()[0]
-	if all := report.Sums.All(); report.Busy != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
+	if all := report.Sums.All(); report.OtherInFlight != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
 		t.Errorf("after End: %+v", report)
 	}
 }
@@ -517,13 +517,13 @@
 // On every gateway, every stratum gives the candidate its share of the requests.
 func TestStrataAreSplitEvenly(t *testing.T) {
 	now := time.Duration(0)
-	plan := &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Canary, Weight: 0.03, Gen: 2}
+	plan := &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Canary, Weight: 0.03, Generation: 2}
 	for _, weight := range []float64{0.03, 0.1, 0.25, 0.5} {
 		plan.Weight = weight
 		total := 0
 		for n := 0; n < 40; n++ {
-			arms := NewArms(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
-			arms.Set(map[string]Service{"s": {Plan: plan}})
+			arms := NewSplitter(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
+			arms.SetPlans(map[string]Service{"s": {Plan: plan}})
 			for s := 0; s < 10; s++ {
 				got := 0
 				for range 200 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -123,23 +123,23 @@
 // Seconds converts a number of seconds from the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Beat is the base interval of the periodic work of a node, such as heartbeats. It is a sixth of
+// HeartbeatInterval is the base interval of the periodic work of a node, such as heartbeats. It is a sixth of
 // contactS, the time for which a machine must have run and been reachable before the guarantees
 // apply to it.
-func (s *Settings) Beat() time.Duration { return Seconds(s.Bounds.ContactS / 6) }
+func (s *Settings) HeartbeatInterval() time.Duration { return Seconds(s.Bounds.ContactS / 6) }
 
-// Rollback is the time, in seconds, within which a bad version must stop receiving requests:
+// RollbackSeconds is the time, in seconds, within which a bad version must stop receiving requests:
 // rollbackS, or ackS if that is not set.
-func (s *Settings) Rollback() float64 {
+func (s *Settings) RollbackSeconds() float64 {
 	if s.Bounds.RollbackS > 0 {
 		return s.Bounds.RollbackS
 	}
 	return s.Bounds.AckS
 }
 
-// Exposure is the share of requests that a bad version may receive before it is rolled back:
+// MaxExposureShare is the share of requests that a bad version may receive before it is rolled back:
 // exposureShare, or a tenth if that is not set.
-func (s *Settings) Exposure() float64 {
+func (s *Settings) MaxExposureShare() float64 {
 	if s.Bounds.ExposureShare > 0 {
 		return s.Bounds.ExposureShare
 	}
@@ -160,10 +160,10 @@
 // HasRegistry reports whether clients look up the address of a gateway in the registry.
 func (s *Settings) HasRegistry() bool { return s.Ingress == "registry" }
 
-// BoundsRevocation reports whether a revoked API key must stop working on every machine, also on
+// RevocationBounded reports whether a revoked API key must stop working on every machine, also on
 // one without contact, within revokeS after the revocation was acknowledged. Gateways then need
 // leases on keys.
-func (s *Settings) BoundsRevocation() bool { return s.Bounds.RevocationGlobal && s.Bounds.RevokeS > 0 }
+func (s *Settings) RevocationBounded() bool { return s.Bounds.RevocationGlobal && s.Bounds.RevokeS > 0 }
 
 // HasQuotas reports whether a tenant's request rate is limited across all machines.
 func (s *Settings) HasQuotas() bool { return s.Bounds.QuotaWindowS > 0 }
@@ -176,28 +176,28 @@
 	return zone
 }
 
-// KeyLease is how long a gateway may keep using API keys after it last had them confirmed;
+// KeyLeaseDuration is how long a gateway may keep using API keys after it last had them confirmed;
 // 0: keys need no lease. It may be longer than revokeS, since the acknowledgement of a revocation
 // is held back for HoldRevocation: every lease still ends within revokeS of the acknowledgement,
 // with a margin of a tenth of revokeS.
-func (s *Settings) KeyLease() time.Duration {
-	if !s.BoundsRevocation() {
+func (s *Settings) KeyLeaseDuration() time.Duration {
+	if !s.RevocationBounded() {
 		return 0
 	}
-	return Seconds(s.Bounds.RevokeS*0.9) + s.HoldRevocation()
+	return Seconds(s.Bounds.RevokeS*0.9) + s.RevocationAckDelay()
 }
 
-// HoldRevocation is how long the acknowledgement of a revocation is held back, see KeyLease. It
+// RevocationAckDelay is how long the acknowledgement of a revocation is held back, see KeyLease. It
 // is a part of ackS, since requests to the control interface must be answered within ackS.
-func (s *Settings) HoldRevocation() time.Duration {
-	if !s.BoundsRevocation() {
+func (s *Settings) RevocationAckDelay() time.Duration {
+	if !s.RevocationBounded() {
 		return 0
 	}
 	return Seconds(s.Bounds.AckS * 0.4)
 }
 
-// FrontPort returns the port on which the gateway serves clients.
-func (s *Settings) FrontPort() uint16 {
+// ClientPort returns the port on which the gateway serves clients.
+func (s *Settings) ClientPort() uint16 {
 	_, port, _ := net.SplitHostPort(s.Bind.Front)
 	number, _ := strconv.ParseUint(port, 10, 16)
 	return uint16(number)
@@ -214,8 +214,8 @@
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+1))
 }
 
-// SeedControlNodes returns the ControlAddress of each seed node, sorted.
-func (s *Settings) SeedControlNodes() []string {
+// SeedControlAddresses returns the ControlAddress of each seed node, sorted.
+func (s *Settings) SeedControlAddresses() []string {
 	var out []string
 	for _, seed := range s.SeedNodes {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
@@ -260,10 +260,10 @@
 	return out
 }
 
-// Check is a list of validation errors, one line each.
-type Check []string
+// ValidationErrors is a list of validation errors, one line each.
+type ValidationErrors []string
 
-func (c Check) Error() string { return strings.Join(c, "; ") }
+func (c ValidationErrors) Error() string { return strings.Join(c, "; ") }
 
 // Load reads and validates the settings file.
 func Load(path string) (*Settings, error) {
@@ -287,7 +287,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := Validate(settingsSchema(), asJSON); err != nil {
+	if err := ValidateSchema(settingsSchema(), asJSON); err != nil {
 		return nil, err
 	}
 	s := &Settings{}
@@ -295,22 +295,22 @@
 		return nil, fmt.Errorf("not settings: %w", err)
 	}
 	if s.InternalPorts[1] < s.InternalPorts[0]+1 {
-		return nil, Check{"internalPorts: two ports at least are needed"}
+		return nil, ValidationErrors{"internalPorts: two ports at least are needed"}
 	}
 	for _, address := range append([]string{s.Bind.Front, s.Bind.Readiness, s.Bind.Control, s.Bind.Directory}, s.SeedNodes...) {
 		if _, port, err := net.SplitHostPort(address); address != "" {
 			if number, _ := strconv.Atoi(port); err != nil || number < 1 || number > math.MaxUint16 {
-				return nil, Check{fmt.Sprintf("address %q: no valid port", address)}
+				return nil, ValidationErrors{fmt.Sprintf("address %q: no valid port", address)}
 			}
 		}
 	}
 	return s, nil
 }
 
-var settingsSchema = sync.OnceValue(func() *jsonschema.Schema { return MustCompile("settings.json", schemaText) })
+var settingsSchema = sync.OnceValue(func() *jsonschema.Schema { return MustCompileSchema("settings.json", schemaText) })
 
-// MustCompile compiles an embedded schema, and panics if it is invalid.
-func MustCompile(name string, text []byte) *jsonschema.Schema {
+// MustCompileSchema compiles an embedded schema, and panics if it is invalid.
+func MustCompileSchema(name string, text []byte) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		panic(err)
@@ -322,19 +322,19 @@
 	return compiler.MustCompile(name)
 }
 
-// Validate checks a JSON document against a schema. Its error is a Check that names the location
+// ValidateSchema checks a JSON document against a schema. Its error is a Check that names the location
 // of each violation.
-func Validate(schema *jsonschema.Schema, text []byte) error {
+func ValidateSchema(schema *jsonschema.Schema, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return Check{"not JSON: " + err.Error()}
+		return ValidationErrors{"not JSON: " + err.Error()}
 	}
 	err = schema.Validate(document)
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
 	}
-	var check Check
+	var check ValidationErrors
 	var collect func(*jsonschema.ValidationError)
 	printer := message.NewPrinter(language.English)
 	collect = func(violation *jsonschema.ValidationError) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,7 +55,7 @@
 			}
 			s, err := Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 			if c.wantInError == "" {
-				if err != nil || s.Bounds.RetrySlack != 62 || s.SeedControlNodes()[0] != "10.0.0.1:7001" {
+				if err != nil || s.Bounds.RetrySlack != 62 || s.SeedControlAddresses()[0] != "10.0.0.1:7001" {
 					t.Fatalf("%v %+v", err, s)
 				}
 				return
@@ -134,10 +134,10 @@
 		"all":                                  {Settings{Ingress: "registry", Bounds: Bounds{RevokeS: 5, RevocationGlobal: true, QuotaWindowS: 5}}, true, true, true},
 	} {
 		s := c.settings
-		if s.HasRegistry() != c.registry || s.BoundsRevocation() != c.boundsRevocation || s.HasQuotas() != c.quota {
-			t.Errorf("%s: registry %v, revocation %v, quotas %v", name, s.HasRegistry(), s.BoundsRevocation(), s.HasQuotas())
+		if s.HasRegistry() != c.registry || s.RevocationBounded() != c.boundsRevocation || s.HasQuotas() != c.quota {
+			t.Errorf("%s: registry %v, revocation %v, quotas %v", name, s.HasRegistry(), s.RevocationBounded(), s.HasQuotas())
 		}
-		if lease, hold := s.KeyLease(), s.HoldRevocation(); (lease > 0) != c.boundsRevocation || !c.boundsRevocation && hold != 0 {
+		if lease, hold := s.KeyLeaseDuration(), s.RevocationAckDelay(); (lease > 0) != c.boundsRevocation || !c.boundsRevocation && hold != 0 {
 			t.Errorf("%s: lease %v, hold %v", name, lease, hold)
 		}
 	}
@@ -147,7 +147,7 @@
 	s := Settings{Bounds: Bounds{AckS: 8, RevokeS: 5, RevocationGlobal: true}}
 	// A gateway that has not received a revocation stops accepting the key less than revokeS after
 	// the acknowledgement, and the acknowledgement is sent within ackS.
-	if lease, hold := s.KeyLease(), s.HoldRevocation(); lease >= hold+Seconds(s.Bounds.RevokeS) || hold >= Seconds(s.Bounds.AckS) {
+	if lease, hold := s.KeyLeaseDuration(), s.RevocationAckDelay(); lease >= hold+Seconds(s.Bounds.RevokeS) || hold >= Seconds(s.Bounds.AckS) {
 		t.Errorf("lease %v, hold %v", lease, hold)
 	}
 	s.Zones = map[string]string{"z": "r"}
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -23,7 +23,7 @@
 	for b.Loop() {
 		batch := []Entry{{"record/config/route/00000001", record}, {"meta/config", meta}}
 		err := store.Write(batch)
-		if err == nil && store.Full() {
+		if err == nil && store.ShouldRewrite() {
 			err = store.Rewrite(batch)
 		}
 		if err != nil {
--- a/internal/storage/disk_size_test.go
+++ b/internal/storage/disk_size_test.go
@@ -68,14 +68,14 @@
 		}
 	}
 	err := s.store.Write(batch)
-	if err != nil && !errors.Is(err, ErrRoom) {
+	if err != nil && !errors.Is(err, ErrRewriteRequired) {
 		s.t.Fatal(err)
 	}
 	if err != nil {
 		s.refusedBatches++
 	}
 	s.maxBytes = max(s.maxBytes, s.directorySize())
-	if err != nil || s.store.Full() {
+	if err != nil || s.store.ShouldRewrite() {
 		s.rewrite()
 	}
 	live := headerCommandSize
@@ -89,7 +89,7 @@
 	if s.store.fileSize > max(3*live, s.store.diskSize/64) {
 		s.t.Fatalf("the file has %d bytes for %d live bytes", s.store.fileSize, live)
 	}
-	if s.store.fileSize == s.store.liveSize && s.store.Full() && s.store.liveSize < s.store.diskSize*7/16 {
+	if s.store.fileSize == s.store.liveSize && s.store.ShouldRewrite() && s.store.liveSize < s.store.diskSize*7/16 {
 		s.t.Fatalf("full immediately after a rewrite of %d bytes", s.store.liveSize)
 	}
 }
@@ -165,12 +165,12 @@
 		}
 	}
 	tracked.store.Close()
-	if tracked.open(diskSize); !tracked.store.Full() {
+	if tracked.open(diskSize); !tracked.store.ShouldRewrite() {
 		t.Errorf("%d bytes, %d of them live, are not reported as full", tracked.store.fileSize, tracked.store.liveSize)
 	}
 	tracked.rewrite()
 	tracked.store.Close()
-	if tracked.open(diskSize); tracked.store.Full() || tracked.store.fileSize != tracked.store.liveSize {
+	if tracked.open(diskSize); tracked.store.ShouldRewrite() || tracked.store.fileSize != tracked.store.liveSize {
 		t.Errorf("after a rewrite: %d bytes, %d of them live", tracked.store.fileSize, tracked.store.liveSize)
 	}
 }
@@ -198,7 +198,7 @@
 		if err := store.Write([]Entry{{name(i * 7 % records), value(i)}, {"meta/catalogue", value(i)[:80]}}); err != nil {
 			b.Fatal(err)
 		}
-		if store.Full() {
+		if store.ShouldRewrite() {
 			b.Fatalf("full after %d changes", i)
 		}
 	}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -27,9 +27,9 @@
 	ErrDamaged = errors.New("the state on disk is damaged")
 	// ErrNewerFormat means that a later release wrote the file. Nothing was changed.
 	ErrNewerFormat = errors.New("the file was written by a later release")
-	// ErrRoom means that the batch would leave too little disk space to rewrite the
+	// ErrRewriteRequired means that the batch would leave too little disk space to rewrite the
 	// file. The batch was not written; Rewrite frees space.
-	ErrRoom = errors.New("the file has to be rewritten to make room")
+	ErrRewriteRequired = errors.New("the file has to be rewritten to make room")
 	// ErrTooLarge means that a rewrite would not fit on the disk beside the current file.
 	ErrTooLarge = errors.New("the state is too large for the disk")
 
@@ -49,10 +49,10 @@
 	// maxFillFraction is the part of the disk that the file and its rewrite together may
 	// fill after a batch.
 	maxFillFraction = 15.0 / 16
-	// RewritableFill is the largest part of the disk that the state may take so that the
+	// MaxStateFraction is the largest part of the disk that the state may take so that the
 	// disk has room for the state twice and for changes between two rewrites. Callers
 	// must not add to the state beyond it.
-	RewritableFill = 3.0 / 8
+	MaxStateFraction = 3.0 / 8
 	// excerptFraction is the size of the excerpt that is kept of a damaged file, as a
 	// part of the disk.
 	excerptFraction = 1.0 / 1024
@@ -139,7 +139,7 @@
 			err = fmt.Errorf("buntdb panicked: %v", r)
 			s.dbLocked = true
 		}
-		if err != nil && !errors.Is(err, ErrRoom) {
+		if err != nil && !errors.Is(err, ErrRewriteRequired) {
 			s.needsRewrite = true
 		}
 	}()
@@ -180,7 +180,7 @@
 			}
 		}
 		if s.fileSize+grown+liveSize > fractionOf(s.diskSize, maxFillFraction) {
-			return ErrRoom
+			return ErrRewriteRequired
 		}
 		return nil
 	})
@@ -208,14 +208,14 @@
 	return kept
 }
 
-// Live returns the size in bytes that the file would have after a rewrite.
-func (s *Store) Live() int64 { return s.liveSize }
+// LiveSize returns the size in bytes that the file would have after a rewrite.
+func (s *Store) LiveSize() int64 { return s.liveSize }
 
-// Disk returns the size of the disk in bytes.
-func (s *Store) Disk() int64 { return s.diskSize }
+// DiskSize returns the size of the disk in bytes.
+func (s *Store) DiskSize() int64 { return s.diskSize }
 
 // Full reports whether the file has grown enough to make a Rewrite worthwhile.
-func (s *Store) Full() bool {
+func (s *Store) ShouldRewrite() bool {
 	return s.fileSize > fractionOf(s.diskSize, rewriteMinFraction) &&
 		(s.fileSize > rewriteLiveRatio*s.liveSize || s.fileSize+s.liveSize > fractionOf(s.diskSize, rewriteFillFraction))
 }
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -9,10 +9,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Fault is an error that the handler at the peer returned.
-type Fault string
+// RemoteError is an error that the handler at the peer returned.
+type RemoteError string
 
-func (f Fault) Error() string { return string(f) }
+func (f RemoteError) Error() string { return string(f) }
 
 // Call sends a request to a peer, waits for its reply and decodes it into answer, replacing all that
 // answer points to; a nil answer discards the reply. After ErrUnreachable the peer may have
@@ -41,7 +41,7 @@
 	case err != nil:
 		return err
 	case reply.Fault != "":
-		return Fault(reply.Fault)
+		return RemoteError(reply.Fault)
 	case answer == nil:
 		return nil
 	}
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -68,7 +68,7 @@
 	defer cancel()
 	go func() { _ = a.Call(ctx, other.Addr().String(), "echo", "x", nil) }()
 	fromOther := <-other.frames // its connection is one that a opened to another peer
-	inbound, err := net.Dial("tcp4", a.Self())
+	inbound, err := net.Dial("tcp4", a.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		"from another called peer":   func(id uint64) { _, _ = fromOther.conn.Write(encodeReply(id, "foreign")) },
 		"over an inbound connection": func(id uint64) { _, _ = inbound.Write(encodeReply(id, "foreign")) },
 		"in a datagram": func(id uint64) {
-			c, _ := net.Dial("udp4", a.Self())
+			c, _ := net.Dial("udp4", a.Address())
 			_, _ = c.Write(encodeReply(id, "foreign")[4:])
 			c.Close()
 		},
@@ -93,14 +93,14 @@
 		}()
 		call := <-p.frames
 		send(call.ID)
-		for name != "no foreign reply" && a.Strays.Load() == 0 && len(received) == 0 && ctx.Err() == nil {
+		for name != "no foreign reply" && a.UnmatchedReplies.Load() == 0 && len(received) == 0 && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		_, _ = call.conn.Write(append(encodeReply(call.ID+1, "foreign"), encodeReply(call.ID, "own")...))
 		if answer := <-received; answer != "own" {
 			t.Errorf("%s: Call returned %q, want own", name, answer)
 		}
-		a.Strays.Store(0)
+		a.UnmatchedReplies.Store(0)
 	}
 }
 
@@ -169,7 +169,7 @@
 	a.Start()
 	b.Start()
 	reply := verdict{Fault: true, Body: []byte("before")}
-	if err := a.Call(context.Background(), b.Self(), "judge", "x", &reply); err != nil || reply.Fault || reply.Body != nil {
+	if err := a.Call(context.Background(), b.Address(), "judge", "x", &reply); err != nil || reply.Fault || reply.Body != nil {
 		t.Errorf("got error %v, reply %+v, want a zero reply", err, reply)
 	}
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -175,7 +175,7 @@
 			}
 			l.endpoint.extendIdleDeadline(conn)
 			l.endpoint.BytesSent.Add(uint64(len(data)))
-			l.endpoint.FramesSent.Add(1)
+			l.endpoint.WritesSent.Add(1)
 		case <-l.done:
 			return
 		}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -53,11 +53,11 @@
 	undecodableLoggedAt time.Time // time of the last log line
 	undecodableUnlogged int       // undecodable frames since then
 
-	nextID     atomic.Uint64
-	Strays     atomic.Uint64 // replies to no pending call
-	Undecoded  atomic.Uint64 // frames and message bodies that could not be decoded
-	BytesSent  atomic.Uint64
-	FramesSent atomic.Uint64 // writes to connections and datagrams; frames combined into a write count once
+	nextID           atomic.Uint64
+	UnmatchedReplies atomic.Uint64 // replies to no pending call
+	Undecoded        atomic.Uint64 // frames and message bodies that could not be decoded
+	BytesSent        atomic.Uint64
+	WritesSent       atomic.Uint64 // writes to connections and datagrams; frames combined into a write count once
 }
 
 // registration is the handler for a kind of message.
@@ -90,8 +90,8 @@
 	return nil, err
 }
 
-// Self returns this node's address.
-func (e *Endpoint) Self() string { return e.self }
+// Address returns this node's address.
+func (e *Endpoint) Address() string { return e.self }
 
 // Handle registers the handler for a kind of message. It runs on the goroutine that reads the connection
 // and must not block.
@@ -104,9 +104,9 @@
 	e.handlers[kind] = registration{fn, async}
 }
 
-// On registers a handler for a kind of message whose body is a T. It returns no result. Messages that
+// HandleMessage registers a handler for a kind of message whose body is a T. It returns no result. Messages that
 // cannot be decoded are counted and dropped.
-func On[T any](e *Endpoint, kind string, fn func(from string, msg T)) {
+func HandleMessage[T any](e *Endpoint, kind string, fn func(from string, msg T)) {
 	e.Handle(kind, func(from string, body []byte) (any, error) {
 		var msg T
 		if cbor.Unmarshal(body, &msg) != nil {
@@ -118,8 +118,8 @@
 	})
 }
 
-// HandleSlow registers a handler that may block; each message is handled on a goroutine of its own.
-func (e *Endpoint) HandleSlow(kind string, fn Handler) { e.handle(kind, fn, true) }
+// HandleAsync registers a handler that may block; each message is handled on a goroutine of its own.
+func (e *Endpoint) HandleAsync(kind string, fn Handler) { e.handle(kind, fn, true) }
 
 // Start begins to receive messages. Handlers must be registered before.
 func (e *Endpoint) Start() {
@@ -191,7 +191,7 @@
 		}
 		e.mu.Unlock()
 		if !ok {
-			e.Strays.Add(1)
+			e.UnmatchedReplies.Add(1)
 			return
 		}
 		call.reply <- f
@@ -236,8 +236,8 @@
 	}
 }
 
-// Toss sends a message as a datagram, or over TCP if it does not fit into one. The message may be lost.
-func (e *Endpoint) Toss(to, kind string, body any) {
+// SendDatagram sends a message as a datagram, or over TCP if it does not fit into one. The message may be lost.
+func (e *Endpoint) SendDatagram(to, kind string, body any) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
 		return
@@ -252,7 +252,7 @@
 	}
 	if addr, err := net.ResolveUDPAddr("udp4", to); err == nil {
 		e.BytesSent.Add(uint64(len(out)))
-		e.FramesSent.Add(1)
+		e.WritesSent.Add(1)
 		_, _ = e.udp.WriteToUDP(out, addr)
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.HandleSlow("echo", func(_ string, body []byte) (any, error) {
+	e.HandleAsync("echo", func(_ string, body []byte) (any, error) {
 		var s string
 		if err := cbor.Unmarshal(body, &s); err != nil {
 			return nil, err
@@ -49,21 +49,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var answer string
-	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
+	if err := a.Call(ctx, b.Address(), "echo", "hello", &answer); err != nil || answer != "hello" {
 		t.Fatalf("got error %v, reply %q, want hello", err, answer)
 	}
-	var fault Fault
-	if err := a.Call(ctx, b.Self(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "requested failure" {
+	var fault RemoteError
+	if err := a.Call(ctx, b.Address(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "requested failure" {
 		t.Fatalf("got error %v, want the handler's as a Fault", err)
 	}
 	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // the second does not fit into a datagram
-		a.Toss(b.Self(), "note", body)
-		if s := <-got; s != a.Self()+" "+body[:1] {
+		a.SendDatagram(b.Address(), "note", body)
+		if s := <-got; s != a.Address()+" "+body[:1] {
 			t.Fatalf("got message %q", s)
 		}
 	}
 	b.Close()
-	if err := a.Call(ctx, b.Self(), "echo", "hello", &answer); !errors.Is(err, ErrUnreachable) {
+	if err := a.Call(ctx, b.Address(), "echo", "hello", &answer); !errors.Is(err, ErrUnreachable) {
 		t.Fatalf("call to a closed peer: got %v, want ErrUnreachable", err)
 	}
 }
@@ -85,7 +85,7 @@
 		"too long":    {0xff, 0xff, 0xff, 0xff},
 	} {
 		before := e.Undecoded.Load()
-		conn, err := net.Dial("tcp4", e.Self())
+		conn, err := net.Dial("tcp4", e.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 		}
 	}
 	var answer string
-	if err := other.Call(context.Background(), e.Self(), "echo", "hello", &answer); err != nil || answer != "hello" {
+	if err := other.Call(context.Background(), e.Address(), "echo", "hello", &answer); err != nil || answer != "hello" {
 		t.Errorf("another peer cannot call any more: %v", err)
 	}
 	e.undecodableMu.Lock()
@@ -127,9 +127,9 @@
 		return len(a.links)
 	}
 	for _, calls := range []bool{true, false, true} { // each round opens a new connection
-		l := a.link(b.Self())
+		l := a.link(b.Address())
 		for err := errors.New("no call yet"); calls && err != nil; {
-			if err = a.Call(ctx, b.Self(), "echo", "hello", nil); ctx.Err() != nil {
+			if err = a.Call(ctx, b.Address(), "echo", "hello", nil); ctx.Err() != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -12,8 +12,8 @@
 // deadline of that connection, so that the request can be retried elsewhere in time.
 type WaitHandle struct{ conn atomic.Pointer[Conn] }
 
-// On sets the connection that the request waits on.
-func (handle *WaitHandle) On(c *Conn) {
+// SetConn sets the connection that the request waits on.
+func (handle *WaitHandle) SetConn(c *Conn) {
 	if handle != nil {
 		handle.conn.Store(c)
 	}
@@ -27,16 +27,16 @@
 
 // AcquireRequest asks for an upstream on behalf of one request (or one retry of it).
 type AcquireRequest struct {
-	Service  string
-	Version  string      // the candidate version; empty: the stable version
-	Priority int         // lower is more urgent
-	Avoid    []string    // IDs of upstreams that have been tried
-	Retry    bool        // takes a token from the retry budget
-	Hold     *WaitHandle // nil if the request must not be retried
-	Bound    bool        // only upstreams in Regions are eligible
-	Regions  []string
-	Aim      time.Duration   // latency target of the request
-	Give     func(SlotLease) // receives the answer
+	Service          string
+	Version          string      // the candidate version; empty: the stable version
+	Priority         int         // lower is more urgent
+	ExcludeIDs       []string    // IDs of upstreams that have been tried
+	Retry            bool        // takes a token from the retry budget
+	WaitHandle       *WaitHandle // nil if the request must not be retried
+	RegionRestricted bool        // only upstreams in Regions are eligible
+	Regions          []string
+	LatencyTarget    time.Duration   // latency target of the request
+	OnResult         func(SlotLease) // receives the answer
 
 	arrived time.Duration
 	seq     uint64
@@ -44,17 +44,17 @@
 
 // SlotLease is the answer to an AcquireRequest: an upstream to use, or the reason for a refusal.
 type SlotLease struct {
-	Upstream *Upstream
-	ID       string
-	Address  string
-	Conn     *Conn
-	Hold     *WaitHandle // as in the request
-	Refused  Refusal
-	Abroad   bool          // the upstream is in another region than this gateway
-	Began    time.Duration // when the upstream was granted
-	Cold     bool
-	Retry    bool // it took a token from the retry budget
-	Busy     int  // requests of this gateway at the upstream when this one was granted, including it
+	Upstream    *Upstream
+	ID          string
+	Address     string
+	Conn        *Conn
+	WaitHandle  *WaitHandle // as in the request
+	Refusal     Refusal
+	CrossRegion bool          // the upstream is in another region than this gateway
+	GrantedAt   time.Duration // when the upstream was granted
+	Cold        bool
+	Retry       bool // it took a token from the retry budget
+	InFlight    int  // requests of this gateway at the upstream when this one was granted, including it
 }
 
 // Refusal is the reason why no upstream was granted.
@@ -62,17 +62,17 @@
 
 // Reasons for a refusal.
 const (
-	Granted  Refusal = iota
-	NoneLeft         // no upstream is eligible
-	Crowded          // the queue is full, or the request was withdrawn from it
-	NoBudget         // the retry budget is used up
-	Unlisted         // no list of upstreams has been received yet
+	Granted              Refusal = iota
+	NoEligibleUpstream           // no upstream is eligible
+	QueueFull                    // the queue is full, or the request was withdrawn from it
+	RetryBudgetExhausted         // the retry budget is used up
+	ListNotReceived              // no list of upstreams has been received yet
 )
 
-// Leave tells the balancer that this gateway is shutting down. From then on it interrupts no
+// BeginShutdown tells the balancer that this gateway is shutting down. From then on it interrupts no
 // request that has been forwarded: the client could get an error from this gateway while
 // the upstream is still processing the request.
-func (b *Balancer) Leave() { b.shuttingDown = true }
+func (b *Balancer) BeginShutdown() { b.shuttingDown = true }
 
 // interrupt ends a request's wait for its answer early, unless the gateway is shutting down.
 func (b *Balancer) interrupt(handle *WaitHandle) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Request records a request for a service, which adds its share to the retry budget.
-func (b *Balancer) Request(serviceName string) {
+// RecordRequest records a request for a service, which adds its share to the retry budget.
+func (b *Balancer) RecordRequest(serviceName string) {
 	pool := b.stablePool(serviceName)
 	pool.budget.Earn(b.cfg.RetryRatio, b.retryTokenCap(pool))
 }
@@ -116,13 +116,13 @@
 	req.arrived, req.seq = now, b.requestSeq
 	if req.Retry {
 		if !b.refillBudget(now, b.stablePool(req.Service)).Spend() { // all versions of the service share one budget
-			req.Give(SlotLease{Refused: NoBudget})
+			req.OnResult(SlotLease{Refusal: RetryBudgetExhausted})
 			return
 		}
 	}
 	if !b.grant(now, pool, req) {
 		if len(pool.queue) >= max(4, pool.primarySlots*2) && !b.displaceQueued(pool, req) {
-			b.refuse(pool, req, Crowded)
+			b.refuse(pool, req, QueueFull)
 			return
 		}
 		pool.queue = append(pool.queue, req)
@@ -130,8 +130,8 @@
 }
 
 // refillBudget brings the retry budget of a service up to date.
-func (b *Balancer) refillBudget(now time.Duration, pool *servicePool) *Budget {
-	pool.budget.Refill(now, b.retryTokenCap(pool)/2/max(b.cfg.Window.Seconds(), 1), b.retryTokenCap(pool))
+func (b *Balancer) refillBudget(now time.Duration, pool *servicePool) *RetryBudget {
+	pool.budget.Refill(now, b.retryTokenCap(pool)/2/max(b.cfg.RetryWindow.Seconds(), 1), b.retryTokenCap(pool))
 	return &pool.budget
 }
 
@@ -150,15 +150,15 @@
 	}
 	queued := pool.queue[victim]
 	pool.queue = append(pool.queue[:victim], pool.queue[victim+1:]...)
-	b.refuse(pool, queued, Crowded)
+	b.refuse(pool, queued, QueueFull)
 	return true
 }
 
 func (b *Balancer) refuse(pool *servicePool, req *AcquireRequest, reason Refusal) {
 	if req.Retry {
-		b.stablePool(req.Service).budget.Back()
+		b.stablePool(req.Service).budget.Refund()
 	}
-	req.Give(SlotLease{Refused: reason})
+	req.OnResult(SlotLease{Refusal: reason})
 }
 
 // grant answers req with an upstream or a refusal. It returns false if the request has to wait.
@@ -166,27 +166,27 @@
 	u, eligible := b.pick(now, pool, req)
 	if u == nil {
 		if !eligible && !b.hasList {
-			b.refuse(pool, req, Unlisted)
+			b.refuse(pool, req, ListNotReceived)
 			return true
 		}
 		if !eligible {
-			b.refuse(pool, req, NoneLeft)
+			b.refuse(pool, req, NoEligibleUpstream)
 			return true
 		}
 		return false
 	}
-	u.Busy++
+	u.InFlight++
 	if u.Cold(now) {
 		b.isColdSender(u)
-		u.pacer.Pass(now, pool.info.WarmupPerS/float64(u.senderCount))
+		u.pacer.Record(now, pool.info.WarmupPerS/float64(u.senderCount))
 	}
-	lease := SlotLease{Upstream: u, ID: u.ID, Address: u.Address, Hold: req.Hold, Cold: u.Cold(now), Retry: req.Retry, Abroad: !u.sameRegion, Began: now, Busy: u.Busy}
+	lease := SlotLease{Upstream: u, ID: u.ID, Address: u.Address, WaitHandle: req.WaitHandle, Cold: u.Cold(now), Retry: req.Retry, CrossRegion: !u.sameRegion, GrantedAt: now, InFlight: u.InFlight}
 	u.requestStarted(now, req)
-	if req.Hold != nil {
+	if req.WaitHandle != nil {
 		if u.waitHandles == nil {
 			u.waitHandles = map[*WaitHandle]struct{}{}
 		}
-		u.waitHandles[req.Hold] = struct{}{}
+		u.waitHandles[req.WaitHandle] = struct{}{}
 	}
 	for n := len(u.idle); n > 0 && lease.Conn == nil; n-- {
 		conn := u.idle[n-1]
@@ -194,20 +194,20 @@
 		if conn.Expires > now {
 			lease.Conn = conn
 		} else {
-			b.Closed = append(b.Closed, conn)
+			b.ConnsToClose = append(b.ConnsToClose, conn)
 		}
 	}
-	req.Give(lease)
+	req.OnResult(lease)
 	return true
 }
 
-// Withdraw takes a request that still waits out of the queue.
-func (b *Balancer) Withdraw(req *AcquireRequest) {
+// Cancel takes a request that still waits out of the queue.
+func (b *Balancer) Cancel(req *AcquireRequest) {
 	pool := b.poolForRequest(req)
 	for i, queued := range pool.queue {
 		if queued == req {
 			pool.queue = append(pool.queue[:i], pool.queue[i+1:]...)
-			b.refuse(pool, req, Crowded)
+			b.refuse(pool, req, QueueFull)
 			return
 		}
 	}
@@ -218,15 +218,15 @@
 
 // Results of a request.
 const (
-	Served    Outcome = iota // the upstream answered
-	Full                     // the upstream rejected the request as overloaded
-	Failing                  // the upstream could not be reached or closed the connection early
-	Other                    // the address now belongs to another upstream
-	Silent                   // the upstream no longer acknowledges what it is sent
-	Poor                     // the upstream answered with an error of its own
-	Unused                   // nothing was sent to the upstream
-	Reset                    // the upstream reset the connection, as some do under overload
-	Abandoned                // the request was cancelled as nobody waits for its answer; no sign of the upstream's health
+	Served           Outcome = iota // the upstream answered
+	Overloaded                      // the upstream rejected the request as overloaded
+	ConnectionFailed                // the upstream could not be reached or closed the connection early
+	WrongInstance                   // the address now belongs to another upstream
+	Unresponsive                    // the upstream no longer acknowledges what it is sent
+	ServerError                     // the upstream answered with an error of its own
+	NotSent                         // nothing was sent to the upstream
+	ConnectionReset                 // the upstream reset the connection, as some do under overload
+	Cancelled                       // the request was cancelled as nobody waits for its answer; no sign of the upstream's health
 )
 
 // Release returns an upstream after a request; conn is its connection if that can be used
@@ -234,54 +234,54 @@
 // that of its service.
 func (b *Balancer) Release(now time.Duration, lease SlotLease, conn *Conn, outcome Outcome) (outlier bool) {
 	u := lease.Upstream
-	u.Busy--
-	latency := now - lease.Began
-	if !u.requestAnswered(lease.Began) {
+	u.InFlight--
+	latency := now - lease.GrantedAt
+	if !u.requestAnswered(lease.GrantedAt) {
 		latency = 0 // Answering has been called; the transfer time of the rest of the answer is not the upstream's latency
 	}
-	delete(u.waitHandles, lease.Hold)
+	delete(u.waitHandles, lease.WaitHandle)
 	pool := u.pool
 	switch outcome {
-	case Served, Poor:
+	case Served, ServerError:
 		u.verified = true
 		u.Served++
-		outlier = b.recordAnswer(now, pool, u, latency, outcome == Poor)
+		outlier = b.recordAnswer(now, pool, u, latency, outcome == ServerError)
 		if outcome == Served {
-			pool.saturation.record(now, u, lease.Busy, latency)
+			pool.saturation.record(now, u, lease.InFlight, latency)
 		}
 		if u.errorRate < errorRateCommon {
 			u.failures = 0
 		}
-	case Unused:
+	case NotSent:
 		if lease.Retry {
-			b.stablePool(u.Service).budget.Back()
+			b.stablePool(u.Service).budget.Refund()
 		}
-	case Full:
+	case Overloaded:
 		u.Served++
-	case Reset:
+	case ConnectionReset:
 		u.Failed++
 		if u.failures > 0 {
 			b.eject(now, u)
 			break
 		}
 		u.failures++
-		u.pausedUntil = now + b.cfg.Eject/3
-	case Failing, Silent:
+		u.pausedUntil = now + b.cfg.EjectTime/3
+	case ConnectionFailed, Unresponsive:
 		u.Failed++
 		b.eject(now, u)
-		if outcome == Silent {
+		if outcome == Unresponsive {
 			for handle := range u.waitHandles {
 				b.interrupt(handle)
 			}
 		}
-	case Other:
+	case WrongInstance:
 		u.retired = true
 		b.closeIdle(u)
 		b.assign(now)
 	}
 	if conn != nil {
 		if u.retired || b.evacuated[u.Zone] || now < u.ejectedUntil || conn.Expires <= now || b.poolOf(u) == nil {
-			b.Closed = append(b.Closed, conn)
+			b.ConnsToClose = append(b.ConnsToClose, conn)
 		} else {
 			u.idle = append(u.idle, conn)
 		}
@@ -304,7 +304,7 @@
 		req := pool.queue[best]
 		pool.queue = append(pool.queue[:best], pool.queue[best+1:]...)
 		if !b.grant(now, pool, req) {
-			if req.Bound {
+			if req.RegionRestricted {
 				blocked = append(blocked, req)
 				continue
 			}
--- a/internal/upstream/assignment.go
+++ b/internal/upstream/assignment.go
@@ -190,7 +190,7 @@
 		}
 	}
 	candidates := pool.upstreams
-	if b.cfg.Region != nil {
+	if b.cfg.RegionOf != nil {
 		candidates = nil
 		for _, u := range pool.upstreams {
 			if u.sameRegion {
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -11,17 +11,17 @@
 
 // Config configures a Balancer.
 type Config struct {
-	Self       string // this gateway's address
-	Zone       string
-	RetryRatio float64       // retry tokens that each request earns
-	RetrySlack float64       // retries that all gateways together may send to a service in a Window beyond the earned ones
-	Window     time.Duration // the window of the retry budget (setting retryWindowS)
-	Eject      time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
-	EjectMax   time.Duration // maximum duration of an ejection
-	Calm       time.Duration // how long the set of gateways must be unchanged before first connections are opened
-	Lag        time.Duration // how old the platform's list may be when it arrives here
-	// Region returns the region of a zone; nil: there is only one region.
-	Region func(zone string) string
+	Self               string // this gateway's address
+	Zone               string
+	RetryRatio         float64       // retry tokens that each request earns
+	RetrySlack         float64       // retries that all gateways together may send to a service in a Window beyond the earned ones
+	RetryWindow        time.Duration // the window of the retry budget (setting retryWindowS)
+	EjectTime          time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
+	MaxEjectTime       time.Duration // maximum duration of an ejection
+	StabilizationDelay time.Duration // how long the set of gateways must be unchanged before first connections are opened
+	MaxListAge         time.Duration // how old the platform's list may be when it arrives here
+	// RegionOf returns the region of a zone; nil: there is only one region.
+	RegionOf func(zone string) string
 }
 
 // Balancer is one gateway's load balancer over all upstreams. It is not safe for concurrent
@@ -34,7 +34,7 @@
 	serviceInfos     map[string]ServiceInfo
 	gateways         []membership.Node
 	gatewayShards    map[string]int
-	versions         map[string]Versions
+	versions         map[string]ServiceVersions
 	versionCounts    map[string]map[string]int // service -> version -> number of listed upstreams
 	inferredStable   map[string]string         // service -> stable version where none has been set; see inferStableVersions
 	serviceShard     map[string]int            // service -> shard whose gateways share its retry slack
@@ -49,9 +49,9 @@
 	stableAt         time.Duration // when the set of gateways will have been unchanged for Config.Calm
 	shuttingDown     bool
 
-	Trials []*Upstream // upstreams to open a trial connection to; the caller reports to Tried
-	Probes []Probe     // health requests to be sent; the caller reports to Probed
-	Closed []*Conn     // connections for the caller to close
+	PendingTrials []*Upstream // upstreams to open a trial connection to; the caller reports to Tried
+	PendingProbes []Probe     // health requests to be sent; the caller reports to Probed
+	ConnsToClose  []*Conn     // connections for the caller to close
 }
 
 // NewBalancer returns a balancer without upstreams.
@@ -62,10 +62,10 @@
 }
 
 func (b *Balancer) regionOf(zone string) string {
-	if b.cfg.Region == nil {
+	if b.cfg.RegionOf == nil {
 		return ""
 	}
-	return b.cfg.Region(zone)
+	return b.cfg.RegionOf(zone)
 }
 
 // SetList replaces the list of instances.
@@ -103,8 +103,8 @@
 	b.dispatchAll(now)
 }
 
-// Known says whether a list of instances has been set.
-func (b *Balancer) Known() bool { return b.hasList }
+// HasList says whether a list of instances has been set.
+func (b *Balancer) HasList() bool { return b.hasList }
 
 // SetServices sets the configuration of the services, and for services that are bound to a shard, the shard.
 func (b *Balancer) SetServices(now time.Duration, serviceInfos map[string]ServiceInfo, serviceShard map[string]int) {
@@ -148,7 +148,7 @@
 	if slices.EqualFunc(gateways, b.gateways, same) && maps.Equal(shards, b.gatewayShards) {
 		return
 	}
-	b.gateways, b.gatewayShards, b.stableAt = gateways, shards, now+b.cfg.Calm
+	b.gateways, b.gatewayShards, b.stableAt = gateways, shards, now+b.cfg.StabilizationDelay
 	b.assign(now)
 	b.dispatchAll(now)
 }
@@ -165,7 +165,7 @@
 			if u.ejectedUntil > 0 && now >= u.ejectedUntil && !u.trialPending && !u.retired {
 				u.ejectedUntil = 0
 				u.trialPending = true
-				b.Trials = append(b.Trials, u)
+				b.PendingTrials = append(b.PendingTrials, u)
 			}
 			b.detectStalls(now, pool, u)
 			stillOpen := u.idle[:0]
@@ -173,7 +173,7 @@
 				if c.Expires > now {
 					stillOpen = append(stillOpen, c)
 				} else {
-					b.Closed = append(b.Closed, c)
+					b.ConnsToClose = append(b.ConnsToClose, c)
 				}
 			}
 			u.idle = stillOpen
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Budget is one gateway's share of the retry budget of a service, a token bucket. It starts
+// RetryBudget is one gateway's share of the retry budget of a service, a token bucket. It starts
 // empty, so that a restarted process adds nothing to what it spent before the restart.
-type Budget struct {
+type RetryBudget struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
 // Earn adds the fraction of a token that one request brings, up to a maximum.
-func (b *Budget) Earn(earned, maxTokens float64) {
+func (b *RetryBudget) Earn(earned, maxTokens float64) {
 	b.tokens = min(b.tokens+earned, max(maxTokens, 1))
 }
 
 // Refill adds this gateway's share of the retry slack for the time since the last refill.
-func (b *Budget) Refill(now time.Duration, perSecond, maxTokens float64) {
+func (b *RetryBudget) Refill(now time.Duration, perSecond, maxTokens float64) {
 	if now > b.refilledAt {
 		if b.refilledAt > 0 {
 			b.tokens = min(b.tokens+perSecond*(now-b.refilledAt).Seconds(), max(maxTokens, 1))
@@ -25,7 +25,7 @@
 }
 
 // Spend takes one token; false: there is none.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -33,18 +33,18 @@
 	return true
 }
 
-// Back returns a token that was not used.
-func (b *Budget) Back() { b.tokens++ }
+// Refund returns a token that was not used.
+func (b *RetryBudget) Refund() { b.tokens++ }
 
-// Pace limits the rate of requests to a cold upstream, without bursts.
-type Pace struct {
+// WarmupLimiter limits the rate of requests to a cold upstream, without bursts.
+type WarmupLimiter struct {
 	nextAt time.Duration
 }
 
 // Ready says whether a request may be sent now.
-func (p *Pace) Ready(now time.Duration) bool { return now >= p.nextAt }
+func (p *WarmupLimiter) Ready(now time.Duration) bool { return now >= p.nextAt }
 
-// Pass records that a request was sent; the next may follow after 1/perSecond seconds.
-func (p *Pace) Pass(now time.Duration, perSecond float64) {
+// Record records that a request was sent; the next may follow after 1/perSecond seconds.
+func (p *WarmupLimiter) Record(now time.Duration, perSecond float64) {
 	p.nextAt = now + time.Duration(float64(time.Second)/max(perSecond, 0.01))
 }
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -29,39 +29,39 @@
 	Version  string `cbor:"8,keyasint,omitempty" json:"version"` // of the software that it runs
 }
 
-// Version orders lists by age. The control node that reads the list (its owner) is elected for
+// ListVersion orders lists by age. The control node that reads the list (its owner) is elected for
 // a term; Seq counts its lists. Life identifies the owner's process and tells apart two
 // owners in one term, which is possible after all control nodes have lost their state.
-type Version struct {
-	Term uint64 `cbor:"1,keyasint,omitempty" json:"term"`
-	Seq  uint64 `cbor:"2,keyasint,omitempty" json:"seq"`
-	Life uint64 `cbor:"3,keyasint,omitempty" json:"life"`
+type ListVersion struct {
+	Term  uint64 `cbor:"1,keyasint,omitempty" json:"term"`
+	Seq   uint64 `cbor:"2,keyasint,omitempty" json:"seq"`
+	RunID uint64 `cbor:"3,keyasint,omitempty" json:"life"`
 }
 
 // Less says whether v is older than other.
-func (v Version) Less(other Version) bool {
+func (v ListVersion) Less(other ListVersion) bool {
 	if v.Term != other.Term {
 		return v.Term < other.Term
 	}
-	if v.Life != other.Life {
-		return v.Life < other.Life
+	if v.RunID != other.RunID {
+		return v.RunID < other.RunID
 	}
 	return v.Seq < other.Seq
 }
 
-// Foreign says whether other comes from another owner, unknown to the owner of v, whose lists
+// SupersededBy says whether other comes from another owner, unknown to the owner of v, whose lists
 // would supersede any list that the owner of v issues.
-func (v Version) Foreign(other Version) bool {
-	return other.Term > v.Term || other.Term == v.Term && other.Life > v.Life
+func (v ListVersion) SupersededBy(other ListVersion) bool {
+	return other.Term > v.Term || other.Term == v.Term && other.RunID > v.RunID
 }
 
 // List is the platform's list at one version, either complete or as a difference from an
 // older version.
 type List struct {
-	Version Version    `cbor:"1,keyasint"`
-	Base    Version    `cbor:"2,keyasint"` // the older version; zero: the list is complete
-	Set     []Instance `cbor:"3,keyasint,omitempty"`
-	Gone    []string   `cbor:"4,keyasint,omitempty"`
+	Version ListVersion `cbor:"1,keyasint"`
+	Base    ListVersion `cbor:"2,keyasint"` // the older version; zero: the list is complete
+	Set     []Instance  `cbor:"3,keyasint,omitempty"`
+	Removed []string    `cbor:"4,keyasint,omitempty"`
 }
 
 // page is one page of the platform's answer.
@@ -92,9 +92,9 @@
 	pause      time.Duration // pause before each further call
 }
 
-// SteadyPace is the pace for a node that reads the list regularly: after a burst of perSecond/8 calls, half of
+// PollingPace is the pace for a node that reads the list regularly: after a burst of perSecond/8 calls, half of
 // the platform's rate limit. perSecond is that limit, for all callers together; 0: no limit.
-func SteadyPace(perSecond float64) CallPace {
+func PollingPace(perSecond float64) CallPace {
 	if perSecond <= 0 {
 		return CallPace{burst: math.Inf(1)}
 	}
@@ -102,10 +102,10 @@
 	return CallPace{burst: perSecond / 8, burstPause: pause, pause: pause}
 }
 
-// HastyPace is the pace for a node that reads the list in place of another. It is half of the rate limit too, but
+// TakeoverPace is the pace for a node that reads the list in place of another. It is half of the rate limit too, but
 // the calls of the first second are made at once.
-func HastyPace(perSecond float64) CallPace {
-	pace := SteadyPace(perSecond)
+func TakeoverPace(perSecond float64) CallPace {
+	pace := PollingPace(perSecond)
 	if perSecond > 0 {
 		pace.burst, pace.burstPause = perSecond/2, time.Second
 	}
@@ -123,8 +123,8 @@
 	return p.pause
 }
 
-// Pauses returns the sum of the pauses of a ReadAll that takes the given number of calls.
-func (p CallPace) Pauses(calls int) (sum time.Duration) {
+// TotalPause returns the sum of the pauses of a ReadAll that takes the given number of calls.
+func (p CallPace) TotalPause(calls int) (sum time.Duration) {
 	for n := range calls {
 		sum += p.pauseBefore(n)
 	}
@@ -187,7 +187,7 @@
 // ListSnapshot is one node's copy of the list, which it can pass on completely or as a
 // difference.
 type ListSnapshot struct {
-	Version Version
+	Version ListVersion
 	items   map[string]snapshotItem
 	diffs   []List // the last maxDiffs differences, oldest first
 }
@@ -217,30 +217,30 @@
 	}
 	for id := range s.items {
 		if !seen[id] {
-			diff.Gone = append(diff.Gone, id)
+			diff.Removed = append(diff.Removed, id)
 		}
 	}
-	sort.Strings(diff.Gone)
-	if s.Version.Term == term && s.Version.Life == life && len(diff.Set)+len(diff.Gone) == 0 {
+	sort.Strings(diff.Removed)
+	if s.Version.Term == term && s.Version.RunID == life && len(diff.Set)+len(diff.Removed) == 0 {
 		return false
 	}
-	diff.Version = Version{term, s.Version.Seq + 1, life}
-	s.apply(now, diff)
+	diff.Version = ListVersion{term, s.Version.Seq + 1, life}
+	s.applyList(now, diff)
 	return true
 }
 
-// Take applies a list from another node. It returns false if the list isn't newer or is a
+// Apply applies a list from another node. It returns false if the list isn't newer or is a
 // difference from another version than the present one.
-func (s *ListSnapshot) Take(now time.Duration, update List) bool {
-	if !s.Version.Less(update.Version) || update.Base != (Version{}) && update.Base != s.Version {
+func (s *ListSnapshot) Apply(now time.Duration, update List) bool {
+	if !s.Version.Less(update.Version) || update.Base != (ListVersion{}) && update.Base != s.Version {
 		return false
 	}
-	s.apply(now, update)
+	s.applyList(now, update)
 	return true
 }
 
-func (s *ListSnapshot) apply(now time.Duration, update List) {
-	if update.Base == (Version{}) || s.items == nil {
+func (s *ListSnapshot) applyList(now time.Duration, update List) {
+	if update.Base == (ListVersion{}) || s.items == nil {
 		s.items, s.diffs = map[string]snapshotItem{}, nil
 	} else {
 		s.diffs = append(s.diffs, update)
@@ -251,14 +251,14 @@
 	for _, instance := range update.Set {
 		s.items[instance.ID] = snapshotItem{instance, now + time.Duration(instance.WarmupMs)*time.Millisecond}
 	}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		delete(s.items, id)
 	}
 	s.Version = update.Version
 }
 
-// Since returns the list that brings a node with version have up to date, nil if it needs none.
-func (s *ListSnapshot) Since(now time.Duration, have Version) *List {
+// UpdateFor returns the list that brings a node with version have up to date, nil if it needs none.
+func (s *ListSnapshot) UpdateFor(now time.Duration, have ListVersion) *List {
 	if s.items == nil || !have.Less(s.Version) {
 		return nil
 	}
@@ -278,7 +278,7 @@
 		for _, instance := range diff.Set {
 			touched[instance.ID] = true
 		}
-		for _, id := range diff.Gone {
+		for _, id := range diff.Removed {
 			touched[id] = true
 		}
 	}
@@ -287,7 +287,7 @@
 			item.WarmupMs = s.warmupLeftMs(now, id)
 			out.Set = append(out.Set, item.Instance)
 		} else {
-			out.Gone = append(out.Gone, id)
+			out.Removed = append(out.Removed, id)
 		}
 	}
 	return out
@@ -316,5 +316,5 @@
 	}
 }
 
-// Known says whether the snapshot holds any list yet.
-func (s *ListSnapshot) Known() bool { return s.items != nil }
+// HasList says whether the snapshot holds any list yet.
+func (s *ListSnapshot) HasList() bool { return s.items != nil }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -38,7 +38,7 @@
 	for _, pool := range b.pools {
 		requests := len(pool.queue)
 		for _, u := range pool.upstreams {
-			requests += u.Busy
+			requests += u.InFlight
 		}
 		pool.load += (float64(requests) - pool.load) * weight
 	}
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -51,7 +51,7 @@
 
 // requestStarted records a request that was granted this upstream.
 func (stats *outlierStats) requestStarted(now time.Duration, req *AcquireRequest) {
-	stats.pending = append(stats.pending, pendingRequest{now, req.Aim, req.Hold})
+	stats.pending = append(stats.pending, pendingRequest{now, req.LatencyTarget, req.WaitHandle})
 }
 
 // requestAnswered records that the request that began at the given time has an answer or has
@@ -116,14 +116,14 @@
 	return outlier
 }
 
-// Answering records that the answer has begun to arrive: from then on the request can't be
+// AnswerStarted records that the answer has begun to arrive: from then on the request can't be
 // stalled, however long the transfer of the rest takes.
-func (b *Balancer) Answering(now time.Duration, lease SlotLease) {
-	lease.Upstream.requestAnswered(lease.Began)
+func (b *Balancer) AnswerStarted(now time.Duration, lease SlotLease) {
+	lease.Upstream.requestAnswered(lease.GrantedAt)
 }
 
-// Told is the load that an upstream reports in an answer.
-type Told struct {
+// ReportedLoad is the load that an upstream reports in an answer.
+type ReportedLoad struct {
 	Known            bool
 	Running, Waiting int
 }
@@ -132,13 +132,13 @@
 // the pool's latency: by then the requests that it counted have ended.
 const reportDecayLatencies = 1.5
 
-// Tell takes the load that an upstream reports. What exceeds this gateway's own requests
+// ReportLoad takes the load that an upstream reports. What exceeds this gateway's own requests
 // comes from other gateways.
-func (b *Balancer) Tell(now time.Duration, u *Upstream, load Told) {
+func (b *Balancer) ReportLoad(now time.Duration, u *Upstream, load ReportedLoad) {
 	if !load.Known {
 		return
 	}
-	u.otherLoad, u.loadReportedAt, u.reportsLoad = max(0, float64(load.Running+load.Waiting-u.Busy)), now, true
+	u.otherLoad, u.loadReportedAt, u.reportsLoad = max(0, float64(load.Running+load.Waiting-u.InFlight)), now, true
 }
 
 // otherGatewaysLoad estimates how many requests of other gateways an upstream has.
--- a/internal/upstream/outlier_test.go
+++ b/internal/upstream/outlier_test.go
@@ -13,8 +13,8 @@
 // sendOne sends one request to the upstream that the balancer picks, and releases it with the given outcome and latency.
 func sendOne(t *testing.T, balancer *Balancer, now time.Duration, outcomeOf func(id string) (Outcome, time.Duration)) string {
 	t.Helper()
-	lease, ok := acquire(balancer, now, &AcquireRequest{Aim: 400 * ms})
-	if !ok || lease.Refused != Granted {
+	lease, ok := acquire(balancer, now, &AcquireRequest{LatencyTarget: 400 * ms})
+	if !ok || lease.Refusal != Granted {
 		t.Fatalf("at %v: no upstream granted", now)
 	}
 	outcome, latency := outcomeOf(lease.ID)
@@ -34,7 +34,7 @@
 				failing = id
 			}
 			if id == failing && i%2 == 0 {
-				return Poor, 5 * ms
+				return ServerError, 5 * ms
 			}
 			return Served, 5 * ms
 		})
@@ -51,7 +51,7 @@
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(6, "z", 0), nodes[:1], shards, nil)
 	for i := 0; i < 200; i++ {
-		sendOne(t, balancer, time.Duration(i)*10*ms, func(string) (Outcome, time.Duration) { return Poor, 5 * ms })
+		sendOne(t, balancer, time.Duration(i)*10*ms, func(string) (Outcome, time.Duration) { return ServerError, 5 * ms })
 	}
 	ejected := 0
 	for _, u := range balancer.upstreams {
@@ -72,7 +72,7 @@
 		now := time.Duration(i) * 40 * ms
 		var inFlight []SlotLease
 		for range 4 {
-			lease, ok := acquire(balancer, now, &AcquireRequest{Aim: 400 * ms})
+			lease, ok := acquire(balancer, now, &AcquireRequest{LatencyTarget: 400 * ms})
 			if !ok {
 				t.Fatal("no upstream granted")
 			}
@@ -117,7 +117,7 @@
 		now := 200 * ms
 		var u *Upstream
 		for n := 0; n < c.requests; {
-			lease, ok := acquire(balancer, now, &AcquireRequest{Aim: 400 * ms, Hold: &WaitHandle{}})
+			lease, ok := acquire(balancer, now, &AcquireRequest{LatencyTarget: 400 * ms, WaitHandle: &WaitHandle{}})
 			if !ok {
 				t.Fatal("no upstream granted")
 			}
@@ -137,7 +137,7 @@
 	region := func(zone string) string { return zone[:1] }
 	nodes := []membership.Node{{Address: "d", Name: "d", Zone: "n1"}, {Address: "e", Name: "e", Zone: "s1"}}
 	balancer := NewBalancer(testConfig("d", "n1"))
-	balancer.cfg.Region = region
+	balancer.cfg.RegionOf = region
 	balancer.SetGateways(0, nodes, nil)
 	balancer.SetServices(0, map[string]ServiceInfo{"a": {MaxConns: 200}}, nil)
 	balancer.SetList(0, append(makeInstances(4, "n1", 0), makeInstances(4, "s1", 0)...))
@@ -149,10 +149,10 @@
 		refused Refusal
 	}{
 		{"any region", AcquireRequest{}, "n1", Granted},
-		{"own region", AcquireRequest{Bound: true, Regions: []string{"n"}}, "n1", Granted},
-		{"another region", AcquireRequest{Bound: true, Regions: []string{"s"}}, "s1", Granted},
-		{"region without upstreams", AcquireRequest{Bound: true, Regions: []string{"w"}}, "", NoneLeft},
-		{"no region at all", AcquireRequest{Bound: true}, "", NoneLeft},
+		{"own region", AcquireRequest{RegionRestricted: true, Regions: []string{"n"}}, "n1", Granted},
+		{"another region", AcquireRequest{RegionRestricted: true, Regions: []string{"s"}}, "s1", Granted},
+		{"region without upstreams", AcquireRequest{RegionRestricted: true, Regions: []string{"w"}}, "", NoEligibleUpstream},
+		{"no region at all", AcquireRequest{RegionRestricted: true}, "", NoEligibleUpstream},
 	}
 	for _, c := range cases {
 		for i := 0; i < 8; i++ {
@@ -160,17 +160,17 @@
 			if !ok {
 				break // the in-flight limit is reached
 			}
-			if lease.Refused != c.refused || lease.Refused == Granted && lease.Upstream.Zone != c.zone {
-				t.Errorf("%s: refusal %v, upstream %v", c.name, lease.Refused, lease.Upstream)
+			if lease.Refusal != c.refused || lease.Refusal == Granted && lease.Upstream.Zone != c.zone {
+				t.Errorf("%s: refusal %v, upstream %v", c.name, lease.Refusal, lease.Upstream)
 			}
-			if lease.Refused == Granted {
+			if lease.Refusal == Granted {
 				balancer.Release(ms, lease, nil, Served)
 			}
 		}
 	}
 	// A queued request that is restricted to one region does not block the others.
 	for {
-		if _, ok := acquire(balancer, ms, &AcquireRequest{Bound: true, Regions: []string{"s"}}); !ok {
+		if _, ok := acquire(balancer, ms, &AcquireRequest{RegionRestricted: true, Regions: []string{"s"}}); !ok {
 			break
 		}
 	}
@@ -208,22 +208,22 @@
 			handle := &WaitHandle{}
 			local, remote := net.Pipe()
 			remoteEnds[handle] = remote
-			handle.On(&Conn{Conn: local})
-			lease, ok := acquire(balancer, 200*ms, &AcquireRequest{Aim: 400 * ms, Hold: handle})
+			handle.SetConn(&Conn{Conn: local})
+			lease, ok := acquire(balancer, 200*ms, &AcquireRequest{LatencyTarget: 400 * ms, WaitHandle: handle})
 			if !ok {
 				t.Fatal("no upstream granted")
 			}
 			handles, leases = append(handles, handle), append(leases, lease)
 		}
 		for range c.requests {
-			balancer.Request("a")
+			balancer.RecordRequest("a")
 		}
 		if c.shuttingDown {
-			balancer.Leave()
+			balancer.BeginShutdown()
 		}
 		interrupted := 0
 		if c.unresponsive {
-			balancer.Release(300*ms, leases[0], nil, Silent)
+			balancer.Release(300*ms, leases[0], nil, Unresponsive)
 			handles = handles[1:]
 		} else {
 			balancer.Tick(3 * time.Second)
--- a/internal/upstream/pick.go
+++ b/internal/upstream/pick.go
@@ -16,11 +16,11 @@
 // score rates an upstream: its load relative to its capacity, plus penalties; the lowest is
 // the best. It is infinite if nothing may be sent to the upstream at present.
 func (b *Balancer) score(now time.Duration, pool *servicePool, u *Upstream) float64 {
-	if u.retired || now < u.ejectedUntil || now < u.pausedUntil || u.trialPending || u.Busy >= b.concurrencyLimit(now, pool, u) || u.probation && u.Busy > 0 {
+	if u.retired || now < u.ejectedUntil || now < u.pausedUntil || u.trialPending || u.InFlight >= b.concurrencyLimit(now, pool, u) || u.probation && u.InFlight > 0 {
 		return math.Inf(1)
 	}
 	slots := float64(u.Capacity)
-	load := (float64(u.Busy) + b.otherGatewaysLoad(now, pool, u) + 0.5) * b.relativeLatency(now, pool, u)
+	load := (float64(u.InFlight) + b.otherGatewaysLoad(now, pool, u) + 0.5) * b.relativeLatency(now, pool, u)
 	switch {
 	case u.primary:
 	case u.servingZone == b.cfg.Zone:
@@ -78,10 +78,10 @@
 	bestScore = math.Inf(1)
 next:
 	for _, u := range upstreams {
-		if u.retired || req.Bound && !slices.Contains(req.Regions, u.region) {
+		if u.retired || req.RegionRestricted && !slices.Contains(req.Regions, u.region) {
 			continue
 		}
-		for _, id := range req.Avoid {
+		for _, id := range req.ExcludeIDs {
 			if id == u.ID {
 				continue next
 			}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -26,15 +26,15 @@
 // Upstream is one instance of a server as this gateway knows it. After a restart the server is another instance.
 type Upstream struct {
 	Instance
-	Busy int // requests of this gateway that it has at present
-	// Nameless says that its refusals don't carry the request's Attempt-Id: on a reused connection
+	InFlight int // requests of this gateway that it has at present
+	// AnonymousRefusals says that its refusals don't carry the request's Attempt-Id: on a reused connection
 	// they can't be told from the remains of an earlier answer.
-	Nameless atomic.Bool
+	AnonymousRefusals atomic.Bool
 
 	idle          []*Conn
 	waitHandles   map[*WaitHandle]struct{} // of the requests in flight that may be retried elsewhere
 	coldUntil     time.Duration
-	pacer         Pace
+	pacer         WarmupLimiter
 	senderCount   int  // gateways that may send to it while it is cold; see isColdSender
 	isSender      bool // whether this gateway is one of them
 	sendersSeq    uint64
@@ -68,7 +68,7 @@
 	upstreams    []*Upstream
 	primaries    []*Upstream // upstreams that this gateway uses first
 	subset       []*Upstream // upstreams that it uses at all, as long as enough of them are available
-	budget       Budget
+	budget       RetryBudget
 	queue        []*AcquireRequest
 	primarySlots int     // total capacity of the primaries
 	errorRate    float64 // moving average
@@ -100,7 +100,7 @@
 
 // closeIdle closes the idle connections of an upstream.
 func (b *Balancer) closeIdle(u *Upstream) {
-	b.Closed = append(b.Closed, u.idle...)
+	b.ConnsToClose = append(b.ConnsToClose, u.idle...)
 	u.idle = nil
 }
 
--- a/internal/upstream/saturation_test.go
+++ b/internal/upstream/saturation_test.go
@@ -30,9 +30,9 @@
 			now += time.Second
 			var inFlight []SlotLease
 			for {
-				lease, ok := acquire(balancer, now, &AcquireRequest{Aim: time.Second})
+				lease, ok := acquire(balancer, now, &AcquireRequest{LatencyTarget: time.Second})
 				if !ok {
-					balancer.Withdraw(balancer.stablePool("a").queue[0])
+					balancer.Cancel(balancer.stablePool("a").queue[0])
 					break
 				}
 				inFlight = append(inFlight, lease)
@@ -40,7 +40,7 @@
 			// Different latencies of the upstreams are no sign of saturation: each is compared with itself.
 			for i, lease := range inFlight {
 				latency := time.Duration(50+i%4*25) * ms
-				if float64(lease.Busy) > 0.8*float64(c.slots) {
+				if float64(lease.InFlight) > 0.8*float64(c.slots) {
 					latency = time.Duration(c.slowdown * float64(latency))
 				}
 				balancer.Release(now+latency, lease, &Conn{Expires: time.Hour}, Served)
--- a/internal/upstream/scale_test.go
+++ b/internal/upstream/scale_test.go
@@ -62,7 +62,7 @@
 	balancer, _, _, _ := newLargeBalancer()
 	for i := range b.N {
 		balancer.Tick(time.Duration(i) * 100 * time.Millisecond)
-		balancer.Trials = nil
+		balancer.PendingTrials = nil
 	}
 }
 
@@ -71,11 +71,11 @@
 	completeTrials(balancer, 0)
 	var leases []SlotLease
 	for range 40 {
-		balancer.Acquire(0, &AcquireRequest{Service: "s0", Give: func(lease SlotLease) { leases = append(leases, lease) }})
+		balancer.Acquire(0, &AcquireRequest{Service: "s0", OnResult: func(lease SlotLease) { leases = append(leases, lease) }})
 	}
 	b.ResetTimer()
 	for range b.N {
-		balancer.Acquire(time.Second, &AcquireRequest{Service: "s0", Give: func(lease SlotLease) { balancer.Release(time.Second, lease, nil, Unused) }})
+		balancer.Acquire(time.Second, &AcquireRequest{Service: "s0", OnResult: func(lease SlotLease) { balancer.Release(time.Second, lease, nil, NotSent) }})
 	}
 }
 
@@ -84,7 +84,7 @@
 func TestConnectionsAreOpenedOnceGatewaysAreStable(t *testing.T) {
 	nodes, shards, instances := largeFleet()
 	config := testConfig(nodes[0].Address, "z0")
-	config.Calm = time.Second
+	config.StabilizationDelay = time.Second
 	balancer := NewBalancer(config)
 	balancer.SetServices(0, map[string]ServiceInfo{"s0": {MaxConns: 1900}, "s1": {MaxConns: 1900}}, map[string]int{"s0": 0, "s1": 0})
 	opened := 0
@@ -103,8 +103,8 @@
 	}
 	for _, step := range steps {
 		step.do(step.at)
-		opened += len(balancer.Trials)
-		balancer.Trials = nil
+		opened += len(balancer.PendingTrials)
+		balancer.PendingTrials = nil
 		if opened > step.maxOpened {
 			t.Fatalf("at %v: %d connections opened", step.at, opened)
 		}
@@ -148,9 +148,9 @@
 	_, _, instances := largeFleet()
 	var owner ListSnapshot
 	owner.Update(0, 1, 1, instances)
-	versions := []Version{owner.Version}
+	versions := []ListVersion{owner.Version}
 	followers := []*ListSnapshot{{}}
-	followers[0].Take(0, *owner.Since(0, Version{}))
+	followers[0].Apply(0, *owner.UpdateFor(0, ListVersion{}))
 	for i := range maxDiffs + 2 { // in each list, one instance is gone, one is new and one is draining
 		next := append([]Instance(nil), instances[1:]...)
 		next[i].Draining = true
@@ -158,17 +158,17 @@
 		now := time.Duration(i+1) * time.Second
 		owner.Update(now, 1, 1, instances)
 		follower := &ListSnapshot{}
-		follower.Take(now, *owner.Since(now, Version{}))
+		follower.Apply(now, *owner.UpdateFor(now, ListVersion{}))
 		followers, versions = append(followers, follower), append(versions, owner.Version)
 	}
 	now := time.Minute
 	for i, v := range versions[:len(versions)-1] {
-		update := owner.Since(now, v)
+		update := owner.UpdateFor(now, v)
 		missed := len(versions) - 1 - i
-		if complete := update.Base == (Version{}); complete != (missed > maxDiffs) || !complete && len(update.Set)+len(update.Gone) > 4*missed {
-			t.Errorf("%d missed: complete list is %v, %d entries", missed, complete, len(update.Set)+len(update.Gone))
+		if complete := update.Base == (ListVersion{}); complete != (missed > maxDiffs) || !complete && len(update.Set)+len(update.Removed) > 4*missed {
+			t.Errorf("%d missed: complete list is %v, %d entries", missed, complete, len(update.Set)+len(update.Removed))
 		}
-		if !followers[i].Take(now, *update) || !reflect.DeepEqual(followers[i].All(now), owner.All(now)) {
+		if !followers[i].Apply(now, *update) || !reflect.DeepEqual(followers[i].All(now), owner.All(now)) {
 			t.Errorf("%d missed: the lists differ", missed)
 		}
 	}
@@ -220,14 +220,14 @@
 		b.Run(name+"tick", func(b *testing.B) {
 			for i := range b.N {
 				balancer.Tick(time.Duration(i) * 100 * time.Millisecond)
-				balancer.Trials = nil
+				balancer.PendingTrials = nil
 			}
 		})
 		b.Run(name+"request", func(b *testing.B) {
 			for range b.N {
-				balancer.Acquire(time.Second, &AcquireRequest{Service: "s1", Give: func(lease SlotLease) {
-					if lease.Refused == Granted {
-						balancer.Release(time.Second, lease, nil, Unused)
+				balancer.Acquire(time.Second, &AcquireRequest{Service: "s1", OnResult: func(lease SlotLease) {
+					if lease.Refusal == Granted {
+						balancer.Release(time.Second, lease, nil, NotSent)
 					}
 				}})
 			}
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// State is the state of an upstream as shown in the gateway's status.
-type State struct {
+// UpstreamStatus is the state of an upstream as shown in the gateway's status.
+type UpstreamStatus struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Version string `json:"version,omitempty"`
-	Home    bool   `json:"home"` // a primary upstream of this gateway
+	Primary bool   `json:"home"` // a primary upstream of this gateway
 	Cold    bool   `json:"cold"`
 	Ejected bool   `json:"ejected"`
 	Busy    int    `json:"busy"`
@@ -24,10 +24,10 @@
 }
 
 // States returns the state of all upstreams, by ID.
-func (b *Balancer) States(now time.Duration) (out []State) {
+func (b *Balancer) States(now time.Duration) (out []UpstreamStatus) {
 	for _, u := range b.upstreams {
-		out = append(out, State{u.ID, u.Service, u.Address, u.Zone, u.Version, u.primary, u.Cold(now), now < u.ejectedUntil || u.trialPending,
-			u.Busy, len(u.idle), u.Served, u.Failed})
+		out = append(out, UpstreamStatus{u.ID, u.Service, u.Address, u.Zone, u.Version, u.primary, u.Cold(now), now < u.ejectedUntil || u.trialPending,
+			u.InFlight, len(u.idle), u.Served, u.Failed})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,8 +18,8 @@
 const ms = time.Millisecond
 
 func testConfig(self, zone string) Config {
-	return Config{Self: self, Zone: zone, RetryRatio: 0.2, RetrySlack: 60, Window: 10 * time.Second,
-		Eject: 100 * ms, EjectMax: time.Second, Lag: 500 * ms}
+	return Config{Self: self, Zone: zone, RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second,
+		EjectTime: 100 * ms, MaxEjectTime: time.Second, MaxListAge: 500 * ms}
 }
 
 func makeInstances(n int, zone string, warmupMs int64) (out []Instance) {
@@ -53,17 +53,17 @@
 }
 
 func completeTrials(balancer *Balancer, now time.Duration) {
-	trials := balancer.Trials
-	balancer.Trials = nil
+	trials := balancer.PendingTrials
+	balancer.PendingTrials = nil
 	for _, u := range trials {
-		balancer.Tried(now, u, &Conn{Expires: now + time.Hour})
+		balancer.TrialDone(now, u, &Conn{Expires: now + time.Hour})
 	}
 }
 
 // acquire asks for an upstream and returns the answer, if there is one at once.
 func acquire(balancer *Balancer, now time.Duration, req *AcquireRequest) (lease SlotLease, answered bool) {
 	req.Service = "a"
-	req.Give = func(answer SlotLease) { lease, answered = answer, true }
+	req.OnResult = func(answer SlotLease) { lease, answered = answer, true }
 	balancer.Acquire(now, req)
 	return lease, answered
 }
@@ -73,7 +73,7 @@
 	balancer := newReadyBalancer("z-gateway-0", "z", append(makeInstances(6, "z", 0), makeInstances(6, "y", 0)...), nodes, shards, nil)
 	primaries := 0
 	for _, state := range balancer.States(0) {
-		if state.Home {
+		if state.Primary {
 			primaries++
 			if state.Zone != "z" {
 				t.Fatalf("%s of another zone is a primary", state.ID)
@@ -156,7 +156,7 @@
 	for _, node := range nodes {
 		balancer := newReadyBalancer(node.Address, "z", makeInstances(7, "z", 0), nodes, shards, nil)
 		for _, state := range balancer.States(0) {
-			if state.Home {
+			if state.Primary {
 				owners[state.ID]++
 			}
 		}
@@ -179,12 +179,12 @@
 		t.Run(name, func(t *testing.T) {
 			balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(1, "z", 0), nodes[:1], shards, nil)
 			lease, ok := acquire(balancer, 0, &AcquireRequest{})
-			if !ok || lease.Refused != Granted {
+			if !ok || lease.Refusal != Granted {
 				t.Fatal("no upstream granted")
 			}
 			remove(balancer)
 			balancer.Release(2*ms, lease, &Conn{Expires: time.Hour}, Served)
-			if lease, ok := acquire(balancer, 3*ms, &AcquireRequest{}); !ok || lease.Refused != NoneLeft {
+			if lease, ok := acquire(balancer, 3*ms, &AcquireRequest{}); !ok || lease.Refusal != NoEligibleUpstream {
 				t.Fatalf("got %+v", lease)
 			}
 		})
@@ -199,7 +199,7 @@
 	next := makeInstances(1, "z", 0)
 	next[0].ID = "other-instance"
 	balancer.SetList(2*ms, next)
-	if len(balancer.Closed) == 0 {
+	if len(balancer.ConnsToClose) == 0 {
 		t.Error("connections to the former instance are kept")
 	}
 	completeTrials(balancer, 2*ms)
@@ -212,27 +212,27 @@
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(1, "z", 0), nodes[:1], shards, nil)
 	lease, _ := acquire(balancer, 0, &AcquireRequest{})
-	balancer.Release(0, lease, nil, Failing)
+	balancer.Release(0, lease, nil, ConnectionFailed)
 	var queuedLease SlotLease
-	balancer.Acquire(ms, &AcquireRequest{Service: "a", Give: func(lease SlotLease) { queuedLease = lease }})
+	balancer.Acquire(ms, &AcquireRequest{Service: "a", OnResult: func(lease SlotLease) { queuedLease = lease }})
 	if queuedLease.Upstream != nil {
 		t.Fatal("a request was sent to a failing upstream")
 	}
 	last := time.Duration(0)
 	for try, now := 0, time.Duration(0); try < 4; now += 10 * ms {
 		balancer.Tick(now)
-		if len(balancer.Trials) == 1 {
-			if gap := now - last; try > 0 && gap < testConfig("", "").Eject<<try {
+		if len(balancer.PendingTrials) == 1 {
+			if gap := now - last; try > 0 && gap < testConfig("", "").EjectTime<<try {
 				t.Fatalf("trial %d only %v after the one before", try, gap)
 			}
-			u := balancer.Trials[0]
-			balancer.Trials = nil
+			u := balancer.PendingTrials[0]
+			balancer.PendingTrials = nil
 			try++
 			last = now
 			if try == 4 {
-				balancer.Tried(now, u, &Conn{Expires: time.Hour})
+				balancer.TrialDone(now, u, &Conn{Expires: time.Hour})
 			} else {
-				balancer.Tried(now, u, nil)
+				balancer.TrialDone(now, u, nil)
 			}
 		}
 	}
@@ -269,8 +269,8 @@
 				balancer := balancers[rng.Intn(len(balancers))]
 				balancer.Tick(now)
 				req := &AcquireRequest{Service: "a"}
-				req.Give = func(lease SlotLease) {
-					if lease.Refused == Granted {
+				req.OnResult = func(lease SlotLease) {
+					if lease.Refusal == Granted {
 						sent = append(sent, now)
 						balancer.Release(now, lease, nil, Served)
 					}
@@ -322,9 +322,9 @@
 		balancer.serviceInfos["a"] = ServiceInfo{MaxConns: 200, HealthPath: "/h", WarmupS: 3, WarmupPerS: 8}
 		balancer.SetEvacuated(ms, map[string]bool{"z": true})
 		balancer.SetEvacuated(time.Second, map[string]bool{})
-		probes += len(balancer.Probes)
-		for _, probe := range balancer.Probes {
-			balancer.Probed(2*time.Second, probe.Upstream, 500*ms, true)
+		probes += len(balancer.PendingProbes)
+		for _, probe := range balancer.PendingProbes {
+			balancer.ProbeDone(2*time.Second, probe.Upstream, 500*ms, true)
 			if probe.Upstream.Cold(2600*ms) || !probe.Upstream.Cold(2400*ms) {
 				t.Error("the upstream's answer to the probe is not used")
 			}
@@ -347,19 +347,19 @@
 	}
 	evacuateAndRestore(time.Second)
 	evacuateAndRestore(2 * time.Second)
-	if len(balancer.Probes) != 1 {
-		t.Fatalf("%d probes in flight, want 1", len(balancer.Probes))
+	if len(balancer.PendingProbes) != 1 {
+		t.Fatalf("%d probes in flight, want 1", len(balancer.PendingProbes))
 	}
-	u := balancer.Probes[0].Upstream
-	balancer.Probed(2100*ms, u, 0, true)
+	u := balancer.PendingProbes[0].Upstream
+	balancer.ProbeDone(2100*ms, u, 0, true)
 	if !u.Cold(2200 * ms) {
 		t.Error("the answer to a stale probe is used")
 	}
-	if len(balancer.Probes) != 2 {
-		t.Fatalf("%d probes sent, want 2", len(balancer.Probes))
+	if len(balancer.PendingProbes) != 2 {
+		t.Fatalf("%d probes sent, want 2", len(balancer.PendingProbes))
 	}
-	balancer.Probed(2300*ms, u, 0, true)
-	if u.Cold(2400*ms) || len(balancer.Probes) != 2 {
+	balancer.ProbeDone(2300*ms, u, 0, true)
+	if u.Cold(2400*ms) || len(balancer.PendingProbes) != 2 {
 		t.Error("the answer to the second probe is not used")
 	}
 }
@@ -392,12 +392,12 @@
 		// and there are few requests.
 		failing := now/(15*time.Second)%2 == 1
 		if !failing || rng.Intn(20) == 0 {
-			balancer.Request("a")
+			balancer.RecordRequest("a")
 			attempts = append(attempts, attempt{now, false})
 		}
 		for k := 0; failing && k < 3; k++ { // three retries are tried for every request
 			lease, ok := acquire(balancer, now, &AcquireRequest{Retry: true})
-			if ok && lease.Refused == Granted {
+			if ok && lease.Refusal == Granted {
 				attempts = append(attempts, attempt{now, true})
 				balancer.Release(now, lease, nil, Served)
 			}
@@ -429,8 +429,8 @@
 	var refused []int
 	enqueue := func(priority int) {
 		req := &AcquireRequest{Service: "a", Priority: priority}
-		req.Give = func(lease SlotLease) {
-			if lease.Refused == Crowded {
+		req.OnResult = func(lease SlotLease) {
+			if lease.Refusal == QueueFull {
 				refused = append(refused, priority)
 			}
 		}
@@ -455,15 +455,15 @@
 	for i, step := range steps {
 		now := time.Duration(i) * time.Second
 		owner.Update(now, 1, 9, step)
-		update := owner.Since(now, follower.Version)
-		if update == nil || !follower.Take(now, *update) {
+		update := owner.UpdateFor(now, follower.Version)
+		if update == nil || !follower.Apply(now, *update) {
 			t.Fatalf("step %d: no update, or the update was not applied", i)
 		}
 		if got, want := idsAndWarmups(follower.All(now)), idsAndWarmups(owner.All(now)); got != want {
 			t.Fatalf("step %d: list is %s, want %s", i, got, want)
 		}
 		if i == 2 {
-			if update := owner.Since(now, newcomer.Version); update == nil || !newcomer.Take(now, *update) || idsAndWarmups(newcomer.All(now)) != idsAndWarmups(owner.All(now)) {
+			if update := owner.UpdateFor(now, newcomer.Version); update == nil || !newcomer.Apply(now, *update) || idsAndWarmups(newcomer.All(now)) != idsAndWarmups(owner.All(now)) {
 				t.Fatal("a node without a list does not get the complete one")
 			}
 		}
@@ -475,16 +475,16 @@
 
 func TestListVersionsOfTwoOwnersInOneTerm(t *testing.T) {
 	for _, c := range []struct {
-		known, shown Version
+		known, shown ListVersion
 		foreign      bool
 	}{
-		{Version{1, 5, 7}, Version{1, 9, 7}, false}, // the same owner, a newer list
-		{Version{1, 1, 7}, Version{1, 9, 8}, true},  // a former owner's list would supersede ours
-		{Version{1, 1, 8}, Version{1, 9, 7}, false}, // ours supersedes it
-		{Version{1, 1, 8}, Version{2, 1, 7}, true},
-		{Version{3, 1, 8}, Version{2, 9, 9}, false},
+		{ListVersion{1, 5, 7}, ListVersion{1, 9, 7}, false}, // the same owner, a newer list
+		{ListVersion{1, 1, 7}, ListVersion{1, 9, 8}, true},  // a former owner's list would supersede ours
+		{ListVersion{1, 1, 8}, ListVersion{1, 9, 7}, false}, // ours supersedes it
+		{ListVersion{1, 1, 8}, ListVersion{2, 1, 7}, true},
+		{ListVersion{3, 1, 8}, ListVersion{2, 9, 9}, false},
 	} {
-		if got := c.known.Foreign(c.shown); got != c.foreign {
+		if got := c.known.SupersededBy(c.shown); got != c.foreign {
 			t.Errorf("version %v compared with %v: foreign is %v", c.known, c.shown, got)
 		}
 	}
@@ -517,12 +517,12 @@
 	}))
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
-	got, calls, err := ReadAll(context.Background(), srv.Client(), address, SteadyPace(40))
+	got, calls, err := ReadAll(context.Background(), srv.Client(), address, PollingPace(40))
 	if err != nil || calls != 3 || len(got) != 3 || !got[1].Draining || got[0].Draining || got[2].WarmupMs != 500 {
 		t.Fatalf("%v %+v", err, got)
 	}
 	failingPage = 2
-	if got, _, err := ReadAll(context.Background(), srv.Client(), address, SteadyPace(40)); err == nil {
+	if got, _, err := ReadAll(context.Background(), srv.Client(), address, PollingPace(40)); err == nil {
 		t.Fatalf("an incomplete list was accepted: %+v", got)
 	}
 }
@@ -533,23 +533,23 @@
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(1, "z", 0), nodes[:1], shards, nil)
 	start := func(handle *WaitHandle) (SlotLease, *deadlineRecorder) {
-		lease, ok := acquire(balancer, 0, &AcquireRequest{Hold: handle})
-		if !ok || lease.Refused != Granted {
+		lease, ok := acquire(balancer, 0, &AcquireRequest{WaitHandle: handle})
+		if !ok || lease.Refusal != Granted {
 			t.Fatal("no upstream granted")
 		}
 		recorder := &deadlineRecorder{}
-		lease.Hold.On(&Conn{Conn: recorder})
+		lease.WaitHandle.SetConn(&Conn{Conn: recorder})
 		return lease, recorder
 	}
 	_, retryable := start(&WaitHandle{})
 	_, notRetryable := start(nil)
 	ended, _ := start(&WaitHandle{})
-	balancer.Release(ms, ended, nil, Failing)
+	balancer.Release(ms, ended, nil, ConnectionFailed)
 	if retryable.set {
 		t.Error("interrupted though only a connection failed")
 	}
-	balancer.Tried(2*ms, ended.Upstream, &Conn{Expires: time.Hour})
-	balancer.Release(3*ms, SlotLease{Upstream: ended.Upstream}, nil, Silent)
+	balancer.TrialDone(2*ms, ended.Upstream, &Conn{Expires: time.Hour})
+	balancer.Release(3*ms, SlotLease{Upstream: ended.Upstream}, nil, Unresponsive)
 	if !retryable.set || notRetryable.set {
 		t.Errorf("interrupted: retryable request %v, other request %v", retryable.set, notRetryable.set)
 	}
@@ -566,18 +566,18 @@
 func TestUnsentRetryIsRefunded(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(3, "z", 0), nodes, shards, nil)
-	balancer.Request("a")
+	balancer.RecordRequest("a")
 	budget := &balancer.stablePool("a").budget
 	budget.tokens = 1
 	for _, c := range []struct {
 		outcome Outcome
 		want    Refusal
-	}{{Unused, Granted}, {Unused, Granted}, {Served, Granted}, {Served, NoBudget}} {
+	}{{NotSent, Granted}, {NotSent, Granted}, {Served, Granted}, {Served, RetryBudgetExhausted}} {
 		lease, answered := acquire(balancer, 0, &AcquireRequest{Retry: true})
-		if !answered || lease.Refused != c.want {
-			t.Fatalf("refusal is %v, want %v", lease.Refused, c.want)
+		if !answered || lease.Refusal != c.want {
+			t.Fatalf("refusal is %v, want %v", lease.Refusal, c.want)
 		}
-		if lease.Refused == Granted {
+		if lease.Refusal == Granted {
 			balancer.Release(0, lease, nil, c.outcome)
 		}
 	}
@@ -592,22 +592,22 @@
 		calls int
 		takes time.Duration
 	}{
-		"steady, a short list": {SteadyPace(perSecond), 6, 0},
-		"steady, 20 pages":     {SteadyPace(perSecond), 20, 14 * time.Second / 22},
-		"hasty, 20 pages":      {HastyPace(perSecond), 20, 0},
-		"hasty, 22 pages":      {HastyPace(perSecond), 22, 0},
-		"hasty, 44 pages":      {HastyPace(perSecond), 44, time.Second + 21*time.Second/22},
-		"no limit":             {HastyPace(0), 1000, 0},
+		"steady, a short list": {PollingPace(perSecond), 6, 0},
+		"steady, 20 pages":     {PollingPace(perSecond), 20, 14 * time.Second / 22},
+		"hasty, 20 pages":      {TakeoverPace(perSecond), 20, 0},
+		"hasty, 22 pages":      {TakeoverPace(perSecond), 22, 0},
+		"hasty, 44 pages":      {TakeoverPace(perSecond), 44, time.Second + 21*time.Second/22},
+		"no limit":             {TakeoverPace(0), 1000, 0},
 	} {
-		if takes := c.pace.Pauses(c.calls); takes < c.takes-time.Microsecond || takes > c.takes+time.Microsecond {
+		if takes := c.pace.TotalPause(c.calls); takes < c.takes-time.Microsecond || takes > c.takes+time.Microsecond {
 			t.Errorf("%s: pauses of %v, want %v", name, takes, c.takes)
 		}
 	}
 	for from := range 100 { // count the calls in the second that starts with each call
 		calls := 0
-		for at, n := HastyPace(perSecond).pauseBefore(from), from; at-HastyPace(perSecond).pauseBefore(from) < time.Second-time.Microsecond; n++ {
+		for at, n := TakeoverPace(perSecond).pauseBefore(from), from; at-TakeoverPace(perSecond).pauseBefore(from) < time.Second-time.Microsecond; n++ {
 			calls++
-			at += HastyPace(perSecond).pauseBefore(n + 1)
+			at += TakeoverPace(perSecond).pauseBefore(n + 1)
 		}
 		if calls > perSecond/2 {
 			t.Errorf("%d calls in the second that starts with the call after %d others", calls, from)
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Versions names the versions of a service that get requests.
-type Versions struct {
-	Stands    string // the stable version; empty: the inferred version, or if Ordered every version but the candidate
+// ServiceVersions names the versions of a service that get requests.
+type ServiceVersions struct {
+	Stable    string // the stable version; empty: the inferred version, or if Ordered every version but the candidate
 	Candidate string // the version that is being rolled out, with a pool of its own; empty: none
-	// Ordered says that an operator's rollout order set these versions. Without one, if no
+	// SetByRollout says that an operator's rollout order set these versions. Without one, if no
 	// upstream of the stable version is listed, the inferred version takes its place.
-	Ordered bool
+	SetByRollout bool
 }
 
 // SetVersions sets the versions of the services, by service. The stable version of a service
 // that isn't named is inferred from the list; see inferStableVersions.
-func (b *Balancer) SetVersions(now time.Duration, versions map[string]Versions) {
+func (b *Balancer) SetVersions(now time.Duration, versions map[string]ServiceVersions) {
 	if maps.Equal(versions, b.versions) {
 		return
 	}
@@ -29,13 +29,13 @@
 // stable version nor the candidate.
 func (b *Balancer) poolOf(u *Upstream) *servicePool {
 	served, known := b.versions[u.Service]
-	if !known || served.Stands == "" && served.Candidate == "" || !served.Ordered && b.versionCounts[u.Service][served.Stands] == 0 {
-		served.Stands = b.inferredStable[u.Service]
+	if !known || served.Stable == "" && served.Candidate == "" || !served.SetByRollout && b.versionCounts[u.Service][served.Stable] == 0 {
+		served.Stable = b.inferredStable[u.Service]
 	}
 	switch {
 	case served.Candidate != "" && u.Version == served.Candidate:
 		return b.poolForVersion(u.Service, served.Candidate)
-	case served.Stands == "" || u.Version == served.Stands:
+	case served.Stable == "" || u.Version == served.Stable:
 		return b.stablePool(u.Service)
 	}
 	return nil
--- a/internal/upstream/versions_test.go
+++ b/internal/upstream/versions_test.go
@@ -23,14 +23,14 @@
 		lease, answered := acquire(balancer, now, req)
 		switch {
 		case !answered:
-			balancer.Withdraw(req)
-		case lease.Refused == Granted:
+			balancer.Cancel(req)
+		case lease.Refusal == Granted:
 			counts[strings.SplitN(lease.ID, "-", 2)[0]]++
 			leases = append(leases, lease)
 		}
 	}
 	for _, lease := range leases {
-		balancer.Release(now, lease, nil, Unused)
+		balancer.Release(now, lease, nil, NotSent)
 	}
 	return counts
 }
@@ -38,8 +38,8 @@
 func TestVersionThatReceivesRequests(t *testing.T) {
 	v1, v2, v3 := instancesOfVersion("v1", 6), instancesOfVersion("v2", 6), instancesOfVersion("v3", 9)
 	both := append(append([]Instance(nil), v1...), v2...)
-	stable := map[string]Versions{"a": {Stands: "v1"}}
-	rollingOut := map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}}
+	stable := map[string]ServiceVersions{"a": {Stable: "v1"}}
+	rollingOut := map[string]ServiceVersions{"a": {Stable: "v1", Candidate: "v2", SetByRollout: true}}
 	for _, c := range []struct {
 		name      string
 		steps     func(balancer *Balancer)
@@ -60,7 +60,7 @@
 		}, "", "v1"},
 		{"stable version is gone, without an order", func(balancer *Balancer) { balancer.SetVersions(0, stable); balancer.SetList(0, v2) }, "", "v2"},
 		{"stable version set by an order is gone", func(balancer *Balancer) {
-			balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
+			balancer.SetVersions(0, map[string]ServiceVersions{"a": {Stable: "v1", SetByRollout: true}})
 			balancer.SetList(0, v2)
 		}, "", ""},
 		{"candidate is reverted", func(balancer *Balancer) {
@@ -71,10 +71,10 @@
 		{"candidate becomes stable", func(balancer *Balancer) {
 			balancer.SetVersions(0, rollingOut)
 			balancer.SetList(0, both)
-			balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v2", Ordered: true}})
+			balancer.SetVersions(0, map[string]ServiceVersions{"a": {Stable: "v2", SetByRollout: true}})
 		}, "", "v2"},
 		{"candidate is set, stable version is not", func(balancer *Balancer) {
-			balancer.SetVersions(0, map[string]Versions{"a": {Candidate: "v2"}})
+			balancer.SetVersions(0, map[string]ServiceVersions{"a": {Candidate: "v2"}})
 			balancer.SetList(0, both)
 		}, "", "v1"},
 		{"upstreams without a version", func(balancer *Balancer) { balancer.SetList(0, instancesOfVersion("", 4)) }, "", ""},
@@ -109,7 +109,7 @@
 func TestRevertedCandidateReleasesQueueAndConnections(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
-	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
+	balancer.SetVersions(0, map[string]ServiceVersions{"a": {Stable: "v1", Candidate: "v2", SetByRollout: true}})
 	balancer.SetList(0, append(instancesOfVersion("v1", 3), instancesOfVersion("v2", 1)...))
 	completeTrials(balancer, 0)
 	var leases []SlotLease
@@ -117,25 +117,25 @@
 		req := &AcquireRequest{Version: "v2"}
 		lease, answered := acquire(balancer, 0, req)
 		if !answered {
-			balancer.Withdraw(req)
+			balancer.Cancel(req)
 			break
 		}
 		leases = append(leases, lease)
 	}
 	queued := &AcquireRequest{Version: "v2"}
 	var granted *SlotLease
-	queued.Service, queued.Give = "a", func(lease SlotLease) { granted = &lease }
+	queued.Service, queued.OnResult = "a", func(lease SlotLease) { granted = &lease }
 	balancer.Acquire(0, queued)
 	if granted != nil {
 		t.Fatal("a candidate at its capacity was granted again")
 	}
-	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Ordered: true}})
+	balancer.SetVersions(0, map[string]ServiceVersions{"a": {Stable: "v1", SetByRollout: true}})
 	if granted == nil || !strings.HasPrefix(granted.ID, "v1") {
 		t.Fatalf("the queued request got %+v", granted)
 	}
-	closed := len(balancer.Closed)
+	closed := len(balancer.ConnsToClose)
 	balancer.Release(0, leases[0], &Conn{Expires: time.Hour}, Served)
-	if len(balancer.Closed) != closed+1 {
+	if len(balancer.ConnsToClose) != closed+1 {
 		t.Error("a connection to a reverted version is kept")
 	}
 	if counts := versionsReached(balancer, 0, "v2"); counts["v2"] > 0 {
@@ -147,11 +147,11 @@
 func TestVersionsShareOneRetryBudget(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
-	balancer.SetVersions(0, map[string]Versions{"a": {Stands: "v1", Candidate: "v2", Ordered: true}})
+	balancer.SetVersions(0, map[string]ServiceVersions{"a": {Stable: "v1", Candidate: "v2", SetByRollout: true}})
 	balancer.SetList(0, append(instancesOfVersion("v1", 6), instancesOfVersion("v2", 6)...))
 	completeTrials(balancer, 0)
 	for range 11 {
-		balancer.Request("a") // earns a little over 2 in all
+		balancer.RecordRequest("a") // earns a little over 2 in all
 	}
 	granted := 0
 	for i := range 20 {
@@ -159,7 +159,7 @@
 		if i%2 == 0 {
 			version = "v2"
 		}
-		if lease, ok := acquire(balancer, 0, &AcquireRequest{Version: version, Retry: true}); ok && lease.Refused == Granted {
+		if lease, ok := acquire(balancer, 0, &AcquireRequest{Version: version, Retry: true}); ok && lease.Refusal == Granted {
 			granted++
 		}
 	}
--- a/internal/upstream/warmup.go
+++ b/internal/upstream/warmup.go
@@ -18,7 +18,7 @@
 // warmed up and a list that says otherwise must have arrived, or until it answers a probe.
 func (b *Balancer) assumeCold(now time.Duration, u *Upstream) {
 	info := b.serviceInfos[u.Service]
-	u.coldUntil = max(u.coldUntil, now+time.Duration(info.WarmupS*float64(time.Second))+b.cfg.Lag)
+	u.coldUntil = max(u.coldUntil, now+time.Duration(info.WarmupS*float64(time.Second))+b.cfg.MaxListAge)
 	b.probeWarmup(u)
 }
 
@@ -29,14 +29,14 @@
 	u.probeStale = u.probing
 	if (u.primary || b.isColdSender(u)) && !u.probing && b.poolOf(u) != nil && healthPath != "" {
 		u.probing = true
-		b.Probes = append(b.Probes, Probe{u, u.ID, u.Address, healthPath})
+		b.PendingProbes = append(b.PendingProbes, Probe{u, u.ID, u.Address, healthPath})
 	}
 }
 
-// Probed takes the answer to a probe: how much longer the upstream stays cold. Without an
+// ProbeDone takes the answer to a probe: how much longer the upstream stays cold. Without an
 // answer (ok is false) it still counts as cold. The answer to a stale probe is ignored, and
 // the upstream is probed again.
-func (b *Balancer) Probed(now time.Duration, u *Upstream, warmupLeft time.Duration, ok bool) {
+func (b *Balancer) ProbeDone(now time.Duration, u *Upstream, warmupLeft time.Duration, ok bool) {
 	u.probing = false
 	if u.probeStale {
 		u.probeStale = false
@@ -67,7 +67,7 @@
 			}
 			if !u.verified && !u.trialPending && u.ejectedUntil == 0 {
 				u.trialPending = true
-				b.Trials = append(b.Trials, u)
+				b.PendingTrials = append(b.PendingTrials, u)
 			}
 		}
 	}
@@ -84,14 +84,14 @@
 	if now < u.ejectedUntil || u.trialPending {
 		return
 	}
-	duration := b.cfg.Eject << min(u.failures, 6)
+	duration := b.cfg.EjectTime << min(u.failures, 6)
 	u.failures++
-	u.ejectedUntil = now + min(duration, b.cfg.EjectMax)
+	u.ejectedUntil = now + min(duration, b.cfg.MaxEjectTime)
 	b.closeIdle(u)
 }
 
-// Tried takes the result of a trial connection; nil: it failed.
-func (b *Balancer) Tried(now time.Duration, u *Upstream, conn *Conn) {
+// TrialDone takes the result of a trial connection; nil: it failed.
+func (b *Balancer) TrialDone(now time.Duration, u *Upstream, conn *Conn) {
 	u.trialPending = false
 	if conn == nil {
 		u.ejectedUntil = 0
@@ -99,7 +99,7 @@
 		return
 	}
 	if u.retired || b.evacuated[u.Zone] || b.poolOf(u) == nil {
-		b.Closed = append(b.Closed, conn)
+		b.ConnsToClose = append(b.ConnsToClose, conn)
 		return
 	}
 	if u.failures > 0 && u.verified {
