--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -56,7 +56,7 @@
 	OutdatedOrder                // the order is, or may be, older than one that was carried out
 )
 
-// Response is the HTTP response for a kind. NotRun says that the response guarantees that the
+// Response is the HTTP response for a kind. NotExecuted says that the response guarantees that the
 // request was not executed and never will be.
 type Response struct {
 	Status      int
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// A refused item must not stay in the Reader's cache, since the next request may use the same generation.
+// A refused item must not stay in the Decoder's cache, since the next request may use the same generation.
 func TestRefusedItemIsNotCached(t *testing.T) {
 	records := newRecords(t)
 	reader := &Decoder{}
@@ -290,7 +290,7 @@
 	}
 }
 
-// EndDoubt ends the doubt about a zone only at the generation at which it was seen.
+// ResolveDoubt ends the doubt about a zone only at the generation at which it was seen.
 func TestDoubtEndsOnlyOnSeenGeneration(t *testing.T) {
 	inDoubt := evacuation{maxActive: 2, orders: []uint64{5, 7}}.encodeRecord("evacuation/z", 3)
 	for name, testCase := range map[string]struct {
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -100,12 +100,12 @@
 	return decodeItem(r).digest()
 }
 
-// tombstoneData is the data of a dropped record. Taken is encoded as in Item.
+// tombstoneData is the data of a dropped record. History is encoded as in Item.
 type tombstoneData struct {
 	History []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// digestBytes is the size of one digest in Item.Taken, without its generation.
+// digestBytes is the size of one digest in Item.History, without its generation.
 const digestBytes = 8
 
 // withHistory returns record as the successor of old, with the generation and digest of old added to its
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -32,7 +32,7 @@
 }
 
 // Item is the content of the record of a route, a tenant, a service or the limits. Raw is the JSON that the
-// operator sent. Taken is the history of a few earlier generations, the newest first: for each the
+// operator sent. History holds a few earlier generations, the newest first: for each the
 // generation as a varint and eight bytes of digest. It is empty in records of earlier releases.
 type Item struct {
 	Host    string `cbor:"1,keyasint,omitempty"`
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -85,7 +85,7 @@
 	reader.pruneAt = 2*(len(reader.routes)+len(reader.tenants)) + pruneThreshold
 }
 
-// pruneThreshold is the number of items that a Reader may cache before prune looks for those to evict.
+// pruneThreshold is the number of items that a Decoder may cache before prune looks for those to evict.
 const pruneThreshold = 1 << 10
 
 // Routes returns the existing routes, sorted by name, and evicts removed ones from the cache.
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -22,7 +22,7 @@
 type Summary struct {
 	Node    string  `json:"node"`
 	Contact Contact `json:"contact"`
-	// Tolerates is how many more members may be lost now, Wanted how many losses should be tolerated.
+	// Tolerates is how many more members may be lost now, LossesToTolerate how many losses should be tolerated.
 	Tolerates        int      `json:"bears"`
 	LossesToTolerate int      `json:"wanted"`
 	Nodes            []Count  `json:"nodes"`
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -65,7 +65,7 @@
 	Fresh bool `cbor:"3,keyasint,omitempty"`
 	// Loads are the loads of all zones that the control node knows of.
 	Loads upstream.Loads `cbor:"4,keyasint,omitempty"`
-	// Freshness answers Watch.Asked. It is set if the watcher, given this update, holds all records of
+	// Freshness answers Watch.AskedAt. It is set if the watcher, given this update, holds all records of
 	// the control node, and the control node knows how old these are.
 	Freshness *Freshness `cbor:"5,keyasint,omitempty"`
 	// RolloutsControlled says that every active rollout has a controller that the control node hears from. It
@@ -76,7 +76,7 @@
 	Packs [][]byte `cbor:"7,keyasint,omitempty"`
 	More  bool     `cbor:"8,keyasint,omitempty"`
 	// Horizon is the horizon of the control node's records (see config.Horizon). Of the ranges in
-	// Ranges, the update contains all forgettable records (see config.IsForgettable). Ranges is
+	// Ranges, the update contains all forgettable records (see config.CoveredByHorizon). Ranges is
 	// empty while the horizon is 0. Control nodes of versions before horizons send neither.
 	Horizon *uint64 `cbor:"9,keyasint,omitempty"`
 	Ranges  []int   `cbor:"10,keyasint,omitempty"`
@@ -85,7 +85,7 @@
 }
 
 // ListFreshness says that this version of the list of upstreams was complete and up to date at the time
-// Asked+Since of the watcher's clock or later. Since may be negative. With durations the two nodes need
+// AskedAt+Offset of the watcher's clock or later. Offset may be negative. With durations the two nodes need
 // no common clock.
 type ListFreshness struct {
 	Version upstream.ListVersion `cbor:"1,keyasint"`
@@ -96,7 +96,7 @@
 }
 
 // Freshness says that the records which the gateway holds after this update were up to date at the time
-// Asked-Age of its clock or later. With durations the two nodes need no common clock.
+// AskedAt-Age of its clock or later. With durations the two nodes need no common clock.
 type Freshness struct {
 	AskedAt time.Duration `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint"`
@@ -170,7 +170,7 @@
 }
 
 // Each calls fn with the assumed state of every watcher that hasn't expired and doesn't get its
-// changes from another control node (see Watch.Second). fn returns the new assumed state. Expired
+// changes from another control node (see Watch.Secondary). fn returns the new assumed state. Expired
 // watchers are removed.
 func (w *Watchers) Each(now time.Duration, fn func(to string, assumed Watch) Watch) {
 	ids := make([]string, 0, len(w.byID))
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -13,7 +13,7 @@
 // Sources selects the two control nodes (sources) that a gateway watches. They are in different
 // zones, the gateway's own zone comes first, and a control node that recently timed out is avoided
 // while there are others. Such a node is tried in second place before it becomes the first again.
-// A source is fresh while it sends updates with Issue.Fresh set, and stale while it sends others.
+// A source is fresh while it sends updates with Update.Fresh set, and stale while it sends others.
 type Sources struct {
 	Self   string
 	Zone   string
@@ -34,16 +34,16 @@
 }
 
 const (
-	// fallbackFraction is the fraction of Patience without a fresh update from any control node after
+	// fallbackFraction is the fraction of Timeout without a fresh update from any control node after
 	// which others are asked too, and maxFallbacks how many of them at a time.
 	fallbackFraction = 0.5
 	maxFallbacks     = 4
-	// beatsPerPatience is the number of beats (intervals between watches) in Patience.
+	// beatsPerPatience is the number of beats (intervals between watches) in Timeout.
 	beatsPerPatience = 3
 
-	staleFraction     = 0.35 // of Patience, for a source that is stale
+	staleFraction     = 0.35 // of Timeout, for a source that is stale
 	bothStaleFraction = 0.85 // if the other source is stale too: the configuration's owner may be being replaced
-	avoidTimeouts     = 4    // multiples of Patience for which a replaced source is avoided
+	avoidTimeouts     = 4    // multiples of Timeout for which a replaced source is avoided
 )
 
 // Received records an update from a control node, and whether it was fresh.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,7 +32,7 @@
 	LargeResponseFraction float64
 }
 
-// DefaultLargeResponseFraction is the default of Options.Pace. The rest of the link's rate is for small responses, so
+// DefaultLargeResponseFraction is the default of Options.LargeResponseFraction. The rest of the link's rate is for small responses, so
 // that they needn't wait behind large ones.
 const DefaultLargeResponseFraction = 0.65
 
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -138,7 +138,7 @@
 // earlier process at this address are recognized (see toLocalClock).
 func newClockOffset() time.Duration { return 1 + time.Duration(rand.Int64N(1<<61)) }
 
-// toLocalClock converts the time in Issue.Sure to this process's clock. It drops Sure if the time is in
+// toLocalClock converts the time in Update.Freshness to this process's clock. It drops Freshness if the time is in
 // the future: then the update answers an earlier process, whose clock had another offset.
 func (g *Gateway) toLocalClock(now time.Duration, issue delivery.Update) delivery.Update {
 	if issue.Freshness == nil {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -62,7 +62,7 @@
 }
 
 // Message is a message of the gossip protocol: a request (Ping) or an answer. With Seq it belongs to a
-// probe, with Whole to a request for the full list, with Sums to a comparison of digests. A message
+// probe, with FullList to a request for the full list, with RangeDigests to a comparison of digests. A message
 // without these carries only changes.
 type Message struct {
 	Ping     bool   `cbor:"1,keyasint,omitempty"`
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// Waiting reports unbound routes only while a shard has a working gateway.
+// AnyUnscheduled reports unbound routes only while a shard has a working gateway.
 func TestWaitingRoutes(t *testing.T) {
 	unbound := &config.Route{Name: "r"}
 	bound := &config.Route{Name: "s", Status: config.Status{Phase: config.PhaseScheduled, Shard: 1}}
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -147,7 +147,7 @@
 }
 
 // acquire requests a slot at an upstream and waits for it until the timeout or until canceled is closed.
-// A lease whose Refused is not upstream.Granted says why there is none.
+// A lease whose Refusal is not upstream.Granted says why there is none.
 func (d *Dispatcher) acquire(request *upstream.AcquireRequest, timeout time.Duration, canceled <-chan struct{}) upstream.SlotLease {
 	reply := make(chan upstream.SlotLease, 1)
 	request.OnResult = func(lease upstream.SlotLease) { reply <- lease }
--- a/internal/proxy/finish.go
+++ b/internal/proxy/finish.go
@@ -15,7 +15,7 @@
 )
 
 // finish returns the lease with its connection, which is closed if it cannot be reused. outlier reports
-// whether the upstream has markedly more errors than others; it is determined for upstream.Poor only.
+// whether the upstream has markedly more errors than others; it is determined for upstream.ServerError only.
 func (h *Handler) finish(lease upstream.SlotLease, res result, outcome upstream.Outcome) (outlier bool) {
 	conn := res.conn
 	connIntact := res.stopClose == nil || res.stopClose()
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -33,7 +33,7 @@
 	table         atomic.Pointer[config.Table]
 	shard         atomic.Int64
 	draining      atomic.Bool
-	tableComplete atomic.Bool // see SetComplete
+	tableComplete atomic.Bool // see SetTableComplete
 	chain         HandlerFunc
 	Stats         Stats
 	// arms splits the requests of a service under rollout between its prior and its candidate version.
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -315,7 +315,7 @@
 	Tenant string `cbor:"2,keyasint"`
 }
 
-// AcquireReply answers the AcquireRequest with the same Seq. OK: the token is granted. Away: the node
+// AcquireReply answers the AcquireRequest with the same Seq. Granted: the token is granted. Unknown: the node
 // can't tell, another one may. Neither: the quota is used up.
 type AcquireReply struct {
 	Seq     uint64 `cbor:"1,keyasint"`
@@ -326,7 +326,7 @@
 	RunID uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Return returns an unused token. Life is that of the AcquireReply that granted it.
+// Return returns an unused token. RunID is that of the AcquireReply that granted it.
 type Return struct {
 	Tenant string `cbor:"1,keyasint"`
 	RunID  uint64 `cbor:"2,keyasint"`
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -85,7 +85,7 @@
 	return truncate(client, all)
 }
 
-// truncate limits an answer to MaxAnswer addresses and sorts it. Which gateways it leaves out depends
+// truncate limits an answer to MaxAddresses addresses and sorts it. Which gateways it leaves out depends
 // on the client's zone and region.
 func truncate(client Query, list []string) []string {
 	if len(list) > MaxAddresses {
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -206,7 +206,7 @@
 	return slices.Clone(m.successors(m.partition(name)))
 }
 
-// successors is Heirs without the copy; the order is computed once per voter set.
+// successors is Successors without the copy; the order is computed once per voter set.
 func (m *Replica) successors(part *partition) []string {
 	if s := m.voterSet(); part.successorsFor != s {
 		part.successorsFor, part.successorList = s, rendezvous.Order(part.name, m.Voters())
@@ -310,7 +310,7 @@
 }
 
 // transferBack returns a partition to the first member in its order of successors once that member
-// has been alive and up to date, and the partition idle, for the period HandBack. Partitions that
+// has been alive and up to date, and the partition idle, for the period TransferBackDelay. Partitions that
 // were gathered at one member by a failure are thus spread out again.
 func (m *Replica) transferBack(part *partition) {
 	preferred := m.successors(part)[0]
@@ -339,7 +339,7 @@
 	return at, ok
 }
 
-// Leave transfers all partitions to other members; from then on this member takes over none. MayGo
+// Leave transfers all partitions to other members; from then on this member takes over none. SafeToLeave
 // reports when its copies are no longer needed.
 func (m *Replica) Leave(now time.Duration) {
 	m.now = now
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -24,7 +24,7 @@
 // of an older version are sent an Append without changes for each partition.
 const protocolHeartbeat = 1
 
-// roundRetention is how long the start times of rounds are kept, in multiples of Config.Vacant.
+// roundRetention is how long the start times of rounds are kept, in multiples of Config.ElectionTimeout.
 // The times of the voter set's rounds tell when a member last answered (see failed).
 const roundRetention = 8
 
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -75,7 +75,7 @@
 }
 
 // expireLists drops the lists of owners that have not been heard from for 20 times
-// Config.Vacant.
+// Config.ElectionTimeout.
 func (m *Replica) expireLists() {
 	for from, l := range m.ownerLists {
 		if m.now-l.lastHeard > 20*m.cfg.ElectionTimeout {
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -8,7 +8,7 @@
 )
 
 // PartitionStatus is an owner's status of one of its partitions. The full epoch consists of the number
-// here and the sender's address and process run (Epoch.Owner, Epoch.Life).
+// here and the sender's address and process run (Epoch.Owner, Epoch.RunID).
 type PartitionStatus struct {
 	Partition string `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
@@ -30,7 +30,7 @@
 }
 
 // PartitionAge is how long ago the ownership of one partition was confirmed, where that differs from
-// Heartbeat.Sure.Age. Negative: it has not been confirmed yet.
+// Heartbeat.Freshness.Age. Negative: it has not been confirmed yet.
 type PartitionAge struct {
 	Partition string        `cbor:"1,keyasint"`
 	Age       time.Duration `cbor:"2,keyasint"`
@@ -42,7 +42,7 @@
 	Round     uint64            `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
 	VoterSet  Position          `cbor:"2,keyasint"`
 	Partial   bool              `cbor:"3,keyasint,omitempty"`
-	Base      uint64            `cbor:"4,keyasint,omitempty"` // list version that Keys and Gone are relative to; 0: Keys is the whole list
+	Base      uint64            `cbor:"4,keyasint,omitempty"` // list version that Keys and Removed are relative to; 0: Keys is the whole list
 	Version   uint64            `cbor:"5,keyasint,omitempty"`
 	Digest    uint64            `cbor:"6,keyasint,omitempty"` // digest of the list at Version
 	Keys      []PartitionStatus `cbor:"7,keyasint,omitempty"`
@@ -52,10 +52,10 @@
 }
 
 // HeartbeatAck answers a Heartbeat. It confirms the epochs of all partitions that the heartbeat
-// covered, except those in Deviate, unless the owner's voter set is outdated or the member lacks
+// covered, except those in Deviations, unless the owner's voter set is outdated or the member lacks
 // the list.
 type HeartbeatAck struct {
-	RunID       uint64         `cbor:"1,keyasint"` // the owner's process run (Message.Life)
+	RunID       uint64         `cbor:"1,keyasint"` // the owner's process run (Message.RunID)
 	Round       uint64         `cbor:"2,keyasint,omitempty"`
 	Partial     bool           `cbor:"3,keyasint,omitempty"`
 	ListMissing bool           `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -5,7 +5,7 @@
 // of them.
 //
 // A member is one control node's replica. Members in the voter set (voters) vote; the others
-// are learners, which only receive copies. A member's Life identifies its process run, and its
+// are learners, which only receive copies. A member's RunID identifies its process run, and its
 // identity includes that of its disk.
 //
 // Replica is the state machine of one member. It does no I/O and reads no clock: a driver
@@ -86,7 +86,7 @@
 }
 
 // Append brings a member from the position Base to the position Seq of Epoch. Without Changes
-// and Mend it serves members of protocol 0 as a heartbeat. With Mend, it replaces the whole
+// and ReplaceRanges it serves members of protocol 0 as a heartbeat. With ReplaceRanges, it replaces the whole
 // ranges listed there by Changes.
 type Append struct {
 	Partition     string   `cbor:"1,keyasint"`
@@ -128,7 +128,7 @@
 // the time for which the owner held it, so the member can date the confirmation by its own
 // clock, however long the message was in transit.
 type Freshness struct {
-	RunID uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.Life)
+	RunID uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.RunID)
 	Mark  time.Duration `cbor:"2,keyasint"`
 	Held  time.Duration `cbor:"3,keyasint"`
 	Age   time.Duration `cbor:"4,keyasint"`
@@ -143,7 +143,7 @@
 	At        Position          `cbor:"5,keyasint"`
 	Round     uint64            `cbor:"6,keyasint,omitempty"`
 	Sums      *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Mark      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Sure for this partition
+	Mark      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Freshness for this partition
 	Outdated  *PartitionCopy    `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
 
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -37,7 +37,7 @@
 }
 
 // OwnershipTerm describes this member's ownership of a partition. ok is false unless the ownership was
-// confirmed within the last Config.Vacant.
+// confirmed within the last Config.ElectionTimeout.
 func (m *Replica) OwnershipTerm(now time.Duration, name string) (t OwnershipTerm, ok bool) {
 	part := m.partition(name)
 	return OwnershipTerm{part.ownEpoch, part.ownerSince, part.confirmedAt, part.inherited, part.predecessorUntil}, part.role == roleOwner && part.confirmedAt != neverConfirmed && now-part.confirmedAt <= m.cfg.ElectionTimeout
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -136,7 +136,7 @@
 	leaving            bool
 	started            bool
 	startedAt          time.Duration
-	runIDs             map[string]uint64          // by identity: the process run (Message.Life) last heard from
+	runIDs             map[string]uint64          // by identity: the process run (Message.RunID) last heard from
 	voterSetAnsweredAt map[string]time.Duration   // by identity: when the newest round of the voter set that it has answered was sent
 	lastIdentity       map[string]string          // by address: the identity last heard from
 	learners           map[string]time.Duration   // identities that ask to become voters, and when they last did
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -116,7 +116,7 @@
 func (m *Replica) tickVoterSetChange() {
 	part := m.partitions[VoterSetPartition]
 	if m.leaving {
-		return // the survey in progress is that of MayGo
+		return // the survey in progress is that of SafeToLeave
 	}
 	if part.role != roleOwner || part.commit != part.position || len(part.queue) > 0 || !m.bootstrapped {
 		m.survey = nil
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRequest measures the cost of Arms for one request on a gateway, without and with an
+// BenchmarkRequest measures the cost of the Splitter for one request on a gateway, without and with an
 // active rollout.
 func BenchmarkRequest(b *testing.B) {
 	for _, active := range []bool{false, true} {
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -123,7 +123,7 @@
 // Abort returns the changes of a reversal that an operator orders. It reverses only a rollout
 // to the given version; a repeated reversal changes nothing. If the operator named no version
 // and another rollout was reversed so recently that this may be a repeat of that call, the
-// result is the error MaybeRepeated.
+// result is the error PossibleDuplicate.
 func Abort(records map[string]Record, service string, reversal Reversal, age time.Duration, call Call) ([]Record, error) {
 	oldRecord, known := records[PartitionOf(service)]
 	current, ok := DecodePlan(oldRecord)
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -119,7 +119,7 @@
 }
 
 // A repeated reversal without a version cannot be told from a reversal of the next rollout. It
-// is answered with MaybeRepeated for as long as the operator may send it again.
+// is answered with PossibleDuplicate for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	nodes := newControlNodes(t, 2)
 	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -112,7 +112,7 @@
 // View returns the view of the last evaluation of a service's rollout.
 func (c *Controller) View(service string) View { return c.stateOf(service).lastView }
 
-// AllControlled reports whether every active rollout had a known controller at the last call of Look.
+// AllControlled reports whether every active rollout had a known controller at the last call of Evaluate.
 func (c *Controller) AllControlled() bool { return c.allControlled }
 
 // ReceiveReports stores the reports of a gateway.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -16,7 +16,7 @@
 	// LiveGateways is the number of gateways that carry traffic, ReportingGateways the number of these that
 	// have reported the current record as in force, OtherInFlight the number of requests in flight
 	// there to other versions, and StoppedGateways the number of gateways that have stopped the
-	// candidate by themselves. Brake is the reason that one of the latter gave.
+	// candidate by themselves. StopReason is the reason that one of the latter gave.
 	LiveGateways, ReportingGateways, OtherInFlight, StoppedGateways int
 	StopReason                                                      string
 	// WarmSlots is the number of slots of the candidate's warm upstreams, Slots that of all its
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -3,7 +3,7 @@
 // The control node that owns the key of a service is the controller of its rollout and
 // decides on each stage (Controller, Next). Every gateway splits the requests of the service
 // between the two arms, scores the answers of both, and by itself stops sending requests to
-// a candidate that turns bad (Arms).
+// a candidate that turns bad (Splitter).
 //
 // The package does no I/O and reads no clock; callers pass the time in.
 package rollout
@@ -152,7 +152,7 @@
 	return &next
 }
 
-// Standing is a version that serves without an order. After is the generation of the plan
+// Standing is a version that serves without an order. Supersedes is the generation of the plan
 // that it supersedes: 0 for the first version of a service, more if all upstreams of the
 // version that served were replaced without an order.
 type Standing struct {
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -20,7 +20,7 @@
 	BrokenResponse         // the connection broke, or the answer was malformed
 	TooLate                // no answer by the deadline
 	Unscored
-	failureKinds = 3 // Errored, Broke, TooLate
+	failureKinds = 3 // Errored, BrokenResponse, TooLate
 )
 
 // Arm is one side of a rollout.
@@ -228,7 +228,7 @@
 	if usesBaseline {
 		// An error that both versions have now may not have occurred at the time of the
 		// baseline, so larger differences are required, and of the kinds of failures only
-		// Errored is compared with the baseline. The others need the share Alone.
+		// Errored is compared with the baseline. The others need the share FailureShareAlone.
 		prior.Add(baseline[Prior])
 	}
 	// Failures that the candidate has more often than the prior arm: the test of
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// simulation runs a rollout with the real state machines: the Arms of many gateways, and the
+// simulation runs a rollout with the real state machines: the Splitters of many gateways, and the
 // controllers of three control nodes, of which one at a time owns the key.
 type simulation struct {
 	t                  *testing.T
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -178,7 +178,7 @@
 
 // KeyLeaseDuration is how long a gateway may keep using API keys after it last had them confirmed;
 // 0: keys need no lease. It may be longer than revokeS, since the acknowledgement of a revocation
-// is held back for HoldRevocation: every lease still ends within revokeS of the acknowledgement,
+// is held back for RevocationAckDelay: every lease still ends within revokeS of the acknowledgement,
 // with a margin of a tenth of revokeS.
 func (s *Settings) KeyLeaseDuration() time.Duration {
 	if !s.RevocationBounded() {
@@ -187,7 +187,7 @@
 	return Seconds(s.Bounds.RevokeS*0.9) + s.RevocationAckDelay()
 }
 
-// RevocationAckDelay is how long the acknowledgement of a revocation is held back, see KeyLease. It
+// RevocationAckDelay is how long the acknowledgement of a revocation is held back, see KeyLeaseDuration. It
 // is a part of ackS, since requests to the control interface must be answered within ackS.
 func (s *Settings) RevocationAckDelay() time.Duration {
 	if !s.RevocationBounded() {
@@ -322,7 +322,7 @@
 	return compiler.MustCompile(name)
 }
 
-// ValidateSchema checks a JSON document against a schema. Its error is a Check that names the location
+// ValidateSchema checks a JSON document against a schema. Its error is of type ValidationErrors and names the location
 // of each violation.
 func ValidateSchema(schema *jsonschema.Schema, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
--- a/internal/storage/disk_size_test.go
+++ b/internal/storage/disk_size_test.go
@@ -24,7 +24,7 @@
 	state          map[string][]byte
 	maxBytes       int64 // largest size of the directory so far
 	rewrites       int
-	refusedBatches int // batches refused with ErrRoom
+	refusedBatches int // batches refused with ErrRewriteRequired
 }
 
 func (s *trackedStore) directorySize() (sum int64) {
@@ -98,7 +98,7 @@
 // 1/64: thousands of changes of one record, some of ranges and of all records, while the
 // live size grows and shrinks, with restarts in between. The file and its rewrite must
 // fit on the disk, and after each change the file must be at most three times the live
-// size (or 1/64 of the disk). Changes of one record must never be refused with ErrRoom.
+// size (or 1/64 of the disk). Changes of one record must never be refused with ErrRewriteRequired.
 func TestFileStaysWithinItsDisk(t *testing.T) {
 	const diskSize = 1 << 20
 	const limit = diskSize * 12 / 64
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -129,7 +129,7 @@
 }
 
 // Write appends a batch and syncs it. After an error the caller must write its whole
-// state with Rewrite; after ErrRoom it can do so at once.
+// state with Rewrite; after ErrRewriteRequired it can do so at once.
 func (s *Store) Write(batch []Entry) (err error) {
 	if s.needsRewrite {
 		return errNeedsRewrite
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// appendBatch appends a batch to the file, or returns ErrRoom. It also returns by how
+// appendBatch appends a batch to the file, or returns ErrRewriteRequired. It also returns by how
 // many bytes the file grew and the new live size.
 func (s *Store) appendBatch(batch []Entry) (grown, liveSize int64, err error) {
 	liveSize = s.liveSize
@@ -214,7 +214,7 @@
 // DiskSize returns the size of the disk in bytes.
 func (s *Store) DiskSize() int64 { return s.diskSize }
 
-// Full reports whether the file has grown enough to make a Rewrite worthwhile.
+// ShouldRewrite reports whether the file has grown enough to make a Rewrite worthwhile.
 func (s *Store) ShouldRewrite() bool {
 	return s.fileSize > fractionOf(s.diskSize, rewriteMinFraction) &&
 		(s.fileSize > rewriteLiveRatio*s.liveSize || s.fileSize+s.liveSize > fractionOf(s.diskSize, rewriteFillFraction))
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -109,7 +109,7 @@
 	return max(1, b.cfg.RetrySlack/2/float64(max(total, 1)))
 }
 
-// Acquire asks for an upstream. It calls req.Give at once, or later if the request has to queue.
+// Acquire asks for an upstream. It calls req.OnResult at once, or later if the request has to queue.
 func (b *Balancer) Acquire(now time.Duration, req *AcquireRequest) {
 	pool := b.poolForRequest(req)
 	b.requestSeq++
@@ -237,7 +237,7 @@
 	u.InFlight--
 	latency := now - lease.GrantedAt
 	if !u.requestAnswered(lease.GrantedAt) {
-		latency = 0 // Answering has been called; the transfer time of the rest of the answer is not the upstream's latency
+		latency = 0 // AnswerStarted has been called; the transfer time of the rest of the answer is not the upstream's latency
 	}
 	delete(u.waitHandles, lease.WaitHandle)
 	pool := u.pool
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -14,7 +14,7 @@
 	Self               string // this gateway's address
 	Zone               string
 	RetryRatio         float64       // retry tokens that each request earns
-	RetrySlack         float64       // retries that all gateways together may send to a service in a Window beyond the earned ones
+	RetrySlack         float64       // retries that all gateways together may send to a service in a RetryWindow beyond the earned ones
 	RetryWindow        time.Duration // the window of the retry budget (setting retryWindowS)
 	EjectTime          time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
 	MaxEjectTime       time.Duration // maximum duration of an ejection
@@ -46,11 +46,11 @@
 	requestSeq       uint64
 	hasList          bool
 	verifyPending    bool          // verifyPrimaries is to be called again
-	stableAt         time.Duration // when the set of gateways will have been unchanged for Config.Calm
+	stableAt         time.Duration // when the set of gateways will have been unchanged for Config.StabilizationDelay
 	shuttingDown     bool
 
-	PendingTrials []*Upstream // upstreams to open a trial connection to; the caller reports to Tried
-	PendingProbes []Probe     // health requests to be sent; the caller reports to Probed
+	PendingTrials []*Upstream // upstreams to open a trial connection to; the caller reports to TrialDone
+	PendingProbes []Probe     // health requests to be sent; the caller reports to ProbeDone
 	ConnsToClose  []*Conn     // connections for the caller to close
 }
 
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -30,7 +30,7 @@
 }
 
 // ListVersion orders lists by age. The control node that reads the list (its owner) is elected for
-// a term; Seq counts its lists. Life identifies the owner's process and tells apart two
+// a term; Seq counts its lists. RunID identifies the owner's process and tells apart two
 // owners in one term, which is possible after all control nodes have lost their state.
 type ListVersion struct {
 	Term  uint64 `cbor:"1,keyasint,omitempty" json:"term"`
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -7,7 +7,7 @@
 
 // ServiceVersions names the versions of a service that get requests.
 type ServiceVersions struct {
-	Stable    string // the stable version; empty: the inferred version, or if Ordered every version but the candidate
+	Stable    string // the stable version; empty: the inferred version, or if SetByRollout every version but the candidate
 	Candidate string // the version that is being rolled out, with a pool of its own; empty: none
 	// SetByRollout says that an operator's rollout order set these versions. Without one, if no
 	// upstream of the stable version is listed, the inferred version takes its place.
