--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -97,7 +97,7 @@
 			address = n.Address
 		}
 	}
-	if _, err := c.orders.submit(caller, order{Key: replication.VoterSetPartition, Retire: address}); err != nil {
+	if _, err := c.orders.submit(caller, order{Partition: replication.VoterSetPartition, Retire: address}); err != nil {
 		return err
 	}
 	c.log.control.Info("control node retired", "retired", node)
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -68,7 +68,7 @@
 	n.runID++
 	partitions := []string{config.Partition, config.EvacuationPrefix + "z"}
 	replica, err := replication.NewReplica(replication.Config{Self: id, RunID: n.runID, Seeds: c.ids, Bootstrap: bootstrap, Empty: len(n.disk) == 0,
-		Keys: partitions, FreshnessPartitions: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: time.Duration(ownerTimeoutFraction * float64(testContactS)), ProposalTimeout: time.Second,
+		Partitions: partitions, FreshnessPartitions: partitions, Faults: 2, Identity: c.rng.Uint64() | 1, HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: time.Duration(ownerTimeoutFraction * float64(testContactS)), ProposalTimeout: time.Second,
 		Alive: func(string) bool { return true }}, n.disk)
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -67,7 +67,7 @@
 	case path == "/v1/config":
 		switch r.Method {
 		case http.MethodGet:
-			return n.orders.submit(r.Context(), order{Key: config.Partition, Read: true})
+			return n.orders.submit(r.Context(), order{Partition: config.Partition, Read: true})
 		case http.MethodPatch:
 			body, err := readCall(r)
 			if err != nil {
@@ -77,7 +77,7 @@
 				n.log.control.Warn("configuration refused", "error", err)
 				return nil, err
 			}
-			if _, err := n.orders.submit(r.Context(), order{Key: config.Partition, Patch: body}); err != nil {
+			if _, err := n.orders.submit(r.Context(), order{Partition: config.Partition, Patch: body}); err != nil {
 				n.log.control.Warn("configuration not taken", "error", err)
 				return nil, err
 			}
@@ -100,7 +100,7 @@
 		if len(body) == 0 {
 			return nil, apierror.New(apierror.BadRequest, "a plan needs a body")
 		}
-		return n.orders.submit(r.Context(), order{Key: config.Partition, Plan: body})
+		return n.orders.submit(r.Context(), order{Partition: config.Partition, Plan: body})
 	case strings.HasPrefix(path, "/v1/admin/rollouts/") && r.Method == http.MethodGet:
 		return n.rollouts.stateAtController(r.Context(), strings.TrimPrefix(path, "/v1/admin/rollouts/"))
 	case strings.HasPrefix(path, "/v1/admin/members/") && r.Method == http.MethodDelete:
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	n.election = election.New(election.Config{Self: endpoint.Address(), RunID: env.runID, Roles: []string{roleList, rolePlacement}, Lease: ownerTimeout(cfg),
-		Roster: func() []string { return n.replica.Voters() }, Alive: func(id string) bool { return n.membership.NotSuspected(id) }, Progress: n.progress})
+		Voters: func() []string { return n.replica.Voters() }, Alive: func(id string) bool { return n.membership.NotSuspected(id) }, Progress: n.progress})
 	n.wire()
 	me := membership.Node{Address: endpoint.Address(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Control}
 	n.membership = membership.NewService(membership.Config{Self: me, Seeds: cfg.SeedControlAddresses(), ProbeInterval: cfg.HeartbeatInterval(), DeadRetention: 40 * cfg.HeartbeatInterval()},
@@ -176,7 +176,7 @@
 	lookup := func(id string) (membership.Node, bool) { return env.membership.List().Get(id) }
 	return replication.NewReplica(replication.Config{FreshnessPartitions: partitions, FreshnessPrefix: coordination.PartitionPrefix,
 		Self: env.endpoint.Address(), RunID: env.runID, Seeds: cfg.SeedControlAddresses(),
-		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Keys: partitions,
+		Bootstrap: cfg.Bootstrap, Empty: len(disk) == 0, Partitions: partitions,
 		HeartbeatInterval: cfg.HeartbeatInterval(), ElectionTimeout: ownerTimeout(cfg), ProposalTimeout: settings.Seconds(cfg.Bounds.AckS * 0.17), TransferBackDelay: env.options.TransferBackDelay,
 		Alive:    func(id string) bool { return env.membership.NotSuspected(id) },
 		Identity: rand.Uint64() | 1, Faults: cfg.FaultBudget.Machines,
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -84,7 +84,7 @@
 	diskMb := cmp.Or(cfg.Limits.DiskMb, defaultDiskMb)
 	bytes := int(diskMb * (1 << 20) * coordinationDiskShare / coordination.Partitions)
 	return coordination.ServerConfig{
-		Self: self, Life: runID, Clock: clock, Log: logger,
+		Self: self, RunID: runID, Clock: clock, Log: logger,
 		Limits: coordination.Limits{
 			History:      time.Duration(historyRetentionFactor * float64(cfg.Retention())),
 			Bytes:        bytes,
@@ -164,7 +164,7 @@
 	}
 	deadline := begin + startLimit
 	if owner == c.endpoint.Address() {
-		return c.execute(caller, call, coordination.ClockReading{Life: c.server.Clock().Life, Time: deadline})
+		return c.execute(caller, call, coordination.ClockReading{RunID: c.server.Clock().RunID, Time: deadline})
 	}
 	return c.forward(caller, owner, call, deadline)
 }
@@ -184,7 +184,7 @@
 	c.clocksMutex.Lock()
 	c.clocks.Observe(owner, answer.Clock, c.clock())
 	c.clocksMutex.Unlock()
-	if answer.Clock.Life != ownerDeadline.Life && c.clock() < deadline {
+	if answer.Clock.RunID != ownerDeadline.RunID && c.clock() < deadline {
 		return c.forward(caller, owner, call, deadline) // the owner did not accept the deadline; its clock is known now
 	}
 	return coordination.Result{Effect: answer.Effect, Answer: answer.Answer}
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -177,10 +177,10 @@
 func TestCallDoesNotStartWithoutItsCaller(t *testing.T) {
 	var queue []func(time.Duration)
 	coordinator := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
-		server: coordination.NewServer(coordination.ServerConfig{Self: "self", Life: 1, Clock: func() time.Duration { return time.Minute },
+		server: coordination.NewServer(coordination.ServerConfig{Self: "self", RunID: 1, Clock: func() time.Duration { return time.Minute },
 			Log: slog.New(slog.DiscardHandler), Limits: coordination.Limits{Bytes: 1 << 20, HistoryBytes: 1 << 20, History: time.Minute}}, soleOwnerReplica{})}
 	draw := coordination.Call{Operation: coordination.Increment, Name: "n"}
-	deadline := coordination.ClockReading{Life: 1, Time: 2 * time.Minute}
+	deadline := coordination.ClockReading{RunID: 1, Time: 2 * time.Minute}
 	caller, cancel := context.WithCancel(t.Context())
 	cancel()
 	if got := coordinator.execute(caller, draw, deadline); got.Effect != coordination.NotExecuted {
--- a/internal/controlplane/erased_items_test.go
+++ b/internal/controlplane/erased_items_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, everyChange := range []bool{true, false} {
 		replica, err := replication.NewReplica(replication.Config{Self: id, RunID: 1, Seeds: []string{id}, Bootstrap: true, Empty: true,
-			Keys: []string{config.Partition}, HeartbeatInterval: 1, ElectionTimeout: 10, ProposalTimeout: 100, Alive: func(string) bool { return true }}, nil)
+			Partitions: []string{config.Partition}, HeartbeatInterval: 1, ElectionTimeout: 10, ProposalTimeout: 100, Alive: func(string) bool { return true }}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -23,7 +23,7 @@
 	}
 	if !zones[zone] {
 		// A refusal needs a majority's confirmation just as a success does.
-		if _, err := n.orders.submit(r.Context(), order{Key: config.Partition}); err != nil {
+		if _, err := n.orders.submit(r.Context(), order{Partition: config.Partition}); err != nil {
 			return err
 		}
 		return apierror.New(apierror.UnknownZone, "%q", zone)
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := n.orders.submit(r.Context(), order{Key: partition, Evacuate: &evacuating, Basis: basis}); err != nil {
+	if _, err := n.orders.submit(r.Context(), order{Partition: partition, Evacuate: &evacuating, Basis: basis}); err != nil {
 		return err
 	}
 	n.log.control.Info("evacuation changed", "zone", zone, "evacuated", evacuating, "caller", r.RemoteAddr)
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -30,7 +30,7 @@
 // members, where holder holds the list role. The test records the contact with a majority itself.
 func newTestListController(self, holder string, members ...string) (*listController, *election.Elector) {
 	elector := election.New(election.Config{Self: self, Roles: []string{roleList}, Lease: time.Hour,
-		Roster: func() []string { return members }, Alive: func(string) bool { return true }})
+		Voters: func() []string { return members }, Alive: func(string) bool { return true }})
 	elector.Handle(0, holder, election.Message{Role: roleList, Term: 1})
 	env := &environment{settings: &settings.Settings{CloudAPI: settings.CloudAPI{RatePerS: 44}, Bounds: settings.Bounds{DrainS: 2.5, ContactS: 3}, FaultBudget: settings.FaultBudget{Machines: 1}},
 		election: elector, log: newLoggers(), contact: newContact(time.Hour, nil)}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -20,12 +20,12 @@
 // orderKind is the kind of message that carries an order to the owner of its partition.
 const orderKind = "order"
 
-// order is a request to the owner of a partition, as it is sent between control nodes. Beside Key,
+// order is a request to the owner of a partition, as it is sent between control nodes. Beside Partition,
 // which names the partition, one field selects the task that the owner carries out; with none, the
 // owner only confirms that it owns the partition. Fields that merely accompany another one are
 // described as such.
 type order struct {
-	Key       string                  `cbor:"1,keyasint"`
+	Partition string                  `cbor:"1,keyasint"`
 	Patch     []byte                  `cbor:"2,keyasint,omitempty"`
 	Evacuate  *bool                   `cbor:"3,keyasint,omitempty"`
 	Bind      []placement.BindRequest `cbor:"4,keyasint,omitempty"`
@@ -110,15 +110,15 @@
 	for {
 		owner := make(chan string, 1)
 		c.enqueue(func(now time.Duration) {
-			owner <- cmp.Or(c.replica.Owner(now, o.Key), c.replica.InitialOwner(now, o.Key))
+			owner <- cmp.Or(c.replica.Owner(now, o.Partition), c.replica.InitialOwner(now, o.Partition))
 		})
 		to := <-owner
 		o.Age = time.Since(begin)
 		switch {
 		case caller.Err() != nil:
-			return nil, apierror.New(apierror.ClientLeftBeforeSend, "order on %s", o.Key)
+			return nil, apierror.New(apierror.ClientLeftBeforeSend, "order on %s", o.Partition)
 		case to == "":
-			reply = orderReply{true, apierror.NoQuorum, "no owner for " + o.Key, nil}
+			reply = orderReply{true, apierror.NoQuorum, "no owner for " + o.Partition, nil}
 		case to == c.endpoint.Address():
 			reply = c.execute(to, o)
 		default:
@@ -170,7 +170,7 @@
 		return <-done
 	}
 	c.enqueue(func(now time.Duration) {
-		c.replica.Propose(now, o.Key, func(have map[string]replication.Record) ([]replication.Record, error) {
+		c.replica.Propose(now, o.Partition, func(have map[string]replication.Record) ([]replication.Record, error) {
 			return t.change(now, have)
 		}, func(err error) {
 			if err != nil {
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -41,7 +41,7 @@
 		"a confirmation":    {order{}, "", confirmTask{}},
 		"an empty plan":     {order{Plan: []byte{}}, "", confirmTask{}}, // omitted in the encoding
 	} {
-		test.order.Key = "k"
+		test.order.Partition = "k"
 		wire, err := cbor.Marshal(test.order)
 		if err != nil {
 			t.Fatal(err)
@@ -85,11 +85,11 @@
 		caller, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		begin := time.Now()
-		_, err = orders.submit(caller, order{Key: "k"})
+		_, err = orders.submit(caller, order{Partition: "k"})
 		if took := time.Since(begin); err == nil || took != time.Second || attempts < 2 {
 			t.Errorf("%v after %v and %d searches for an owner", err, took, attempts)
 		}
-		if _, err = orders.submit(caller, order{Key: "k"}); apierror.KindOf(err) != apierror.ClientLeftBeforeSend {
+		if _, err = orders.submit(caller, order{Partition: "k"}); apierror.KindOf(err) != apierror.ClientLeftBeforeSend {
 			t.Errorf("for a caller that has left: %v", err)
 		}
 	})
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -102,7 +102,7 @@
 // bind asks the owner of the configuration to create bindings.
 func (c *placementController) bind(orders []placement.BindRequest, done func([]error)) {
 	go func() {
-		answer, err := c.submit(context.Background(), order{Key: config.Partition, Bind: orders})
+		answer, err := c.submit(context.Background(), order{Partition: config.Partition, Bind: orders})
 		var refused []bool
 		if err == nil {
 			err = cbor.Unmarshal(answer, &refused)
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -13,9 +13,9 @@
 // relayKind is the kind of a relay's question, which control nodes and other relays answer.
 const relayKind = "relay"
 
-// relayQuestion asks who can serve a call that concerns a partition, which Key names.
+// relayQuestion asks who can serve a call that concerns a partition, which Partition names.
 type relayQuestion struct {
-	Key string `cbor:"1,keyasint"`
+	Partition string `cbor:"1,keyasint"`
 }
 
 // relayAnswer is the answer of a control node, or of another relay.
@@ -38,7 +38,7 @@
 		}
 		ch := make(chan relayAnswer, 1)
 		n.enqueue(func(now time.Duration) {
-			ch <- relayAnswerFor(q.Key, n.endpoint.Address(), n.replica.Partitions(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
+			ch <- relayAnswerFor(q.Partition, n.endpoint.Address(), n.replica.Partitions(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -17,7 +17,7 @@
 // partitions are created on demand and are not in the settings.
 func TestRestartedControlNodePublishesRollouts(t *testing.T) {
 	const id = "10.0.0.1:1"
-	replicaConfig := replication.Config{Self: id, RunID: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Keys: []string{config.Partition},
+	replicaConfig := replication.Config{Self: id, RunID: 1, Seeds: []string{id}, Bootstrap: true, Empty: true, Partitions: []string{config.Partition},
 		HeartbeatInterval: 1, ElectionTimeout: 10, ProposalTimeout: 100, Alive: func(string) bool { return true }}
 	original, err := replication.NewReplica(replicaConfig, nil)
 	if err != nil {
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -179,7 +179,7 @@
 		return
 	}
 	recorded := c.versions
-	adoption := order{Key: config.Partition, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
+	adoption := order{Partition: config.Partition, Adopt: map[string]rollout.Standing{}, SeenGenerations: map[string]uint64{}}
 	for service, listed := range c.list.serviceVersions() {
 		versions := recorded[service]
 		if versions.Active() != nil || listed.counts[versions.StandingVersion()] > 0 || !c.configuration.hasService(service) {
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, err := c.submit(r.Context(), order{Key: rollout.PartitionOf(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
+		if _, err := c.submit(r.Context(), order{Partition: rollout.PartitionOf(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
 			c.log.control.Warn("rollout not taken", "service", ask.Service, "version", ask.Version, "error", err)
 			return nil, err
 		}
@@ -52,7 +52,7 @@
 	}
 	switch r.Method {
 	case http.MethodGet:
-		body, err := c.submit(r.Context(), order{Key: rollout.PartitionOf(service), Read: true})
+		body, err := c.submit(r.Context(), order{Partition: rollout.PartitionOf(service), Read: true})
 		if err == nil && body == nil {
 			err = apierror.New(apierror.NoRollout, "%s", service)
 		}
@@ -85,7 +85,7 @@
 func (c *rolloutController) reverse(caller context.Context, service, version string, basis *uint64) error {
 	reversal := rollout.Reversal{Version: version, Named: version != ""}
 	if !reversal.Named {
-		text, err := c.submit(caller, order{Key: rollout.PartitionOf(service), Read: true})
+		text, err := c.submit(caller, order{Partition: rollout.PartitionOf(service), Read: true})
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 		}
 		reversal.Version = confirmed.TargetVersion
 	}
-	_, err := c.submit(caller, order{Key: rollout.PartitionOf(service), Abort: true, Reversal: reversal, Basis: basis})
+	_, err := c.submit(caller, order{Partition: rollout.PartitionOf(service), Abort: true, Reversal: reversal, Basis: basis})
 	return err
 }
 
@@ -114,7 +114,7 @@
 // askService asks the owner of the configuration about a service, and returns the version that is
 // recorded as current there.
 func (c *rolloutController) askService(caller context.Context, name string) (rollout.Standing, error) {
-	body, err := c.submit(caller, order{Key: config.Partition, Service: name})
+	body, err := c.submit(caller, order{Partition: config.Partition, Service: name})
 	if err != nil {
 		return rollout.Standing{}, err
 	}
--- a/internal/controlplane/rollout_retries_test.go
+++ b/internal/controlplane/rollout_retries_test.go
@@ -22,10 +22,10 @@
 	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, replica: replica, startedAt: time.Now()}
 	partition := rollout.PartitionOf("s")
 	begin := func(id uint64, version string) order {
-		return order{Key: partition, ID: id, Rollout: &rollout.OrderRequest{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
+		return order{Partition: partition, ID: id, Rollout: &rollout.OrderRequest{Service: "s", Version: version, WithinS: 9}, Current: rollout.Standing{Version: "v1"}}
 	}
 	abort := func(id uint64, r rollout.Reversal) order {
-		return order{Key: partition, ID: id, Abort: true, Reversal: r}
+		return order{Partition: partition, ID: id, Abort: true, Reversal: r}
 	}
 	const noError apierror.Kind = -1
 	for name, test := range map[string]struct {
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -75,7 +75,7 @@
 	if err := c.hasService(caller, service); err != nil {
 		return nil, err
 	}
-	body, err := c.submit(caller, order{Key: rollout.PartitionOf(service), ShowState: true})
+	body, err := c.submit(caller, order{Partition: rollout.PartitionOf(service), ShowState: true})
 	if err == nil && body == nil {
 		err = apierror.New(apierror.NoRollout, "%s", service)
 	}
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -30,7 +30,7 @@
 
 // task returns the task of an order; via is the control node that received it.
 func (c *orderController) task(via string, o order) (task, error) {
-	service := strings.TrimPrefix(o.Key, rollout.Prefix)
+	service := strings.TrimPrefix(o.Partition, rollout.Prefix)
 	switch {
 	case len(o.Plan) > 0:
 		change, err := config.ParseRequest(o.Plan)
@@ -53,7 +53,7 @@
 	case o.ShowState:
 		return &showTask{rollouts: c.rollouts, service: service}, nil
 	case o.Read:
-		return &readTask{answer: func(have records) []byte { return render(o.Key, have) }}, nil
+		return &readTask{answer: func(have records) []byte { return render(o.Partition, have) }}, nil
 	}
 	return confirmTask{}, nil
 }
@@ -159,9 +159,9 @@
 
 func (t *evacuationTask) change(receivedAt time.Duration, have records) ([]replication.Record, error) {
 	o := t.order
-	t.generationBefore = have[o.Key].Gen
+	t.generationBefore = have[o.Partition].Gen
 	t.generationAfter = t.generationBefore
-	changes, err := config.ApplyEvacuationOrder(have, config.EvacuationOrder{Zone: strings.TrimPrefix(o.Key, config.EvacuationPrefix),
+	changes, err := config.ApplyEvacuationOrder(have, config.EvacuationOrder{Zone: strings.TrimPrefix(o.Partition, config.EvacuationPrefix),
 		Evacuate: *o.Evacuate, ID: o.ID, BaseGeneration: o.Basis, Recent: t.orders.evacuations.recent(receivedAt)})
 	if len(changes) > 0 {
 		t.generationAfter = changes[0].Gen
@@ -170,7 +170,7 @@
 }
 
 func (t *evacuationTask) finish(receivedAt, now time.Duration, answer func(orderReply)) {
-	t.orders.log.control.Info("evacuation order carried out", "zone", strings.TrimPrefix(t.order.Key, config.EvacuationPrefix),
+	t.orders.log.control.Info("evacuation order carried out", "zone", strings.TrimPrefix(t.order.Partition, config.EvacuationPrefix),
 		"evacuate", *t.order.Evacuate, "order", orderName(t.order.ID), "via", t.via, "ageMs", (t.order.Age + now - receivedAt).Milliseconds(),
 		"generationBefore", t.generationBefore, "generation", t.generationAfter)
 	answer(orderReply{})
@@ -208,7 +208,7 @@
 
 func (t beginTask) change(_ time.Duration, have records) ([]replication.Record, error) {
 	call := t.rollouts.call(t.order.Rollout.Service, t.order)
-	return rollout.Begin(have, *t.order.Rollout, t.rollouts.currentVersion(have[t.order.Key], t.order), call)
+	return rollout.Begin(have, *t.order.Rollout, t.rollouts.currentVersion(have[t.order.Partition], t.order), call)
 }
 
 // abortTask reverses a rollout.
--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -8,11 +8,11 @@
 // same token. So every call has a deadline on the monotonic clock of the partition's owner,
 // which does not start it after that.
 
-// ClockReading is a reading of the monotonic clock of a process. Life identifies the process:
+// ClockReading is a reading of the monotonic clock of a process. RunID identifies the process:
 // it differs between any two, also between two starts of one node.
 type ClockReading struct {
-	Life uint64        `cbor:"1,keyasint"`
-	Time time.Duration `cbor:"2,keyasint"`
+	RunID uint64        `cbor:"1,keyasint"`
+	Time  time.Duration `cbor:"2,keyasint"`
 }
 
 // PeerClocks estimates the monotonic clocks of other nodes. An estimate is never ahead of the
@@ -24,7 +24,7 @@
 // peerClock is what is known of a peer's clock: it is ahead of the local one by at least
 // minOffset, which may be negative.
 type peerClock struct {
-	life      uint64
+	runID     uint64
 	minOffset time.Duration
 }
 
@@ -35,8 +35,8 @@
 // read its clock before that, so the reading with the shortest transfer is the most accurate.
 func (c *PeerClocks) Observe(peer string, reading ClockReading, now time.Duration) {
 	known, ok := c.peers[peer]
-	if offset := reading.Time - now; !ok || known.life != reading.Life || known.minOffset < offset {
-		c.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
+	if offset := reading.Time - now; !ok || known.runID != reading.RunID || known.minOffset < offset {
+		c.peers[peer] = peerClock{runID: reading.RunID, minOffset: offset}
 	}
 }
 
@@ -44,5 +44,5 @@
 // is known.
 func (c *PeerClocks) Estimate(peer string, now time.Duration) (ClockReading, bool) {
 	known, ok := c.peers[peer]
-	return ClockReading{Life: known.life, Time: now + known.minOffset}, ok
+	return ClockReading{RunID: known.runID, Time: now + known.minOffset}, ok
 }
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -20,7 +20,7 @@
 // ServerConfig is the configuration of a Server.
 type ServerConfig struct {
 	Self      string               // the address of the replica
-	Life      uint64               // identifies the process; changes with every start
+	RunID     uint64               // identifies the process; changes with every start
 	Clock     func() time.Duration // monotonic
 	Limits    Limits
 	Sweep     time.Duration // interval between sweeps of a partition
@@ -126,12 +126,12 @@
 
 // Clock is the clock of this process.
 func (s *Server) Clock() ClockReading {
-	return ClockReading{Life: s.config.Life, Time: s.config.Clock()}
+	return ClockReading{RunID: s.config.RunID, Time: s.config.Clock()}
 }
 
 // beforeDeadline reports whether a call with this deadline may start.
 func (s *Server) beforeDeadline(deadline ClockReading) bool {
-	return deadline.Life == s.config.Life && s.config.Clock() <= deadline.Time
+	return deadline.RunID == s.config.RunID && s.config.Clock() <= deadline.Time
 }
 
 // result is the result of a call whose proposal has ended.
@@ -151,11 +151,11 @@
 // owns the partition, and the state includes all changes of this term.
 func (s *Server) ownedState(key string, records map[string]Record) *Partition {
 	now := s.config.Clock()
-	tenure, _ := s.replica.OwnershipTerm(now, key)
-	if known := s.owned[key]; known != nil && known.epoch == tenure.Epoch {
+	term, _ := s.replica.OwnershipTerm(now, key)
+	if known := s.owned[key]; known != nil && known.epoch == term.Epoch {
 		return known.state
 	}
-	state, err := Load(records, tenure.Since, s.config.Limits)
+	state, err := Load(records, term.Since, s.config.Limits)
 	if err != nil {
 		s.config.Log.Error("cannot load coordination partition", "partition", key, "error", err)
 	} else {
@@ -163,15 +163,15 @@
 		s.config.Log.Info("coordination partition taken over", "partition", key,
 			"locks", counts.Locks, "counters", counts.Counters, "cells", counts.Cells)
 	}
-	s.owned[key] = &ownedPartition{epoch: tenure.Epoch, state: state, sweepAt: now + s.config.Sweep}
+	s.owned[key] = &ownedPartition{epoch: term.Epoch, state: state, sweepAt: now + s.config.Sweep}
 	return state
 }
 
 // Tick drops the partitions that the replica no longer owns and sweeps the others when due.
 func (s *Server) Tick(now time.Duration) {
 	for key, owned := range s.owned {
-		tenure, _ := s.replica.OwnershipTerm(now, key)
-		if tenure.Epoch != owned.epoch || !s.Owns(now, key) {
+		term, _ := s.replica.OwnershipTerm(now, key)
+		if term.Epoch != owned.epoch || !s.Owns(now, key) {
 			delete(s.owned, key)
 		} else if now >= owned.sweepAt && owned.state != nil {
 			owned.sweepAt = now + s.config.Sweep
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -54,7 +54,7 @@
 
 func newTestServer() *testServer {
 	s := &testServer{replica: &fakeReplica{records: map[string]Record{}, epoch: replication.Epoch{Number: 1}}}
-	s.Server = NewServer(ServerConfig{Self: "self", Life: 7, Clock: func() time.Duration { return s.now }, Limits: testLimits,
+	s.Server = NewServer(ServerConfig{Self: "self", RunID: 7, Clock: func() time.Duration { return s.now }, Limits: testLimits,
 		Sweep: time.Second, Freshness: time.Second, Log: slog.New(slog.DiscardHandler)}, s.replica)
 	return s
 }
@@ -67,7 +67,7 @@
 }
 
 func TestEffectOfACall(t *testing.T) {
-	inTime := ClockReading{Life: 7, Time: time.Second}
+	inTime := ClockReading{RunID: 7, Time: time.Second}
 	lost := errors.New("lost")
 	write, noWrite := acquire("a", 3), renew("b", 9, 3)
 	for name, c := range map[string]struct {
@@ -79,8 +79,8 @@
 		"committed":                                  {write, nil, inTime, Answered},
 		"a change that may be committed":             {write, lost, inTime, MaybeExecuted},
 		"a call without changes":                     {noWrite, lost, inTime, NotExecuted},
-		"after the deadline":                         {write, nil, ClockReading{Life: 7, Time: -1}, NotExecuted},
-		"a deadline on the clock of another process": {write, nil, ClockReading{Life: 6, Time: time.Second}, NotExecuted},
+		"after the deadline":                         {write, nil, ClockReading{RunID: 7, Time: -1}, NotExecuted},
+		"a deadline on the clock of another process": {write, nil, ClockReading{RunID: 6, Time: time.Second}, NotExecuted},
 		"a deadline on an unknown clock":             {write, nil, ClockReading{}, NotExecuted},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestServer()
 			s.replica.holdProposals = true
-			_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
+			_, e := s.execute(acquire("a", 3), ClockReading{RunID: 7, Time: time.Second})
 			if abandon {
 				if got := e.Abandon(); got != NotExecuted {
 					t.Errorf("abandoned: %v", got)
@@ -117,7 +117,7 @@
 		})
 	}
 	s := newTestServer()
-	_, e := s.execute(acquire("a", 3), ClockReading{Life: 7, Time: time.Second})
+	_, e := s.execute(acquire("a", 3), ClockReading{RunID: 7, Time: time.Second})
 	if got := e.Abandon(); got != MaybeExecuted {
 		t.Errorf("abandoned after the start: %v", got)
 	}
@@ -126,7 +126,7 @@
 // A new term loads the state from the records and keeps nothing of the former term.
 func TestNewTermReloadsRecords(t *testing.T) {
 	s := newTestServer()
-	inTime := ClockReading{Life: 7, Time: time.Hour}
+	inTime := ClockReading{RunID: 7, Time: time.Hour}
 	s.execute(acquire("a", 3), inTime)
 	s.now = 2 * time.Second
 	s.replica.epoch, s.replica.ownedSince = replication.Epoch{Number: 3}, s.now
@@ -207,13 +207,13 @@
 
 func TestPeerClockEstimateIsNeverAhead(t *testing.T) {
 	c := NewPeerClocks()
-	c.Observe("p", ClockReading{Life: 1, Time: 100}, 40)
-	c.Observe("p", ClockReading{Life: 1, Time: 200}, 180) // a longer transfer
-	if got, _ := c.Estimate("p", 200); got != (ClockReading{Life: 1, Time: 260}) {
+	c.Observe("p", ClockReading{RunID: 1, Time: 100}, 40)
+	c.Observe("p", ClockReading{RunID: 1, Time: 200}, 180) // a longer transfer
+	if got, _ := c.Estimate("p", 200); got != (ClockReading{RunID: 1, Time: 260}) {
 		t.Errorf("%+v", got)
 	}
-	c.Observe("p", ClockReading{Life: 2, Time: 5}, 200)
-	if got, _ := c.Estimate("p", 210); got != (ClockReading{Life: 2, Time: 15}) {
+	c.Observe("p", ClockReading{RunID: 2, Time: 5}, 200)
+	if got, _ := c.Estimate("p", 210); got != (ClockReading{RunID: 2, Time: 15}) {
 		t.Errorf("after a restart of the peer: %+v", got)
 	}
 }
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -99,7 +99,7 @@
 		s.t.Fatal(err)
 	}
 	n.replica, n.clocks = replica, NewPeerClocks()
-	n.server = NewServer(ServerConfig{Self: n.address, Life: n.life, Clock: func() time.Duration { return s.clock(n) },
+	n.server = NewServer(ServerConfig{Self: n.address, RunID: n.life, Clock: func() time.Duration { return s.clock(n) },
 		Limits: s.partitionLimits, Sweep: 2 * time.Second, Freshness: 3 * testHeartbeat, Log: slog.New(slog.DiscardHandler)}, replica)
 	for _, key := range replica.Partitions() {
 		n.server.Committed(key, nil)
@@ -260,7 +260,7 @@
 	case "":
 		retry()
 	case n.address:
-		s.execute(n, call, ClockReading{Life: n.life, Time: startedAt + testStartLimit}, func(r Result) {
+		s.execute(n, call, ClockReading{RunID: n.life, Time: startedAt + testStartLimit}, func(r Result) {
 			if r.Effect == NotExecuted {
 				retry()
 			} else {
--- a/internal/election/challenge_test.go
+++ b/internal/election/challenge_test.go
@@ -36,34 +36,34 @@
 	return [...]string{"none", "failing", "hanging", "slow", "results dropped", "no inbound", "no outbound", "isolated", "paused"}[f]
 }
 
-// dutyNode is a node that works on the duty if it holds it, or as a deputy if the holder's results are too old.
-type dutyNode struct {
+// roleNode is a node that does the work of the role if it holds it, or as a deputy if the holder's results are too old.
+type roleNode struct {
 	elector                       *Elector
 	fault                         fault
 	knownAsOf, ownAsOf            time.Duration // Known and Own of Progress
 	workBegan, workEnds, nextWork time.Duration // workEnds is 0 while the node does not work
 }
 
-// dutyCluster is a number of nodes, one of which does a duty for all. Messages between them take no time.
-type dutyCluster struct {
+// roleCluster is a number of nodes, one of which holds a role for all. Messages between them take no time.
+type roleCluster struct {
 	t          *testing.T
 	now        time.Duration
 	ids        []string
-	nodes      map[string]*dutyNode
+	nodes      map[string]*roleNode
 	maxFaulty  int // nodes that may be faulty at the same time
 	maxWorking int // most nodes that have worked at the same time
 	published  int // number of results
 }
 
-func newDutyCluster(t *testing.T, size int) *dutyCluster {
+func newRoleCluster(t *testing.T, size int) *roleCluster {
 	t.Helper()
-	c := &dutyCluster{t: t, nodes: map[string]*dutyNode{}, maxFaulty: (size - 1) / 2}
+	c := &roleCluster{t: t, nodes: map[string]*roleNode{}, maxFaulty: (size - 1) / 2}
 	for i := range size {
 		c.ids = append(c.ids, fmt.Sprintf("a%d", i))
 	}
 	for _, id := range c.ids {
-		node := &dutyNode{}
-		node.elector = New(Config{Self: id, Roles: []string{"list"}, Lease: lease, Roster: func() []string { return c.ids },
+		node := &roleNode{}
+		node.elector = New(Config{Self: id, Roles: []string{"list"}, Lease: lease, Voters: func() []string { return c.ids },
 			Alive: func(string) bool { return true },
 			Progress: func(time.Duration, string) Progress {
 				return Progress{Known: node.knownAsOf, Own: node.ownAsOf, Limit: challengeLimit}
@@ -74,12 +74,12 @@
 }
 
 // reaches reports whether a message arrives.
-func (c *dutyCluster) reaches(from, to string, isResult bool) bool {
+func (c *roleCluster) reaches(from, to string, isResult bool) bool {
 	fromFault, toFault := c.nodes[from].fault, c.nodes[to].fault
 	return fromFault != noOutbound && fromFault != isolated && fromFault != paused && toFault != noInbound && toFault != isolated && toFault != paused && (fromFault != resultsDropped || !isResult)
 }
 
-func (c *dutyCluster) run(span time.Duration) {
+func (c *roleCluster) run(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += tick {
 		for _, id := range c.ids {
 			if node := c.nodes[id]; node.fault != paused {
@@ -93,7 +93,7 @@
 }
 
 // work starts a node's work if it is due, and publishes its result when it ends.
-func (c *dutyCluster) work(id string, node *dutyNode) {
+func (c *roleCluster) work(id string, node *roleNode) {
 	_, holds := node.elector.Holds(c.now, "list")
 	rank, _ := node.elector.StandbyRank(c.now, "list")
 	deputy := c.now-node.knownAsOf > challengeLimit && rank <= c.maxFaulty
@@ -120,7 +120,7 @@
 }
 
 // publish delivers a result to all nodes that it reaches.
-func (c *dutyCluster) publish(from string, asOf time.Duration) {
+func (c *roleCluster) publish(from string, asOf time.Duration) {
 	c.published++
 	for _, id := range c.ids {
 		if id == from || c.reaches(from, id, true) {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *dutyCluster) deliver() {
+func (c *roleCluster) deliver() {
 	for pending := true; pending; {
 		pending = false
 		for _, id := range c.ids {
@@ -152,7 +152,7 @@
 }
 
 // checkFreshness fails the test if the newest result of a node without a fault is too old.
-func (c *dutyCluster) checkFreshness() {
+func (c *roleCluster) checkFreshness() {
 	working := 0
 	for _, id := range c.ids {
 		node := c.nodes[id]
@@ -167,7 +167,7 @@
 }
 
 // holder returns the holder if it has no fault, else the first node.
-func (c *dutyCluster) holder() string {
+func (c *roleCluster) holder() string {
 	for _, id := range c.ids {
 		if _, holds := c.nodes[id].elector.Holds(c.now, "list"); holds && c.nodes[id].fault == noFault {
 			return id
@@ -176,7 +176,7 @@
 	return c.ids[0]
 }
 
-func (c *dutyCluster) String() (out string) {
+func (c *roleCluster) String() (out string) {
 	for _, id := range c.ids {
 		node := c.nodes[id]
 		term, holds := node.elector.Holds(c.now, "list")
@@ -185,12 +185,12 @@
 	return out
 }
 
-// Whatever fault the holder of a duty has, and then its successor, all other nodes keep getting results that are
-// new enough: a holder keeps the duty by the results that a majority receives, not by being alive.
-func TestDutyMovesFromHolderWithoutResults(t *testing.T) {
+// Whatever fault the holder of a role has, and then its successor, all other nodes keep getting results that are
+// new enough: a holder keeps the role by the results that a majority receives, not by being alive.
+func TestRoleMovesFromHolderWithoutResults(t *testing.T) {
 	for kind := failing; kind < faultCount; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
-			c := newDutyCluster(t, 4)
+			c := newRoleCluster(t, 4)
 			c.run(2 * maxResultAge)
 			for range 4 {
 				faulty := c.nodes[c.holder()]
@@ -212,10 +212,10 @@
 		if seed%2 == 1 {
 			nodes, maxAtOnce = 5, 2
 		}
-		c := newDutyCluster(t, nodes)
+		c := newRoleCluster(t, nodes)
 		c.run(2 * maxResultAge)
 		for range faultRounds {
-			var faulty []*dutyNode
+			var faulty []*roleNode
 			for range 1 + random.IntN(maxAtOnce) {
 				node := c.nodes[c.holder()]
 				node.fault = noFault + 1 + fault(random.IntN(int(faultCount)-1))
@@ -234,9 +234,9 @@
 	}
 }
 
-// Without faults only the holder works, and the duty stays with it.
-func TestDutyStaysWhileResultsArrive(t *testing.T) {
-	c := newDutyCluster(t, 4)
+// Without faults only the holder works, and the role stays with it.
+func TestRoleStaysWhileResultsArrive(t *testing.T) {
+	c := newRoleCluster(t, 4)
 	c.run(2 * maxResultAge)
 	holder := c.holder()
 	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
@@ -250,9 +250,9 @@
 	}
 }
 
-// While all nodes fail at the duty, its holder keeps it, and terms don't rise.
-func TestDutyStaysWhenAllNodesFail(t *testing.T) {
-	c := newDutyCluster(t, 4)
+// While all nodes fail at the role, its holder keeps it, and terms don't rise.
+func TestRoleStaysWhenAllNodesFail(t *testing.T) {
+	c := newRoleCluster(t, 4)
 	c.run(2 * maxResultAge)
 	holder := c.holder()
 	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
@@ -266,8 +266,8 @@
 }
 
 // A single node that receives no results changes nothing for the others, because its pre-vote fails.
-func TestSingleStaleNodeDoesNotTakeDuty(t *testing.T) {
-	c := newDutyCluster(t, 4)
+func TestSingleStaleNodeDoesNotTakeRole(t *testing.T) {
+	c := newRoleCluster(t, 4)
 	c.run(2 * maxResultAge)
 	holder := c.holder()
 	term, _ := c.nodes[holder].elector.Holds(c.now, "list")
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
-// Package election assigns each duty (a background task that one control node does for all) to one
-// control node. A vacant duty is won by a majority of votes. Votes are leases: the holder keeps the duty
-// while a majority renews its votes, and until a majority finds another node's result of the duty newer
+// Package election assigns each role (a background task that one control node does for all) to one
+// control node. A vacant role is won by a majority of votes. Votes are leases: the holder keeps the role
+// while a majority renews its votes, and until a majority finds another node's result of the role newer
 // than what it has received from the holder (see prevote.go). Two holders at the same time cannot
 // corrupt stored data, since the places that results are written to reject outdated ones; they only
 // double the work.
@@ -16,11 +16,11 @@
 // Message is a request for a vote or pre-vote, an answer to one, or a resignation.
 type Message struct {
 	Role     string `cbor:"1,keyasint"`
-	Term     uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's duty.minTerm, if that is higher
+	Term     uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's role.minTerm, if that is higher
 	Answer   bool   `cbor:"3,keyasint,omitempty"` // this is an answer to a request
 	Granted  bool   `cbor:"4,keyasint,omitempty"` // in an answer: the vote is granted
 	Resign   bool   `cbor:"5,keyasint,omitempty"` // the sender releases the receiver's vote for it
-	UsedTerm uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's duty.usedTerm
+	UsedTerm uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's role.usedTerm
 	RunID    uint64 `cbor:"7,keyasint,omitempty"` // identifies the run of the candidate's process
 
 	PreVote bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or an answer to one
@@ -39,14 +39,14 @@
 	RunID  uint64 // identifies this run of the process
 	Roles  []string
 	Lease  time.Duration     // how long a vote is valid
-	Roster func() []string   // the control nodes that vote
+	Voters func() []string   // the control nodes that vote
 	Alive  func(string) bool // whether a control node is presumed to work
-	// Progress tells how recent the results of a duty are; if nil, holders are never challenged.
-	Progress func(now time.Duration, duty string) Progress
+	// Progress tells how recent the results of a role are; if nil, holders are never challenged.
+	Progress func(now time.Duration, role string) Progress
 }
 
-// duty is the state of one duty at this control node.
-type duty struct {
+// role is the state of one role at this control node.
+type role struct {
 	name     string
 	minTerm  uint64 // lower terms get no vote and are not campaigned under
 	usedTerm uint64 // terms up to this one were held by others; a holder under one must take a higher one
@@ -54,7 +54,7 @@
 	// The vote that this control node has given.
 	votedFor    string
 	votedTerm   uint64
-	votedLife   uint64
+	votedRunID  uint64
 	voteExpires time.Duration
 	votedSince  time.Duration // when the vote last moved to another node
 
@@ -73,68 +73,68 @@
 	lastTakeover *Transfer // the last takeover that this control node voted for
 }
 
-// Elector takes part in the elections of all duties for one control node. It does no I/O: callers pass
+// Elector takes part in the elections of all roles for one control node. It does no I/O: callers pass
 // in the time and received messages, and send what Take returns. It is not safe for concurrent use.
 type Elector struct {
-	cfg           Config
-	duties        []*duty
-	outbox        []Envelope
-	changedDuties []string
-	takeovers     []Transfer
-	leaving       bool
-	startedAt     time.Duration
-	started       bool
+	cfg          Config
+	roles        []*role
+	outbox       []Envelope
+	changedRoles []string
+	takeovers    []Transfer
+	leaving      bool
+	startedAt    time.Duration
+	started      bool
 }
 
-// New returns an Elector for which all duties are vacant.
+// New returns an Elector for which all roles are vacant.
 func New(cfg Config) *Elector {
 	e := &Elector{cfg: cfg}
-	for _, d := range cfg.Roles {
-		e.duties = append(e.duties, &duty{name: d})
+	for _, r := range cfg.Roles {
+		e.roles = append(e.roles, &role{name: r})
 	}
 	return e
 }
 
-func (e *Elector) duty(name string) *duty {
-	for _, d := range e.duties {
-		if d.name == name {
-			return d
+func (e *Elector) role(name string) *role {
+	for _, r := range e.roles {
+		if r.name == name {
+			return r
 		}
 	}
 	return nil
 }
 
-// Take returns the messages to send, and the names of the duties won or lost since the last call.
+// Take returns the messages to send, and the names of the roles won or lost since the last call.
 func (e *Elector) Take() ([]Envelope, []string) {
-	messages, changedDuties := e.outbox, e.changedDuties
-	e.outbox, e.changedDuties = nil, nil
+	messages, changedDuties := e.outbox, e.changedRoles
+	e.outbox, e.changedRoles = nil, nil
 	return messages, changedDuties
 }
 
-// Holds reports whether this control node holds a duty, and under which term.
+// Holds reports whether this control node holds a role, and under which term.
 func (e *Elector) Holds(now time.Duration, name string) (uint64, bool) {
-	d := e.duty(name)
-	if d == nil {
+	r := e.role(name)
+	if r == nil {
 		return 0, false
 	}
-	return d.term, d.holding && now < d.heldUntil
+	return r.term, r.holding && now < r.heldUntil
 }
 
 // Holder returns the control node that has this node's vote, the term of the vote, and the identifier
 // of the holder's process run; zero values if there is no valid vote.
-func (e *Elector) Holder(now time.Duration, name string) (id string, term, life uint64) {
-	d := e.duty(name)
-	if d == nil || now >= d.voteExpires {
+func (e *Elector) Holder(now time.Duration, name string) (id string, term, runID uint64) {
+	r := e.role(name)
+	if r == nil || now >= r.voteExpires {
 		return "", 0, 0
 	}
-	return d.votedFor, d.votedTerm, d.votedLife
+	return r.votedFor, r.votedTerm, r.votedRunID
 }
 
 // RaiseUsedTerm reports that terms up to usedTerm were held by another node before the control nodes lost
-// their in-memory state. A node that holds the duty under one of these terms has to take a higher one.
+// their in-memory state. A node that holds the role under one of these terms has to take a higher one.
 func (e *Elector) RaiseUsedTerm(name string, usedTerm uint64) {
-	if d := e.duty(name); d != nil {
-		d.usedTerm = max(d.usedTerm, usedTerm)
+	if r := e.role(name); r != nil {
+		r.usedTerm = max(r.usedTerm, usedTerm)
 	}
 }
 
@@ -143,74 +143,74 @@
 	if !e.started {
 		e.started, e.startedAt = true, now
 	}
-	roster := e.cfg.Roster()
-	if len(roster) == 0 || e.leaving {
+	voters := e.cfg.Voters()
+	if len(voters) == 0 || e.leaving {
 		return
 	}
-	for _, d := range e.duties {
-		if d.holding && now >= d.heldUntil {
-			e.loseDuty(d)
+	for _, r := range e.roles {
+		if r.holding && now >= r.heldUntil {
+			e.loseRole(r)
 		}
-		if d.holding && (d.term < d.minTerm || d.term <= d.usedTerm) {
-			e.campaign(now, d, max(d.minTerm, d.usedTerm)+1, nil, roster)
+		if r.holding && (r.term < r.minTerm || r.term <= r.usedTerm) {
+			e.campaign(now, r, max(r.minTerm, r.usedTerm)+1, nil, voters)
 			continue
 		}
 		switch {
-		case d.holding:
-			if now-d.requestedAt >= e.cfg.Lease/3 {
-				e.campaign(now, d, d.term, nil, roster)
+		case r.holding:
+			if now-r.requestedAt >= e.cfg.Lease/3 {
+				e.campaign(now, r, r.term, nil, voters)
 			}
-		case d.campaigning && now-d.requestedAt < e.cfg.Lease/2:
+		case r.campaigning && now-r.requestedAt < e.cfg.Lease/2:
 			// Repeat the request: some voters may have started only now.
-			request := Message{Role: d.name, Term: d.term, RunID: e.cfg.RunID}
-			if d.challenging {
-				request.Result = e.challengeResult(now, d)
+			request := Message{Role: r.name, Term: r.term, RunID: e.cfg.RunID}
+			if r.challenging {
+				request.Result = e.challengeResult(now, r)
 			}
-			for _, id := range roster {
-				if !d.votes[id] {
+			for _, id := range voters {
+				if !r.votes[id] {
 					e.outbox = append(e.outbox, Envelope{id, request})
 				}
 			}
-		case d.campaigning:
-			e.abandonCampaign(now, d, roster)
-		case now >= d.retryAt:
-			e.preVoteIfDue(now, d, roster)
+		case r.campaigning:
+			e.abandonCampaign(now, r, voters)
+		case now >= r.retryAt:
+			e.preVoteIfDue(now, r, voters)
 		}
 	}
 }
 
 // abandonCampaign ends a campaign that was not won and releases its votes, so that two candidates do
 // not block each other.
-func (e *Elector) abandonCampaign(now time.Duration, d *duty, roster []string) {
-	if !d.campaigning {
+func (e *Elector) abandonCampaign(now time.Duration, r *role, voters []string) {
+	if !r.campaigning {
 		return
 	}
-	d.retryAt = now + e.cfg.Lease/8*time.Duration(1+e.rank(d, roster))
-	e.releaseVotes(now, d, roster)
+	r.retryAt = now + e.cfg.Lease/8*time.Duration(1+e.rank(r, voters))
+	e.releaseVotes(now, r, voters)
 }
 
 // releaseVotes gives back the votes for this control node. Nodes that have not answered yet are told
 // too: their votes may be in transit and would otherwise bind them for a whole lease.
-func (e *Elector) releaseVotes(now time.Duration, d *duty, roster []string) {
-	d.campaigning = false
-	if d.votedFor == e.cfg.Self {
-		d.voteExpires = now
+func (e *Elector) releaseVotes(now time.Duration, r *role, voters []string) {
+	r.campaigning = false
+	if r.votedFor == e.cfg.Self {
+		r.voteExpires = now
 	}
-	for _, id := range roster {
+	for _, id := range voters {
 		if id != e.cfg.Self {
-			e.outbox = append(e.outbox, Envelope{id, Message{Role: d.name, Resign: true}})
+			e.outbox = append(e.outbox, Envelope{id, Message{Role: r.name, Resign: true}})
 		}
 	}
 }
 
 // nextTerm returns a term above all that this control node knows of.
-func (d *duty) nextTerm() uint64 { return max(d.minTerm, d.usedTerm, d.votedTerm, d.term) + 1 }
+func (r *role) nextTerm() uint64 { return max(r.minTerm, r.usedTerm, r.votedTerm, r.term) + 1 }
 
-// rank returns how many live nodes come before this one in the rendezvous order of a duty; outside the
-// roster it is one more than the number of live nodes.
-func (e *Elector) rank(d *duty, roster []string) int {
+// rank returns how many live nodes come before this one in the rendezvous order of a role; for a node that
+// is not a voter it is one more than the number of live nodes.
+func (e *Elector) rank(r *role, voters []string) int {
 	rank := 0
-	for _, id := range rendezvous.Order(d.name, roster) {
+	for _, id := range rendezvous.Order(r.name, voters) {
 		if id == e.cfg.Self {
 			return rank
 		}
@@ -221,147 +221,147 @@
 	return rank + 1
 }
 
-// campaign requests votes under a term, to win a duty or to renew the lease on it. With a result, it
+// campaign requests votes under a term, to win a role or to renew the lease on it. With a result, it
 // challenges the current holder.
-func (e *Elector) campaign(now time.Duration, d *duty, term uint64, result *Result, roster []string) {
-	d.requestedAt, d.campaigning = now, true
-	d.challenging, d.refusedBy = result != nil, map[string]bool{}
-	if term != d.term && d.holding {
-		e.loseDuty(d)
+func (e *Elector) campaign(now time.Duration, r *role, term uint64, result *Result, voters []string) {
+	r.requestedAt, r.campaigning = now, true
+	r.challenging, r.refusedBy = result != nil, map[string]bool{}
+	if term != r.term && r.holding {
+		e.loseRole(r)
 	}
-	d.term = term
-	d.votes = map[string]bool{}
-	request := Message{Role: d.name, Term: term, RunID: e.cfg.RunID, Result: result}
-	if !e.grantVote(now, d, e.cfg.Self, request) {
-		d.campaigning = false
+	r.term = term
+	r.votes = map[string]bool{}
+	request := Message{Role: r.name, Term: term, RunID: e.cfg.RunID, Result: result}
+	if !e.grantVote(now, r, e.cfg.Self, request) {
+		r.campaigning = false
 		return
 	}
-	d.votes[e.cfg.Self] = true
-	for _, id := range roster {
+	r.votes[e.cfg.Self] = true
+	for _, id := range voters {
 		if id != e.cfg.Self {
 			e.outbox = append(e.outbox, Envelope{id, request})
 		}
 	}
-	e.countVotes(d, roster)
+	e.countVotes(r, voters)
 }
 
 // mayGrantVote reports whether this control node may vote for a candidate: its vote is free or already
 // the candidate's, or the candidate's challenge is accepted.
-func (e *Elector) mayGrantVote(now time.Duration, d *duty, candidate string, request Message) bool {
-	if request.Term < d.minTerm || request.Term <= d.usedTerm {
+func (e *Elector) mayGrantVote(now time.Duration, r *role, candidate string, request Message) bool {
+	if request.Term < r.minTerm || request.Term <= r.usedTerm {
 		return false
 	}
-	if now >= d.voteExpires {
+	if now >= r.voteExpires {
 		return true
 	}
-	if d.votedFor != candidate {
-		return e.acceptsChallenge(now, d, request)
+	if r.votedFor != candidate {
+		return e.acceptsChallenge(now, r, request)
 	}
-	return request.Term >= d.votedTerm
+	return request.Term >= r.votedTerm
 }
 
 // grantVote votes for a candidate if mayGrantVote allows it, and reports whether it did.
-func (e *Elector) grantVote(now time.Duration, d *duty, candidate string, request Message) bool {
-	if !e.mayGrantVote(now, d, candidate, request) {
+func (e *Elector) grantVote(now time.Duration, r *role, candidate string, request Message) bool {
+	if !e.mayGrantVote(now, r, candidate, request) {
 		return false
 	}
-	if now < d.voteExpires && d.votedFor != candidate {
-		e.recordTakeover(now, d, candidate)
+	if now < r.voteExpires && r.votedFor != candidate {
+		e.recordTakeover(now, r, candidate)
 	}
-	if d.votedFor != candidate {
-		d.votedSince = now
+	if r.votedFor != candidate {
+		r.votedSince = now
 	}
-	d.votedFor, d.votedTerm, d.votedLife, d.voteExpires = candidate, request.Term, request.RunID, now+e.cfg.Lease
-	d.minTerm = max(d.minTerm, request.Term)
-	if d.holding && candidate != e.cfg.Self {
-		e.loseDuty(d)
+	r.votedFor, r.votedTerm, r.votedRunID, r.voteExpires = candidate, request.Term, request.RunID, now+e.cfg.Lease
+	r.minTerm = max(r.minTerm, request.Term)
+	if r.holding && candidate != e.cfg.Self {
+		e.loseRole(r)
 	}
 	return true
 }
 
 // Handle processes a message from another control node.
 func (e *Elector) Handle(now time.Duration, from string, m Message) {
-	d := e.duty(m.Role)
-	if d == nil {
+	r := e.role(m.Role)
+	if r == nil {
 		return
 	}
 	switch {
 	case m.Resign:
-		if d.votedFor == from {
-			d.voteExpires = now
+		if r.votedFor == from {
+			r.voteExpires = now
 		}
-	case m.Answer && (m.PreVote || !d.campaigning && !d.holding):
-		e.handlePreVoteAnswer(now, d, from, m)
+	case m.Answer && (m.PreVote || !r.campaigning && !r.holding):
+		e.handlePreVoteAnswer(now, r, from, m)
 	case m.Answer:
-		if m.Granted && (m.Term != d.term || !d.campaigning) {
+		if m.Granted && (m.Term != r.term || !r.campaigning) {
 			return
 		}
 		if m.Granted {
-			d.votes[from] = true
-			e.countVotes(d, e.cfg.Roster())
+			r.votes[from] = true
+			e.countVotes(r, e.cfg.Voters())
 			return
 		}
-		d.minTerm, d.usedTerm = max(d.minTerm, m.Term), max(d.usedTerm, m.UsedTerm)
-		roster := e.cfg.Roster()
-		if !d.holding && !d.stillWinnable(from, m, roster) {
-			e.abandonCampaign(now, d, roster)
+		r.minTerm, r.usedTerm = max(r.minTerm, m.Term), max(r.usedTerm, m.UsedTerm)
+		voters := e.cfg.Voters()
+		if !r.holding && !r.stillWinnable(from, m, voters) {
+			e.abandonCampaign(now, r, voters)
 		}
 	default:
-		ok := m.PreVote && e.mayGrantVote(now, d, from, m) || !m.PreVote && e.grantVote(now, d, from, m)
+		ok := m.PreVote && e.mayGrantVote(now, r, from, m) || !m.PreVote && e.grantVote(now, r, from, m)
 		term := m.Term
-		if !ok && d.minTerm > m.Term {
-			term = d.minTerm
+		if !ok && r.minTerm > m.Term {
+			term = r.minTerm
 		}
-		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Answer: true, Granted: ok, PreVote: m.PreVote, UsedTerm: d.usedTerm}})
+		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Answer: true, Granted: ok, PreVote: m.PreVote, UsedTerm: r.usedTerm}})
 	}
 }
 
-// countVotes takes or renews the lease on a duty once a majority has voted for this control node.
-func (e *Elector) countVotes(d *duty, roster []string) {
-	if !majority(d.votes, roster) {
+// countVotes takes or renews the lease on a role once a majority has voted for this control node.
+func (e *Elector) countVotes(r *role, voters []string) {
+	if !majority(r.votes, voters) {
 		return
 	}
 	// The lease counts from the request, so it ends before the votes expire.
-	d.heldUntil = d.requestedAt + e.cfg.Lease
-	if !d.holding {
-		d.holding = true
-		e.changedDuties = append(e.changedDuties, d.name)
+	r.heldUntil = r.requestedAt + e.cfg.Lease
+	if !r.holding {
+		r.holding = true
+		e.changedRoles = append(e.changedRoles, r.name)
 	}
 }
 
-// majority reports whether more than half of a roster has voted.
-func majority(votes map[string]bool, roster []string) bool {
+// majority reports whether more than half of the voters have voted.
+func majority(votes map[string]bool, voters []string) bool {
 	count := 0
-	for _, id := range roster {
+	for _, id := range voters {
 		if votes[id] {
 			count++
 		}
 	}
-	return count > len(roster)/2
+	return count > len(voters)/2
 }
 
-func (e *Elector) loseDuty(d *duty) {
-	d.holding = false
-	e.changedDuties = append(e.changedDuties, d.name)
+func (e *Elector) loseRole(r *role) {
+	r.holding = false
+	e.changedRoles = append(e.changedRoles, r.name)
 }
 
-// Leave resigns from all duties and ends campaigning for good.
+// Leave resigns from all roles and ends campaigning for good.
 func (e *Elector) Leave(now time.Duration) {
 	e.leaving = true
-	for _, d := range e.duties {
-		e.resign(now, d)
+	for _, r := range e.roles {
+		e.resign(now, r)
 	}
 }
 
-// resign gives up a duty and releases the votes for this control node.
-func (e *Elector) resign(now time.Duration, d *duty) {
-	if d.holding {
-		e.loseDuty(d)
+// resign gives up a role and releases the votes for this control node.
+func (e *Elector) resign(now time.Duration, r *role) {
+	if r.holding {
+		e.loseRole(r)
 	}
-	e.releaseVotes(now, d, e.cfg.Roster())
+	e.releaseVotes(now, r, e.cfg.Voters())
 }
 
-// State is the state of one duty in status output.
+// State is the state of one role in status output.
 type State struct {
 	Role   string `json:"duty"`
 	Holder string `json:"holder"`
@@ -371,19 +371,19 @@
 	Transfer   *TransferState `json:"handedOn,omitempty"`
 }
 
-// TransferState is the last takeover of a duty in status output.
+// TransferState is the last takeover of a role in status output.
 type TransferState struct {
 	From       string  `json:"from"`
 	ResultAgeS float64 `json:"resultAgeS"` // age of the old holder's result at the takeover
 	AgoS       float64 `json:"agoS"`       // time since the takeover
 }
 
-// States returns the states of all duties, sorted by name.
+// States returns the states of all roles, sorted by name.
 func (e *Elector) States(now time.Duration) (states []State) {
-	for _, d := range e.duties {
-		holder, term, _ := e.Holder(now, d.name)
-		state := State{Role: d.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, d).Seconds()}
-		if takeover := d.lastTakeover; takeover != nil {
+	for _, r := range e.roles {
+		holder, term, _ := e.Holder(now, r.name)
+		state := State{Role: r.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, r).Seconds()}
+		if takeover := r.lastTakeover; takeover != nil {
 			state.Transfer = &TransferState{takeover.From, takeover.ResultAge.Seconds(), (now - takeover.at).Round(time.Millisecond).Seconds()}
 		}
 		states = append(states, state)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -25,12 +25,12 @@
 	c.ids = ids
 	for _, id := range ids {
 		c.electors[id] = New(Config{Self: id, Roles: []string{"list"}, Lease: lease,
-			Roster: func() []string { return ids }, Alive: func(o string) bool { return !c.down[o] }})
+			Voters: func() []string { return ids }, Alive: func(o string) bool { return !c.down[o] }})
 	}
 	return c
 }
 
-// run fails the test if two nodes hold the duty at the same time.
+// run fails the test if two nodes hold the role at the same time.
 func (c *voteCluster) run(t *testing.T, duration time.Duration) {
 	t.Helper()
 	for end := c.now + duration; c.now < end; c.now += 50 * time.Millisecond {
@@ -66,7 +66,7 @@
 	return out
 }
 
-func TestDutyMovesWhenHolderIsDown(t *testing.T) {
+func TestRoleMovesWhenHolderIsDown(t *testing.T) {
 	c := newVoteCluster(4)
 	c.run(t, 2*time.Second)
 	for i := 0; i < 3; i++ {
@@ -138,7 +138,7 @@
 	ids := []string{"a", "near", "far"}
 	elector := func(self string) *Elector {
 		return New(Config{Self: self, Roles: []string{"list"}, Lease: lease,
-			Roster: func() []string { return ids }, Alive: func(string) bool { return true }})
+			Voters: func() []string { return ids }, Alive: func(string) bool { return true }})
 	}
 	candidate, distant := elector("a"), elector("far")
 	candidate.Tick(0)
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -1,6 +1,6 @@
 package election
 
-// This file decides when a control node campaigns for a duty: when the duty is vacant, or when the
+// This file decides when a control node campaigns for a role: when the role is vacant, or when the
 // holder's results are too old. Before it campaigns it asks for pre-votes, as in Raft.
 
 import (
@@ -9,7 +9,7 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Progress tells how recent the results of a duty are at one control node, by that node's clock. A
+// Progress tells how recent the results of a role are at one control node, by that node's clock. A
 // result describes the state as of some time; it ages from then on.
 type Progress struct {
 	// Known is the as-of time of the newest result in use: on the holder its own last complete
@@ -43,56 +43,56 @@
 
 // preVoteIfDue asks the others for pre-votes if this control node may campaign, and repeats the
 // request every eighth of a lease.
-func (e *Elector) preVoteIfDue(now time.Duration, d *duty, roster []string) {
-	if !e.mayCampaign(now, d, roster) {
-		d.preVote.active = false
+func (e *Elector) preVoteIfDue(now time.Duration, r *role, voters []string) {
+	if !e.mayCampaign(now, r, voters) {
+		r.preVote.active = false
 		return
 	}
-	preVote := &d.preVote
+	preVote := &r.preVote
 	if preVote.active && now-preVote.requestedAt < e.cfg.Lease/8 {
 		return
 	}
-	preVote.active, preVote.requestedAt, preVote.term, preVote.votes = true, now, d.nextTerm(), map[string]bool{e.cfg.Self: true}
-	request := Message{Role: d.name, Term: preVote.term, RunID: e.cfg.RunID, PreVote: true, Result: e.challengeResult(now, d)}
-	for _, id := range roster {
+	preVote.active, preVote.requestedAt, preVote.term, preVote.votes = true, now, r.nextTerm(), map[string]bool{e.cfg.Self: true}
+	request := Message{Role: r.name, Term: preVote.term, RunID: e.cfg.RunID, PreVote: true, Result: e.challengeResult(now, r)}
+	for _, id := range voters {
 		if id != e.cfg.Self {
 			e.outbox = append(e.outbox, Envelope{id, request})
 		}
 	}
-	e.countPreVotes(now, d, roster)
+	e.countPreVotes(now, r, voters)
 }
 
-// mayCampaign reports whether the duty is vacant, or this control node's result is newer than the
+// mayCampaign reports whether the role is vacant, or this control node's result is newer than the
 // holder's. Nodes further down the order wait longer, so that few campaign at the same time.
-func (e *Elector) mayCampaign(now time.Duration, d *duty, roster []string) bool {
-	if now >= max(d.voteExpires, e.startedAt)+time.Duration(e.rank(d, roster))*e.cfg.Lease/8 {
+func (e *Elector) mayCampaign(now time.Duration, r *role, voters []string) bool {
+	if now >= max(r.voteExpires, e.startedAt)+time.Duration(e.rank(r, voters))*e.cfg.Lease/8 {
 		return true
 	}
-	rank, ok := e.StandbyRank(now, d.name)
-	ahead := ok && e.challengeResult(now, d) != nil
-	if ahead && !d.preVote.ahead {
-		d.preVote.aheadSince = now
+	rank, ok := e.StandbyRank(now, r.name)
+	ahead := ok && e.challengeResult(now, r) != nil
+	if ahead && !r.preVote.ahead {
+		r.preVote.aheadSince = now
 	}
-	d.preVote.ahead = ahead
-	voteSettled := d.votedSince + e.cfg.Lease/4
-	return ahead && now >= max(d.preVote.aheadSince, voteSettled)+time.Duration(rank)*e.cfg.Lease/16
+	r.preVote.ahead = ahead
+	voteSettled := r.votedSince + e.cfg.Lease/4
+	return ahead && now >= max(r.preVote.aheadSince, voteSettled)+time.Duration(rank)*e.cfg.Lease/16
 }
 
-// ResultUpdated is called when this control node has produced a newer result of a duty. It asks for
+// ResultUpdated is called when this control node has produced a newer result of a role. It asks for
 // pre-votes at once if they are due, without waiting for the next Tick.
 func (e *Elector) ResultUpdated(now time.Duration, name string) {
-	if d := e.duty(name); d != nil && !d.holding && !d.campaigning && !e.leaving && now >= d.retryAt {
-		e.preVoteIfDue(now, d, e.cfg.Roster())
+	if r := e.role(name); r != nil && !r.holding && !r.campaigning && !e.leaving && now >= r.retryAt {
+		e.preVoteIfDue(now, r, e.cfg.Voters())
 	}
 }
 
 // challengeResult returns what this control node tells voters of its result, or nil if that result is
 // not far enough ahead of the holder's for a challenge.
-func (e *Elector) challengeResult(now time.Duration, d *duty) *Result {
-	if e.cfg.Progress == nil || d.holding {
+func (e *Elector) challengeResult(now time.Duration, r *role) *Result {
+	if e.cfg.Progress == nil || r.holding {
 		return nil
 	}
-	progress := e.cfg.Progress(now, d.name)
+	progress := e.cfg.Progress(now, r.name)
 	if !progress.ownAhead() {
 		return nil
 	}
@@ -102,15 +102,15 @@
 // acceptsChallenge reports whether this control node may move its vote from the holder to a candidate:
 // the candidate's result must be newer, by more than the limit, than the one known here, and the vote
 // must have stood for a quarter of a lease.
-func (e *Elector) acceptsChallenge(now time.Duration, d *duty, request Message) bool {
-	if request.Result == nil || e.cfg.Progress == nil || now < d.votedSince+e.cfg.Lease/4 {
+func (e *Elector) acceptsChallenge(now time.Duration, r *role, request Message) bool {
+	if request.Result == nil || e.cfg.Progress == nil || now < r.votedSince+e.cfg.Lease/4 {
 		return false
 	}
-	progress := e.cfg.Progress(now, d.name)
+	progress := e.cfg.Progress(now, r.name)
 	return Progress{Known: progress.Known, Own: now - request.Result.Age, Limit: progress.Limit}.ownAhead()
 }
 
-// Transfer is a takeover: this control node moved its vote for a duty from a holder with outdated results
+// Transfer is a takeover: this control node moved its vote for a role from a holder with outdated results
 // to a challenger.
 type Transfer struct {
 	Role, From, To string
@@ -119,9 +119,9 @@
 }
 
 // recordTakeover records that the vote moves from the current holder to a candidate.
-func (e *Elector) recordTakeover(now time.Duration, d *duty, candidate string) {
-	d.lastTakeover = &Transfer{Role: d.name, From: d.votedFor, To: candidate, ResultAge: e.resultAge(now, d), at: now}
-	e.takeovers = append(e.takeovers, *d.lastTakeover)
+func (e *Elector) recordTakeover(now time.Duration, r *role, candidate string) {
+	r.lastTakeover = &Transfer{Role: r.name, From: r.votedFor, To: candidate, ResultAge: e.resultAge(now, r), at: now}
+	e.takeovers = append(e.takeovers, *r.lastTakeover)
 }
 
 // DrainTransfers returns the takeovers since the last call.
@@ -131,56 +131,56 @@
 	return takeovers
 }
 
-// resultAge returns the age of the newest result of a duty that this control node knows of.
-func (e *Elector) resultAge(now time.Duration, d *duty) time.Duration {
+// resultAge returns the age of the newest result of a role that this control node knows of.
+func (e *Elector) resultAge(now time.Duration, r *role) time.Duration {
 	if e.cfg.Progress == nil {
 		return 0
 	}
-	return (now - e.cfg.Progress(now, d.name).Known).Round(time.Millisecond)
+	return (now - e.cfg.Progress(now, r.name).Known).Round(time.Millisecond)
 }
 
 // countPreVotes starts the campaign once a majority would vote for this control node.
-func (e *Elector) countPreVotes(now time.Duration, d *duty, roster []string) {
-	if majority(d.preVote.votes, roster) {
-		d.preVote.active = false
-		e.campaign(now, d, d.preVote.term, e.challengeResult(now, d), roster)
+func (e *Elector) countPreVotes(now time.Duration, r *role, voters []string) {
+	if majority(r.preVote.votes, voters) {
+		r.preVote.active = false
+		e.campaign(now, r, r.preVote.term, e.challengeResult(now, r), voters)
 	}
 }
 
 // handlePreVoteAnswer handles an answer to a pre-vote request, and a late answer to a vote request of a
 // campaign that is over.
-func (e *Elector) handlePreVoteAnswer(now time.Duration, d *duty, from string, answer Message) {
-	if !d.preVote.active || answer.Term < d.preVote.term || d.campaigning || d.holding {
+func (e *Elector) handlePreVoteAnswer(now time.Duration, r *role, from string, answer Message) {
+	if !r.preVote.active || answer.Term < r.preVote.term || r.campaigning || r.holding {
 		return
 	}
 	if !answer.Granted {
-		d.usedTerm = max(d.usedTerm, answer.UsedTerm)
-		if answer.Term > d.preVote.term {
-			d.minTerm = max(d.minTerm, answer.Term)
+		r.usedTerm = max(r.usedTerm, answer.UsedTerm)
+		if answer.Term > r.preVote.term {
+			r.minTerm = max(r.minTerm, answer.Term)
 		}
 		return
 	}
-	d.preVote.votes[from] = true
-	e.countPreVotes(now, d, e.cfg.Roster())
+	r.preVote.votes[from] = true
+	e.countPreVotes(now, r, e.cfg.Voters())
 }
 
 // stillWinnable records a refusal and reports whether a challenge can still win a majority. A campaign
-// for a vacant duty, or under a term that is too low, is lost on its first refusal.
-func (d *duty) stillWinnable(from string, refusal Message, roster []string) bool {
-	if !d.challenging || max(refusal.Term, refusal.UsedTerm) > d.term {
+// for a vacant role, or under a term that is too low, is lost on its first refusal.
+func (r *role) stillWinnable(from string, refusal Message, voters []string) bool {
+	if !r.challenging || max(refusal.Term, refusal.UsedTerm) > r.term {
 		return false
 	}
-	d.refusedBy[from] = true
-	return len(roster)-len(d.refusedBy) > len(roster)/2
+	r.refusedBy[from] = true
+	return len(voters)-len(r.refusedBy) > len(voters)/2
 }
 
-// StandbyRank returns this control node's rank among the deputies of a duty's holder: the number of live
-// nodes of the roster that take over before it, not counting the holder. ok is false if this node is not
-// in the roster.
+// StandbyRank returns this control node's rank among the deputies of a role's holder: the number of live
+// voters that take over before it, not counting the holder. ok is false if this node is not
+// among the voters.
 func (e *Elector) StandbyRank(now time.Duration, name string) (rank int, ok bool) {
-	roster := e.cfg.Roster()
+	voters := e.cfg.Voters()
 	holder, _, _ := e.Holder(now, name)
-	for _, id := range rendezvous.Order(name, roster) {
+	for _, id := range rendezvous.Order(name, voters) {
 		if id == e.cfg.Self {
 			return rank, true
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -197,7 +197,7 @@
 }
 
 // Reset drops all state; the answer to a batch in flight will be ignored. It is called when
-// this control node gains or loses the duty of scheduling.
+// this control node gains or loses the role of scheduling.
 func (s *Scheduler) Reset() {
 	s.retryAt, s.boundRev, s.nextRelist, s.inFlight, s.batchRemaining = nil, nil, 0, false, false
 	s.resets++
--- a/internal/replication/cluster_nodes_test.go
+++ b/internal/replication/cluster_nodes_test.go
@@ -61,7 +61,7 @@
 	cfg := Config{Self: id, RunID: sim.lastRunID, Identity: sim.rng.Uint64() | 1, Seeds: sim.seeds, Faults: sim.faults,
 		Left:  func(o string) bool { return sim.nodes[o] != nil && sim.nodes[o].left },
 		Peers: func() []string { return sim.ids },
-		Zone:  func(o string) string { return sim.zones[o] }, Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, Keys: sim.partitions,
+		Zone:  func(o string) string { return sim.zones[o] }, Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, Partitions: sim.partitions,
 		HeartbeatInterval: testHeartbeat, ElectionTimeout: testElectionTimeout, ProposalTimeout: 900 * time.Millisecond, TransferBackDelay: 4 * time.Second, FreshnessPartitions: []string{testPartition},
 		Alive: func(o string) bool { return sim.seesAlive(id, o) }}
 	n.bootstrap = false
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -250,7 +250,7 @@
 		h := &Heartbeat{Round: round, VoterSet: m.partitions[VoterSetPartition].position, Base: base, Version: state.version, Digest: state.digest}
 		for _, part := range owned {
 			if l := state.listed[part.name]; l.version > base {
-				h.Keys = append(h.Keys, l.PartitionStatus)
+				h.Partitions = append(h.Partitions, l.PartitionStatus)
 			}
 		}
 		if base > 0 {
@@ -270,7 +270,7 @@
 func (m *Replica) partialHeartbeat(round uint64, partitions []*partition) *Heartbeat {
 	h := &Heartbeat{Round: round, VoterSet: m.partitions[VoterSetPartition].position, Partial: true}
 	for _, part := range partitions {
-		h.Keys = append(h.Keys, m.status(part))
+		h.Partitions = append(h.Partitions, m.status(part))
 	}
 	m.setAges(h, partitions)
 	return h
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -61,7 +61,7 @@
 		return nil, listMissing
 	}
 	l.lastHeard, l.version = m.now, h.Version
-	for _, s := range h.Keys {
+	for _, s := range h.Partitions {
 		l.put(s)
 	}
 	for _, name := range h.Removed {
@@ -92,7 +92,7 @@
 
 func (m *Replica) onHeartbeat(from string, runID uint64, h *Heartbeat) {
 	ack := &HeartbeatAck{RunID: runID, Round: h.Round, Partial: h.Partial}
-	statuses := h.Keys
+	statuses := h.Partitions
 	if !h.Partial {
 		l, state := m.applyList(from, runID, h)
 		switch state {
@@ -145,16 +145,16 @@
 
 // updateFreshness updates the time as of which the copy of a partition is known to be the newest.
 // When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
-func (m *Replica) updateFreshness(part *partition, e Epoch, s PartitionStatus, sure *Freshness, ages map[string]time.Duration) {
-	if sure == nil || sure.RunID != m.cfg.RunID || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
+func (m *Replica) updateFreshness(part *partition, e Epoch, s PartitionStatus, freshness *Freshness, ages map[string]time.Duration) {
+	if freshness == nil || freshness.RunID != m.cfg.RunID || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
 		return
 	}
 	age, differs := ages[s.Partition]
 	if !differs {
-		age = sure.Age
+		age = freshness.Age
 	}
 	if age >= 0 {
-		part.freshAsOf = max(part.freshAsOf, sure.Mark+sure.Held-age)
+		part.freshAsOf = max(part.freshAsOf, freshness.Mark+freshness.Held-age)
 	}
 }
 
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -39,16 +39,16 @@
 // Heartbeat covers all partitions of an owner once per heartbeat interval or, if it is partial,
 // those that it names.
 type Heartbeat struct {
-	Round     uint64            `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
-	VoterSet  Position          `cbor:"2,keyasint"`
-	Partial   bool              `cbor:"3,keyasint,omitempty"`
-	Base      uint64            `cbor:"4,keyasint,omitempty"` // list version that Keys and Removed are relative to; 0: Keys is the whole list
-	Version   uint64            `cbor:"5,keyasint,omitempty"`
-	Digest    uint64            `cbor:"6,keyasint,omitempty"` // digest of the list at Version
-	Keys      []PartitionStatus `cbor:"7,keyasint,omitempty"`
-	Removed   []string          `cbor:"8,keyasint,omitempty"` // partitions that the sender no longer owns
-	Freshness *Freshness        `cbor:"9,keyasint,omitempty"`
-	Ages      []PartitionAge    `cbor:"10,keyasint,omitempty"`
+	Round      uint64            `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
+	VoterSet   Position          `cbor:"2,keyasint"`
+	Partial    bool              `cbor:"3,keyasint,omitempty"`
+	Base       uint64            `cbor:"4,keyasint,omitempty"` // list version that Partitions and Removed are relative to; 0: Partitions is the whole list
+	Version    uint64            `cbor:"5,keyasint,omitempty"`
+	Digest     uint64            `cbor:"6,keyasint,omitempty"` // digest of the list at Version
+	Partitions []PartitionStatus `cbor:"7,keyasint,omitempty"`
+	Removed    []string          `cbor:"8,keyasint,omitempty"` // partitions that the sender no longer owns
+	Freshness  *Freshness        `cbor:"9,keyasint,omitempty"`
+	Ages       []PartitionAge    `cbor:"10,keyasint,omitempty"`
 }
 
 // HeartbeatAck answers a Heartbeat. It confirms the epochs of all partitions that the heartbeat
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -145,7 +145,7 @@
 	for _, partition := range owned {
 		owner.replica.scheduleCommitNotice(owner.replica.partitions[partition])
 	}
-	if sent := owner.replica.Take().Send; len(sent) != 3 || len(bodyAs[*Heartbeat](sent[0].Msg).Keys) != len(owned) {
+	if sent := owner.replica.Take().Send; len(sent) != 3 || len(bodyAs[*Heartbeat](sent[0].Msg).Partitions) != len(owned) {
 		t.Errorf("%d partitions committed at once: %+v", len(owned), sent)
 	}
 	if answered != len(owned) || sent.noticeAcks != 0 {
@@ -281,7 +281,7 @@
 	m.write(nil, nil) // a write is pending
 	heartbeatEpoch := part.promised
 	heartbeat := &Heartbeat{Round: 7, VoterSet: m.partitions[VoterSetPartition].position, Partial: true,
-		Keys: []PartitionStatus{{Partition: testPartition, Epoch: part.promised.Number, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
+		Partitions: []PartitionStatus{{Partition: testPartition, Epoch: part.promised.Number, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
 	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat, Body: heartbeat})
 	newer := Epoch{part.promised.Number + 1, follower.id, 99}
 	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat,
@@ -319,11 +319,11 @@
 		state listState
 	}{
 		{"no list to build on", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listMissing},
-		{"the whole list", Heartbeat{Version: 2, Digest: digest, Keys: full}, 1, listApplied},
+		{"the whole list", Heartbeat{Version: 2, Digest: digest, Partitions: full}, 1, listApplied},
 		{"no change", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listApplied},
-		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 1, listMissing},
-		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 2, listMissing},
-		{"a change", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Keys: []PartitionStatus{changed}}, 1, listApplied},
+		{"versions are missing", Heartbeat{Base: 3, Version: 4, Digest: changedDigest, Partitions: []PartitionStatus{changed}}, 1, listMissing},
+		{"another process run", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Partitions: []PartitionStatus{changed}}, 2, listMissing},
+		{"a change", Heartbeat{Base: 2, Version: 3, Digest: changedDigest, Partitions: []PartitionStatus{changed}}, 1, listApplied},
 		{"late", Heartbeat{Base: 2, Version: 2, Digest: digest}, 1, listStale},
 		{"a partition is removed", Heartbeat{Base: 3, Version: 4, Digest: changed.digest(), Removed: []string{"a"}}, 1, listApplied},
 		{"digest mismatch", Heartbeat{Base: 4, Version: 4, Digest: 1}, 1, listMissing},
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -20,7 +20,7 @@
 	Seeds               []string             // sorted
 	Bootstrap           bool                 // setting: with an empty disk, take part in the bootstrap of a new system
 	Empty               bool                 // the disk held nothing, or nothing readable
-	Keys                []string             // partitions that exist from the start, besides the voter set
+	Partitions          []string             // partitions that exist from the start, besides the voter set
 	HeartbeatInterval   time.Duration        // interval between an owner's heartbeats
 	ElectionTimeout     time.Duration        // election timeout: silence after which a partition is taken over
 	ProposalTimeout     time.Duration        // how long a proposal may wait
@@ -158,7 +158,7 @@
 		runIDs: map[string]uint64{}, voterSetAnsweredAt: map[string]time.Duration{}, lastIdentity: map[string]string{},
 		learners: map[string]time.Duration{}, leavers: map[string]time.Duration{}, probeAcks: map[string]map[string]bool{},
 		heartbeats: newHeartbeatState(), peers: map[string]*peer{}, clockEchoes: map[string]clockEcho{}, ownerLists: map[string]*ownerList{}}
-	for _, name := range append([]string{VoterSetPartition}, cfg.Keys...) {
+	for _, name := range append([]string{VoterSetPartition}, cfg.Partitions...) {
 		m.partition(name)
 	}
 	for _, name := range cfg.FreshnessPartitions {
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -46,30 +46,30 @@
 // wireMessage is the encoded form of Message; exactly one of the pointers is set. The numbers 5
 // and 6 were used for full copies, which snapshots replace; they must not be used again.
 type wireMessage struct {
-	VoteRequest   *VoteRequest      `cbor:"1,keyasint,omitempty"`
-	Vote          *Vote             `cbor:"2,keyasint,omitempty"`
-	Append        *Append           `cbor:"3,keyasint,omitempty"`
-	AppendAck     *AppendAck        `cbor:"4,keyasint,omitempty"`
-	Found         *BootstrapRequest `cbor:"7,keyasint,omitempty"`
-	Founded       *BootstrapReply   `cbor:"8,keyasint,omitempty"`
-	Transfer      *Transfer         `cbor:"9,keyasint,omitempty"`
-	Join          *Join             `cbor:"10,keyasint,omitempty"`
-	Life          uint64            `cbor:"11,keyasint,omitempty"`
-	Probe         *Probe            `cbor:"12,keyasint,omitempty"`
-	ProbeAck      *ProbeAck         `cbor:"13,keyasint,omitempty"`
-	Identity      uint64            `cbor:"14,keyasint,omitempty"`
-	SnapshotChunk *SnapshotChunk    `cbor:"15,keyasint,omitempty"`
-	SnapshotAck   *SnapshotAck      `cbor:"16,keyasint,omitempty"`
-	StateQuery    *StateQuery       `cbor:"17,keyasint,omitempty"`
-	StateReport   *StateReport      `cbor:"18,keyasint,omitempty"`
-	Heartbeat     *Heartbeat        `cbor:"19,keyasint,omitempty"`
-	HeartbeatAck  *HeartbeatAck     `cbor:"20,keyasint,omitempty"`
-	Protocol      uint64            `cbor:"21,keyasint,omitempty"`
+	VoteRequest      *VoteRequest      `cbor:"1,keyasint,omitempty"`
+	Vote             *Vote             `cbor:"2,keyasint,omitempty"`
+	Append           *Append           `cbor:"3,keyasint,omitempty"`
+	AppendAck        *AppendAck        `cbor:"4,keyasint,omitempty"`
+	BootstrapRequest *BootstrapRequest `cbor:"7,keyasint,omitempty"`
+	BootstrapReply   *BootstrapReply   `cbor:"8,keyasint,omitempty"`
+	Transfer         *Transfer         `cbor:"9,keyasint,omitempty"`
+	Join             *Join             `cbor:"10,keyasint,omitempty"`
+	RunID            uint64            `cbor:"11,keyasint,omitempty"`
+	Probe            *Probe            `cbor:"12,keyasint,omitempty"`
+	ProbeAck         *ProbeAck         `cbor:"13,keyasint,omitempty"`
+	Identity         uint64            `cbor:"14,keyasint,omitempty"`
+	SnapshotChunk    *SnapshotChunk    `cbor:"15,keyasint,omitempty"`
+	SnapshotAck      *SnapshotAck      `cbor:"16,keyasint,omitempty"`
+	StateQuery       *StateQuery       `cbor:"17,keyasint,omitempty"`
+	StateReport      *StateReport      `cbor:"18,keyasint,omitempty"`
+	Heartbeat        *Heartbeat        `cbor:"19,keyasint,omitempty"`
+	HeartbeatAck     *HeartbeatAck     `cbor:"20,keyasint,omitempty"`
+	Protocol         uint64            `cbor:"21,keyasint,omitempty"`
 }
 
 // MarshalCBOR encodes a message.
 func (m Message) MarshalCBOR() ([]byte, error) {
-	w := wireMessage{Life: m.RunID, Identity: m.Identity, Protocol: m.Protocol}
+	w := wireMessage{RunID: m.RunID, Identity: m.Identity, Protocol: m.Protocol}
 	switch b := m.Body.(type) {
 	case *VoteRequest:
 		w.VoteRequest = b
@@ -80,9 +80,9 @@
 	case *AppendAck:
 		w.AppendAck = b
 	case *BootstrapRequest:
-		w.Found = b
+		w.BootstrapRequest = b
 	case *BootstrapReply:
-		w.Founded = b
+		w.BootstrapReply = b
 	case *Transfer:
 		w.Transfer = b
 	case *Join:
@@ -113,7 +113,7 @@
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return err
 	}
-	*m = Message{RunID: w.Life, Identity: w.Identity, Protocol: w.Protocol}
+	*m = Message{RunID: w.RunID, Identity: w.Identity, Protocol: w.Protocol}
 	switch {
 	case w.VoteRequest != nil:
 		m.Body = w.VoteRequest
@@ -123,10 +123,10 @@
 		m.Body = w.Append
 	case w.AppendAck != nil:
 		m.Body = w.AppendAck
-	case w.Found != nil:
-		m.Body = w.Found
-	case w.Founded != nil:
-		m.Body = w.Founded
+	case w.BootstrapRequest != nil:
+		m.Body = w.BootstrapRequest
+	case w.BootstrapReply != nil:
+		m.Body = w.BootstrapReply
 	case w.Transfer != nil:
 		m.Body = w.Transfer
 	case w.Join != nil:
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -146,7 +146,7 @@
 
 // Evaluate evaluates the active rollouts. It returns the transitions to commit, and by control
 // node the gathered reports to send to it as the controller of their rollouts.
-func (c *Controller) Evaluate(now time.Duration, services map[string]Service, surroundings Environment) (moves []Transition, tell map[string][]Gathered) {
+func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (moves []Transition, tell map[string][]Gathered) {
 	c.allControlled, tell = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		service := services[name]
@@ -155,9 +155,9 @@
 			continue
 		}
 		state := c.stateOf(name)
-		gathered := Gather(name, state.generation, pruneExpired(state.gatewayReports, now, surroundings.MaxReportAge))
-		switch owner := surroundings.Owner(PartitionOf(name)); owner {
-		case surroundings.Self:
+		gathered := Gather(name, state.generation, pruneExpired(state.gatewayReports, now, environment.MaxReportAge))
+		switch owner := environment.Owner(PartitionOf(name)); owner {
+		case environment.Self:
 		case "":
 			c.allControlled = false
 			continue
@@ -167,7 +167,7 @@
 			}
 			continue
 		}
-		for _, g := range pruneExpired(state.peerReports, now, surroundings.MaxReportAge) {
+		for _, g := range pruneExpired(state.peerReports, now, environment.MaxReportAge) {
 			if g.Gen == state.generation {
 				gathered.Add(g)
 			}
@@ -177,7 +177,7 @@
 			continue
 		}
 		view := View{Age: state.age(now), SinceRecord: now - state.recordSeenAt, Sums: gathered.Sums, Baseline: state.baseline, StoppedGateways: gathered.StoppedGateways, StopReason: gathered.StopReason}
-		surroundings.Fill(&view, plan, gathered.OtherInFlightByGateway)
+		environment.Fill(&view, plan, gathered.OtherInFlightByGateway)
 		state.lastView = view
 		if next := Next(plan, view); next != nil {
 			state.pendingFrom = plan.Generation
--- a/internal/soak/drain_test.go
+++ b/internal/soak/drain_test.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Guards against a reader of the platform's list that keeps this duty although the list reaches it late or not at all, so
+// Guards against a reader of the platform's list that keeps this role although the list reaches it late or not at all, so
 // that the other machines go on sending requests to draining upstreams.
 func TestDrainingUpstreamsGetNoRequestsDuringListReaderFaults(t *testing.T) {
 	binary := build(t)
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -202,7 +202,7 @@
 // Update takes a list newly read from the platform by the owner with the given term and life.
 // It returns false, and keeps the version, if that is the owner of the present version too
 // and nothing has changed.
-func (s *ListSnapshot) Update(now time.Duration, term, life uint64, listing []Instance) bool {
+func (s *ListSnapshot) Update(now time.Duration, term, runID uint64, listing []Instance) bool {
 	diff := List{Base: s.Version}
 	seen := map[string]bool{}
 	for _, instance := range listing {
@@ -221,10 +221,10 @@
 		}
 	}
 	sort.Strings(diff.Removed)
-	if s.Version.Term == term && s.Version.RunID == life && len(diff.Set)+len(diff.Removed) == 0 {
+	if s.Version.Term == term && s.Version.RunID == runID && len(diff.Set)+len(diff.Removed) == 0 {
 		return false
 	}
-	diff.Version = ListVersion{term, s.Version.Seq + 1, life}
+	diff.Version = ListVersion{term, s.Version.Seq + 1, runID}
 	s.applyList(now, diff)
 	return true
 }
