--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -2,7 +2,7 @@
 // leases and fencing tokens, counters, and key-value cells with compare-and-set by revision,
 // whose history can be watched.
 //
-// The state is divided into a fixed number of partitions. Each partition is a key of the
+// The state is divided into a fixed number of partitions. Each has the name of a partition of the
 // replicated control state with an owner of its own. Partition is the state machine that
 // the owner runs; Feed is what every replica derives from committed records to answer
 // watches. Both do no I/O and read no clock: callers pass the time in.
@@ -21,7 +21,7 @@
 // an owner that was built with another number refuses the partition.
 const Partitions = 16
 
-// PartitionPrefix begins the keys of all partitions in the control state.
+// PartitionPrefix begins the names of all partitions of coordination in the control state.
 const PartitionPrefix = "coordination/"
 
 // Operation is what a call asks for.
@@ -84,7 +84,7 @@
 	Value        string `cbor:"5,keyasint,omitempty"`
 }
 
-// Partition is the key in the control state of the partition that the call concerns.
+// Partition is the name in the control state of the partition that the call concerns.
 func (c Call) Partition() string {
 	switch c.Operation {
 	case Put, Get:
@@ -97,7 +97,7 @@
 	return partitionKey(lockPrefix + c.Name)
 }
 
-// GroupPartition is the key in the control state of the partition that holds a group of cells.
+// GroupPartition is the name in the control state of the partition that holds a group of cells.
 func GroupPartition(group string) string { return groupPartition(group) }
 
 func groupPartition(group string) string { return partitionKey(cellPrefix + group) }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -1,6 +1,6 @@
 package coordination
 
-// This file holds the encoding of a partition in the records of its key.
+// This file holds the encoding of a partition in its records.
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"madderwing/internal/antientropy"
 )
 
-// Record is one entry under a key of the control state.
+// Record is one entry in a partition of the control state.
 type Record = antientropy.Record
 
 // Names and prefixes of records. Names of locks, counters and cells contain no slash.
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -7,7 +7,7 @@
 )
 
 // Controller is what a control node knows of rollouts apart from their records. It decides
-// on the transitions of the rollouts whose key the node owns, and collects the gateways'
+// on the transitions of the rollouts whose partition the node owns, and collects the gateways'
 // reports on the others for their owners.
 type Controller struct {
 	rollouts      map[string]*rolloutState
@@ -137,7 +137,7 @@
 // Environment is what a controller needs to know from its node.
 type Environment struct {
 	Self         string
-	Owner        func(key string) string // the node that owns a key; empty: none known
+	Owner        func(key string) string // the node that owns a partition; empty: none known
 	MaxReportAge time.Duration           // age up to which a report counts
 	// Fill adds to a view the figures on the gateways and on the service's upstreams. told
 	// has the requests in flight to other versions, by gateway that has reported.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,6 +1,6 @@
 // Package rollout moves a service's traffic from one version of its upstreams, the prior
 // version, to another, the candidate, through four stages: shadow, canary, percentage, full.
-// The control node that owns the key of a service is the controller of its rollout and
+// The control node that owns the partition of a service is the controller of its rollout and
 // decides on each stage (Controller, Next). Every gateway splits the requests of the service
 // between the two arms, scores the answers of both, and by itself stops sending requests to
 // a candidate that turns bad (Splitter).
@@ -26,15 +26,15 @@
 // Record is the form in which plans are stored and replicated.
 type Record = antientropy.Record
 
-// Prefix begins the keys of rollouts, one for each service. Each key has one record, whose
-// name is the key.
+// Prefix begins the names of the partitions of rollouts, one for each service. Each has one record, whose
+// name is that of the partition.
 const Prefix = "rollout/"
 
-// StandingPrefix begins the names of the records of type Standing. They are under the key
+// StandingPrefix begins the names of the records of type Standing. They are in the partition
 // of the catalogue.
 const StandingPrefix = "standing/"
 
-// PartitionOf is the key of a service's rollout.
+// PartitionOf returns the name of the partition of a service's rollouts.
 func PartitionOf(service string) string { return Prefix + service }
 
 // Stage is the stage of a rollout. It only advances. The numbers are stored in records.
