--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -210,13 +210,13 @@
 // A refused item must not stay in the Decoder's cache, since the next request may use the same generation.
 func TestRefusedItemIsNotCached(t *testing.T) {
 	records := newRecords(t)
-	reader := &Decoder{}
+	decoder := &Decoder{}
 	apply := func(body string) error {
 		change, err := ParseRequest([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes, err := change.Apply(records, reader)
+		changes, err := change.Apply(records, decoder)
 		for _, r := range changes {
 			records[r.Name] = r
 		}
@@ -228,7 +228,7 @@
 	if err := apply(patch("", routeJSON("n", "/n/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
-	if routes := reader.Routes(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
+	if routes := decoder.Routes(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
 		t.Fatalf("%+v", routes[0])
 	}
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -58,18 +58,18 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		reader := &Decoder{}
-		reader.Routes(records)
+		decoder := &Decoder{}
+		decoder.Routes(records)
 		b.Run(fmt.Sprintf("checked/%d", routes), func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
-				if _, err := change.Apply(records, reader); err != nil {
+				if _, err := change.Apply(records, decoder); err != nil {
 					b.Fatal(err)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("listed/%d", routes), func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
-				if len(reader.Routes(records)) != routes {
+				if len(decoder.Routes(records)) != routes {
 					b.Fatal("routes are missing")
 				}
 			}
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -10,10 +10,10 @@
 	"madderwing/internal/upstream"
 )
 
-// maxIssueBytes is roughly how many bytes of items are sent to a watcher at once. The watcher asks
+// maxUpdateBytes is roughly how many bytes of items are sent to a watcher at once. The watcher asks
 // for the rest once it has these, so no more than this is sent twice where sending takes longer
 // than a heartbeat interval on a slow link.
-const maxIssueBytes = 64 << 10
+const maxUpdateBytes = 64 << 10
 
 // deliveryController sends the configuration and the list of upstreams to the nodes that watch this
 // one, and collects what they report about themselves.
@@ -137,31 +137,31 @@
 func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
 	published := c.configuration.published
 	fresh := c.contact.fresh(now)
-	issue := delivery.Update{Fresh: fresh, RolloutsControlled: fresh && c.rolloutsLed()}
+	update := delivery.Update{Fresh: fresh, RolloutsControlled: fresh && c.rolloutsLed()}
 	complete := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference is sent a few ranges at a time; the watcher then reports again what it
 		// has.
-		has = c.sender.AddMissing(published, has, maxIssueBytes, &issue)
+		has = c.sender.AddMissing(published, has, maxUpdateBytes, &update)
 		complete = *has.Sums == published.Sums
 	}
 	if l := c.list.snapshot.UpdateFor(now, has.ListVersion); l != nil {
-		issue.List = l
+		update.List = l
 		has.ListVersion = l.Version
 	}
-	if always || issue.List != nil {
-		issue.ListFreshness = c.list.listedFor(to)
+	if always || update.List != nil {
+		update.ListFreshness = c.list.listedFor(to)
 	}
 	if always {
-		issue.Loads = c.loads
+		update.Loads = c.loads
 		if at, ok := c.replica.FreshAsOf(config.Partition); ok && complete && !guessed && has.AskedAt > 0 {
-			issue.Freshness = &delivery.Freshness{AskedAt: has.AskedAt, Age: now - at}
+			update.Freshness = &delivery.Freshness{AskedAt: has.AskedAt, Age: now - at}
 		}
 	}
-	if always || !issue.Empty() {
-		c.endpoint.Send(to, delivery.UpdateKind, issue)
+	if always || !update.Empty() {
+		c.endpoint.Send(to, delivery.UpdateKind, update)
 	}
-	if !issue.Empty() {
+	if !update.Empty() {
 		c.watchers.Sent(now, to)
 	}
 	return has
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -70,20 +70,20 @@
 // registerHandlers registers the handler for lists that other control nodes send.
 func (c *listController) registerHandlers() {
 	transport.HandleMessage(c.endpoint, delivery.UpdateKind, func(_ string, i delivery.Update) {
-		c.tryEnqueue(func(now time.Duration) { c.handleIssue(now, i) })
+		c.tryEnqueue(func(now time.Duration) { c.handleUpdate(now, i) })
 	})
 }
 
-// handleIssue takes over a newer list, or a confirmation of the present one, from another control
+// handleUpdate takes over a newer list, or a confirmation of the present one, from another control
 // node.
-func (c *listController) handleIssue(now time.Duration, issue delivery.Update) {
-	newer := issue.List != nil && c.snapshot.Apply(now, *issue.List)
-	if issue.ListFreshness != nil && issue.ListFreshness.Version == c.snapshot.Version {
-		validAt := min(now, issue.ListFreshness.AskedAt+issue.ListFreshness.Offset)
+func (c *listController) handleUpdate(now time.Duration, update delivery.Update) {
+	newer := update.List != nil && c.snapshot.Apply(now, *update.List)
+	if update.ListFreshness != nil && update.ListFreshness.Version == c.snapshot.Version {
+		validAt := min(now, update.ListFreshness.AskedAt+update.ListFreshness.Offset)
 		if newer {
 			c.validAt = validAt
 		}
-		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), issue.ListFreshness.Calls, issue.ListFreshness.Took
+		c.validAt, c.readingCalls, c.readingTime = max(c.validAt, validAt), update.ListFreshness.Calls, update.ListFreshness.Took
 	}
 	if newer {
 		c.onChange(now)
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -109,18 +109,18 @@
 	// The other node's clock shows 5 s when it asks, the holder's 101 s when the question arrives.
 	holder.noteWatcherClock(101*time.Second, "b", delivery.Watch{AskedAt: 5 * time.Second})
 	listed := func() *delivery.ListFreshness { return holder.listedFor("b") }
-	other.handleIssue(9*time.Second, delivery.Update{List: holder.snapshot.UpdateFor(0, upstream.ListVersion{}), ListFreshness: listed()})
+	other.handleUpdate(9*time.Second, delivery.Update{List: holder.snapshot.UpdateFor(0, upstream.ListVersion{}), ListFreshness: listed()})
 	if other.validAt != 4*time.Second {
 		t.Errorf("the list is valid as of %v, want 4s", other.validAt)
 	}
 	holder.validAt = 103 * time.Second
-	other.handleIssue(9*time.Second, delivery.Update{ListFreshness: listed()})
+	other.handleUpdate(9*time.Second, delivery.Update{ListFreshness: listed()})
 	if other.validAt != 7*time.Second {
 		t.Errorf("after another reading the list is valid as of %v, want 7s", other.validAt)
 	}
 	holder.snapshot.Update(0, 1, 1, nil)
 	holder.validAt = 104 * time.Second
-	other.handleIssue(9*time.Second, delivery.Update{ListFreshness: listed()})
+	other.handleUpdate(9*time.Second, delivery.Update{ListFreshness: listed()})
 	if other.validAt != 7*time.Second {
 		t.Errorf("a list that did not arrive changes validAt to %v", other.validAt)
 	}
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -2,7 +2,7 @@
 // leases and fencing tokens, counters, and key-value cells with compare-and-set by revision,
 // whose history can be watched.
 //
-// The state is divided into a fixed number of partitions. Each has the name of a partition of the
+// The state is divided into a fixed number of partitions. Each is kept in a partition of the
 // replicated control state with an owner of its own. Partition is the state machine that
 // the owner runs; Feed is what every replica derives from committed records to answer
 // watches. Both do no I/O and read no clock: callers pass the time in.
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -103,8 +103,8 @@
 }
 
 // Empty reports whether an update contains neither records nor a list.
-func (i *Update) Empty() bool {
-	return len(i.Records)+len(i.Packs)+len(i.Ranges) == 0 && i.List == nil
+func (u *Update) Empty() bool {
+	return len(u.Records)+len(u.Packs)+len(u.Ranges) == 0 && u.List == nil
 }
 
 // Watchers keeps the state of the nodes that watch a control node.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,8 +111,8 @@
 	self := membership.Node{Address: endpoint.Address(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Data}
 	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlAddresses(), ProbeInterval: beat, DeadRetention: 40 * beat},
 		endpoint, g.nodesChanged)
-	transport.HandleMessage(endpoint, delivery.UpdateKind, func(from string, issue delivery.Update) {
-		g.commands <- func(now time.Duration) { g.handleIssue(now, from, issue) }
+	transport.HandleMessage(endpoint, delivery.UpdateKind, func(from string, update delivery.Update) {
+		g.commands <- func(now time.Duration) { g.handleUpdate(now, from, update) }
 	})
 	if cfg.HasQuotas() {
 		transport.HandleMessage(endpoint, delivery.AcquireReplyKind, g.handleAcquireReply)
@@ -269,34 +269,34 @@
 	return request
 }
 
-// handleIssue applies an update from a control node.
-func (g *Gateway) handleIssue(now time.Duration, from string, issue delivery.Update) {
-	g.sources.Received(now, from, issue.Fresh)
+// handleUpdate applies an update from a control node.
+func (g *Gateway) handleUpdate(now time.Duration, from string, update delivery.Update) {
+	g.sources.Received(now, from, update.Fresh)
 	g.primary.Store(g.sources.First())
-	if issue.RolloutsControlled {
+	if update.RolloutsControlled {
 		g.arms.ControllerSeen()
 	}
-	changed, err := g.configCopy.Apply(issue)
+	changed, err := g.configCopy.Apply(update)
 	if err != nil {
 		g.log.Warn("update with a damaged pack of records rejected", "from", from, "error", err)
 	}
-	if changed && issue.More {
+	if changed && update.More {
 		g.continueFrom = from // the configuration is applied when all of it has arrived, or with the next beat
 	} else if changed || g.applyPending {
 		g.applyConfig()
 	}
-	g.applyPending = changed && issue.More
+	g.applyPending = changed && update.More
 	if g.settings.RevocationBounded() {
-		g.extendKeyLease(now, issue)
+		g.extendKeyLease(now, update)
 	}
-	g.readiness.confirmItems(now, g.toLocalClock(now, issue), settings.Seconds(g.settings.Bounds.ContactS))
+	g.readiness.confirmItems(now, g.toLocalClock(now, update), settings.Seconds(g.settings.Bounds.ContactS))
 	if g.readiness.itemsConfirmed.Load() {
 		g.handler.SetTableComplete()
 	}
-	if len(issue.Loads) > 0 && g.sources.First() == from {
-		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetLoads(now, issue.Loads) })
+	if len(update.Loads) > 0 && g.sources.First() == from {
+		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetLoads(now, update.Loads) })
 	}
-	if issue.List != nil && g.list.Apply(now, *issue.List) {
+	if update.List != nil && g.list.Apply(now, *update.List) {
 		list := g.list.All(now)
 		g.log.Info("list of upstreams updated", "term", g.list.Version.Term, "seq", g.list.Version.Seq, "upstreams", len(list))
 		g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetList(now, list) })
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -37,8 +37,8 @@
 // node is in contact with a majority and the update, with everything that the control node holds,
 // answers a request that this gateway sent at most maxAge ago: an answer that was delayed while the
 // gateway was frozen says nothing about the present.
-func (r *readiness) confirmItems(now time.Duration, issue delivery.Update, maxAge time.Duration) {
-	if issue.Fresh && issue.Freshness != nil && now-issue.Freshness.AskedAt <= maxAge {
+func (r *readiness) confirmItems(now time.Duration, update delivery.Update, maxAge time.Duration) {
+	if update.Fresh && update.Freshness != nil && now-update.Freshness.AskedAt <= maxAge {
 		r.itemsConfirmed.Store(true)
 	}
 }
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -140,27 +140,27 @@
 
 // toLocalClock converts the time in Update.Freshness to this process's clock. It drops Freshness if the time is in
 // the future: then the update answers an earlier process, whose clock had another offset.
-func (g *Gateway) toLocalClock(now time.Duration, issue delivery.Update) delivery.Update {
-	if issue.Freshness == nil {
-		return issue
+func (g *Gateway) toLocalClock(now time.Duration, update delivery.Update) delivery.Update {
+	if update.Freshness == nil {
+		return update
 	}
-	local := *issue.Freshness
+	local := *update.Freshness
 	local.AskedAt -= g.clockOffset
-	issue.Freshness = &local
+	update.Freshness = &local
 	if local.AskedAt > now { // a time far in the past needs no check, it is too old anyway
-		issue.Freshness = nil
+		update.Freshness = nil
 	}
-	return issue
+	return update
 }
 
 // extendKeyLease extends the lease of the API keys by what an update says of the age of the records.
 // The lease counts from before the request was sent, so a delayed answer can't make it last too long.
-func (g *Gateway) extendKeyLease(now time.Duration, issue delivery.Update) {
-	issue = g.toLocalClock(now, issue)
-	if issue.Freshness == nil {
+func (g *Gateway) extendKeyLease(now time.Duration, update delivery.Update) {
+	update = g.toLocalClock(now, update)
+	if update.Freshness == nil {
 		return
 	}
-	until := issue.Freshness.AskedAt - issue.Freshness.Age + g.settings.KeyLeaseDuration()
+	until := update.Freshness.AskedAt - update.Freshness.Age + g.settings.KeyLeaseDuration()
 	if int64(until) > g.keyLeaseUntil.Load() {
 		g.keyLeaseUntil.Store(int64(until))
 	}
--- a/internal/proxy/disconnect_stages_test.go
+++ b/internal/proxy/disconnect_stages_test.go
@@ -138,17 +138,17 @@
 
 // A chunk that is not written because its client has disconnected does not count against the rate.
 func TestPaceIsReturnedOnDisconnect(t *testing.T) {
-	pace := NewPacer(1 << 10)
+	pacer := NewPacer(1 << 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		if err := pace.acquire(ctx, 1<<10); err == nil {
+		if err := pacer.acquire(ctx, 1<<10); err == nil {
 			t.Fatal("acquire succeeded with a canceled context")
 		}
 	}
-	pace.mu.Lock()
-	defer pace.mu.Unlock()
-	if ahead := time.Until(pace.nextFree); ahead > 2*time.Second {
+	pacer.mu.Lock()
+	defer pacer.mu.Unlock()
+	if ahead := time.Until(pacer.nextFree); ahead > 2*time.Second {
 		t.Errorf("the rate is used up for the next %v", ahead)
 	}
 }
--- a/internal/proxy/pace_test.go
+++ b/internal/proxy/pace_test.go
@@ -11,13 +11,13 @@
 // Large responses share one rate; a small response is written at once.
 func TestLargeResponsesShareOnePace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pace := NewPacer(100 << 10)
+		pacer := NewPacer(100 << 10)
 		begin := time.Now()
 		took := make([]time.Duration, 2)
 		var writes sync.WaitGroup
 		for i, size := range []int{200 << 10, 100 << 10} {
 			writes.Go(func() {
-				if err := pace.write(t.Context(), io.Discard, make([]byte, size), int64(size)); err != nil {
+				if err := pacer.write(t.Context(), io.Discard, make([]byte, size), int64(size)); err != nil {
 					t.Error(err)
 				}
 				took[i] = time.Since(begin)
@@ -25,7 +25,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		smallStart := time.Now()
-		if err := pace.write(t.Context(), io.Discard, make([]byte, 4<<10), 4<<10); err != nil || time.Since(smallStart) > 0 {
+		if err := pacer.write(t.Context(), io.Discard, make([]byte, 4<<10), 4<<10); err != nil || time.Since(smallStart) > 0 {
 			t.Errorf("a small response waited %v, %v", time.Since(smallStart), err)
 		}
 		writes.Wait()
@@ -44,10 +44,10 @@
 // expected.
 func TestPaceCanBeRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pace := NewPacer(50 << 10)
+		pacer := NewPacer(50 << 10)
 		begin := time.Now()
-		time.AfterFunc(time.Second, func() { pace.SetRate(100 << 10) })
-		if err := pace.write(t.Context(), io.Discard, make([]byte, 150<<10), 150<<10); err != nil {
+		time.AfterFunc(time.Second, func() { pacer.SetRate(100 << 10) })
+		if err := pacer.write(t.Context(), io.Discard, make([]byte, 150<<10), 150<<10); err != nil {
 			t.Error(err)
 		}
 		// 50 kB in the first second, 100 kB in the next, give or take a chunk.
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -13,9 +13,9 @@
 		for _, routes := range []int{10, 100, 1000, 4000} {
 			b.Run(fmt.Sprintf("rollout=%v/routes=%d", active, routes), func(b *testing.B) {
 				now := time.Duration(0)
-				arms := NewSplitter("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
+				splitter := NewSplitter("n", time.Hour, func() time.Duration { now += time.Millisecond; return now })
 				if active {
-					arms.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary, Weight: 0.05}}})
+					splitter.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary, Weight: 0.05}}})
 				}
 				names := make([]string, routes)
 				for i := range names {
@@ -23,7 +23,7 @@
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					sample := arms.Begin("s", names[i%routes], time.Second, false)
+					sample := splitter.Begin("s", names[i%routes], time.Second, false)
 					sample.Sent(false)
 					sample.End(Passed)
 				}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -125,14 +125,14 @@
 var schema = sync.OnceValue(func() *jsonschema.Schema { return settings.MustCompileSchema("rollout.json", schemaText) })
 
 // ParseOrderRequest parses an order and validates it against the schema.
-func ParseOrderRequest(body []byte) (a OrderRequest, err error) {
+func ParseOrderRequest(body []byte) (request OrderRequest, err error) {
 	if err := settings.ValidateSchema(schema(), body); err != nil {
-		return a, apierror.New(apierror.BadRolloutOrder, "%v", err)
+		return request, apierror.New(apierror.BadRolloutOrder, "%v", err)
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
-		return a, apierror.New(apierror.BadRolloutOrder, "%v", err)
+	if err := json.Unmarshal(body, &request); err != nil {
+		return request, apierror.New(apierror.BadRolloutOrder, "%v", err)
 	}
-	return a, nil
+	return request, nil
 }
 
 // Advance returns the record of the plan next. It returns the error Conflict if the stored
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -463,12 +463,12 @@
 		{"slow", func(int) bool { return false }, 1900 * time.Millisecond, true},
 	} {
 		now := time.Duration(0)
-		arms := NewSplitter("n", time.Hour, func() time.Duration { return now })
+		splitter := NewSplitter("n", time.Hour, func() time.Duration { return now })
 		plan := Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Stage: Percentage, Weight: 0.25, Generation: 5}
-		arms.SetPlans(map[string]Service{"s": {Plan: &plan}})
+		splitter.SetPlans(map[string]Service{"s": {Plan: &plan}})
 		candidateRequests := 0
 		for i := range 4000 {
-			sample := arms.Begin("s", "r idempotent", time.Second, false)
+			sample := splitter.Begin("s", "r idempotent", time.Second, false)
 			sample.Sent(false)
 			outcome, took := Passed, 100*time.Millisecond
 			if sample.Candidate() {
@@ -482,16 +482,16 @@
 			now += took
 			sample.End(outcome)
 			if i%20 == 0 {
-				arms.Reports()
+				splitter.Reports()
 			}
 		}
-		if stopped := arms.Reports()[0].StopReason != ""; stopped != c.stops || stopped && candidateRequests > 60 {
+		if stopped := splitter.Reports()[0].StopReason != ""; stopped != c.stops || stopped && candidateRequests > 60 {
 			t.Errorf("%s: stopped = %v, after %d requests to the candidate", c.name, stopped, candidateRequests)
 		}
 		next := plan
 		next.Generation, next.Stage, next.Weight = 6, Reverted, 0
-		arms.SetPlans(map[string]Service{"s": {Plan: &next}})
-		if sample := arms.Begin("s", "r idempotent", time.Second, false); sample.Version() != "" {
+		splitter.SetPlans(map[string]Service{"s": {Plan: &next}})
+		if sample := splitter.Begin("s", "r idempotent", time.Second, false); sample.Version() != "" {
 			t.Errorf("%s: a reversed candidate gets a request", c.name)
 		}
 	}
@@ -499,16 +499,16 @@
 
 // A large answer is scored when it begins, and its request is in flight until it ends.
 func TestScoredRequestIsInFlightUntilItEnds(t *testing.T) {
-	arms := NewSplitter("n", time.Hour, func() time.Duration { return time.Second })
-	arms.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary}}})
-	sample := arms.Begin("s", "r download", time.Second, false)
+	splitter := NewSplitter("n", time.Hour, func() time.Duration { return time.Second })
+	splitter.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary}}})
+	sample := splitter.Begin("s", "r download", time.Second, false)
 	sample.Sent(false)
 	sample.Score(Passed)
-	if report := arms.Reports()[0]; report.OtherInFlight != 1 || report.Sums.All()[Prior].Ended != 1 {
+	if report := splitter.Reports()[0]; report.OtherInFlight != 1 || report.Sums.All()[Prior].Ended != 1 {
 		t.Errorf("after Score: %+v", report)
 	}
 	sample.End(BrokenResponse)
-	report := arms.Reports()[0]
+	report := splitter.Reports()[0]
 	if all := report.Sums.All(); report.OtherInFlight != 0 || all[Prior].Ended != 1 || all[Prior].Failed() != 0 {
 		t.Errorf("after End: %+v", report)
 	}
@@ -522,12 +522,12 @@
 		plan.Weight = weight
 		total := 0
 		for n := 0; n < 40; n++ {
-			arms := NewSplitter(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
-			arms.SetPlans(map[string]Service{"s": {Plan: plan}})
+			splitter := NewSplitter(fmt.Sprint("node", n), time.Hour, func() time.Duration { return now })
+			splitter.SetPlans(map[string]Service{"s": {Plan: plan}})
 			for s := 0; s < 10; s++ {
 				got := 0
 				for range 200 {
-					sample := arms.Begin("s", fmt.Sprint("route", s), time.Second, false)
+					sample := splitter.Begin("s", fmt.Sprint("route", s), time.Second, false)
 					if sample.Version() == "v2" {
 						got++
 					}
