--- a/cmd/madderwing/client.go
+++ b/cmd/madderwing/client.go
@@ -299,15 +299,15 @@
 	}
 }
 
-// printRosterStatus prints the members of the replicated store: how many seats (voting
+// printVoterSetStatus prints the members of the replicated store: how many seats (voting
 // members) there are, how many more may fail now, and how far each learner is behind.
-func printRosterStatus(w io.Writer, roster replication.VoterSetStatus) {
+func printVoterSetStatus(w io.Writer, voterSet replication.VoterSetStatus) {
 	change := ""
-	if roster.Joint {
+	if voterSet.Joint {
 		change = ", a change is under way"
 	}
-	fmt.Fprintf(w, "%d seats%s; %d more may be lost now, %d are to be borne\n", len(roster.Voters), change, max(0, roster.Tolerates), roster.LossesToTolerate)
-	for _, learner := range roster.Learners {
+	fmt.Fprintf(w, "%d seats%s; %d more may be lost now, %d are to be borne\n", len(voterSet.Voters), change, max(0, voterSet.Tolerates), voterSet.LossesToTolerate)
+	for _, learner := range voterSet.Learners {
 		behind := "not known how far behind"
 		if learner.Behind >= 0 {
 			behind = fmt.Sprintf("behind in %d keys", learner.Behind)
@@ -347,7 +347,7 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "as seen by %s (voting: %v), %s\n", overview.Node, overview.Voting, describeFreshness(overview.Contact))
-	printRosterStatus(w, overview.VoterSet)
+	printVoterSetStatus(w, overview.VoterSet)
 	abridged := !all && len(overview.Members) > maxListed
 	if abridged {
 		printCounts(w, "KIND", summary.Nodes)
