--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -8,11 +8,11 @@
 // same token. So every call has a deadline on the monotonic clock of the partition's owner,
 // which does not start it after that.
 
-// ClockReading is a reading of the monotonic clock of a process. Life identifies the process:
+// ClockReading is a reading of the monotonic clock of a process. RunID identifies the process:
 // it differs between any two, also between two starts of one node.
 type ClockReading struct {
-	Life uint64        `cbor:"1,keyasint"`
-	Time time.Duration `cbor:"2,keyasint"`
+	RunID uint64        `cbor:"1,keyasint"`
+	Time  time.Duration `cbor:"2,keyasint"`
 }
 
 // PeerClocks estimates the monotonic clocks of other nodes. An estimate is never ahead of the
@@ -24,25 +24,25 @@
 // peerClock is what is known of a peer's clock: it is ahead of the local one by at least
 // minOffset, which may be negative.
 type peerClock struct {
-	life      uint64
+	runID     uint64
 	minOffset time.Duration
 }
 
 // NewPeerClocks creates a PeerClocks without any reading.
 func NewPeerClocks() *PeerClocks { return &PeerClocks{peers: map[string]peerClock{}} }
 
-// Heard records a reading from a peer's answer that arrived at the local time now. The peer
+// Observe records a reading from a peer's answer that arrived at the local time now. The peer
 // read its clock before that, so the reading with the shortest transfer is the most accurate.
-func (c *PeerClocks) Heard(peer string, reading ClockReading, now time.Duration) {
+func (c *PeerClocks) Observe(peer string, reading ClockReading, now time.Duration) {
 	known, ok := c.peers[peer]
-	if offset := reading.Time - now; !ok || known.life != reading.Life || known.minOffset < offset {
-		c.peers[peer] = peerClock{life: reading.Life, minOffset: offset}
+	if offset := reading.Time - now; !ok || known.runID != reading.RunID || known.minOffset < offset {
+		c.peers[peer] = peerClock{runID: reading.RunID, minOffset: offset}
 	}
 }
 
-// At estimates the reading of a peer's clock at the local time now; false: no reading of it
+// Estimate estimates the reading of a peer's clock at the local time now; false: no reading of it
 // is known.
-func (c *PeerClocks) At(peer string, now time.Duration) (ClockReading, bool) {
+func (c *PeerClocks) Estimate(peer string, now time.Duration) (ClockReading, bool) {
 	known, ok := c.peers[peer]
-	return ClockReading{Life: known.life, Time: now + known.minOffset}, ok
+	return ClockReading{RunID: known.runID, Time: now + known.minOffset}, ok
 }
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -11,16 +11,16 @@
 // Replica is the part of a replica of the control state that coordination uses.
 type Replica interface {
 	Propose(now time.Duration, key string, fn func(map[string]Record) ([]Record, error), done func(error))
-	Tenure(now time.Duration, key string) (replication.Tenure, bool)
+	OwnershipTerm(now time.Duration, key string) (replication.OwnershipTerm, bool)
 	Owner(now time.Duration, key string) string
 	Committed(key string) (map[string]Record, replication.Position, bool)
-	Current(key string) (time.Duration, bool)
+	FreshAsOf(key string) (time.Duration, bool)
 }
 
 // ServerConfig is the configuration of a Server.
 type ServerConfig struct {
 	Self      string               // the address of the replica
-	Life      uint64               // identifies the process; changes with every start
+	RunID     uint64               // identifies the process; changes with every start
 	Clock     func() time.Duration // monotonic
 	Limits    Limits
 	Sweep     time.Duration // interval between sweeps of a partition
@@ -57,9 +57,9 @@
 
 // The effects. Their numbers are part of the messages between nodes.
 const (
-	Answered  Effect = iota + 1
-	NotDone          // it has not taken effect and never will
-	MaybeDone        // it may have taken effect, or may still do so
+	Answered      Effect = iota + 1
+	NotExecuted          // it has not taken effect and never will
+	MaybeExecuted        // it may have taken effect, or may still do so
 )
 
 // Result is the result of a call. Answer is valid only if Effect is Answered.
@@ -96,9 +96,9 @@
 // effect. It may be called from any goroutine.
 func (e *Execution) Abandon() Effect {
 	if e.stage.CompareAndSwap(queued, cancelled) {
-		return NotDone
+		return NotExecuted
 	}
-	return MaybeDone
+	return MaybeExecuted
 }
 
 // Execute executes a call if the replica owns the partition. The result is delivered only
@@ -106,10 +106,10 @@
 // owner after the execution.
 func (s *Server) Execute(now time.Duration, e *Execution) {
 	if !s.beforeDeadline(e.deadline) {
-		e.done(Result{Effect: NotDone})
+		e.done(Result{Effect: NotExecuted})
 		return
 	}
-	key := e.call.Key()
+	key := e.call.Partition()
 	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
 		if !s.beforeDeadline(e.deadline) || !e.stage.CompareAndSwap(queued, started) {
 			return nil, nil
@@ -126,12 +126,12 @@
 
 // Clock is the clock of this process.
 func (s *Server) Clock() ClockReading {
-	return ClockReading{Life: s.config.Life, Time: s.config.Clock()}
+	return ClockReading{RunID: s.config.RunID, Time: s.config.Clock()}
 }
 
 // beforeDeadline reports whether a call with this deadline may start.
 func (s *Server) beforeDeadline(deadline ClockReading) bool {
-	return deadline.Life == s.config.Life && s.config.Clock() <= deadline.Time
+	return deadline.RunID == s.config.RunID && s.config.Clock() <= deadline.Time
 }
 
 // result is the result of a call whose proposal has ended.
@@ -141,9 +141,9 @@
 	case err == nil && hasStarted && e.partitionUsable:
 		return Result{Effect: Answered, Answer: e.answer}
 	case hasStarted && e.hasChanges:
-		return Result{Effect: MaybeDone}
+		return Result{Effect: MaybeExecuted}
 	}
-	return Result{Effect: NotDone}
+	return Result{Effect: NotExecuted}
 }
 
 // ownedState returns the state of a partition that the replica owns; nil if it cannot be
@@ -151,11 +151,11 @@
 // owns the partition, and the state includes all changes of this term.
 func (s *Server) ownedState(key string, records map[string]Record) *Partition {
 	now := s.config.Clock()
-	tenure, _ := s.replica.Tenure(now, key)
-	if known := s.owned[key]; known != nil && known.epoch == tenure.Epoch {
+	term, _ := s.replica.OwnershipTerm(now, key)
+	if known := s.owned[key]; known != nil && known.epoch == term.Epoch {
 		return known.state
 	}
-	state, err := Load(records, tenure.Since, s.config.Limits)
+	state, err := Load(records, term.Since, s.config.Limits)
 	if err != nil {
 		s.config.Log.Error("cannot load coordination partition", "partition", key, "error", err)
 	} else {
@@ -163,15 +163,15 @@
 		s.config.Log.Info("coordination partition taken over", "partition", key,
 			"locks", counts.Locks, "counters", counts.Counters, "cells", counts.Cells)
 	}
-	s.owned[key] = &ownedPartition{epoch: tenure.Epoch, state: state, sweepAt: now + s.config.Sweep}
+	s.owned[key] = &ownedPartition{epoch: term.Epoch, state: state, sweepAt: now + s.config.Sweep}
 	return state
 }
 
 // Tick drops the partitions that the replica no longer owns and sweeps the others when due.
 func (s *Server) Tick(now time.Duration) {
 	for key, owned := range s.owned {
-		tenure, _ := s.replica.Tenure(now, key)
-		if tenure.Epoch != owned.epoch || !s.Owns(now, key) {
+		term, _ := s.replica.OwnershipTerm(now, key)
+		if term.Epoch != owned.epoch || !s.Owns(now, key) {
 			delete(s.owned, key)
 		} else if now >= owned.sweepAt && owned.state != nil {
 			owned.sweepAt = now + s.config.Sweep
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -13,15 +13,15 @@
 // Sources selects the two control nodes (sources) that a gateway watches. They are in different
 // zones, the gateway's own zone comes first, and a control node that recently timed out is avoided
 // while there are others. Such a node is tried in second place before it becomes the first again.
-// A source is fresh while it sends updates with Issue.Fresh set, and stale while it sends others.
+// A source is fresh while it sends updates with Update.Fresh set, and stale while it sends others.
 type Sources struct {
 	Self   string
 	Zone   string
 	Region func(zone string) string // nil: there is only one region
 	Seeds  []string
-	// Patience is how long a source may send nothing fresh before it is replaced. A source that
+	// Timeout is how long a source may send nothing fresh before it is replaced. A source that
 	// answers but is stale is replaced sooner: see staleFraction.
-	Patience        time.Duration
+	Timeout         time.Duration
 	lastFresh       map[string]time.Duration // time of the last fresh update
 	stale           map[string]bool          // whether the last update was not fresh
 	chosenAt        map[string]time.Duration // when a chosen source was chosen
@@ -34,20 +34,20 @@
 }
 
 const (
-	// fallbackFraction is the fraction of Patience without a fresh update from any control node after
+	// fallbackFraction is the fraction of Timeout without a fresh update from any control node after
 	// which others are asked too, and maxFallbacks how many of them at a time.
 	fallbackFraction = 0.5
 	maxFallbacks     = 4
-	// beatsPerPatience is the number of beats (intervals between watches) in Patience.
+	// beatsPerPatience is the number of beats (intervals between watches) in Timeout.
 	beatsPerPatience = 3
 
-	staleFraction     = 0.35 // of Patience, for a source that is stale
+	staleFraction     = 0.35 // of Timeout, for a source that is stale
 	bothStaleFraction = 0.85 // if the other source is stale too: the configuration's owner may be being replaced
-	avoidTimeouts     = 4    // multiples of Patience for which a replaced source is avoided
+	avoidTimeouts     = 4    // multiples of Timeout for which a replaced source is avoided
 )
 
-// Heard records an update from a control node, and whether it was fresh.
-func (s *Sources) Heard(now time.Duration, from string, fresh bool) {
+// Received records an update from a control node, and whether it was fresh.
+func (s *Sources) Received(now time.Duration, from string, fresh bool) {
 	s.init()
 	s.stale[from] = !fresh
 	if fresh {
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	return time.Duration(fraction * float64(s.Patience))
+	return time.Duration(fraction * float64(s.Timeout))
 }
 
 // Choose returns the control nodes to watch now.
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, id := range abandoned {
-		s.avoidUntil[id] = now + avoidTimeouts*s.Patience
+		s.avoidUntil[id] = now + avoidTimeouts*s.Timeout
 	}
 	zones := map[string]string{}
 	var ids []string
@@ -191,11 +191,11 @@
 	}
 }
 
-// AlsoAsk returns further control nodes to ask while none has sent a fresh update recently: a few in
+// Fallbacks returns further control nodes to ask while none has sent a fresh update recently: a few in
 // each beat, all in turn. Waiting for one watched control node after the other to time out could take
 // longer than the setting contactS.
-func (s *Sources) AlsoAsk(now time.Duration) (out []string) {
-	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Patience/beatsPerPatience || len(s.candidates) == 0 {
+func (s *Sources) Fallbacks(now time.Duration) (out []string) {
+	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Timeout/beatsPerPatience || len(s.candidates) == 0 {
 		return nil
 	}
 	s.fallbackAskedAt = now
@@ -215,7 +215,7 @@
 
 // freshDuration is how long a fresh update counts as recent.
 func (s *Sources) freshDuration() time.Duration {
-	return time.Duration(fallbackFraction * float64(s.Patience))
+	return time.Duration(fallbackFraction * float64(s.Timeout))
 }
 
 // freshUnwatched reports whether a control node that is not watched has recently sent a fresh update.
--- a/internal/proxy/disconnect_stages_test.go
+++ b/internal/proxy/disconnect_stages_test.go
@@ -100,7 +100,7 @@
 		return respondOK(c, r, n)
 	})
 	h := newDisconnectHarness(t, u)
-	h.handler.Pace = NewPace(1) // at 1 byte/s a chunk takes longer than any test
+	h.handler.Pacer = NewPacer(1) // at 1 byte/s a chunk takes longer than any test
 	h.handler.Link = NewLinkBudget(1<<30, time.Hour)
 	client := dialGateway(t, h.harness)
 	writeText(t, client, longRequest("GET", "/down/long", "one", ""))
@@ -132,23 +132,23 @@
 		writeText(t, client, strings.Replace(longRequest("GET", path, "one", ""), "300000", "300", 1))
 		waitFor(t, "the request has arrived", func() bool { return len(u.requests()) == 1 })
 		waitFor(t, "its slot is free", func() bool { return h.busySlots() == 0 })
-		waitFor(t, "its connection is closed", func() bool { return h.listener.Open() == 0 })
+		waitFor(t, "its connection is closed", func() bool { return h.listener.OpenConnections() == 0 })
 	}
 }
 
 // A chunk that is not written because its client has disconnected does not count against the rate.
 func TestPaceIsReturnedOnDisconnect(t *testing.T) {
-	pace := NewPace(1 << 10)
+	pacer := NewPacer(1 << 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		if err := pace.acquire(ctx, 1<<10); err == nil {
+		if err := pacer.acquire(ctx, 1<<10); err == nil {
 			t.Fatal("acquire succeeded with a canceled context")
 		}
 	}
-	pace.mu.Lock()
-	defer pace.mu.Unlock()
-	if ahead := time.Until(pace.nextFree); ahead > 2*time.Second {
+	pacer.mu.Lock()
+	defer pacer.mu.Unlock()
+	if ahead := time.Until(pacer.nextFree); ahead > 2*time.Second {
 		t.Errorf("the rate is used up for the next %v", ahead)
 	}
 }
