--- a/client/counter.go
+++ b/client/counter.go
@@ -15,24 +15,24 @@
 // Counter returns the counter with the given name. The first call of Next creates it.
 func (c *Client) Counter(name string) *Counter { return &Counter{client: c, name: name} }
 
-type drawRequest struct{}
+type counterRequest struct{}
 
-type drawResponse struct {
+type counterResponse struct {
 	Value uint64 `json:"value"`
 }
 
 // Next returns a number that is greater than every number returned before the call. No number
 // is returned twice. There may be gaps: if a response is lost, the request is retried and the
 // first number stays unused.
-func (n *Counter) Next(ctx context.Context) (uint64, error) {
-	var drawn drawResponse
-	result, err := n.client.do(ctx, apiRequest{
+func (c *Counter) Next(ctx context.Context) (uint64, error) {
+	var response counterResponse
+	result, err := c.client.do(ctx, apiRequest{
 		method:      http.MethodPost,
-		path:        "/v1/numbers/" + url.PathEscape(n.name),
-		body:        drawRequest{},
+		path:        "/v1/numbers/" + url.PathEscape(c.name),
+		body:        counterRequest{},
 		timeout:     responseTimeout,
 		retryWindow: unlimitedRetryWindow,
-		decodeBody:  decodeInto(&drawn),
+		decodeBody:  decodeInto(&response),
 	})
 	switch {
 	case err != nil:
@@ -40,5 +40,5 @@
 	case !result.succeeded():
 		return 0, newStatusError(result)
 	}
-	return drawn.Value, nil
+	return response.Value, nil
 }
--- a/client/fakeserver_test.go
+++ b/client/fakeserver_test.go
@@ -164,7 +164,7 @@
 		return s.lock(r.Method, name, request.Owner, request.Fence, time.Duration(request.HoldS*float64(time.Second)))
 	case "numbers":
 		s.numbers[name]++
-		return http.StatusOK, drawResponse{s.numbers[name]}
+		return http.StatusOK, counterResponse{s.numbers[name]}
 	case "cells":
 		if r.Method == http.MethodGet {
 			if cell, ok := s.cells[name]; ok {
--- a/client/grant.go
+++ b/client/grant.go
@@ -33,18 +33,18 @@
 }
 
 type acquireResponse struct {
-	Fence uint64 `json:"fence"`
+	Token uint64 `json:"fence"`
 }
 
 type renewRequest struct {
 	Owner string  `json:"owner"`
-	Fence uint64  `json:"fence"`
+	Token uint64  `json:"fence"`
 	HoldS float64 `json:"holdS"`
 }
 
 type releaseRequest struct {
 	Owner string `json:"owner"`
-	Fence uint64 `json:"fence"`
+	Token uint64 `json:"fence"`
 }
 
 // RequestGrant tries once to acquire a lock; it returns ErrHeld if another owner holds it. An
@@ -119,7 +119,7 @@
 	if err := json.Unmarshal(result.body, &response); err != nil {
 		return Grant{}, err
 	}
-	requested.Token = response.Fence
+	requested.Token = response.Token
 	requested.Until = result.sentAt.Add(requested.Hold)
 	return requested, nil
 }
@@ -146,7 +146,7 @@
 	result, err := c.do(ctx, apiRequest{
 		method:      http.MethodPut,
 		path:        lockPath(grant.Name),
-		body:        renewRequest{Owner: grant.Owner, Fence: grant.Token, HoldS: grant.Hold.Seconds()},
+		body:        renewRequest{Owner: grant.Owner, Token: grant.Token, HoldS: grant.Hold.Seconds()},
 		timeout:     timeout,
 		retryWindow: unlimitedRetryWindow,
 	})
@@ -172,7 +172,7 @@
 	result, err := c.do(ctx, apiRequest{
 		method:      http.MethodDelete,
 		path:        lockPath(grant.Name),
-		body:        releaseRequest{Owner: grant.Owner, Fence: grant.Token},
+		body:        releaseRequest{Owner: grant.Owner, Token: grant.Token},
 		timeout:     responseTimeout,
 		retryWindow: unlimitedRetryWindow,
 	})
--- a/client/watch.go
+++ b/client/watch.go
@@ -37,16 +37,16 @@
 
 // check returns an error unless the revisions in the response increase, starting after the
 // given one.
-func (a *watchResponse) check(after uint64) error {
+func (r *watchResponse) check(after uint64) error {
 	last := after
-	for _, event := range a.Events {
+	for _, event := range r.Events {
 		if event.Revision <= last {
 			return fmt.Errorf("event at revision %d follows revision %d", event.Revision, last)
 		}
 		last = event.Revision
 	}
-	if a.Revision < last {
-		return fmt.Errorf("response is at revision %d, behind revision %d", a.Revision, last)
+	if r.Revision < last {
+		return fmt.Errorf("response is at revision %d, behind revision %d", r.Revision, last)
 	}
 	return nil
 }
--- a/cmd/madderwing/client.go
+++ b/cmd/madderwing/client.go
@@ -56,24 +56,24 @@
 	backoff := 100 * time.Millisecond
 	httpClient := &http.Client{Timeout: 2 * time.Second}
 	for attempt := 0; time.Now().Before(deadline); attempt++ {
-		req, err := http.NewRequest(method, "http://"+c.endpoints[attempt%len(c.endpoints)]+path, bytes.NewReader(body))
+		request, err := http.NewRequest(method, "http://"+c.endpoints[attempt%len(c.endpoints)]+path, bytes.NewReader(body))
 		if err != nil {
 			return nil, usageError(err)
 		}
-		req.Header.Set("Content-Type", "application/json")
-		res, err := httpClient.Do(req)
+		request.Header.Set("Content-Type", "application/json")
+		response, err := httpClient.Do(request)
 		if err == nil {
-			answer, readErr := io.ReadAll(res.Body)
-			res.Body.Close()
+			responseBody, readErr := io.ReadAll(response.Body)
+			response.Body.Close()
 			switch {
 			case readErr != nil:
 				err = readErr
-			case res.StatusCode < 300:
-				return answer, nil
-			case res.StatusCode >= 500 || res.StatusCode == http.StatusTooManyRequests || res.StatusCode == http.StatusRequestTimeout:
-				err = fmt.Errorf("%s answered %d: %s", req.URL.Host, res.StatusCode, strings.TrimSpace(string(answer)))
+			case response.StatusCode < 300:
+				return responseBody, nil
+			case response.StatusCode >= 500 || response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusRequestTimeout:
+				err = fmt.Errorf("%s answered %d: %s", request.URL.Host, response.StatusCode, strings.TrimSpace(string(responseBody)))
 			default:
-				return nil, exitError{exitRefused, fmt.Errorf("%d: %s", res.StatusCode, strings.TrimSpace(string(answer)))}
+				return nil, exitError{exitRefused, fmt.Errorf("%d: %s", response.StatusCode, strings.TrimSpace(string(responseBody)))}
 			}
 		}
 		lastErr = err
@@ -299,8 +299,8 @@
 	}
 }
 
-// printVoterSetStatus prints the members of the replicated store: how many seats (voting
-// members) there are, how many more may fail now, and how far each learner is behind.
+// printVoterSetStatus prints how many voters ("seats") the replicated control state has, how many
+// more of them may fail now, and how far each learner is behind.
 func printVoterSetStatus(w io.Writer, voterSet replication.VoterSetStatus) {
 	change := ""
 	if voterSet.Joint {
@@ -328,8 +328,8 @@
 }
 
 // printStatus prints the status of the system. Of more than maxListed nodes it prints counts, and
-// lists only the nodes with a seat and those that are not alive. Of more than maxListed upstreams
-// it prints counts alone. With all set it lists everything.
+// lists only the voters and the nodes that are not alive. Of more than maxListed upstreams it
+// prints counts alone. If all is true, it lists everything.
 func printStatus(out io.Writer, overview *controlplane.Overview, all bool) {
 	summary := overview.Summary()
 	names := map[string]string{}
@@ -400,16 +400,16 @@
 		}
 	}
 	if len(overview.Tenants) > 0 {
-		lent := map[string]string{}
+		allocated := map[string]string{}
 		if overview.Quotas != nil {
 			for _, l := range overview.Quotas.Allocations {
-				lent[l.Tenant] = fmt.Sprintf("%g", l.Allocated)
+				allocated[l.Tenant] = fmt.Sprintf("%g", l.Allocated)
 			}
 			fmt.Fprintf(w, "\nQuotas are lent by %s.\n", displayName(overview.Quotas.Allocator))
 		}
 		fmt.Fprint(w, "\nTENANT\tKEYS\tPER SECOND\tBURST\tLENT\tREGIONS\n")
 		for _, t := range overview.Tenants {
-			fmt.Fprintf(w, "%s\t%d\t%g\t%g\t%s\t%s\n", t.Name, t.Keys, t.RatePerS, t.Burst, cmp.Or(lent[t.Name], "-"), cmp.Or(strings.Join(t.Residency, ","), "all"))
+			fmt.Fprintf(w, "%s\t%d\t%g\t%g\t%s\t%s\n", t.Name, t.Keys, t.RatePerS, t.Burst, cmp.Or(allocated[t.Name], "-"), cmp.Or(strings.Join(t.Residency, ","), "all"))
 		}
 	}
 	if len(overview.Evacuations) > 0 {
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -128,19 +128,19 @@
 // sendRequest sends one request and returns its outcome: the status and the version of the
 // upstream that answered.
 func sendRequest(node string, number int) string {
-	req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/status/%d", node, number), nil)
+	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/status/%d", node, number), nil)
 	if err != nil {
 		return err.Error()
 	}
-	req.Host = "shop.example"
-	req.Header.Set("Attempt-Id", fmt.Sprintf("load-%d", number))
-	req.Header.Set("Deadline-Left", "1000")
-	res, err := http.DefaultClient.Do(req)
+	request.Host = "shop.example"
+	request.Header.Set("Attempt-Id", fmt.Sprintf("load-%d", number))
+	request.Header.Set("Deadline-Left", "1000")
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return "no answer"
 	}
-	defer res.Body.Close()
-	body, _ := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
 	version, _, _ := strings.Cut(string(body), "-")
-	return fmt.Sprintf("%d by %s", res.StatusCode, strings.TrimSpace(version))
+	return fmt.Sprintf("%d by %s", response.StatusCode, strings.TrimSpace(version))
 }
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -23,7 +23,7 @@
 	UnknownPath                  // the control interface has no such path
 	WrongMethod                  // the path doesn't support the method
 	BodyTooLarge                 // the body is larger than the limit
-	BadRequest                   // the request can't be read, or misses a value, or has an invalid one
+	BadRequest                   // the request can't be parsed, or a value is missing or invalid
 	NoConfiguration              // this node has received no configuration yet
 	NoUpstream                   // no upstream is eligible at present
 	Overloaded                   // rejected by admission control or by the upstream
@@ -38,7 +38,7 @@
 	UnknownKey                   // no API key, or one that belongs to no tenant
 	OverQuota                    // the tenant has used up its quota
 	QuotaUnknown                 // the quota could not be checked
-	KeysUnconfirmed              // this node's lease on API keys has ended: it can't know which are valid
+	KeysUnconfirmed              // this node's lease on API keys has ended, so it doesn't know which keys are valid
 	NotInForceEverywhere         // the order was carried out, but is not in force everywhere yet
 	BadQuery                     // an invalid query to the registry or to a view
 	ClientLeftBeforeSend         // the client closed the connection before the request was sent to an upstream or carried out
@@ -64,7 +64,7 @@
 	Text        string
 }
 
-var answers = map[Kind]Response{
+var responses = map[Kind]Response{
 	Internal:                {http.StatusInternalServerError, false, "internal error"},
 	InvalidConfig:           {http.StatusBadRequest, true, "invalid configuration"},
 	UnknownRoute:            {http.StatusNotFound, true, "no such route"},
@@ -115,9 +115,9 @@
 
 func (e *Error) Error() string {
 	if e.Detail == "" {
-		return answers[e.Kind].Text
+		return responses[e.Kind].Text
 	}
-	return answers[e.Kind].Text + ": " + e.Detail
+	return responses[e.Kind].Text + ": " + e.Detail
 }
 
 // New returns an error of a kind with a formatted detail.
@@ -133,7 +133,7 @@
 }
 
 // ResponseFor returns the HTTP response for a kind.
-func ResponseFor(kind Kind) Response { return answers[kind] }
+func ResponseFor(kind Kind) Response { return responses[kind] }
 
 // KindOf returns the kind of an error; Internal if it is no *Error.
 func KindOf(err error) Kind {
@@ -159,17 +159,17 @@
 	if !errors.As(err, &e) {
 		e = &Error{Kind: Internal, Detail: err.Error()}
 	}
-	answer, known := answers[e.Kind]
+	response, known := responses[e.Kind]
 	if !known { // the error comes from a node of a later release
-		answer = answers[Internal]
+		response = responses[Internal]
 	}
 	header := w.Header()
 	if e.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	header.Set("Content-Type", "application/json")
-	body, _ := json.Marshal(map[string]string{"error": answer.Text, "detail": e.Detail})
+	body, _ := json.Marshal(map[string]string{"error": response.Text, "detail": e.Detail})
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(answer.Status)
+	w.WriteHeader(response.Status)
 	_, _ = w.Write(body)
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -31,7 +31,7 @@
 func measureGrants(b *testing.B, sync time.Duration, callers int) (grants int, totalTime time.Duration) {
 	s := newSimulation(b, 1, 5)
 	s.latency, s.sync = 900*time.Microsecond, sync
-	names := lockNamesIn(partitionKey(lockPrefix+"l0"), callers)
+	names := lockNamesIn(partitionName(lockPrefix+"l0"), callers)
 	s.run(3 * time.Second)
 	s.call(s.nodes[0], Call{Operation: Acquire, Name: names[0], Owner: "first", Lease: time.Millisecond}, func(Result) {})
 	s.run(6 * time.Second)
@@ -60,7 +60,7 @@
 // lockNamesIn returns names of locks that are in a partition.
 func lockNamesIn(key string, count int) (names []string) {
 	for i := 0; len(names) < count; i++ {
-		if name := fmt.Sprintf("l%d", i); partitionKey(lockPrefix+name) == key {
+		if name := fmt.Sprintf("l%d", i); partitionName(lockPrefix+name) == key {
 			names = append(names, name)
 		}
 	}
--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -8,8 +8,8 @@
 )
 
 // put writes a value to a cell. A value that the cell already has, or had according to the
-// history, counts as a repeat: the answer has its first revision, whatever revision the call
-// expects and whatever was put since.
+// history, counts as a repeat: the answer has the revision of the earlier put, whatever revision the
+// call expects and whatever was put since.
 func (p *Partition) put(now time.Duration, call Call) (Answer, []Record) {
 	groupName := GroupOf(call.Name)
 	cell := p.cells[call.Name] // revision 0 if the cell does not exist
@@ -80,7 +80,7 @@
 }
 
 // Sweep removes the locks whose lease has ended and the events that are older than the
-// history limit. It returns the changes, none if there is nothing to remove.
+// history limit. It returns the changes; none if there is nothing to remove.
 func (p *Partition) Sweep(now time.Duration) []Record {
 	var changes []Record
 	for name, l := range p.locks {
--- a/internal/coordination/clocks.go
+++ b/internal/coordination/clocks.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// This file holds the clock estimates for deadlines of calls. A caller that gets no answer
-// retries at another node, and its later calls may rely on the first being over: a release
-// that is delayed must not free a lock that the caller has since acquired again under the
-// same token. So every call has a deadline on the monotonic clock of the partition's owner,
-// which does not start it after that.
-
-// ClockReading is a reading of the monotonic clock of a process. RunID identifies the process:
-// it differs between any two, also between two starts of one node.
+// This file holds the clock estimates for deadlines of calls. A caller that gets no reply retries
+// at another node, and its later calls rely on the first one not being executed any more: a
+// delayed release must not free a lock that the caller has since acquired again under the same
+// token. Every call therefore has a deadline on the monotonic clock of the partition's owner,
+// which does not start the call after it.
+
+// ClockReading is a reading of the monotonic clock of a process. RunID identifies the process; two
+// runs of the same node have different run IDs.
 type ClockReading struct {
 	RunID uint64        `cbor:"1,keyasint"`
 	Time  time.Duration `cbor:"2,keyasint"`
@@ -31,8 +31,8 @@
 // NewPeerClocks creates a PeerClocks without any reading.
 func NewPeerClocks() *PeerClocks { return &PeerClocks{peers: map[string]peerClock{}} }
 
-// Observe records a reading from a peer's answer that arrived at the local time now. The peer
-// read its clock before that, so the reading with the shortest transfer is the most accurate.
+// Observe records a reading from a peer's reply that arrived at the local time now. The peer
+// read its clock before that, so the reading with the shortest time in transit is the most accurate.
 func (c *PeerClocks) Observe(peer string, reading ClockReading, now time.Duration) {
 	known, ok := c.peers[peer]
 	if offset := reading.Time - now; !ok || known.runID != reading.RunID || known.minOffset < offset {
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -2,10 +2,10 @@
 // leases and fencing tokens, counters, and key-value cells with compare-and-set by revision,
 // whose history can be watched.
 //
-// The state is divided into a fixed number of partitions. Each is kept in a partition of the
-// replicated control state with an owner of its own. Partition is the state machine that
-// the owner runs; Feed is what every replica derives from committed records to answer
-// watches. Both do no I/O and read no clock: callers pass the time in.
+// The state is divided into a fixed number of partitions of the replicated control state, each
+// with an owner of its own. Partition is the state machine that the owner runs; Feed is what
+// every replica derives from committed records to answer watches. Neither does any I/O or
+// reads a clock: callers pass the time in.
 package coordination
 
 import (
@@ -17,11 +17,11 @@
 	"unicode/utf8"
 )
 
-// Partitions is the number of partitions. The first change of a partition stores it there;
-// an owner that was built with another number refuses the partition.
+// Partitions is the number of partitions. The first change of a partition records this number
+// in it; an owner that was built with a different number cannot load the partition.
 const Partitions = 16
 
-// PartitionPrefix begins the names of all partitions of coordination in the control state.
+// PartitionPrefix is the prefix of the names of coordination's partitions in the control state.
 const PartitionPrefix = "coordination/"
 
 // Operation is what a call asks for.
@@ -54,11 +54,11 @@
 	Operation    Operation     `cbor:"1,keyasint"`
 	Name         string        `cbor:"2,keyasint"`           // of the lock, counter or cell; for Revision, of the group
 	Owner        string        `cbor:"3,keyasint,omitempty"` // of the lock: who acquires or holds it
-	FencingToken uint64        `cbor:"4,keyasint,omitempty"` // fencing token
-	Lease        time.Duration `cbor:"5,keyasint,omitempty"` // length of the lease
+	FencingToken uint64        `cbor:"4,keyasint,omitempty"` // of the lease that is renewed or released
+	Lease        time.Duration `cbor:"5,keyasint,omitempty"` // requested length of the lease
 	Value        string        `cbor:"6,keyasint,omitempty"`
-	// Expected is the revision that the cell must have for a put, 0 if it must not exist;
-	// nil: any.
+	// Expected is the revision that the cell must have for a put; 0: the cell must not exist,
+	// nil: any revision.
 	Expected *uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -84,7 +84,7 @@
 	Value        string `cbor:"5,keyasint,omitempty"`
 }
 
-// Partition is the name in the control state of the partition that the call concerns.
+// Partition returns the name, in the control state, of the partition that the call concerns.
 func (c Call) Partition() string {
 	switch c.Operation {
 	case Put, Get:
@@ -92,24 +92,25 @@
 	case Revision:
 		return groupPartition(c.Name)
 	case Increment:
-		return partitionKey(counterPrefix + c.Name)
+		return partitionName(counterPrefix + c.Name)
 	}
-	return partitionKey(lockPrefix + c.Name)
+	return partitionName(lockPrefix + c.Name)
 }
 
-// GroupPartition is the name in the control state of the partition that holds a group of cells.
+// GroupPartition returns the name, in the control state, of the partition that holds a group of
+// cells.
 func GroupPartition(group string) string { return groupPartition(group) }
 
-func groupPartition(group string) string { return partitionKey(cellPrefix + group) }
+func groupPartition(group string) string { return partitionName(cellPrefix + group) }
 
-func partitionKey(name string) string {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(name))
-	v := h.Sum32()
-	return fmt.Sprintf("%s%02d", PartitionPrefix, (v^v>>16)%Partitions)
+func partitionName(name string) string {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name))
+	sum := hash.Sum32()
+	return fmt.Sprintf("%s%02d", PartitionPrefix, (sum^sum>>16)%Partitions)
 }
 
-// GroupOf is the group of a cell: the cell's name up to and including the first dot. A cell
+// GroupOf returns the group of a cell: the cell's name up to and including the first dot. A cell
 // without a dot in its name is a group by itself, which cannot be watched.
 func GroupOf(name string) string {
 	if i := strings.IndexByte(name, '.'); i >= 0 {
@@ -126,7 +127,7 @@
 // MaxName is the maximum length of the names of locks, counters, cells and owners, in bytes.
 const MaxName = 128
 
-// CheckName returns an error if a name is invalid; what is the name's description in it.
+// CheckName returns an error if a name is invalid. The error's text begins with what.
 func CheckName(what, name string) error {
 	switch {
 	case name == "":
--- a/internal/coordination/feed.go
+++ b/internal/coordination/feed.go
@@ -14,15 +14,15 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Feed is the history of the groups of one partition, as far as this replica knows it as
-// committed. Every replica has one for each partition.
+// Feed is the history of the groups of one partition, as far as this replica knows it to be
+// committed. Every replica has a Feed for each partition.
 type Feed struct {
 	groups map[string]*feedGroup
 }
 
 type feedGroup struct {
 	revision uint64                 // newest
-	oldest   uint64                 // below it the history is erased
+	oldest   uint64                 // the history below this revision is erased
 	events   map[uint64]eventRecord // by revision
 }
 
@@ -104,7 +104,7 @@
 	g.oldest = max(g.oldest, oldest)
 }
 
-// Revision is the newest revision of a group.
+// Revision returns the newest revision of a group.
 func (f *Feed) Revision(group string) uint64 {
 	if g := f.groups[group]; g != nil {
 		return g.revision
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -19,24 +19,24 @@
 	HasRoom func(bytes int) bool
 }
 
-// Partition is the state of a partition at its owner during one term of ownership: the
-// decoded records, and the times on the owner's monotonic clock, which no record holds: when
-// leases end and when each put was made.
+// Partition is the state of a partition at its owner during one ownership term: the decoded
+// records, and times that are not in the records: when each lease ends and when each put was
+// made, on the owner's monotonic clock.
 type Partition struct {
-	limits      Limits
-	headWritten bool
-	fence       uint64 // highest fencing token issued
-	locks       map[string]*lock
-	counters    map[string]uint64
-	cells       map[string]cellRecord
-	groups      map[string]*group
+	limits           Limits
+	headWritten      bool
+	lastFencingToken uint64
+	locks            map[string]*lock
+	counters         map[string]uint64
+	cells            map[string]cellRecord
+	groups           map[string]*group
 
 	recordSizes  map[string]int // by record name
 	totalBytes   int
 	historyBytes int
 }
 
-// lock is a lock that is held, or whose lease has ended and that nobody has acquired since.
+// lock is a lock that is held, or one whose lease has ended without another acquisition since.
 type lock struct {
 	lockRecord
 	leaseEnd time.Duration
@@ -45,7 +45,7 @@
 // group is a group of cells with the history of its puts.
 type group struct {
 	revision uint64 // newest
-	oldest   uint64 // below it the history is erased
+	oldest   uint64 // the history below this revision is erased
 	events   []event
 	puts     map[putIdentity]uint64 // to revision, for the puts in the history
 }
@@ -56,12 +56,12 @@
 	putAt    time.Duration
 }
 
-// putIdentity identifies a put. A second put of a value to the same cell is a repeat.
+// putIdentity identifies a put. A second put of the same value to the same cell is a repeat.
 type putIdentity struct{ name, value string }
 
 // Load decodes a partition from its records, for an owner whose term began at termStart.
-// Every lease starts anew then, at its full length, and all events count as new, because the
-// clocks of earlier owners are unknown.
+// Every lease restarts at that time with its full length, and all events count as new, because
+// the clocks of earlier owners are unknown.
 func Load(records map[string]Record, termStart time.Duration, limits Limits) (*Partition, error) {
 	p := &Partition{limits: limits, locks: map[string]*lock{}, counters: map[string]uint64{},
 		cells: map[string]cellRecord{}, groups: map[string]*group{}, recordSizes: map[string]int{}}
@@ -88,13 +88,13 @@
 		if head.Partitions != Partitions {
 			return fmt.Errorf("created with %d partitions, but this release has %d", head.Partitions, Partitions)
 		}
-		p.headWritten, p.fence = true, head.Fence
+		p.headWritten, p.lastFencingToken = true, head.FencingToken
 	case lockPrefix:
 		var record lockRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
 			return err
 		}
-		p.locks[name] = &lock{record, termStart + record.Hold}
+		p.locks[name] = &lock{record, termStart + record.Lease}
 	case counterPrefix:
 		var record counterRecord
 		if err := cbor.Unmarshal(r.Data, &record); err != nil {
@@ -152,7 +152,7 @@
 	case Release:
 		answer, changes = p.release(call)
 	case Increment:
-		answer, changes = p.draw(call)
+		answer, changes = p.increment(call)
 	case Put:
 		answer, changes = p.put(now, call)
 	case Get:
@@ -184,7 +184,7 @@
 }
 
 func (p *Partition) encodeHead() Record {
-	return encode(headName, headRecord{Partitions: Partitions, Fence: p.fence})
+	return encode(headName, headRecord{Partitions: Partitions, FencingToken: p.lastFencingToken})
 }
 
 // account updates the sizes for a record that is added, replaced or erased.
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -29,17 +29,17 @@
 // headRecord is the state of the partition as a whole.
 type headRecord struct {
 	Partitions int `cbor:"1,keyasint"`
-	// Fence is the highest fencing token issued in this partition. All locks of the
+	// FencingToken is the highest fencing token issued in this partition. All locks of the
 	// partition share the sequence, so the record of a free lock can be erased.
-	Fence uint64 `cbor:"2,keyasint,omitempty"`
+	FencingToken uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// lockRecord is a lock that is held. Hold is no shorter than any lease that was confirmed to
+// lockRecord is a lock that is held. Lease is at least as long as each lease that was confirmed to
 // the holder.
 type lockRecord struct {
-	Owner string        `cbor:"1,keyasint"`
-	Fence uint64        `cbor:"2,keyasint"`
-	Hold  time.Duration `cbor:"3,keyasint"`
+	Owner        string        `cbor:"1,keyasint"`
+	FencingToken uint64        `cbor:"2,keyasint"`
+	Lease        time.Duration `cbor:"3,keyasint"`
 }
 
 type counterRecord struct {
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -20,7 +20,7 @@
 // ServerConfig is the configuration of a Server.
 type ServerConfig struct {
 	Self      string               // the address of the replica
-	RunID     uint64               // identifies the process; changes with every start
+	RunID     uint64               // identifies this run of the process
 	Clock     func() time.Duration // monotonic
 	Limits    Limits
 	Sweep     time.Duration // interval between sweeps of a partition
@@ -68,7 +68,7 @@
 	Answer Answer
 }
 
-// Execution is a call that a replica executes as the owner of its partition.
+// Execution is a call that a replica executes as the owner of the call's partition.
 type Execution struct {
 	call            Call
 	deadline        ClockReading
@@ -86,14 +86,14 @@
 	cancelled // it will never start
 )
 
-// NewExecution prepares a call that is not started after a deadline on the owner's clock.
+// NewExecution prepares a call that must not start after a deadline on the owner's clock.
 // done is called once with the result, on the loop of the replica.
 func NewExecution(call Call, deadline ClockReading, done func(Result)) *Execution {
 	return &Execution{call: call, deadline: deadline, done: done}
 }
 
-// Abandon cancels a call that has no result in time, unless it has started, and returns its
-// effect. It may be called from any goroutine.
+// Abandon cancels a call that took too long, unless it has started, and returns the call's effect.
+// It may be called from any goroutine.
 func (e *Execution) Abandon() Effect {
 	if e.stage.CompareAndSwap(queued, cancelled) {
 		return NotExecuted
@@ -109,12 +109,12 @@
 		e.done(Result{Effect: NotExecuted})
 		return
 	}
-	key := e.call.Partition()
-	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
+	partition := e.call.Partition()
+	s.replica.Propose(now, partition, func(records map[string]Record) ([]Record, error) {
 		if !s.beforeDeadline(e.deadline) || !e.stage.CompareAndSwap(queued, started) {
 			return nil, nil
 		}
-		state := s.ownedState(key, records)
+		state := s.ownedState(partition, records)
 		if e.partitionUsable = state != nil; !e.partitionUsable {
 			return nil, nil
 		}
@@ -124,7 +124,7 @@
 	}, func(err error) { e.done(e.result(err)) })
 }
 
-// Clock is the clock of this process.
+// Clock reads the clock of this process.
 func (s *Server) Clock() ClockReading {
 	return ClockReading{RunID: s.config.RunID, Time: s.config.Clock()}
 }
@@ -134,7 +134,7 @@
 	return deadline.RunID == s.config.RunID && s.config.Clock() <= deadline.Time
 }
 
-// result is the result of a call whose proposal has ended.
+// result returns the result of a call whose proposal has ended with err.
 func (e *Execution) result(err error) Result {
 	hasStarted := e.stage.Load() == started
 	switch {
@@ -149,44 +149,44 @@
 // ownedState returns the state of a partition that the replica owns; nil if it cannot be
 // loaded. It is called with the records of a proposal that is about to run, so the replica
 // owns the partition, and the state includes all changes of this term.
-func (s *Server) ownedState(key string, records map[string]Record) *Partition {
+func (s *Server) ownedState(partition string, records map[string]Record) *Partition {
 	now := s.config.Clock()
-	term, _ := s.replica.OwnershipTerm(now, key)
-	if known := s.owned[key]; known != nil && known.epoch == term.Epoch {
+	term, _ := s.replica.OwnershipTerm(now, partition)
+	if known := s.owned[partition]; known != nil && known.epoch == term.Epoch {
 		return known.state
 	}
 	state, err := Load(records, term.Since, s.config.Limits)
 	if err != nil {
-		s.config.Log.Error("cannot load coordination partition", "partition", key, "error", err)
+		s.config.Log.Error("cannot load coordination partition", "partition", partition, "error", err)
 	} else {
 		counts := state.Counts()
-		s.config.Log.Info("coordination partition taken over", "partition", key,
+		s.config.Log.Info("coordination partition taken over", "partition", partition,
 			"locks", counts.Locks, "counters", counts.Counters, "cells", counts.Cells)
 	}
-	s.owned[key] = &ownedPartition{epoch: term.Epoch, state: state, sweepAt: now + s.config.Sweep}
+	s.owned[partition] = &ownedPartition{epoch: term.Epoch, state: state, sweepAt: now + s.config.Sweep}
 	return state
 }
 
 // Tick drops the partitions that the replica no longer owns and sweeps the others when due.
 func (s *Server) Tick(now time.Duration) {
-	for key, owned := range s.owned {
-		term, _ := s.replica.OwnershipTerm(now, key)
-		if term.Epoch != owned.epoch || !s.Owns(now, key) {
-			delete(s.owned, key)
+	for partition, owned := range s.owned {
+		term, _ := s.replica.OwnershipTerm(now, partition)
+		if term.Epoch != owned.epoch || !s.Owns(now, partition) {
+			delete(s.owned, partition)
 		} else if now >= owned.sweepAt && owned.state != nil {
 			owned.sweepAt = now + s.config.Sweep
-			s.sweep(now, key, owned.state)
+			s.sweep(now, partition, owned.state)
 		}
 	}
 }
 
 // sweep erases ended leases and old events of a partition.
-func (s *Server) sweep(now time.Duration, key string, state *Partition) {
+func (s *Server) sweep(now time.Duration, partition string, state *Partition) {
 	if !state.SweepDue(now) {
 		return
 	}
-	s.replica.Propose(now, key, func(records map[string]Record) ([]Record, error) {
-		if state := s.ownedState(key, records); state != nil {
+	s.replica.Propose(now, partition, func(records map[string]Record) ([]Record, error) {
+		if state := s.ownedState(partition, records); state != nil {
 			return state.Sweep(s.config.Clock()), nil
 		}
 		return nil, nil
@@ -194,14 +194,14 @@
 }
 
 // Owns reports whether the replica owns a partition.
-func (s *Server) Owns(now time.Duration, key string) bool {
-	return s.replica.Owner(now, key) == s.config.Self
+func (s *Server) Owns(now time.Duration, partition string) bool {
+	return s.replica.Owner(now, partition) == s.config.Self
 }
 
 // Partition returns the state of a partition; nil if the replica does not own it, has not
 // executed a call in it yet, or cannot load it.
-func (s *Server) Partition(now time.Duration, key string) *Partition {
-	if owned := s.owned[key]; owned != nil && s.Owns(now, key) {
+func (s *Server) Partition(now time.Duration, name string) *Partition {
+	if owned := s.owned[name]; owned != nil && s.Owns(now, name) {
 		return owned.state
 	}
 	return nil
--- a/internal/coordination/watches.go
+++ b/internal/coordination/watches.go
@@ -11,15 +11,15 @@
 type Watch struct {
 	Group string
 	After uint64
-	// MinRevision is a revision that the group had certainly reached before the call came: the
-	// local copy must have reached it before events are returned.
+	// MinRevision is a revision that the group is known to have reached before the call. Events
+	// are returned only once the local copy has reached it.
 	MinRevision uint64
 	// Done is called once with the result, on the loop of the replica.
 	Done func(WatchResult)
 }
 
-// WatchResult is the result of a watch: Events are all puts after its After, up to and
-// including Revision.
+// WatchResult is the result of a watch. Events holds all puts with a revision above After, up to
+// and including Revision.
 type WatchResult struct {
 	Events   []Event
 	Revision uint64
@@ -31,21 +31,21 @@
 
 // Committed applies newly committed records of a partition. If records is nil, any record may
 // have changed, and the whole partition is read again.
-func (s *Server) Committed(key string, records []Record) {
-	feed := s.feeds[key]
+func (s *Server) Committed(partition string, records []Record) {
+	feed := s.feeds[partition]
 	if feed != nil && records != nil {
 		for _, group := range feed.Apply(records) {
 			s.notifyWatches(group)
 		}
 		return
 	}
-	all, _, ok := s.replica.Committed(key)
+	all, _, ok := s.replica.Committed(partition)
 	if !ok {
 		return
 	}
-	s.feeds[key] = NewFeed(all)
+	s.feeds[partition] = NewFeed(all)
 	for group := range s.watches {
-		if groupPartition(group) == key {
+		if groupPartition(group) == partition {
 			s.notifyWatches(group)
 		}
 	}
@@ -114,9 +114,9 @@
 	return ok && now-at <= s.config.Freshness
 }
 
-// EndStaleWatches ends the watches on groups without a recent local copy. It is meant for a
-// node that has lost contact with a majority. While an owner is merely being replaced,
-// watches are kept open.
+// EndStaleWatches ends the watches on groups without a recent local copy. A node calls it when
+// it has lost contact with a majority, not while a partition's owner is merely being replaced:
+// watches stay open then.
 func (s *Server) EndStaleWatches(now time.Duration) {
 	for group, list := range s.watches {
 		if s.Fresh(now, group) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,8 +14,8 @@
 // key in snake case, as in madderwing_desk_requests_total.
 func WriteCounters(w *bytes.Buffer, part string, counters map[string]uint64) {
 	names := make([]string, 0, len(counters))
-	for n := range counters {
-		names = append(names, n)
+	for name := range counters {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, n := range names {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -123,9 +123,9 @@
 // Seconds converts a number of seconds from the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// HeartbeatInterval is the base interval of the periodic work of a node, such as heartbeats. It is a sixth of
-// contactS, the time for which a machine must have run and been reachable before the guarantees
-// apply to it.
+// HeartbeatInterval is the base interval of the periodic work of a node, such as heartbeats. It is
+// a sixth of contactS, the time for which a machine must have run and been reachable before the
+// guarantees apply to it.
 func (s *Settings) HeartbeatInterval() time.Duration { return Seconds(s.Bounds.ContactS / 6) }
 
 // RollbackSeconds is the time, in seconds, within which a bad version must stop receiving requests:
@@ -170,15 +170,15 @@
 
 // RegionOf returns the region of a zone. A zone that is not listed is a region of its own.
 func (s *Settings) RegionOf(zone string) string {
-	if r, ok := s.Zones[zone]; ok {
-		return r
+	if region, ok := s.Zones[zone]; ok {
+		return region
 	}
 	return zone
 }
 
 // KeyLeaseDuration is how long a gateway may keep using API keys after it last had them confirmed;
 // 0: keys need no lease. It may be longer than revokeS, since the acknowledgement of a revocation
-// is held back for RevocationAckDelay: every lease still ends within revokeS of the acknowledgement,
+// is delayed by RevocationAckDelay: every lease still ends within revokeS of the acknowledgement,
 // with a margin of a tenth of revokeS.
 func (s *Settings) KeyLeaseDuration() time.Duration {
 	if !s.RevocationBounded() {
@@ -187,8 +187,9 @@
 	return Seconds(s.Bounds.RevokeS*0.9) + s.RevocationAckDelay()
 }
 
-// RevocationAckDelay is how long the acknowledgement of a revocation is held back, see KeyLeaseDuration. It
-// is a part of ackS, since requests to the control interface must be answered within ackS.
+// RevocationAckDelay is how long the acknowledgement of a revocation is delayed, see
+// KeyLeaseDuration. It is a fraction of ackS, since requests to the control interface must be
+// answered within ackS.
 func (s *Settings) RevocationAckDelay() time.Duration {
 	if !s.RevocationBounded() {
 		return 0
@@ -263,7 +264,7 @@
 // ValidationErrors is a list of validation errors, one line each.
 type ValidationErrors []string
 
-func (c ValidationErrors) Error() string { return strings.Join(c, "; ") }
+func (e ValidationErrors) Error() string { return strings.Join(e, "; ") }
 
 // Load reads and validates the settings file.
 func Load(path string) (*Settings, error) {
@@ -322,8 +323,8 @@
 	return compiler.MustCompile(name)
 }
 
-// ValidateSchema checks a JSON document against a schema. Its error is of type ValidationErrors and names the location
-// of each violation.
+// ValidateSchema checks a JSON document against a schema. Its error is of type ValidationErrors and
+// names the location of each violation.
 func ValidateSchema(schema *jsonschema.Schema, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -334,7 +335,7 @@
 	if !errors.As(err, &invalid) {
 		return err
 	}
-	var check ValidationErrors
+	var violations ValidationErrors
 	var collect func(*jsonschema.ValidationError)
 	printer := message.NewPrinter(language.English)
 	collect = func(violation *jsonschema.ValidationError) {
@@ -343,12 +344,12 @@
 			if location == "" {
 				location = "top"
 			}
-			check = append(check, location+": "+violation.ErrorKind.LocalizedString(printer))
+			violations = append(violations, location+": "+violation.ErrorKind.LocalizedString(printer))
 		}
 		for _, cause := range violation.Causes {
 			collect(cause)
 		}
 	}
 	collect(invalid)
-	return check
+	return violations
 }
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -119,30 +119,30 @@
 func scan(text []byte) (state map[string][]byte, validEnd int64, lastBatch uint64, damage error) {
 	_, firstBatch, entries, offset := parseHeader(text)
 	hasHeader := offset > 0
-	r := batchReader{state: map[string][]byte{}, nextBatch: firstBatch}
+	reader := batchReader{state: map[string][]byte{}, nextBatch: firstBatch}
 	if hasHeader && entries == 0 {
-		r.endBatch(offset, firstBatch)
+		reader.endBatch(offset, firstBatch)
 	}
 	for offset < len(text) {
 		key, value, length := parseCommand(text[offset:])
 		if length == 0 || !frameIntact(key, value) {
 			// Batches are written one at a time and each is synced before the
 			// next, so only the last one may be torn.
-			if hasLaterBatch(text[offset:], r.lastBatch) || hasHeader && r.lastBatch == 0 {
-				return r.state, int64(r.end), r.lastBatch, &damageError{offset, "invalid entry"}
+			if hasLaterBatch(text[offset:], reader.lastBatch) || hasHeader && reader.lastBatch == 0 {
+				return reader.state, int64(reader.end), reader.lastBatch, &damageError{offset, "invalid entry"}
 			}
 			break
 		}
 		offset += length
-		if err := r.add(key, value, offset); err != nil {
-			return r.state, int64(r.end), r.lastBatch, &damageError{offset - length, err.Error()}
+		if err := reader.add(key, value, offset); err != nil {
+			return reader.state, int64(reader.end), reader.lastBatch, &damageError{offset - length, err.Error()}
 		}
 	}
-	if r.lastBatch == 0 && (hasHeader || len(r.pending) > 0 && r.pendingBatch > 1) {
+	if reader.lastBatch == 0 && (hasHeader || len(reader.pending) > 0 && reader.pendingBatch > 1) {
 		// The batch of a rewrite is durable before the other files are removed.
-		return r.state, int64(r.end), r.lastBatch, &damageError{offset, "the batch of the rewrite is incomplete"}
+		return reader.state, int64(reader.end), reader.lastBatch, &damageError{offset, "the batch of the rewrite is incomplete"}
 	}
-	return r.state, int64(r.end), r.lastBatch, nil
+	return reader.state, int64(reader.end), reader.lastBatch, nil
 }
 
 // batchReader assembles intact entries into batches and applies each complete batch.
@@ -245,9 +245,9 @@
 	return int64(size)
 }
 
-// parseCommand reads one set command. length is its size, 0 if it is not valid. It
-// accepts only exactly what buntdb writes, because buntdb rejects the whole file for
-// any deviation.
+// parseCommand reads one set command. length is its size, 0 if it is not valid. Only
+// the exact form that buntdb writes is accepted, because buntdb rejects the whole file
+// for any deviation.
 func parseCommand(text []byte) (key string, value []byte, length int) {
 	rest, ok := bytes.CutPrefix(text, []byte(setPrefix))
 	if !ok {
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -13,10 +13,10 @@
 
 // Open opens the store in dir and returns its state, which is then durable. A torn last
 // batch, which was never synced, is ignored. If synced data is damaged or missing, the
-// files are removed except for an excerpt, and Open returns ErrDamaged together with an
-// empty, usable store. With ErrNewerFormat the files are left unchanged. The files in
-// dir take at most diskSize bytes (0: 64 MB) as long as the state takes at most half of
-// that.
+// files are removed except for an excerpt, and Open returns an error that wraps ErrDamaged
+// together with an empty, usable store. With ErrNewerFormat the files are left unchanged.
+// The files in dir take at most diskSize bytes (0: 64 MiB) as long as the state takes at
+// most half of that.
 func Open(dir string, diskSize int64, logger *slog.Logger) (*Store, map[string][]byte, error) {
 	return openDirectory(osDirectory(dir), diskSize, logger)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,5 +1,5 @@
 // Package storage keeps a replica's state on disk with buntdb. Changes are written in
-// numbered batches. The entries of a batch are framed so that a start can tell a
+// numbered batches. The entries of a batch are framed so that recovery can tell a
 // complete batch from a torn one, and a batch is synced before it is acknowledged.
 // The order of writes and syncs is described in docs/notes/hardening-disk.md.
 package storage
@@ -46,15 +46,15 @@
 	rewriteLiveRatio    = 3
 	rewriteFillFraction = 7.0 / 8
 	rewriteMinFraction  = 1.0 / 64
-	// maxFillFraction is the part of the disk that the file and its rewrite together may
+	// maxFillFraction is the fraction of the disk that the file and its rewrite together may
 	// fill after a batch.
 	maxFillFraction = 15.0 / 16
-	// MaxStateFraction is the largest part of the disk that the state may take so that the
-	// disk has room for the state twice and for changes between two rewrites. Callers
-	// must not add to the state beyond it.
+	// MaxStateFraction is the largest fraction of the disk that the state may take so that the
+	// disk has room for two copies of the state and for the changes between two rewrites.
+	// Callers must not let the state grow beyond it.
 	MaxStateFraction = 3.0 / 8
 	// excerptFraction is the size of the excerpt that is kept of a damaged file, as a
-	// part of the disk.
+	// fraction of the disk.
 	excerptFraction = 1.0 / 1024
 
 	excerptName       = "store.damaged"
@@ -81,7 +81,7 @@
 	fileSize     int64 // bytes of the current file
 	liveSize     int64 // bytes that the file would have after a rewrite
 	needsRewrite bool  // a write failed; nothing may be appended until a rewrite
-	dbLocked     bool  // buntdb panicked holding its lock, so closing db would block
+	dbLocked     bool  // buntdb panicked while it held its lock, so closing db would block
 }
 
 // openFile opens the current file.
--- a/internal/storage/syncmark.go
+++ b/internal/storage/syncmark.go
@@ -98,8 +98,8 @@
 }
 
 // MarkSynced records on disk that the last batch was synced, if it was and this is not
-// recorded yet. It costs one sync, so callers use it when no writes are waiting; a
-// batch that follows would prove the same.
+// recorded yet. It costs one sync, so callers use it when no writes are waiting: a later
+// batch would prove the same.
 func (s *Store) MarkSynced() error {
 	if s.needsRewrite || s.mark.batch == s.lastBatch {
 		return nil
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -51,7 +51,7 @@
 type profile struct {
 	name             string
 	favoredKinds     string  // names of kinds that are drawn more often
-	favoredVariants  string  // words for how that are drawn more often
+	favoredVariants  string  // words for "how" that are drawn more often
 	favoredDurationS float64 // duration of events of favoredKinds before variation; 0: as in the examples
 	lengthS          float64
 	alwaysCloses     bool    // each day has a closing fault
@@ -87,14 +87,14 @@
 }
 
 // generateDay draws a day. The same arguments give the same day. The catalog must have a kind.
-func generateDay(parsedSite site, catalog kindCatalog, p profile, seed uint64) day {
-	name := fmt.Sprintf("%s-%d", p.name, seed)
-	g := generator{rand.New(rand.NewChaCha8(sha256.Sum256([]byte(name)))), parsedSite, catalog, p}
+func generateDay(parsedSite site, catalog kindCatalog, dayProfile profile, seed uint64) day {
+	name := fmt.Sprintf("%s-%d", dayProfile.name, seed)
+	g := generator{rand.New(rand.NewChaCha8(sha256.Sum256([]byte(name)))), parsedSite, catalog, dayProfile}
 	var generated day // all that is not drawn comes from the site's first day in this slot
 	if i := slices.IndexFunc(parsedSite.Day, func(siteDay day) bool { return siteDay.Slot == "trouble" }); i >= 0 {
 		generated = parsedSite.Day[i]
 	}
-	generated.Name, generated.Slot, generated.Seed, generated.LengthS = name, "trouble", seed, p.lengthS
+	generated.Name, generated.Slot, generated.Seed, generated.LengthS = name, "trouble", seed, dayProfile.lengthS
 	generated.Closing, generated.Plan, generated.Faults = nil, []event{}, []event{}
 	add := func(added event) {
 		if g.isPlanned(added) {
@@ -103,7 +103,7 @@
 			generated.Faults = append(generated.Faults, added)
 		}
 	}
-	for _, required := range p.requiredEvents {
+	for _, required := range dayProfile.requiredEvents {
 		if !slices.ContainsFunc(catalog.kinds, func(k kind) bool { return k.name == required["kind"] }) {
 			continue // the bench doesn't support this kind
 		}
@@ -122,7 +122,7 @@
 	for _, list := range [][]event{generated.Plan, generated.Faults} {
 		slices.SortStableFunc(list, func(a, b event) int { return cmp.Compare(a.number("at"), b.number("at")) })
 	}
-	if len(catalog.closingKinds) > 0 && (p.alwaysCloses || g.chance(.6)) {
+	if len(catalog.closingKinds) > 0 && (dayProfile.alwaysCloses || g.chance(.6)) {
 		generated.Closing = g.drawClosing()
 	}
 	return generated
@@ -202,7 +202,7 @@
 	e["at"] = math.Round((1+g.Float64()*max(latest-1, 0))*100) / 100
 }
 
-// drawVariants draws the words for how. Without any, the example's words stay.
+// drawVariants draws the words for "how". If it draws none, the event keeps the example's words.
 func (g *generator) drawVariants(k kind, examples []event) (drawn []string) {
 	add := func(chance float64, applicable bool, from []string) {
 		if applicable && len(from) > 0 && g.chance(chance) {
--- a/tools/days/kinds.go
+++ b/tools/days/kinds.go
@@ -9,15 +9,15 @@
 // kind is a kind of event with the bench's description of it.
 type kind struct {
 	name, text     string
-	variants       []string // words for how, one at a time
+	variants       []string // words for field "how", of which an event has one
 	secondVariants []string // words that may follow one of variants
 }
 
-// kindCatalog holds the kinds of events of one site and the words for how, as the bench lists
-// them.
+// kindCatalog holds the kinds of events of one site and the words for field "how", as the bench
+// lists them.
 type kindCatalog struct {
 	kinds                         []kind              // in the order of the bench's text
-	sharedVariants                map[string][]string // words for how of many kinds, by key of sharedVariantPatterns
+	sharedVariants                map[string][]string // words for "how" that several kinds share, by key of sharedVariantPatterns
 	closingKinds, closingVariants []string
 }
 
@@ -58,7 +58,7 @@
 	return catalog
 }
 
-// addKind adds a kind with the words for how in its description. A kind that is described as "the
+// addKind adds a kind with the words for "how" in its description. A kind that is described as "the
 // same" as the kind before it in its family (same name up to the last "_") also has that kind's
 // words.
 func (c *kindCatalog) addKind(name, text string) {
--- a/tools/days/main.go
+++ b/tools/days/main.go
@@ -64,14 +64,14 @@
 		return err
 	}
 	for i := range *count {
-		p := selected[i%len(selected)]
+		dayProfile := selected[i%len(selected)]
 		if *length != 0 {
-			p.lengthS = *length
+			dayProfile.lengthS = *length
 		}
-		generated := generateDay(parsedSite, catalog, p, *seed+uint64(i))
+		generated := generateDay(parsedSite, catalog, dayProfile, *seed+uint64(i))
 		var content bytes.Buffer // the first line is the command that generates this day alone
 		fmt.Fprintf(&content, "# go run ./tools/days -site %q -bench %q -seed %d -count 1 -out %q -length %g -profile %s\n",
-			*siteFile, *bench, generated.Seed, *out, generated.LengthS, p.name)
+			*siteFile, *bench, generated.Seed, *out, generated.LengthS, dayProfile.name)
 		if err := toml.NewEncoder(&content).Encode(generated); err != nil {
 			return err
 		}
