--- a/client/call_test.go
+++ b/client/call_test.go
@@ -33,7 +33,7 @@
 
 // A call is retried on another node after failures that allow a retry, and only after these.
 func TestCallFailover(t *testing.T) {
-	draw := func(c *Client, ctx context.Context) error { _, err := c.Counter("n").Next(ctx); return err }
+	increment := func(c *Client, ctx context.Context) error { _, err := c.Counter("n").Next(ctx); return err }
 	put := func(c *Client, ctx context.Context) error { _, err := c.Put(ctx, "g.k", "v"); return err }
 	putIf := func(c *Client, ctx context.Context) error { _, err := c.PutIf(ctx, "g.k", "v", 7); return err }
 	get := func(c *Client, ctx context.Context) error { _, err := c.Get(ctx, "g.k"); return err }
@@ -52,27 +52,27 @@
 		ends   string        // expected error kind
 		after  time.Duration // expected duration of the call
 	}{
-		"success":               {draw, nil, "n0", "<nil>", 0},
-		"503, 429":              {draw, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
-		"connection refused":    {draw, []fault{{refuseConnection: true}}, "n0 n1", "<nil>", 15 * time.Millisecond},
-		"no response":           {draw, []fault{noResponse}, "n0 n1", "<nil>", 1015 * time.Millisecond},
-		"draw is retried":       {draw, []fault{{responseStatus: 502}, {responseStatus: 504}, {resetConnection: true}}, "n0 n1 n2 n0", "<nil>", 100 * time.Millisecond},
+		"success":               {increment, nil, "n0", "<nil>", 0},
+		"503, 429":              {increment, []fault{{status: 503}, {status: 429}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
+		"connection refused":    {increment, []fault{{refuseConnection: true}}, "n0 n1", "<nil>", 15 * time.Millisecond},
+		"no response":           {increment, []fault{noResponse}, "n0 n1", "<nil>", 1015 * time.Millisecond},
+		"counter is retried":    {increment, []fault{{responseStatus: 502}, {responseStatus: 504}, {resetConnection: true}}, "n0 n1 n2 n0", "<nil>", 100 * time.Millisecond},
 		"acquire is retried":    {acquire, []fault{{responseStatus: 500}, {resetConnection: true}}, "n0 n1 n2", "<nil>", 45 * time.Millisecond},
 		"put is retried":        {put, []fault{{resetConnection: true}, noResponse}, "n0 n1 n2", "<nil>", 1045 * time.Millisecond},
-		"invalid response body": {draw, []fault{{responseBody: `{"value":`}}, "n0 n1", "<nil>", 15 * time.Millisecond},
-		"redirected twice":      {draw, []fault{{location: "http://n7:1/v1/numbers/n"}, {location: "http://n8:1/v1/numbers/n"}}, "n0 n7 n8", "<nil>", 0},
-		"redirected too often": {draw, []fault{{location: "http://n7:1/a"}, {location: "http://n8:1/a"}, {location: "http://n9:1/a"}},
+		"invalid response body": {increment, []fault{{responseBody: `{"value":`}}, "n0 n1", "<nil>", 15 * time.Millisecond},
+		"redirected twice":      {increment, []fault{{location: "http://n7:1/v1/numbers/n"}, {location: "http://n8:1/v1/numbers/n"}}, "n0 n7 n8", "<nil>", 0},
+		"redirected too often": {increment, []fault{{location: "http://n7:1/a"}, {location: "http://n8:1/a"}, {location: "http://n9:1/a"}},
 			"n0 n7 n8 n1", "<nil>", 15 * time.Millisecond},
 		"put is retried for 5 s only": {put, always(fault{responseStatus: 502}), "*", "unclear", 4600 * time.Millisecond},
 		"put with connection resets":  {put, always(fault{resetConnection: true}), "*", "unclear", 4600 * time.Millisecond},
 		"put that was never sent is retried for longer": {put, append(always(fault{refuseConnection: true})[:10], fault{status: 503}), "*", "<nil>",
 			4695 * time.Millisecond},
-		"all nodes unavailable":             {draw, always(fault{status: 503}), "*", "unavailable", 8 * time.Second},
-		"result unclear":                    {draw, always(fault{responseStatus: 504}), "*", "unclear", 8 * time.Second},
+		"all nodes unavailable":             {increment, always(fault{status: 503}), "*", "unavailable", 8 * time.Second},
+		"result unclear":                    {increment, always(fault{responseStatus: 504}), "*", "unclear", 8 * time.Second},
 		"result of a read is never unclear": {get, always(fault{responseStatus: 504}), "*", "unavailable", 8 * time.Second},
 		"not found":                         {get, nil, "n0", "not found", 0},
 		"conflicting revision":              {putIf, nil, "n0", "conflict", 0},
-		"bad request":                       {draw, []fault{{status: 400}}, "n0", "400", 0},
+		"bad request":                       {increment, []fault{{status: 400}}, "n0", "400", 0},
 		"value too large":                   {put, []fault{{status: 413}}, "n0", "413", 0},
 		"conflict is not retried":           {acquire, []fault{{status: 409}}, "n0", "held", 0},
 	} {
--- a/client/fakeserver_test.go
+++ b/client/fakeserver_test.go
@@ -38,7 +38,7 @@
 
 type fakeLock struct {
 	owner string
-	fence uint64
+	token uint64
 	hold  time.Duration
 	until time.Time
 }
@@ -49,7 +49,7 @@
 	mu            sync.Mutex
 	startedAt     time.Time
 	locks         map[string]fakeLock
-	fence         uint64
+	lastToken     uint64
 	numbers       map[string]uint64
 	cells         map[string]entryResponse
 	groups        map[string][]Event
@@ -179,27 +179,27 @@
 	return http.StatusBadRequest, nil
 }
 
-func (s *fakeServer) lock(method, name, owner string, fence uint64, hold time.Duration) (int, any) {
+func (s *fakeServer) lock(method, name, owner string, token uint64, hold time.Duration) (int, any) {
 	held, ok := s.locks[name]
 	ok = ok && time.Now().Before(held.until)
 	switch {
 	case method == http.MethodDelete:
-		if ok && held.owner == owner && held.fence == fence {
+		if ok && held.owner == owner && held.token == token {
 			delete(s.locks, name)
 		}
 		return http.StatusOK, nil
-	case ok && held.owner != owner, method == http.MethodPut && (!ok || held.fence != fence):
+	case ok && held.owner != owner, method == http.MethodPut && (!ok || held.token != token):
 		return http.StatusConflict, nil
 	case !ok:
-		s.fence++
-		held = fakeLock{owner: owner, fence: s.fence}
+		s.lastToken++
+		held = fakeLock{owner: owner, token: s.lastToken}
 	}
 	held.hold = hold
 	if until := time.Now().Add(hold); until.After(held.until) {
 		held.until = until
 	}
 	s.locks[name] = held
-	return http.StatusOK, acquireResponse{held.fence}
+	return http.StatusOK, acquireResponse{held.token}
 }
 
 // restartLeases restarts the hold time of every held lock, as a control node does when it takes
--- a/client/random_faults_test.go
+++ b/client/random_faults_test.go
@@ -19,7 +19,7 @@
 	holder       *Lease
 	highestToken uint64
 	leases       int
-	drawnNumbers map[uint64]bool
+	numbers      map[uint64]bool
 	acknowledged map[uint64]string // values of successful puts by revision
 	watched      map[uint64]string // values of watch events by revision
 }
@@ -40,10 +40,10 @@
 func (log *callerLog) recordNumber(before, number uint64) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if log.drawnNumbers[number] || number <= before {
+	if log.numbers[number] || number <= before {
 		log.t.Errorf("number %d was returned twice, or after %d", number, before)
 	}
-	log.drawnNumbers[number] = true
+	log.numbers[number] = true
 }
 
 // Several clients work while random faults occur: late and lost responses, delayed requests,
@@ -60,7 +60,7 @@
 
 func runRandomFaults(t *testing.T, s *fakeServer, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 23))
-	log := &callerLog{t: t, drawnNumbers: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
+	log := &callerLog{t: t, numbers: map[uint64]bool{}, acknowledged: map[uint64]string{}, watched: map[uint64]string{}}
 	s.put("g.first", putRequest{Value: "first"})
 	unavailableUntil := time.Time{} // until then every node responds with a 503
 	s.setFault(func(_ int, r *http.Request) fault {
@@ -75,7 +75,7 @@
 	for caller := range 4 {
 		c := newTestClient(t, s)
 		callers.Go(func() { lockRepeatedly(ctx, c, log, rand.New(rand.NewPCG(seed, uint64(caller)))) })
-		callers.Go(func() { drawRepeatedly(ctx, c, log) })
+		callers.Go(func() { incrementRepeatedly(ctx, c, log) })
 		callers.Go(func() { putRepeatedly(ctx, c, log, caller) })
 	}
 	callers.Go(func() {
@@ -135,7 +135,7 @@
 	}
 }
 
-func drawRepeatedly(ctx context.Context, c *Client, log *callerLog) {
+func incrementRepeatedly(ctx context.Context, c *Client, log *callerLog) {
 	last := uint64(0)
 	for {
 		number, err := c.Counter("n").Next(ctx)
@@ -170,8 +170,8 @@
 func (log *callerLog) check(s *fakeServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if log.leases < 10 || len(log.drawnNumbers) < 300 || len(log.acknowledged) < 100 || len(log.watched) < 100 {
-		log.t.Errorf("too few operations: %d leases, %d numbers, %d puts, %d events", log.leases, len(log.drawnNumbers), len(log.acknowledged), len(log.watched))
+	if log.leases < 10 || len(log.numbers) < 300 || len(log.acknowledged) < 100 || len(log.watched) < 100 {
+		log.t.Errorf("too few operations: %d leases, %d numbers, %d puts, %d events", log.leases, len(log.numbers), len(log.acknowledged), len(log.watched))
 	}
 	last := uint64(0)
 	for revision := range log.watched {
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,5 +1,5 @@
 // Package apierror defines the kinds of errors that gateways and control nodes answer with, and
-// the HTTP response for each kind. The list of kinds is closed.
+// the HTTP response for each kind. An error of no known kind is answered as Internal.
 package apierror
 
 import (
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -58,9 +58,9 @@
 }
 
 // lockNamesIn returns names of locks that are in a partition.
-func lockNamesIn(key string, count int) (names []string) {
+func lockNamesIn(partition string, count int) (names []string) {
 	for i := 0; len(names) < count; i++ {
-		if name := fmt.Sprintf("l%d", i); partitionName(lockPrefix+name) == key {
+		if name := fmt.Sprintf("l%d", i); partitionName(lockPrefix+name) == partition {
 			names = append(names, name)
 		}
 	}
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// testLimits are large enough for all tests but those of the limits.
+// testLimits are large enough for all tests except those of the limits.
 var testLimits = Limits{History: 30 * time.Second, Bytes: 1 << 20, HistoryBytes: 1 << 19}
 
 // testPartition is a partition with the records that result from its changes.
@@ -52,16 +52,16 @@
 	takeover bool
 }
 
-func acquire(owner string, hold float64) Call {
-	return Call{Operation: Acquire, Name: "l", Owner: owner, Lease: seconds(hold)}
+func acquire(owner string, lease float64) Call {
+	return Call{Operation: Acquire, Name: "l", Owner: owner, Lease: seconds(lease)}
 }
 
-func renew(owner string, fence uint64, hold float64) Call {
-	return Call{Operation: Renew, Name: "l", Owner: owner, FencingToken: fence, Lease: seconds(hold)}
+func renew(owner string, token uint64, lease float64) Call {
+	return Call{Operation: Renew, Name: "l", Owner: owner, FencingToken: token, Lease: seconds(lease)}
 }
 
-func release(owner string, fence uint64) Call {
-	return Call{Operation: Release, Name: "l", Owner: owner, FencingToken: fence}
+func release(owner string, token uint64) Call {
+	return Call{Operation: Release, Name: "l", Owner: owner, FencingToken: token}
 }
 
 func putCell(name, value string, expected *uint64) Call {
@@ -75,99 +75,99 @@
 	ok   = Answer{Status: OK}
 )
 
-func fenced(fence uint64) Answer      { return Answer{Status: OK, FencingToken: fence} }
-func revised(r uint64) Answer         { return Answer{Status: OK, Revision: r} }
-func mismatched(r uint64) Answer      { return Answer{Status: Mismatch, Revision: r} }
+func withToken(token uint64) Answer   { return Answer{Status: OK, FencingToken: token} }
+func withRevision(r uint64) Answer    { return Answer{Status: OK, Revision: r} }
+func mismatchAt(r uint64) Answer      { return Answer{Status: Mismatch, Revision: r} }
 func found(v string, r uint64) Answer { return Answer{Status: OK, Value: v, Revision: r} }
 
 func TestPartition(t *testing.T) {
-	draw := Call{Operation: Increment, Name: "n"}
+	increment := Call{Operation: Increment, Name: "n"}
 	for name, steps := range map[string][]step{
 		"a lock is free once its lease has ended": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
 			{at: 3.9, call: acquire("b", 3), want: held},
-			{at: 4, call: acquire("b", 3), want: fenced(2)},
+			{at: 4, call: acquire("b", 3), want: withToken(2)},
 			{at: 4.1, call: renew("a", 1, 3), want: held},
 		},
 		"a holder that acquires again keeps its token and extends its lease": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
-			{at: 2, call: acquire("a", 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
+			{at: 2, call: acquire("a", 3), want: withToken(1)},
 			{at: 4.9, call: acquire("b", 3), want: held},
-			{at: 5, call: acquire("b", 3), want: fenced(2)},
+			{at: 5, call: acquire("b", 3), want: withToken(2)},
 		},
-		"a shorter hold does not shorten the lease": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
-			{at: 2, call: renew("a", 1, 0.5), want: fenced(1)},
+		"a shorter renewal does not shorten the lease": {
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
+			{at: 2, call: renew("a", 1, 0.5), want: withToken(1)},
 			{at: 3.9, call: acquire("b", 3), want: held},
 		},
 		"an ended lease can be renewed if nobody acquired the lock since": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
-			{at: 9, call: renew("a", 1, 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
+			{at: 9, call: renew("a", 1, 3), want: withToken(1)},
 			{at: 11, call: acquire("b", 3), want: held},
 		},
 		"only the holder can release a lock": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
 			{at: 1, call: release("b", 1), want: ok},
 			{at: 1, call: release("a", 7), want: ok},
 			{at: 1, call: acquire("b", 3), want: held},
 			{at: 1, call: release("a", 1), want: ok},
 			{at: 1, call: release("a", 1), want: ok},
-			{at: 1, call: acquire("b", 3), want: fenced(2)},
+			{at: 1, call: acquire("b", 3), want: withToken(2)},
 		},
 		"a new owner starts every lease at its full length": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
 			{at: 3, takeover: true},
 			{at: 5.9, call: acquire("b", 3), want: held},
-			{at: 5.9, call: renew("a", 1, 3), want: fenced(1)},
-			{at: 8.9, call: acquire("b", 3), want: fenced(2)},
+			{at: 5.9, call: renew("a", 1, 3), want: withToken(1)},
+			{at: 8.9, call: acquire("b", 3), want: withToken(2)},
 		},
 		"a new owner knows the length of a longer renewal": {
-			{at: 1, call: acquire("a", 1), want: fenced(1)},
-			{at: 1, call: renew("a", 1, 5), want: fenced(1)},
+			{at: 1, call: acquire("a", 1), want: withToken(1)},
+			{at: 1, call: renew("a", 1, 5), want: withToken(1)},
 			{at: 2, takeover: true},
 			{at: 6.9, call: acquire("b", 3), want: held},
 		},
 		"tokens increase across releases and takeovers": {
-			{at: 1, call: acquire("a", 3), want: fenced(1)},
+			{at: 1, call: acquire("a", 3), want: withToken(1)},
 			{at: 1, call: release("a", 1), want: ok},
 			{at: 2, takeover: true},
-			{at: 3, call: acquire("a", 3), want: fenced(2)},
+			{at: 3, call: acquire("a", 3), want: withToken(2)},
 		},
 		"counters increase across takeovers": {
-			{at: 1, call: draw, want: Answer{Status: OK, Number: 1}},
-			{at: 1, call: draw, want: Answer{Status: OK, Number: 2}},
+			{at: 1, call: increment, want: Answer{Status: OK, Number: 1}},
+			{at: 1, call: increment, want: Answer{Status: OK, Number: 2}},
 			{at: 2, takeover: true},
-			{at: 2, call: draw, want: Answer{Status: OK, Number: 3}},
+			{at: 2, call: increment, want: Answer{Status: OK, Number: 3}},
 		},
 		"cells of a group share a sequence of revisions": {
 			{at: 1, call: get("g.a"), want: Answer{Status: NotFound}},
-			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
-			{at: 1, call: putCell("g.b", "y", revision(0)), want: revised(2)},
-			{at: 1, call: putCell("h.a", "z", nil), want: revised(1)},
-			{at: 1, call: putCell("g.a", "w", revision(2)), want: mismatched(1)},
-			{at: 1, call: putCell("g.c", "w", revision(2)), want: mismatched(0)},
-			{at: 1, call: putCell("g.a", "w", revision(1)), want: revised(3)},
+			{at: 1, call: putCell("g.a", "x", nil), want: withRevision(1)},
+			{at: 1, call: putCell("g.b", "y", revision(0)), want: withRevision(2)},
+			{at: 1, call: putCell("h.a", "z", nil), want: withRevision(1)},
+			{at: 1, call: putCell("g.a", "w", revision(2)), want: mismatchAt(1)},
+			{at: 1, call: putCell("g.c", "w", revision(2)), want: mismatchAt(0)},
+			{at: 1, call: putCell("g.a", "w", revision(1)), want: withRevision(3)},
 			{at: 1, call: get("g.a"), want: found("w", 3)},
-			{at: 1, call: Call{Operation: Revision, Name: "g."}, want: revised(3)},
+			{at: 1, call: Call{Operation: Revision, Name: "g."}, want: withRevision(3)},
 		},
 		"a repeated put gets its first revision": {
-			{at: 1, call: putCell("g.a", "x", revision(0)), want: revised(1)},
-			{at: 1, call: putCell("g.a", "x", revision(0)), want: revised(1)},
-			{at: 2, call: putCell("g.a", "y", nil), want: revised(2)},
-			{at: 3, call: putCell("g.a", "x", revision(0)), want: revised(1)},
+			{at: 1, call: putCell("g.a", "x", revision(0)), want: withRevision(1)},
+			{at: 1, call: putCell("g.a", "x", revision(0)), want: withRevision(1)},
+			{at: 2, call: putCell("g.a", "y", nil), want: withRevision(2)},
+			{at: 3, call: putCell("g.a", "x", revision(0)), want: withRevision(1)},
 			{at: 4, takeover: true},
-			{at: 20, call: putCell("g.a", "x", revision(0)), want: revised(1)},
+			{at: 20, call: putCell("g.a", "x", revision(0)), want: withRevision(1)},
 			{at: 20, call: get("g.a"), want: found("y", 2)},
 		},
-		"a put of the current value is a repeat however old that is": {
-			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
-			{at: 99, call: putCell("g.a", "x", revision(0)), want: revised(1)},
+		"a put of the current value is a repeat, however old that value is": {
+			{at: 1, call: putCell("g.a", "x", nil), want: withRevision(1)},
+			{at: 99, call: putCell("g.a", "x", revision(0)), want: withRevision(1)},
 			{at: 999, takeover: true},
-			{at: 9999, call: putCell("g.a", "x", nil), want: revised(1)},
+			{at: 9999, call: putCell("g.a", "x", nil), want: withRevision(1)},
 		},
 		"a put of the same value to another cell is not a repeat": {
-			{at: 1, call: putCell("g.a", "x", nil), want: revised(1)},
-			{at: 1, call: putCell("g.b", "x", nil), want: revised(2)},
+			{at: 1, call: putCell("g.a", "x", nil), want: withRevision(1)},
+			{at: 1, call: putCell("g.b", "x", nil), want: withRevision(2)},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -213,7 +213,7 @@
 	if err != nil || upTo != 2 || len(events) != 1 || events[0] != (Event{"g.a", "y", 2}) {
 		t.Errorf("events after revision 1: %v %d %v", events, upTo, err)
 	}
-	if got := s.execute(seconds(41), putCell("g.a", "z", nil)); got != revised(3) {
+	if got := s.execute(seconds(41), putCell("g.a", "z", nil)); got != withRevision(3) {
 		t.Errorf("the next put: %+v", got)
 	}
 	if s.totalBytes != sizeOfRecords(s.records) {
@@ -221,11 +221,11 @@
 	}
 }
 
-func sizeOfRecords(records map[string]Record) (n int) {
+func sizeOfRecords(records map[string]Record) (size int) {
 	for _, r := range records {
-		n += recordSize(r)
+		size += recordSize(r)
 	}
-	return n
+	return size
 }
 
 func TestPartitionLimits(t *testing.T) {
@@ -238,7 +238,7 @@
 	if last != Full {
 		t.Fatal("the history has no limit")
 	}
-	if got := s.execute(0, putCell("g.a", "0", nil)); got != revised(1) {
+	if got := s.execute(0, putCell("g.a", "0", nil)); got != withRevision(1) {
 		t.Errorf("a repeated put with a full history: %+v", got)
 	}
 	s.apply(s.Sweep(seconds(2)))
--- a/internal/coordination/random_failures_test.go
+++ b/internal/coordination/random_failures_test.go
@@ -14,7 +14,7 @@
 type history struct {
 	*simulation
 	leases     map[string][]*heldLease // by lock
-	numbers    []drawnNumber
+	numbers    []issuedNumber
 	puts       []*putCall
 	reads      []readCall
 	mismatches []mismatch
@@ -22,15 +22,15 @@
 	answers    int
 }
 
-// heldLease is the time in which a caller regards itself as the holder of a lock.
+// heldLease is the period in which a caller regards itself as the holder of a lock.
 type heldLease struct {
-	owner      string
-	fence      uint64
-	sentAt     time.Duration // when the acquiring call was sent
-	begin, end time.Duration
+	owner        string
+	fencingToken uint64
+	sentAt       time.Duration // when the acquiring call was sent
+	begin, end   time.Duration
 }
 
-type drawnNumber struct {
+type issuedNumber struct {
 	name               string
 	value              uint64
 	sentAt, answeredAt time.Duration
@@ -42,7 +42,7 @@
 	expected           *uint64
 	sentAt, answeredAt time.Duration // of the first try; of the first successful answer
 	revision           uint64        // 0: none was returned
-	maybeDone          bool          // a try without an answer may have taken effect
+	maybeExecuted      bool          // a try without a definite answer may have been executed
 	refused            bool
 }
 
@@ -73,7 +73,7 @@
 	testGroups   = []string{"g1.", "g2."}
 )
 
-// caller makes one call after the other. It retries a put until its outcome is known or its
+// caller makes one call after another. It retries a put until its outcome is known or its
 // tries are used up.
 type caller struct {
 	history       *history
@@ -111,7 +111,7 @@
 		case 0, 1:
 			c.lock()
 		case 2:
-			c.draw()
+			c.increment()
 		case 3:
 			c.put()
 		default:
@@ -133,7 +133,7 @@
 			return
 		}
 		c.history.answers++
-		held := &heldLease{owner: c.owner, fence: r.Answer.FencingToken, sentAt: sent, begin: c.history.now, end: sent + lease}
+		held := &heldLease{owner: c.owner, fencingToken: r.Answer.FencingToken, sentAt: sent, begin: c.history.now, end: sent + lease}
 		c.history.leases[name] = append(c.history.leases[name], held)
 		c.useLock(name, held, lease)
 	})
@@ -143,11 +143,11 @@
 func (c *caller) useLock(name string, lease *heldLease, leaseTime time.Duration) {
 	c.history.schedule(time.Duration(c.random.Intn(int(leaseTime))), func() {
 		switch c.random.Intn(4) {
-		case 0: // the caller is lost or sleeps past the end of the lease
+		case 0: // the caller crashes, or sleeps until after the end of the lease
 			c.scheduleCall()
 		case 1, 2:
 			sent := c.history.now
-			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, FencingToken: lease.fence, Lease: leaseTime}, func(r Result, ok bool) {
+			c.send(Call{Operation: Renew, Name: name, Owner: c.owner, FencingToken: lease.fencingToken, Lease: leaseTime}, func(r Result, ok bool) {
 				switch {
 				case c.history.now >= lease.end: // too late: the renewal does not count
 				case ok && r.Effect == Answered && r.Answer.Status == OK:
@@ -159,21 +159,21 @@
 			})
 		default:
 			for _, own := range c.history.leases[name] {
-				if own.owner == c.owner { // including those that it abandoned
+				if own.owner == c.owner { // including leases that it neither renewed nor released
 					own.end = min(own.end, c.history.now)
 				}
 			}
-			c.send(Call{Operation: Release, Name: name, Owner: c.owner, FencingToken: lease.fence}, func(Result, bool) { c.scheduleCall() })
+			c.send(Call{Operation: Release, Name: name, Owner: c.owner, FencingToken: lease.fencingToken}, func(Result, bool) { c.scheduleCall() })
 		}
 	})
 }
 
-func (c *caller) draw() {
+func (c *caller) increment() {
 	name, sent := c.pickName(testCounters), c.history.now
 	c.send(Call{Operation: Increment, Name: name}, func(r Result, ok bool) {
 		if ok && r.Effect == Answered && r.Answer.Status == OK {
 			c.history.answers++
-			c.history.numbers = append(c.history.numbers, drawnNumber{name, r.Answer.Number, sent, c.history.now})
+			c.history.numbers = append(c.history.numbers, issuedNumber{name, r.Answer.Number, sent, c.history.now})
 		}
 		c.scheduleCall()
 	})
@@ -216,7 +216,7 @@
 			c.lastRevisions[put.name] = r.Answer.Revision
 			c.history.mismatches = append(c.history.mismatches, mismatch{put.name, r.Answer.Revision})
 		default:
-			put.maybeDone = put.maybeDone || !ok || r.Effect != NotExecuted
+			put.maybeExecuted = put.maybeExecuted || !ok || r.Effect != NotExecuted
 			if tries > 1 {
 				c.sendPut(put, tries-1)
 				return
@@ -244,7 +244,7 @@
 		return
 	}
 	n := h.nodes[h.random.Intn(len(h.nodes))]
-	life := n.life
+	runID := n.runID
 	finished := false
 	watchAgain := func(after uint64) {
 		if !finished {
@@ -260,8 +260,8 @@
 		h.watched = append(h.watched, watchAnswer{group, after, r.Revision, r.Events})
 		watchAgain(r.Revision)
 	}}
-	h.runStep(n, life, func() { n.server.Watch(w) })
-	h.schedule(time.Second, func() { h.runStep(n, life, func() { n.server.TimeOutWatch(w) }) })
+	h.runStep(n, runID, func() { n.server.Watch(w) })
+	h.schedule(time.Second, func() { h.runStep(n, runID, func() { n.server.TimeOutWatch(w) }) })
 	h.schedule(2*time.Second, func() { watchAgain(after) }) // the node has crashed or is frozen
 }
 
@@ -360,19 +360,19 @@
 // checkLocks checks mutual exclusion: no two owners regard themselves as holders of a lock at
 // the same time, and fencing tokens increase from holder to holder.
 func (h *history) checkLocks() {
-	for name, holds := range h.leases {
-		for _, a := range holds {
-			for _, b := range holds {
+	for name, leases := range h.leases {
+		for _, a := range leases {
+			for _, b := range leases {
 				if a.owner == b.owner {
 					continue
 				}
-				if a.fence == b.fence {
-					h.t.Fatalf("%s: %s and %s both have token %d", name, a.owner, b.owner, a.fence)
+				if a.fencingToken == b.fencingToken {
+					h.t.Fatalf("%s: %s and %s both have token %d", name, a.owner, b.owner, a.fencingToken)
 				}
 				if a.begin < b.end && b.begin < a.end {
 					h.t.Fatalf("%s: held at the same time: %+v and %+v", name, *a, *b)
 				}
-				if a.begin < b.sentAt && a.fence > b.fence {
+				if a.begin < b.sentAt && a.fencingToken > b.fencingToken {
 					h.t.Fatalf("%s: %+v has a lower token than %+v, which was granted before", name, *b, *a)
 				}
 			}
@@ -430,8 +430,8 @@
 
 func (h *history) checkPut(put *putCall, eventAt func(string, uint64) Event, values map[string]uint64, events map[uint64]Event) {
 	switch {
-	case put.revision == 0 && !put.maybeDone && values[put.value] != 0:
-		h.t.Fatalf("%+v has not taken effect by its answers, but is in the history", *put)
+	case put.revision == 0 && !put.maybeExecuted && values[put.value] != 0:
+		h.t.Fatalf("%+v was not executed according to its answers, but is in the history", *put)
 	case put.revision == 0:
 		return
 	case eventAt(put.name, put.revision).Value != put.value:
--- a/internal/coordination/server_test.go
+++ b/internal/coordination/server_test.go
@@ -9,8 +9,8 @@
 	"madderwing/internal/replication"
 )
 
-// fakeReplica is a replica that owns every key. With holdProposals, proposals are queued and
-// the test runs them.
+// fakeReplica is a replica that owns every partition. With holdProposals, proposals are queued
+// until the test runs them.
 type fakeReplica struct {
 	records       map[string]Record
 	epoch         replication.Epoch
@@ -123,7 +123,7 @@
 	}
 }
 
-// A new term loads the state from the records and keeps nothing of the former term.
+// In a new ownership term the state is loaded from the records; nothing of the previous term is kept.
 func TestNewTermReloadsRecords(t *testing.T) {
 	s := newTestServer()
 	inTime := ClockReading{RunID: 7, Time: time.Hour}
@@ -138,11 +138,11 @@
 
 func TestWatchAnsweredOnceCopyHasAcknowledgedRevision(t *testing.T) {
 	s := newTestServer()
-	key := groupPartition("g.")
+	partition := groupPartition("g.")
 	p := load(t, map[string]Record{}, 0, testLimits)
 	p.execute(0, putCell("g.a", "x", nil))
 	s.replica.records = p.records
-	s.Committed(key, nil)
+	s.Committed(partition, nil)
 	var results []WatchResult
 	watch := func(after, least uint64) *Watch {
 		results = nil
@@ -163,7 +163,7 @@
 	}
 	w = watch(1, 1)
 	_, changes := p.Execute(0, putCell("g.b", "y", nil))
-	s.Committed(key, changes)
+	s.Committed(partition, changes)
 	s.TimeOutWatch(w)
 	if len(results) != 1 || results[0].Revision != 2 || results[0].Events[0] != (Event{"g.b", "y", 2}) {
 		t.Errorf("a put during the watch: %+v", results)
@@ -208,7 +208,7 @@
 func TestPeerClockEstimateIsNeverAhead(t *testing.T) {
 	c := NewPeerClocks()
 	c.Observe("p", ClockReading{RunID: 1, Time: 100}, 40)
-	c.Observe("p", ClockReading{RunID: 1, Time: 200}, 180) // a longer transfer
+	c.Observe("p", ClockReading{RunID: 1, Time: 200}, 180) // in transit for longer than the first reading
 	if got, _ := c.Estimate("p", 200); got != (ClockReading{RunID: 1, Time: 260}) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -15,14 +15,14 @@
 const (
 	testHeartbeat       = 500 * time.Millisecond
 	testVacancyTimeout  = 1200 * time.Millisecond
-	testCallerTimeout   = time.Second            // after which a caller gives a call up
+	testCallerTimeout   = time.Second            // after which a caller gives up on a call
 	testAnswerLimit     = 800 * time.Millisecond // for the answer of a node to a caller
 	testStartLimit      = 720 * time.Millisecond // for the start of a call at the owner
 	testFreezeDetection = 250 * time.Millisecond // gap after which a process detects that it was frozen
 )
 
-// simulation is a simulated set of control nodes with real replicas: a network with delays and
-// partitions, slow disks, and processes that crash and freeze.
+// simulation is a simulated cluster of control nodes with real replicas: a network with delays and
+// blocked connections, slow disks, and processes that crash and freeze.
 type simulation struct {
 	t               testing.TB
 	random          *rand.Rand
@@ -30,9 +30,9 @@
 	queue           replicationtest.Queue
 	nodes           []*node
 	blocked         map[[2]string]int
-	lastLife        uint64
+	lastRunID       uint64
 	partitionLimits Limits
-	slowUntil       time.Duration // many messages are delayed until then
+	slowUntil       time.Duration // until then more messages are delayed
 
 	// latency and sync are the duration of each message and each write; 0: random.
 	latency, sync time.Duration
@@ -42,7 +42,7 @@
 type node struct {
 	address     string
 	up          bool
-	life        uint64
+	runID       uint64
 	startedAt   time.Duration
 	frozenUntil time.Duration
 	replica     *replication.Replica
@@ -77,13 +77,13 @@
 func (s *simulation) clock(n *node) time.Duration { return s.now - n.startedAt }
 
 func (s *simulation) start(n *node) {
-	s.lastLife++
-	n.up, n.life, n.startedAt, n.diskIdleAt, n.pending = true, s.lastLife, s.now, 0, nil
+	s.lastRunID++
+	n.up, n.runID, n.startedAt, n.diskIdleAt, n.pending = true, s.lastRunID, s.now, 0, nil
 	var seeds []string
 	for _, o := range s.nodes[:3] {
 		seeds = append(seeds, o.address)
 	}
-	config := replication.Config{Self: n.address, RunID: n.life, Identity: s.random.Uint64() | 1, Seeds: seeds, Faults: 1,
+	config := replication.Config{Self: n.address, RunID: n.runID, Identity: s.random.Uint64() | 1, Seeds: seeds, Faults: 1,
 		Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, FreshnessPrefix: PartitionPrefix,
 		HeartbeatInterval: testHeartbeat, ElectionTimeout: testVacancyTimeout, ProposalTimeout: 900 * time.Millisecond, TransferBackDelay: 4 * time.Second,
 		Alive: func(address string) bool { o := s.node(address); return o.up && o.frozenUntil <= s.now },
@@ -99,12 +99,12 @@
 		s.t.Fatal(err)
 	}
 	n.replica, n.clocks = replica, NewPeerClocks()
-	n.server = NewServer(ServerConfig{Self: n.address, RunID: n.life, Clock: func() time.Duration { return s.clock(n) },
+	n.server = NewServer(ServerConfig{Self: n.address, RunID: n.runID, Clock: func() time.Duration { return s.clock(n) },
 		Limits: s.partitionLimits, Sweep: 2 * time.Second, Freshness: 3 * testHeartbeat, Log: slog.New(slog.DiscardHandler)}, replica)
-	for _, key := range replica.Partitions() {
-		n.server.Committed(key, nil)
+	for _, partition := range replica.Partitions() {
+		n.server.Committed(partition, nil)
 	}
-	s.tick(n, n.life)
+	s.tick(n, n.runID)
 }
 
 func (s *simulation) node(address string) *node {
@@ -116,27 +116,27 @@
 	return nil
 }
 
-func (s *simulation) tick(n *node, life uint64) {
-	if n.life != life || !n.up {
+func (s *simulation) tick(n *node, runID uint64) {
+	if n.runID != runID || !n.up {
 		return
 	}
 	if n.frozenUntil <= s.now {
-		s.runStep(n, life, func() {
+		s.runStep(n, runID, func() {
 			n.replica.Tick(s.clock(n))
 			n.server.Tick(s.clock(n))
 		})
 	}
-	s.schedule(100*time.Millisecond, func() { s.tick(n, life) })
+	s.schedule(100*time.Millisecond, func() { s.tick(n, runID) })
 }
 
 // runStep runs a step of a process and executes its effects. A frozen process does so when it
 // runs again.
-func (s *simulation) runStep(n *node, life uint64, step func()) {
-	if !n.up || n.life != life {
+func (s *simulation) runStep(n *node, runID uint64, step func()) {
+	if !n.up || n.runID != runID {
 		return
 	}
 	if n.frozenUntil > s.now {
-		s.schedule(n.frozenUntil-s.now+time.Duration(s.random.Intn(50))*time.Microsecond, func() { s.runStep(n, life, step) })
+		s.schedule(n.frozenUntil-s.now+time.Duration(s.random.Intn(50))*time.Microsecond, func() { s.runStep(n, runID, step) })
 		return
 	}
 	step()
@@ -150,22 +150,22 @@
 	if effects.Rewrite {
 		s.t.Fatal("unexpected rewrite: no simulated disk refuses writes")
 	}
-	for _, key := range effects.Committed {
-		n.server.Committed(key, effects.Changed[key])
+	for _, partition := range effects.Committed {
+		n.server.Committed(partition, effects.Changed[partition])
 	}
 }
 
 // send delivers a message after a delay, unless the connection is blocked by then.
 func (s *simulation) send(from *node, address string, deliver func(to *node)) {
-	to, life := s.node(address), s.node(address).life
+	to, runID := s.node(address), s.node(address).runID
 	s.schedule(s.delay(), func() {
 		if s.blocked[[2]string{from.address, address}] == 0 {
-			s.runStep(to, life, func() { deliver(to) })
+			s.runStep(to, runID, func() { deliver(to) })
 		}
 	})
 }
 
-// delay is the transfer time of a message.
+// delay returns how long a message is in transit.
 func (s *simulation) delay() time.Duration {
 	if s.latency > 0 {
 		return s.latency
@@ -184,14 +184,14 @@
 	}
 	n.diskIdleAt = max(n.diskIdleAt, s.now) + duration
 	n.pending = append(n.pending, write)
-	life := n.life
+	runID := n.runID
 	s.schedule(n.diskIdleAt-s.now, func() {
-		if !n.up || n.life != life {
+		if !n.up || n.runID != runID {
 			return
 		}
 		n.pending = n.pending[1:]
 		n.disk.Apply(write.Entries)
-		s.runStep(n, life, func() { n.replica.Durable(s.clock(n), write.ID) })
+		s.runStep(n, runID, func() { n.replica.Durable(s.clock(n), write.ID) })
 	})
 }
 
@@ -221,15 +221,16 @@
 
 // call simulates a call at a node, as the node's driver handles it: it looks up the owner of
 // the partition and forwards the call once that is known. done is called at most once; a
-// caller without an answer gives up after testCallerTimeout. Callers have short delays, so
-// a call is late only at a frozen process, which refuses the calls that arrived meanwhile.
+// caller without an answer gives up after testCallerTimeout. Messages between caller and node
+// take less than 5 ms, so a call is handled late only by a process that was frozen; that process
+// refuses the calls that arrived meanwhile.
 func (s *simulation) call(n *node, call Call, done func(Result)) {
-	life := n.life
+	runID := n.runID
 	callerDelay := func() time.Duration { return time.Duration(500+s.random.Intn(4000)) * time.Microsecond }
 	answer := func(r Result) { s.schedule(callerDelay(), func() { done(r) }) }
 	s.schedule(callerDelay(), func() {
 		arrivedAt := s.now
-		s.runStep(n, life, func() {
+		s.runStep(n, runID, func() {
 			if s.now-arrivedAt > testFreezeDetection {
 				answer(Result{Effect: NotExecuted})
 				return
@@ -240,14 +241,14 @@
 }
 
 func (s *simulation) attempt(n *node, call Call, startedAt time.Duration, answer func(Result)) {
-	key, life := call.Partition(), n.life
-	owner := n.replica.Owner(s.clock(n), key)
+	partition, runID := call.Partition(), n.runID
+	owner := n.replica.Owner(s.clock(n), partition)
 	if owner == "" {
-		owner = n.replica.InitialOwner(s.clock(n), key)
+		owner = n.replica.InitialOwner(s.clock(n), partition)
 	}
 	retry := func() {
 		s.schedule(20*time.Millisecond, func() {
-			s.runStep(n, life, func() {
+			s.runStep(n, runID, func() {
 				if s.clock(n) > startedAt+testAnswerLimit {
 					answer(Result{Effect: NotExecuted})
 				} else {
@@ -260,7 +261,7 @@
 	case "":
 		retry()
 	case n.address:
-		s.execute(n, call, ClockReading{RunID: n.life, Time: startedAt + testStartLimit}, func(r Result) {
+		s.execute(n, call, ClockReading{RunID: n.runID, Time: startedAt + testStartLimit}, func(r Result) {
 			if r.Effect == NotExecuted {
 				retry()
 			} else {
@@ -275,9 +276,9 @@
 func (s *simulation) forward(n *node, owner string, call Call, startedAt time.Duration, answer func(Result), retry func()) {
 	deadline, _ := n.clocks.Estimate(owner, startedAt+testStartLimit)
 	finished := false
-	life := n.life
+	runID := n.runID
 	s.schedule(startedAt+testAnswerLimit-s.clock(n), func() {
-		s.runStep(n, life, func() {
+		s.runStep(n, runID, func() {
 			if !finished {
 				finished = true
 				answer(Result{Effect: MaybeExecuted})
@@ -288,7 +289,7 @@
 		s.execute(to, call, deadline, func(r Result) {
 			clock := to.server.Clock()
 			s.send(to, n.address, func(*node) {
-				if finished || n.life != life {
+				if finished || n.runID != runID {
 					return
 				}
 				finished = true
@@ -305,7 +306,7 @@
 
 // execute executes a call at its owner. It must run in a step of the owner.
 func (s *simulation) execute(n *node, call Call, deadline ClockReading, done func(Result)) {
-	finished, life := false, n.life
+	finished, runID := false, n.runID
 	execution := NewExecution(call, deadline, func(r Result) {
 		if !finished {
 			finished = true
@@ -314,7 +315,7 @@
 	})
 	n.server.Execute(s.clock(n), execution)
 	s.schedule(testAnswerLimit, func() {
-		s.runStep(n, life, func() {
+		s.runStep(n, runID, func() {
 			if !finished {
 				finished = true
 				done(Result{Effect: execution.Abandon()})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -137,8 +137,8 @@
 		if s.HasRegistry() != c.registry || s.RevocationBounded() != c.boundsRevocation || s.HasQuotas() != c.quota {
 			t.Errorf("%s: registry %v, revocation %v, quotas %v", name, s.HasRegistry(), s.RevocationBounded(), s.HasQuotas())
 		}
-		if lease, hold := s.KeyLeaseDuration(), s.RevocationAckDelay(); (lease > 0) != c.boundsRevocation || !c.boundsRevocation && hold != 0 {
-			t.Errorf("%s: lease %v, hold %v", name, lease, hold)
+		if lease, ackDelay := s.KeyLeaseDuration(), s.RevocationAckDelay(); (lease > 0) != c.boundsRevocation || !c.boundsRevocation && ackDelay != 0 {
+			t.Errorf("%s: lease %v, hold %v", name, lease, ackDelay)
 		}
 	}
 }
@@ -147,8 +147,8 @@
 	s := Settings{Bounds: Bounds{AckS: 8, RevokeS: 5, RevocationGlobal: true}}
 	// A gateway that has not received a revocation stops accepting the key less than revokeS after
 	// the acknowledgement, and the acknowledgement is sent within ackS.
-	if lease, hold := s.KeyLeaseDuration(), s.RevocationAckDelay(); lease >= hold+Seconds(s.Bounds.RevokeS) || hold >= Seconds(s.Bounds.AckS) {
-		t.Errorf("lease %v, hold %v", lease, hold)
+	if lease, ackDelay := s.KeyLeaseDuration(), s.RevocationAckDelay(); lease >= ackDelay+Seconds(s.Bounds.RevokeS) || ackDelay >= Seconds(s.Bounds.AckS) {
+		t.Errorf("lease %v, hold %v", lease, ackDelay)
 	}
 	s.Zones = map[string]string{"z": "r"}
 	if s.RegionOf("z") != "r" || s.RegionOf("other") != "other" {
--- a/internal/soak/applications_test.go
+++ b/internal/soak/applications_test.go
@@ -76,7 +76,7 @@
 	if a.call(random, http.MethodPost, "/v1/locks/"+acquired.lock, body, &response) != http.StatusOK {
 		return nil
 	}
-	acquired.heldFrom, acquired.heldUntil, acquired.fence = time.Now(), acquired.acquireSent.Add(lockHoldTime), response.Fence
+	acquired.heldFrom, acquired.heldUntil, acquired.fencingToken = time.Now(), acquired.acquireSent.Add(lockHoldTime), response.Fence
 	if !acquired.heldFrom.Before(acquired.heldUntil) {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	for range random.IntN(maxRenewals + 1) {
 		sleep(ctx, randomDuration(random, 100*time.Millisecond, lockHoldTime/2))
 		sent := time.Now()
-		body := fmt.Sprintf(`{"owner":%q,"fence":%d,"holdS":%g}`, a.owner, held.fence, lockHoldTime.Seconds())
+		body := fmt.Sprintf(`{"owner":%q,"fence":%d,"holdS":%g}`, a.owner, held.fencingToken, lockHoldTime.Seconds())
 		renewed := a.call(random, http.MethodPut, "/v1/locks/"+held.lock, body, nil) == http.StatusOK
 		if !time.Now().Before(held.heldUntil) {
 			return // a renewal that arrives after the holding time is over does not count
@@ -111,7 +111,7 @@
 		held.heldUntil = now
 	}
 	a.mu.Unlock()
-	a.call(random, http.MethodDelete, "/v1/locks/"+held.lock, fmt.Sprintf(`{"owner":%q,"fence":%d}`, a.owner, held.fence), nil)
+	a.call(random, http.MethodDelete, "/v1/locks/"+held.lock, fmt.Sprintf(`{"owner":%q,"fence":%d}`, a.owner, held.fencingToken), nil)
 }
 
 // requestNumber takes a number and records it.
--- a/internal/soak/bootstrap_test.go
+++ b/internal/soak/bootstrap_test.go
@@ -14,8 +14,8 @@
 // seedCount is the number of seed nodes in the settings.
 const seedCount = 3
 
-// relaySeedScenario is the bootstrap of a cluster some of whose seeds are relays, which are control nodes without a disk. The
-// relays are killed and restarted meanwhile.
+// relaySeedScenario is the bootstrap of a cluster some of whose seeds are relays, which are control nodes without
+// a disk. The relays are killed and restarted meanwhile.
 type relaySeedScenario struct {
 	relays    int
 	killAfter time.Duration // how long the relays have run when they are killed
@@ -47,8 +47,8 @@
 	runRelaySeedScenarios(t, 1, seedCount-1)
 }
 
-// Guards against the same where all seeds are relays, and against the bootstrap of two separate clusters instead of one.
-// KNOWN-RED.txt lists this test.
+// Guards against the same where all seeds are relays, and against the bootstrap of two separate clusters instead
+// of one. KNOWN-RED.txt lists this test.
 func TestAFoundingWithRelaysAsAllSeeds(t *testing.T) {
 	runRelaySeedScenarios(t, seedCount)
 }
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -139,11 +139,11 @@
 }
 
 // begin records the start of a fault and returns a function that records its end.
-func (l *faultLog) begin(why cause) (end func()) {
+func (l *faultLog) begin(faultCause cause) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	index := len(l.periods)
-	l.periods = append(l.periods, faultPeriod{began: time.Now(), cause: why})
+	l.periods = append(l.periods, faultPeriod{began: time.Now(), cause: faultCause})
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/soak/drain_test.go
+++ b/internal/soak/drain_test.go
@@ -27,8 +27,8 @@
 	return busiest
 }
 
-// findListReader returns the machine that reads the platform's list: the only one that calls the platform for drainS. It
-// returns nil if the context ends before.
+// findListReader returns the machine that reads the platform's list: the only one that calls the platform for
+// drainS. It returns nil if the context ends before.
 func (tc *testCluster) findListReader(ctx context.Context) *machine {
 	for _, m := range tc.machines {
 		m.platformProxy.takeNewCalls()
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Guards against a reader of the platform's list that keeps this role although the list reaches it late or not at all, so
-// that the other machines go on sending requests to draining upstreams.
+// Guards against a reader of the platform's list that keeps this role although the list reaches it late or not at
+// all, so that the other machines go on sending requests to draining upstreams.
 func TestDrainingUpstreamsGetNoRequestsDuringListReaderFaults(t *testing.T) {
 	binary := build(t)
 	pathFaultCase := func(fault pathFault) func(reader *machine) func() {
@@ -112,8 +112,8 @@
 	faultBeforeDraining = 100 * time.Millisecond
 )
 
-// drainDuringReaderFault drains the busiest upstream of each zone while the reader of the list has a fault. Clients send
-// requests to the other machines only.
+// drainDuringReaderFault drains the busiest upstream of each zone while the reader of the list has a fault.
+// Clients send requests to the other machines only.
 func drainDuringReaderFault(t *testing.T, binary string, scenario listReaderScenario) {
 	cluster := newTestCluster(t, binary, t.TempDir(), rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)), len(zones))
 	defer cluster.kill()
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// history is what the stand-ins of a run sent and received, and the faults of each machine. The judges see nothing else.
+// history is what the stand-ins of a run sent and received, and the faults of each machine. The judges see nothing
+// else.
 type history struct {
 	machines []*machine
 
@@ -75,7 +76,7 @@
 	lock, owner         string
 	acquireSent         time.Time // when the call that acquired the lock was sent
 	heldFrom, heldUntil time.Time
-	fence               uint64
+	fencingToken        uint64
 }
 
 // issuedNumber is a number that a control node issued to an application.
@@ -154,8 +155,9 @@
 	return m.faultFree(at.Add(-contactS), at) && h.coreFaultFree(at)
 }
 
-// extendedBoundApplies reports whether a bound that is longer by stretchMaxS, from since to at, binds a machine although
-// the core has faults: more than half of the core had no fault since then, and the machine none in the last contactS.
+// extendedBoundApplies reports whether a bound that is longer by stretchMaxS, from since to at, binds a machine
+// although the core has faults: more than half of the core had no fault since then, and the machine none in the
+// last contactS.
 func (h *history) extendedBoundApplies(machine int, since, at time.Time) bool {
 	running := 0
 	for _, m := range h.coreMachines() {
--- a/internal/soak/judge_config_test.go
+++ b/internal/soak/judge_config_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// findOutdatedRouting finds requests on the changed route that ran at the service of an older version although they were
-// sent later than configApplyS after a newer version was acknowledged. Where the machine is not in contact, the bound is
-// longer by stretchMaxS and binds only under the conditions of extendedBoundApplies.
+// findOutdatedRouting finds requests on the changed route that ran at the service of an older version although
+// they were sent later than configApplyS after a newer version was acknowledged. Where the machine is not in
+// contact, the bound is longer by stretchMaxS and binds only under the conditions of extendedBoundApplies.
 func findOutdatedRouting(h *history) (found []string) {
 	for _, a := range h.arrivals {
 		r := h.requests[a.attempt]
@@ -40,7 +40,8 @@
 	return newest
 }
 
-// allowsService reports whether the version of a generation, or a later one sent before a time, has the service as target.
+// allowsService reports whether the version of a generation, or a later one sent before a time, has the service as
+// target.
 func (h *history) allowsService(service string, generation int, at time.Time) bool {
 	for _, v := range h.versions {
 		if v.generation >= generation && v.service == service && v.sent.Before(at) {
@@ -50,8 +51,9 @@
 	return false
 }
 
-// findOutdatedReads finds reads that returned an older version although they were sent later than configApplyS after a newer
-// version was acknowledged. This binds every node, in contact or not, but a 5xx or no response is no violation.
+// findOutdatedReads finds reads that returned an older version although they were sent later than configApplyS
+// after a newer version was acknowledged. This binds every node, in contact or not, but a 5xx or no response is no
+// violation.
 func findOutdatedReads(h *history) (found []string) {
 	for _, r := range h.reads {
 		if newest := h.newestAcked(r.sent.Add(-configApplyS)); newest != nil && r.generation < newest.generation {
--- a/internal/soak/judge_drain_test.go
+++ b/internal/soak/judge_drain_test.go
@@ -11,14 +11,15 @@
 	began, ended time.Time // zero ended: it still does
 }
 
-// findDrainViolations finds requests that reached draining upstreams too late, see findArrivalsAfterDrain. drainS also runs
-// while the core has faults, and the rule binds each machine as soon as it is in contact.
+// findDrainViolations finds requests that reached draining upstreams too late, see findArrivalsAfterDrain. drainS
+// also runs while the core has faults, and the rule binds each machine as soon as it is in contact.
 func findDrainViolations(h *history) []string {
 	return findArrivalsAfterDrain(h.arrivals, h.drainingPeriods, h.inContact)
 }
 
-// findArrivalsAfterDrain finds draining upstreams that requests reached later than drainS after the platform's list showed
-// them as draining. applies reports whether the rule binds the machine that forwarded a request, at the time of arrival.
+// findArrivalsAfterDrain finds draining upstreams that requests reached later than drainS after the platform's
+// list showed them as draining. applies reports whether the rule binds the machine that forwarded a request, at
+// the time of arrival.
 func findArrivalsAfterDrain(arrivals []arrival, periods []*drainingPeriod, applies func(machine int, at time.Time) bool) (found []string) {
 	for _, period := range periods {
 		count, latest := 0, time.Duration(0)
--- a/internal/soak/judge_evacuation_test.go
+++ b/internal/soak/judge_evacuation_test.go
@@ -50,9 +50,9 @@
 	return found
 }
 
-// evacuationBinds reports whether the rule EVAC binds the machine that forwarded a request. Its gateway must have had no
-// fault for contactS, and either the core had none in that time, or the bound that is longer by stretchMaxS is over and
-// extendedBoundApplies.
+// evacuationBinds reports whether the rule EVAC binds the machine that forwarded a request. Its gateway must have
+// had no fault for contactS, and either the core had none in that time, or the bound that is longer by stretchMaxS
+// is over and extendedBoundApplies.
 func (h *history) evacuationBinds(a arrival, acked time.Time) bool {
 	if !h.machines[a.machine].gateway.faultFree(a.at.Add(-contactS), a.at) {
 		return false
--- a/internal/soak/judge_serving_test.go
+++ b/internal/soak/judge_serving_test.go
@@ -20,7 +20,8 @@
 // maxTries is the setting of every route: on how many upstreams a request may be tried.
 const maxTries = 2
 
-// findExcessAttempts reports a violation if more than three requests each ran on more upstreams than their route's maxTries.
+// findExcessAttempts reports a violation if more than three requests each ran on more upstreams than their route's
+// maxTries.
 func findExcessAttempts(h *history) []string {
 	var exceeding []string
 	for attempt, runs := range h.runsByAttempt() {
@@ -38,8 +39,8 @@
 	return []string{fmt.Sprintf("%d requests ran on more than %d upstreams: %v", len(exceeding), maxTries, exceeding)}
 }
 
-// findMissedDeadlines reports a violation if, of the requests to machines in contact that lasted longer than their route's
-// deadlineS, eight or more and over a quarter had no final response 0.5 s after the deadline.
+// findMissedDeadlines reports a violation if, of the requests to machines in contact that lasted longer than their
+// route's deadlineS, eight or more and over a quarter had no final response 0.5 s after the deadline.
 func findMissedDeadlines(h *history) []string {
 	overdue, late := 0, 0
 	for _, r := range h.requests {
@@ -79,10 +80,10 @@
 	return byRoute, all
 }
 
-// findUnservedLaterRoutes reports a violation if, without unplanned faults, machines in contact get 20 or more requests on a
-// route that was added later and serve them less than a quarter as often as those on the first routes. Clients send requests
-// on the changed route from the beginning, so only requests sent later than configApplyS after the acknowledgement of its
-// first version count.
+// findUnservedLaterRoutes reports a violation if, without unplanned faults, machines in contact get 20 or more
+// requests on a route that was added later and serve them less than a quarter as often as those on the first
+// routes. Clients send requests on the changed route from the beginning, so only requests sent later than
+// configApplyS after the acknowledgement of its first version count.
 func findUnservedLaterRoutes(h *history) []string {
 	include := func(r *request) bool {
 		return h.newestAcked(r.sent.Add(-configApplyS)) != nil && h.inContact(r.machine, r.sent) && h.noUnplannedFaults(r.sent.Add(-contactS), r.ended)
@@ -99,8 +100,8 @@
 	return []string{fmt.Sprintf("%d of %d requests on the route that was added later were served, %d of %d on the first ones", later.served, later.total, first.served, first.total)}
 }
 
-// findStarvedRoutes finds routes whose requests are served less than a quarter as often as all requests. The changed route
-// is left out.
+// findStarvedRoutes finds routes whose requests are served less than a quarter as often as all requests. The
+// changed route is left out.
 func findStarvedRoutes(h *history) (found []string) {
 	byRoute, all := h.tallyByRoute(func(r *request) bool { return r.routePrefix() != changedRoute })
 	for route, routeTally := range byRoute {
@@ -111,9 +112,9 @@
 	return found
 }
 
-// findRequestsCutByChanges finds machines that cut requests over three times as often during configuration changes as at
-// other times. A request is cut if it reached an upstream but got no complete response. Requests that have used seven
-// tenths of their deadline don't count, nor those that an upstream failed.
+// findRequestsCutByChanges finds machines that cut requests over three times as often during configuration changes
+// as at other times. A request is cut if it reached an upstream but got no complete response. Requests that have
+// used seven tenths of their deadline don't count, nor those that an upstream failed.
 func findRequestsCutByChanges(h *history) (found []string) {
 	runs := h.runsByAttempt()
 	for _, m := range h.machines {
@@ -138,8 +139,8 @@
 	return found
 }
 
-// duringConfigChange reports whether a request ended while a version was being applied: from its sending until 1 s after
-// configApplyS from its acknowledgement, or without limit if it was not acknowledged.
+// duringConfigChange reports whether a request ended while a version was being applied: from its sending until 1 s
+// after configApplyS from its acknowledgement, or without limit if it was not acknowledged.
 func (h *history) duringConfigChange(r *request) bool {
 	for _, v := range h.versions {
 		if r.ended.After(v.sent) && (v.acked.IsZero() || r.ended.Before(v.acked.Add(configApplyS+time.Second))) {
--- a/internal/soak/judges_selftest_test.go
+++ b/internal/soak/judges_selftest_test.go
@@ -52,8 +52,8 @@
 	return r
 }
 
-// Every judge finds the violation that is put into a valid history, and none finds one in the history without it. Request
-// r-1 is not idempotent, and r-2 is on the changed route.
+// Every judge finds the violation that is put into a valid history, and none finds one in the history without it.
+// Request r-1 is not idempotent, and r-2 is on the changed route.
 func TestEveryJudgeCanFail(t *testing.T) {
 	began := time.Now().Add(-time.Hour)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
@@ -104,9 +104,9 @@
 			h.finalKill = finalKill{at(41), at(42)}
 			h.addExchange(0, at(60), "/lookup/").status = 503
 		}},
-		"two holders at the same time":     {"ONE", func(h *history) { h.lockHoldings[1].heldFrom = at(2.9) }},
-		"a lower fence for a later holder": {"ONE", func(h *history) { h.lockHoldings[1].fence = 6 }},
-		"the same fence for two holders":   {"ONE", func(h *history) { h.lockHoldings[1].fence = 7 }},
+		"two holders at the same time":             {"ONE", func(h *history) { h.lockHoldings[1].heldFrom = at(2.9) }},
+		"a lower fencing token for a later holder": {"ONE", func(h *history) { h.lockHoldings[1].fencingToken = 6 }},
+		"the same fencing token for two holders":   {"ONE", func(h *history) { h.lockHoldings[1].fencingToken = 7 }},
 		"more upstreams than maxTries": {"BUDGET, tries", func(h *history) {
 			for i := range 4 {
 				for _, id := range []string{"i-2", "i-3"} {
--- a/internal/soak/judges_test.go
+++ b/internal/soak/judges_test.go
@@ -40,7 +40,8 @@
 	return found
 }
 
-// findRefusedButRun finds non-idempotent requests that were answered with 429, 503, 408 or 421 and ran, before or after.
+// findRefusedButRun finds non-idempotent requests that were answered with 429, 503, 408 or 421 and ran, before or
+// after.
 func findRefusedButRun(h *history) (found []string) {
 	runs := h.runsByAttempt()
 	for attempt, r := range h.requests {
@@ -61,9 +62,9 @@
 	return found
 }
 
-// findWrongResponses finds successes (2xx) without the upstream's Server-Seal, with another body than the upstream's whole
-// body, or where no upstream answered with a success; responses to another request; and failures with an upstream's
-// Server-Seal but another status than the upstream's.
+// findWrongResponses finds successes (2xx) without the upstream's Server-Seal, with another body than the
+// upstream's whole body, or where no upstream answered with a success; responses to another request; and failures
+// with an upstream's Server-Seal but another status than the upstream's.
 func findWrongResponses(h *history) (found []string) {
 	runs := h.runsByAttempt()
 	for attempt, r := range h.requests {
@@ -87,26 +88,27 @@
 	return found
 }
 
-// findWrongRejections reports a violation if machines in contact answered more than 5 + 1/500 of all requests with a 3xx
-// or 4xx (other than 408, 421, 429), although the requests are valid and every configuration that may be in force allows
-// them. Requests on the changed route don't count.
+// findWrongRejections reports a violation if machines in contact answered more than 5 + 1/500 of all requests with
+// a 3xx or 4xx (other than 408, 421, 429), although the requests are valid and every configuration that may be in
+// force allows them. Requests on the changed route don't count.
 func findWrongRejections(h *history) []string {
-	denied, example := 0, ""
+	rejections, example := 0, ""
 	for attempt, r := range h.requests {
 		rejected := r.status >= 300 && r.status < 500 && !r.promisesNotRun()
 		if rejected && !strings.HasPrefix(r.path, changedPrefix) && h.inContact(r.machine, r.ended) {
-			denied, example = denied+1, fmt.Sprintf("%s: %d", attempt, r.status)
+			rejections, example = rejections+1, fmt.Sprintf("%s: %d", attempt, r.status)
 		}
 	}
-	if denied > 5+len(h.requests)/500 {
-		return []string{fmt.Sprintf("%d requests, one of them %s", denied, example)}
+	if rejections > 5+len(h.requests)/500 {
+		return []string{fmt.Sprintf("%d requests, one of them %s", rejections, example)}
 	}
 	return nil
 }
 
-// findLostRequests finds requests around planned work whose connection ended without a complete response although they had
-// reached an upstream, or later than lossSlackS after they were sent. There must be no unplanned fault from contactS before
-// the request to its end. Requests that an upstream failed or that reached their deadline don't count.
+// findLostRequests finds requests around planned work whose connection ended without a complete response although
+// they had reached an upstream, or later than lossSlackS after they were sent. There must be no unplanned fault
+// from contactS before the request to its end. Requests that an upstream failed or that reached their deadline
+// don't count.
 func findLostRequests(h *history) (found []string) {
 	runs := h.runsByAttempt()
 	for attempt, r := range h.requests {
@@ -120,8 +122,8 @@
 	return found
 }
 
-// duringPlannedWork reports whether a request ended between a SIGTERM of the gateway that it was sent to and 1 s after graceS, or
-// ended after a SIGHUP of that gateway and was sent up to configApplyS after it.
+// duringPlannedWork reports whether a request ended between a SIGTERM of the gateway that it was sent to and 1 s
+// after graceS, or ended after a SIGHUP of that gateway and was sent up to configApplyS after it.
 func (h *history) duringPlannedWork(r *request) bool {
 	g := h.machines[r.machine].gateway
 	for _, at := range g.sigterms {
@@ -147,8 +149,8 @@
 	return true
 }
 
-// findFailedRecovery reports a violation if at least a quarter of the requests before the final kill was served, but less
-// than a quarter of those sent later than recoveryS after the restart, or if there were none.
+// findFailedRecovery reports a violation if at least a quarter of the requests before the final kill was served,
+// but less than a quarter of those sent later than recoveryS after the restart, or if there were none.
 func findFailedRecovery(h *history) []string {
 	if h.finalKill.killed.IsZero() {
 		return nil
--- a/internal/soak/operators_test.go
+++ b/internal/soak/operators_test.go
@@ -37,7 +37,8 @@
 	maxRetryDelay   = time.Second
 )
 
-// evacuationOrder is an operator's order to evacuate a zone or to withdraw the evacuation, with all attempts to send it.
+// evacuationOrder is an operator's order to evacuate a zone or to withdraw the evacuation, with all attempts to
+// send it.
 type evacuationOrder struct {
 	operator int
 	zone     string
@@ -191,8 +192,8 @@
 	return order
 }
 
-// evacuateZones has an operator evacuate zones and withdraw the evacuations, again and again. At least half of the time the
-// next zone is the same one.
+// evacuateZones has an operator evacuate zones and withdraw the evacuations, again and again. At least half of the
+// time the next zone is the same one.
 func (ops *operators) evacuateZones(ctx context.Context, random *rand.Rand, operator int, zoneChoices []string) {
 	zone := zoneChoices[0]
 	for ctx.Err() == nil {
@@ -216,7 +217,8 @@
 // changedRouteServices are the targets of the changed route, which alternate from version to version.
 var changedRouteServices = [...]string{"booking", "records"}
 
-// changeRoute changes the configuration again and again: each version of the changed route has the other service as target.
+// changeRoute changes the configuration again and again: each version of the changed route has the other service
+// as target.
 func (ops *operators) changeRoute(ctx context.Context, random *rand.Rand) {
 	for generation := 1; ctx.Err() == nil; generation++ {
 		ops.sendVersion(ctx, random, generation, randomCallFault)
@@ -254,8 +256,8 @@
 	}
 }
 
-// readConfig reads the configuration from a node and records the version of the changed route. It reports whether the node
-// answered.
+// readConfig reads the configuration from a node and records the version of the changed route. It reports whether
+// the node answered.
 func (ops *operators) readConfig(address string) bool {
 	read := configRead{sent: time.Now(), address: address}
 	status, text := ops.get(address, "/v1/config")
@@ -301,7 +303,8 @@
 	return res.StatusCode, string(body)
 }
 
-// sendInitialConfig sends the initial configuration until a node acknowledges it. It returns false if the context ends before.
+// sendInitialConfig sends the initial configuration until a node acknowledges it. It returns false if the context
+// ends before.
 func (ops *operators) sendInitialConfig(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		for _, address := range ops.cluster.controlAddresses() {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -228,8 +228,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// logFailureDetails logs the evacuation orders, the faults, and the lines that processes logged about evacuations, roles and
-// lost contact.
+// logFailureDetails logs the evacuation orders, the faults, and the lines that processes logged about evacuations,
+// roles and lost contact.
 func logFailureDetails(t *testing.T, cluster *testCluster, orders []*evacuationOrder) {
 	for _, order := range orders {
 		t.Log(order)
--- a/internal/soak/stale_order_test.go
+++ b/internal/soak/stale_order_test.go
@@ -61,25 +61,25 @@
 	return cluster, ops
 }
 
-// Guards against a delayed withdrawal that ends a later evacuation. A suspended node has received the withdrawal but not
-// handled it; other nodes acknowledge the withdrawal and then a new evacuation before the node continues.
+// Guards against a delayed withdrawal that ends a later evacuation. A suspended node has received the withdrawal
+// but not handled it; other nodes acknowledge the withdrawal and then a new evacuation before the node continues.
 func TestResumedNodeKeepsLaterEvacuation(t *testing.T) {
 	cluster, ops := startControlPlane(t)
 	const zone = "winnipeg"
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
-	for _, stopped := range cluster.coreMachines() {
-		others := slices.DeleteFunc(cluster.coreMachines(), func(m *machine) bool { return m == stopped })
+	for _, suspended := range cluster.coreMachines() {
+		others := slices.DeleteFunc(cluster.coreMachines(), func(m *machine) bool { return m == suspended })
 		ops.sendUntilAcked(ctx, http.MethodPost, zone, others)
-		stopped.control.signal(syscall.SIGSTOP)
-		ops.call(http.MethodDelete, stopped.controlAddress(), "/v1/evacuation/"+zone, "", closeLost)
+		suspended.control.signal(syscall.SIGSTOP)
+		ops.call(http.MethodDelete, suspended.controlAddress(), "/v1/evacuation/"+zone, "", closeLost)
 		ops.sendUntilAcked(ctx, http.MethodDelete, zone, others)
 		ops.sendUntilAcked(ctx, http.MethodPost, zone, others)
-		stopped.control.signal(syscall.SIGCONT)
+		suspended.control.signal(syscall.SIGCONT)
 		sleep(ctx, contactS)
 		for _, m := range cluster.coreMachines() {
 			if !slices.Contains(evacuatedZones(t, m), zone) {
-				t.Errorf("after %s continued, %s no longer shows the zone as evacuated", stopped.name, m.name)
+				t.Errorf("after %s continued, %s no longer shows the zone as evacuated", suspended.name, m.name)
 			}
 		}
 		ops.sendUntilAcked(ctx, http.MethodDelete, zone, others)
--- a/internal/storage/syncmark_test.go
+++ b/internal/storage/syncmark_test.go
@@ -140,7 +140,7 @@
 type unreliableDirectory struct {
 	osDirectory
 	shouldFail    func() bool
-	durable       directoryContents // what a loss of power leaves
+	durable       directoryContents // what a power loss leaves
 	failedSyncs   map[uint64]bool   // inodes of files with a failed sync
 	unsyncedNames map[string]bool   // names whose creation or removal is not durable
 }
