--- a/client/errors.go
+++ b/client/errors.go
@@ -31,7 +31,7 @@
 	ErrUnclear = errors.New("the call may or may not have been executed")
 )
 
-// ConflictError tells the revision of the key for which PutIf was refused.
+// ConflictError reports the current revision of a key for which PutIf was refused.
 type ConflictError struct {
 	Key      string
 	Revision uint64 // 0: the key does not exist
@@ -57,7 +57,7 @@
 	return &StatusError{Status: result.status, Message: strings.TrimSpace(string(result.body))}
 }
 
-// CallError tells why a call failed after all retries. errors.Is matches it with either
+// CallError reports why a call failed after all retries. errors.Is matches it with either
 // ErrUnclear or ErrUnavailable.
 type CallError struct {
 	// Call is the method and path of the call.
--- a/client/keyvalue.go
+++ b/client/keyvalue.go
@@ -60,7 +60,7 @@
 // Put sets a key and returns the revision of this put. Keys with the same text before the
 // first dot form a group and share one increasing sequence of revisions.
 //
-// Puts of a key are told apart by their values: a put of the value that the key has, or had
+// Puts of a key are distinguished by their values: a put of the value that the key has, or had
 // shortly before, is taken for a retry of that put and changes nothing. If the same content
 // may be set again, include something in the value that differs each time.
 //
--- a/client/lease.go
+++ b/client/lease.go
@@ -84,7 +84,7 @@
 // already in progress, nor one by a process that was suspended.
 func (l *Lease) Token() uint64 { return l.grant.Token }
 
-// Context returns a context that ends with the lease. context.Cause tells why: ErrLeaseLost,
+// Context returns a context that ends with the lease. context.Cause returns why: ErrLeaseLost,
 // ErrLeaseExpired or ErrReleased.
 func (l *Lease) Context() context.Context { return l.ctx }
 
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -10,7 +10,7 @@
 
 // Limits are the limits of a partition.
 type Limits struct {
-	// History is how long a put is kept for watches and to recognise its repeats.
+	// History is how long a put is kept for watches and to recognize its repeats.
 	History time.Duration
 	// Bytes limits the size of all records of the partition, HistoryBytes that of the
 	// events among them.
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -78,7 +78,7 @@
 func withToken(token uint64) Answer   { return Answer{Status: OK, FencingToken: token} }
 func withRevision(r uint64) Answer    { return Answer{Status: OK, Revision: r} }
 func mismatchAt(r uint64) Answer      { return Answer{Status: Mismatch, Revision: r} }
-func found(v string, r uint64) Answer { return Answer{Status: OK, Value: v, Revision: r} }
+func found(value string, r uint64) Answer { return Answer{Status: OK, Value: value, Revision: r} }
 
 func TestPartition(t *testing.T) {
 	increment := Call{Operation: Increment, Name: "n"}
--- a/internal/coordination/server.go
+++ b/internal/coordination/server.go
@@ -10,11 +10,11 @@
 
 // Replica is the part of a replica of the control state that coordination uses.
 type Replica interface {
-	Propose(now time.Duration, key string, fn func(map[string]Record) ([]Record, error), done func(error))
-	OwnershipTerm(now time.Duration, key string) (replication.OwnershipTerm, bool)
-	Owner(now time.Duration, key string) string
-	Committed(key string) (map[string]Record, replication.Position, bool)
-	FreshAsOf(key string) (time.Duration, bool)
+	Propose(now time.Duration, partition string, fn func(map[string]Record) ([]Record, error), done func(error))
+	OwnershipTerm(now time.Duration, partition string) (replication.OwnershipTerm, bool)
+	Owner(now time.Duration, partition string) string
+	Committed(partition string) (map[string]Record, replication.Position, bool)
+	FreshAsOf(partition string) (time.Duration, bool)
 }
 
 // ServerConfig is the configuration of a Server.
--- a/internal/coordination/watches.go
+++ b/internal/coordination/watches.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Watch answers a watch at once if there are events for it, and keeps it open otherwise.
+// Watch answers a watch immediately if there are events for it, and keeps it open otherwise.
 func (s *Server) Watch(w *Watch) {
 	if s.answerWatch(w) {
 		return
@@ -114,9 +114,9 @@
 	return ok && now-at <= s.config.Freshness
 }
 
-// EndStaleWatches ends the watches on groups without a recent local copy. A node calls it when
-// it has lost contact with a majority, not while a partition's owner is merely being replaced:
-// watches stay open then.
+// EndStaleWatches ends the watches on groups without a recent local copy. It must be called only
+// while the node is out of contact with a majority, so that watches stay open while the owner of a
+// partition is being replaced.
 func (s *Server) EndStaleWatches(now time.Duration) {
 	for group, list := range s.watches {
 		if s.Fresh(now, group) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,8 +71,8 @@
 	DiskMb      float64 `toml:"diskMb"`
 }
 
-// FaultBudget says how many failures at once the system must tolerate with all its guarantees
-// kept: so many machines that count for the quorum, or zones, or regions.
+// FaultBudget says how many simultaneous failures the system must tolerate while it keeps all its
+// guarantees: of machines that count for the quorum, or of zones, or of regions.
 type FaultBudget struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -132,7 +132,7 @@
 }
 
 // drainUpstreams has the platform's list show one upstream after another as draining, and later as ready again. Only
-// one upstream drains at a time, so that no service loses two upstreams of a zone at once.
+// one upstream drains at a time, so that no service loses two upstreams of a zone at a time.
 func (env *environment) drainUpstreams(ctx context.Context, random *rand.Rand, cluster *testCluster) {
 	for ctx.Err() == nil {
 		id := env.platform.randomUpstream(random)
--- a/internal/soak/operators_test.go
+++ b/internal/soak/operators_test.go
@@ -24,7 +24,7 @@
 	closeLost                      // the response arrives, but the node never sees the connection close
 	responseLost                   // the node answers, the response is lost, and the connection closes
 	responseAndCloseLost           // the response is lost, and the node never sees the connection close
-	callAborted                    // the operator's call fails at once, but the node gets it and never sees the connection close
+	callAborted                    // the operator gives up after sending; the node gets the call and never sees the connection close
 )
 
 func (fault callFault) String() string {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -62,9 +62,9 @@
 	return binary
 }
 
-// runSeed makes one run and applies every judge to its history. With an odd seed each operator evacuates a zone
-// of its own; with an even seed the operators share three zones. At the end all processes are killed at once, right
-// after a configuration change was acknowledged, and restarted.
+// runSeed makes one run and applies every judge to its history. With an odd seed each operator evacuates a zone of
+// its own; with an even seed the operators share three zones. At the end all processes are killed simultaneously,
+// right after a configuration change was acknowledged, and restarted.
 func runSeed(t *testing.T, binary string, seed uint64) {
 	newRandom := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 	cluster := newTestCluster(t, binary, runDir(t, seed), newRandom(1), intFromEnv("SOAK_MACHINES", defaultMachines))
@@ -152,7 +152,7 @@
 	ops.finalKill.restarted = time.Now()
 }
 
-// killAll kills all processes at once. The fault of each process lasts until recoveryS after the restart.
+// killAll kills all processes simultaneously. The fault of each process lasts until recoveryS after the restart.
 func (tc *testCluster) killAll() {
 	for _, p := range tc.processes() {
 		endFault := p.faults.begin(unplanned)
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -129,7 +129,7 @@
 	var others []string
 	for _, c := range found {
 		switch c.name {
-		case target: // replaceFile writes it anew
+		case target: // replaceFile recreates it
 		case preserved.name, chosen.name:
 			others = append(others, c.name)
 			s.fileSize += c.size
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -128,8 +128,8 @@
 	return s.closeFile()
 }
 
-// Write appends a batch and syncs it. After an error the caller must write its whole
-// state with Rewrite; after ErrRewriteRequired it can do so at once.
+// Write appends a batch and syncs it. After an error the caller must write its complete
+// state with Rewrite; after ErrRewriteRequired it can do so immediately.
 func (s *Store) Write(batch []Entry) (err error) {
 	if s.needsRewrite {
 		return errNeedsRewrite
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -32,13 +32,13 @@
 }
 
 // writeBatches opens a store in dir, writes n batches and closes it.
-func writeBatches(t *testing.T, dir string, n int) {
+func writeBatches(t *testing.T, dir string, count int) {
 	t.Helper()
 	store, _, err := Open(dir, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; i < n; i++ {
+	for i := 0; i < count; i++ {
 		value := []byte(fmt.Sprintf("value-%d", i))
 		if err := store.Write([]Entry{{"a", value}, {"b", value}, {"c", value}}); err != nil {
 			t.Fatal(err)
--- a/internal/storage/syncmark.go
+++ b/internal/storage/syncmark.go
@@ -19,7 +19,7 @@
 )
 
 // syncMark records the number of a synced batch in a separate file. Without it, damage
-// to the last batch of the state could not be told from a torn write; every earlier
+// to the last batch of the state could not be distinguished from a torn write; every earlier
 // batch is known to have been synced because another one follows it. The mark is
 // written when there is nothing else to write. It may therefore be behind the last
 // synced batch, but never ahead of it.
