--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -75,9 +75,9 @@
 	ok   = Answer{Status: OK}
 )
 
-func withToken(token uint64) Answer   { return Answer{Status: OK, FencingToken: token} }
-func withRevision(r uint64) Answer    { return Answer{Status: OK, Revision: r} }
-func mismatchAt(r uint64) Answer      { return Answer{Status: Mismatch, Revision: r} }
+func withToken(token uint64) Answer       { return Answer{Status: OK, FencingToken: token} }
+func withRevision(r uint64) Answer        { return Answer{Status: OK, Revision: r} }
+func mismatchAt(r uint64) Answer          { return Answer{Status: Mismatch, Revision: r} }
 func found(value string, r uint64) Answer { return Answer{Status: OK, Value: value, Revision: r} }
 
 func TestPartition(t *testing.T) {
