--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -26,7 +26,7 @@
 	orders        *orderController
 	coordination  *coordinator
 
-	calls, refused, withoutQuorum atomic.Uint64 // of operators
+	calls, refused, withoutQuorum atomic.Uint64 // operators' calls
 }
 
 // overview collects all that the administration API shows.
@@ -71,8 +71,8 @@
 func (c *administration) partitions(now time.Duration) (out []PartitionSummary) {
 	for _, v := range c.replica.PartitionViews(now) {
 		heard := v.SinceContact
-		if t, _ := c.replica.OwnershipTerm(now, v.Partition); v.Owning {
-			heard = now - t.ConfirmedAt
+		if term, _ := c.replica.OwnershipTerm(now, v.Partition); v.Owning {
+			heard = now - term.ConfirmedAt
 		}
 		out = append(out, PartitionSummary{v.Partition, v.Owner, v.Epoch, v.Seq, v.Commit, v.Records, heard.Round(time.Millisecond).Seconds()})
 	}
@@ -115,8 +115,8 @@
 	metrics.WriteCounters(&b, "control", overview.Counters)
 	metrics.WriteGauge(&b, "control", "watchers", watchers)
 	owned := uint64(0)
-	for _, k := range overview.Partitions {
-		if k.Owner == c.endpoint.Address() {
+	for _, partition := range overview.Partitions {
+		if partition.Owner == c.endpoint.Address() {
 			owned++
 		}
 	}
@@ -129,8 +129,8 @@
 	metrics.WriteGauge(&b, "control", "zonesEvacuated", uint64(len(overview.Evacuations)))
 	metrics.WriteGauge(&b, "control", "zonesInDoubt", uint64(len(overview.EvacuationsInDoubt)))
 	learnersBehind := uint64(0)
-	for _, l := range overview.VoterSet.Learners {
-		if l.Behind > 0 {
+	for _, learner := range overview.VoterSet.Learners {
+		if learner.Behind > 0 {
 			learnersBehind++
 		}
 	}
@@ -147,7 +147,7 @@
 	return b.Bytes()
 }
 
-// page returns one of the read-only views as JSON.
+// page returns a read-only view as JSON.
 func (c *administration) page(page string, query url.Values) ([]byte, error) {
 	overviews := make(chan *Overview, 1)
 	c.enqueue(func(now time.Duration) { overviews <- c.overview(now) })
--- a/internal/controlplane/configuration.go
+++ b/internal/controlplane/configuration.go
@@ -15,7 +15,7 @@
 type configuration struct {
 	published *antientropy.Set
 	changes   delivery.ChangeLog // to published
-	reader    config.Decoder
+	decoder   config.Decoder
 }
 
 func newConfiguration() *configuration { return &configuration{published: antientropy.NewSet()} }
@@ -38,7 +38,7 @@
 }
 
 // routes lists the published routes with their placement.
-func (c *configuration) routes() []*config.Route { return c.reader.Routes(c.published.Records) }
+func (c *configuration) routes() []*config.Route { return c.decoder.Routes(c.published.Records) }
 
 // hasService reports whether a service is configured, as far as this node knows.
 func (c *configuration) hasService(name string) bool {
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -34,13 +34,13 @@
 
 // update records when the published copies were last known to be the newest; ok is false for a
 // partition where that is unknown. It is called after those copies were published.
-func (c *contact) update(current func(partition string) (at time.Duration, ok bool)) {
+func (c *contact) update(freshAsOf func(partition string) (at time.Duration, ok bool)) {
 	oldest := time.Duration(math.MaxInt64)
-	for _, key := range c.partitions {
-		if at, ok := current(key); ok {
-			c.confirmedAt[key] = max(at, 1)
+	for _, partition := range c.partitions {
+		if at, ok := freshAsOf(partition); ok {
+			c.confirmedAt[partition] = max(at, 1)
 		}
-		oldest = min(oldest, c.confirmedAt[key])
+		oldest = min(oldest, c.confirmedAt[partition])
 	}
 	c.oldest.Store(int64(oldest))
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -302,8 +302,8 @@
 	var text bytes.Buffer
 	tracker := newContact(time.Second, []string{"a", "b"})
 	logger := slog.New(slog.NewTextHandler(&text, nil))
-	at := map[string]time.Duration{}
-	current := func(partition string) (time.Duration, bool) { d, ok := at[partition]; return d, ok }
+	freshAt := map[string]time.Duration{}
+	freshAsOf := func(partition string) (time.Duration, bool) { d, ok := freshAt[partition]; return d, ok }
 	for _, step := range []struct {
 		now, a, b time.Duration
 		fresh     bool
@@ -318,14 +318,14 @@
 		{9 * time.Second, 0, 0, false, 6 * time.Second, 2},
 		{9 * time.Second, 9 * time.Second, 9 * time.Second, true, 0, 3},
 	} {
-		at = map[string]time.Duration{}
+		freshAt = map[string]time.Duration{}
 		if step.a > 0 {
-			at["a"] = step.a
+			freshAt["a"] = step.a
 		}
 		if step.b > 0 {
-			at["b"] = step.b
+			freshAt["b"] = step.b
 		}
-		tracker.update(current)
+		tracker.update(freshAsOf)
 		tracker.logChange(step.now, logger)
 		age, known := tracker.age(step.now)
 		if lines := strings.Count(text.String(), "\n"); tracker.fresh(step.now) != step.fresh || known && age != step.age || !known && step.fresh || lines != step.lines {
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -9,11 +9,11 @@
 	"madderwing/internal/config"
 )
 
-// maxCallBody bounds the body of an operator's call.
-const maxCallBody = 16 << 20
+// maxCallBodyBytes is the maximum size of the body of an operator's call.
+const maxCallBodyBytes = 16 << 20
 
-// control returns the handler of the operators' API.
-func (n *Node) control(zones []string) http.Handler {
+// controlHandler returns the handler of the operators' API and of applications' coordination calls.
+func (n *Node) controlHandler(zones []string) http.Handler {
 	knownZones := map[string]bool{}
 	for _, z := range zones {
 		knownZones[z] = true
@@ -43,15 +43,16 @@
 	})
 }
 
-// isView reports whether a call is answered from what this control node holds, however old that is,
-// as the views for operators are. All other calls need a majority's confirmation.
+// isView reports whether a call is answered from this control node's copy of the state, however old
+// that is. All other calls need a majority's confirmation.
 func isView(r *http.Request) bool {
 	page, admin := strings.CutPrefix(r.URL.Path, "/v1/admin/")
 	return r.URL.Path == "/metrics" || admin && r.Method == http.MethodGet && !strings.HasPrefix(page, "rollouts/")
 }
 
+// readCall reads the body of an operator's call.
 func readCall(r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCallBody))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCallBodyBytes))
 	if err != nil {
 		if large := apierror.BodyTooLargeError(err); large != nil {
 			return nil, large
@@ -61,6 +62,7 @@
 	return body, nil
 }
 
+// serve carries out an operator's call and returns the body of the answer.
 func (n *Node) serve(r *http.Request, zones map[string]bool) ([]byte, error) {
 	emptyObject := []byte("{}\n")
 	switch path := r.URL.Path; {
@@ -90,7 +92,7 @@
 		return n.rollouts.serve(r, strings.TrimPrefix(strings.TrimPrefix(path, "/v1/rollouts"), "/"))
 	case path == "/metrics" && r.Method == http.MethodGet:
 		return n.administration.metrics(), nil
-	case path == coordinationAdminPage && r.Method == http.MethodGet:
+	case path == coordinationAdminPath && r.Method == http.MethodGet:
 		return n.coordination.currentState().page()
 	case path == "/v1/admin/plan" && r.Method == http.MethodPost:
 		body, err := readCall(r)
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -48,8 +48,8 @@
 type Options struct {
 	Shards         int
 	RelistInterval time.Duration
-	// TransferBackDelay is how long the cluster must be stable before a partition is transferred back to the
-	// first member in its order of succession; 0: never.
+	// TransferBackDelay is how long the cluster must be stable before a partition is transferred
+	// back to the first member in its order of succession; 0: never.
 	TransferBackDelay time.Duration
 }
 
@@ -89,7 +89,7 @@
 	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return err
 	}
-	lock, err := lockDisk(ctx, cfg, logging.Logger(logging.Storage))
+	lock, err := lockDataDir(ctx, cfg, logging.Logger(logging.Storage))
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -238,7 +238,7 @@
 	go n.stalls.recordTicks(stop)
 
 	failed := make(chan error, 2)
-	control := n.server(n.settings.Bind.Control, n.control(n.zones))
+	control := n.server(n.settings.Bind.Control, n.controlHandler(n.zones))
 	go func() { failed <- control.ListenAndServe() }()
 	if n.registry != nil && n.settings.Bind.Directory != "" {
 		registry := n.server(n.settings.Bind.Directory, n.registry.directory)
@@ -248,8 +248,8 @@
 	n.log.control.Info("control node is up", "node", n.settings.Node, "zone", n.settings.Zone)
 	for {
 		select {
-		case fresh := <-reload:
-			n.membership.SetSeeds(fresh.SeedControlAddresses())
+		case reloaded := <-reload:
+			n.membership.SetSeeds(reloaded.SeedControlAddresses())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -286,7 +286,7 @@
 	_ = control.Shutdown(grace)
 }
 
-// awaitReplaced waits until the others can do without this member, at most until end.
+// awaitReplaced waits until enough other members store what this one stores, at most until end.
 func (n *Node) awaitReplaced(end time.Time) {
 	for ; ; time.Sleep(n.settings.HeartbeatInterval() / 20) {
 		replaced := make(chan bool, 1)
--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// Routing of calls for locks, counters and cells to the owner of their partition.
+// Routes calls for locks, counters and cells to the owners of their partitions.
 
 import (
 	"cmp"
@@ -44,15 +44,15 @@
 // Fractions of the disk that all partitions together may fill, and of that for history. diskRoom
 // bounds what they and the configuration fill together.
 const (
-	coordinationDiskShare = 0.3
-	historyShare          = 0.4
-	defaultDiskMb         = 64
+	coordinationDiskFraction = 0.3
+	historyFraction          = 0.4
+	defaultDiskMb            = 64
 )
 
 // ownerFinder finds the member that a call is sent to. It is used on the event loop.
 type ownerFinder interface {
-	Owner(now time.Duration, key string) string
-	InitialOwner(now time.Duration, key string) string
+	Owner(now time.Duration, partition string) string
+	InitialOwner(now time.Duration, partition string) string
 }
 
 // coordinator serves applications' calls for locks, counters and cells at a control node.
@@ -82,13 +82,13 @@
 // serverConfig is the configuration of a node's coordination server.
 func serverConfig(cfg *settings.Settings, self string, runID uint64, clock func() time.Duration, logger *slog.Logger) coordination.ServerConfig {
 	diskMb := cmp.Or(cfg.Limits.DiskMb, defaultDiskMb)
-	bytes := int(diskMb * (1 << 20) * coordinationDiskShare / coordination.Partitions)
+	bytes := int(diskMb * (1 << 20) * coordinationDiskFraction / coordination.Partitions)
 	return coordination.ServerConfig{
 		Self: self, RunID: runID, Clock: clock, Log: logger,
 		Limits: coordination.Limits{
 			History:      time.Duration(historyRetentionFactor * float64(cfg.Retention())),
 			Bytes:        bytes,
-			HistoryBytes: int(float64(bytes) * historyShare),
+			HistoryBytes: int(float64(bytes) * historyFraction),
 		},
 		Sweep:     settings.Seconds(cfg.Bounds.ContactS * sweepFraction),
 		Freshness: settings.Seconds(cfg.Bounds.ContactS * contactFraction),
@@ -169,7 +169,8 @@
 	return c.forward(caller, owner, call, deadline)
 }
 
-// forward sends a call to its owner, which must begin it before a deadline on this node's clock.
+// forward sends a call to the owner of its partition, which must begin it before a deadline on this
+// node's clock.
 func (c *coordinator) forward(caller context.Context, owner string, call coordination.Call, deadline time.Duration) coordination.Result {
 	c.clocksMutex.Lock()
 	ownerDeadline, _ := c.clocks.Estimate(owner, deadline)
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// What operators see of coordination.
+// Operators' views and metrics of coordination.
 
 import (
 	"bytes"
@@ -78,8 +78,8 @@
 	LeftS float64 `json:"leftS"` // of the lease; negative: it has expired, and nobody has acquired the lock since
 }
 
-// PartitionState is a partition as the administration API shows it. Only its owner knows
-// its locks and sizes.
+// PartitionState is a partition as the administration API shows it. Only its owner knows its locks
+// and sizes.
 type PartitionState struct {
 	Partition string       `json:"partition"`
 	Owner     string       `json:"owner"`
--- a/internal/controlplane/coordination_call_test.go
+++ b/internal/controlplane/coordination_call_test.go
@@ -17,7 +17,7 @@
 
 // Invalid calls are refused with a message that names the fault.
 func TestCoordinationCallsAreChecked(t *testing.T) {
-	large := strings.Repeat("x", maxValue+1)
+	large := strings.Repeat("x", maxValueBytes+1)
 	for _, test := range []struct {
 		method, path, body string
 		status             int
@@ -34,7 +34,7 @@
 		{"POST", "/v1/locks/l", `{"owner":"a","holdS":1e9}`, 400, "holdS: more"},
 		{"POST", "/v1/locks/", `{"owner":"a","holdS":3}`, 400, "name: empty"},
 		{"POST", "/v1/locks/a/b", `{"owner":"a","holdS":3}`, 400, "name"},
-		{"POST", "/v1/locks/l", `{"owner":"` + strings.Repeat("x", maxCoordinationBody) + `"}`, 413, "more than"},
+		{"POST", "/v1/locks/l", `{"owner":"` + strings.Repeat("x", maxCoordinationBodyBytes) + `"}`, 413, "more than"},
 		{"GET", "/v1/locks/l", ``, 405, "GET"},
 		{"PUT", "/v1/locks/l", `{"owner":"a","fence":1,"holdS":3}`, 0, ""},
 		{"PUT", "/v1/locks/l", `{"owner":"a","holdS":3}`, 400, "fence: missing"},
@@ -70,7 +70,7 @@
 		{"PUT", "/v1/watch/g.", 405, "PUT"},
 	} {
 		r := httptest.NewRequest(test.method, test.path, nil)
-		_, _, err := readWatch(r, strings.TrimPrefix(r.URL.Path, watchPage))
+		_, _, err := readWatch(r, strings.TrimPrefix(r.URL.Path, watchPathPrefix))
 		checkRefusal(t, test.method+" "+test.path, err, test.status, test.wantText)
 	}
 }
@@ -108,7 +108,7 @@
 func TestStallDetectorNoticesStalls(t *testing.T) {
 	now := time.Minute
 	detector := &stallDetector{clock: func() time.Duration { return now }}
-	tick := func() { detector.noteRunning(now) }
+	tick := func() { detector.recordTick(now) }
 	tick()
 	now += stallLimit / 2
 	if detector.stalled() {
@@ -179,16 +179,16 @@
 	coordinator := &coordinator{clock: func() time.Duration { return time.Minute }, enqueue: func(fn func(time.Duration)) { queue = append(queue, fn) },
 		server: coordination.NewServer(coordination.ServerConfig{Self: "self", RunID: 1, Clock: func() time.Duration { return time.Minute },
 			Log: slog.New(slog.DiscardHandler), Limits: coordination.Limits{Bytes: 1 << 20, HistoryBytes: 1 << 20, History: time.Minute}}, soleOwnerReplica{})}
-	draw := coordination.Call{Operation: coordination.Increment, Name: "n"}
+	increment := coordination.Call{Operation: coordination.Increment, Name: "n"}
 	deadline := coordination.ClockReading{RunID: 1, Time: 2 * time.Minute}
 	caller, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := coordinator.execute(caller, draw, deadline); got.Effect != coordination.NotExecuted {
+	if got := coordinator.execute(caller, increment, deadline); got.Effect != coordination.NotExecuted {
 		t.Errorf("%+v", got)
 	}
 	results := make(chan coordination.Result, 1)
 	coordinator.enqueue(func(now time.Duration) {
-		coordinator.server.Execute(now, coordination.NewExecution(draw, deadline, func(r coordination.Result) { results <- r }))
+		coordinator.server.Execute(now, coordination.NewExecution(increment, deadline, func(r coordination.Result) { results <- r }))
 	})
 	for _, fn := range queue {
 		fn(time.Minute)
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// HTTP interface of applications' calls for locks, counters, cells and watches.
+// HTTP API for applications: locks, counters, cells and watches.
 
 import (
 	"encoding/json"
@@ -16,28 +16,28 @@
 	"madderwing/internal/coordination"
 )
 
-// Limits on what callers may ask for.
+// Limits on applications' calls.
 const (
-	maxCoordinationBody = 64 << 10
-	maxValue            = 16 << 10
-	maxHold             = 24 * time.Hour
-	maxWait             = time.Minute // longer waits are cut to this
-	maxWaitingCalls     = 1024
-	maxWatches          = 4096
+	maxCoordinationBodyBytes = 64 << 10
+	maxValueBytes            = 16 << 10
+	maxLease                 = 24 * time.Hour
+	maxWatchWait             = time.Minute // longer waits are reduced to this
+	maxActiveCalls           = 1024
+	maxWatches               = 4096
 )
 
 // Path prefixes of the calls.
 const (
-	lockPage    = "/v1/locks/"
-	counterPage = "/v1/numbers/"
-	cellPage    = "/v1/cells/"
-	watchPage   = "/v1/watch/"
+	lockPathPrefix    = "/v1/locks/"
+	counterPathPrefix = "/v1/numbers/"
+	cellPathPrefix    = "/v1/cells/"
+	watchPathPrefix   = "/v1/watch/"
 )
 
-// isCoordination reports whether a path is that of an application's call for coordination.
+// isCoordination reports whether a path belongs to the coordination API.
 func isCoordination(path string) bool {
-	for _, page := range []string{lockPage, counterPage, cellPage, watchPage} {
-		if strings.HasPrefix(path, page) {
+	for _, prefix := range []string{lockPathPrefix, counterPathPrefix, cellPathPrefix, watchPathPrefix} {
+		if strings.HasPrefix(path, prefix) {
 			return true
 		}
 	}
@@ -46,7 +46,7 @@
 
 // ServeHTTP answers one call.
 func (c *coordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if name, ok := strings.CutPrefix(r.URL.Path, watchPage); ok {
+	if name, ok := strings.CutPrefix(r.URL.Path, watchPathPrefix); ok {
 		c.serveWatch(w, r, name)
 		return
 	}
@@ -61,14 +61,14 @@
 	c.statistics.count(call.Operation.String(), status, time.Since(arrived.read))
 }
 
-// serveCall carries out a call, writes its answer and returns the status of that.
+// serveCall carries out a call, writes the answer and returns its HTTP status.
 func (c *coordinator) serveCall(w http.ResponseWriter, r *http.Request, arrived arrival, call coordination.Call) int {
 	defer c.activeCalls.Add(-1)
-	if c.activeCalls.Add(1) > maxWaitingCalls {
-		return writeFault(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "%d calls wait here", maxWaitingCalls))
+	if c.activeCalls.Add(1) > maxActiveCalls {
+		return writeError(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "%d calls wait here", maxActiveCalls))
 	}
 	if c.stalls.stalled() || arrived.age() > stallLimit {
-		return writeFault(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "this process stood still"))
+		return writeError(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "this process stood still"))
 	}
 	result := c.submit(r.Context(), call)
 	switch result.Effect {
@@ -76,10 +76,10 @@
 		return c.writeAnswer(w, call, result.Answer)
 	case coordination.MaybeExecuted:
 		if !call.Operation.ReadOnly() {
-			return writeFault(w, apierror.New(apierror.OutcomeUnknown, "no answer from the owner of the partition in time"))
+			return writeError(w, apierror.New(apierror.OutcomeUnknown, "no answer from the owner of the partition in time"))
 		}
 	}
-	return writeFault(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "no owner of the partition answers"))
+	return writeError(w, apierror.NewRetryAfter(apierror.NoQuorum, c.retryAfter, "no owner of the partition answers"))
 }
 
 // callAnswer is the body of an answer. Fields that an operation doesn't return are absent.
@@ -95,6 +95,7 @@
 	Revision uint64 `json:"revision"`
 }
 
+// writeAnswer writes the owner's answer to a call and returns its HTTP status.
 func (c *coordinator) writeAnswer(w http.ResponseWriter, call coordination.Call, answer coordination.Answer) int {
 	switch answer.Status {
 	case coordination.OK:
@@ -109,16 +110,16 @@
 	case coordination.Mismatch:
 		return writeJSON(w, http.StatusPreconditionFailed, callAnswer{Revision: &answer.Revision})
 	case coordination.Held:
-		return writeFault(w, apierror.New(apierror.Conflict, "lock %s is held by another", call.Name))
+		return writeError(w, apierror.New(apierror.Conflict, "lock %s is held by another", call.Name))
 	case coordination.NotFound:
-		return writeFault(w, apierror.New(apierror.CellNotFound, "%s", call.Name))
+		return writeError(w, apierror.New(apierror.CellNotFound, "%s", call.Name))
 	case coordination.Full:
-		return writeFault(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "the partition of %s is full", call.Name))
+		return writeError(w, apierror.NewRetryAfter(apierror.LimitReached, c.retryAfter, "the partition of %s is full", call.Name))
 	}
-	return writeFault(w, apierror.New(apierror.Internal, "unexpected answer %d", answer.Status))
+	return writeError(w, apierror.New(apierror.Internal, "unexpected answer %d", answer.Status))
 }
 
-func writeFault(w http.ResponseWriter, err *apierror.Error) int {
+func writeError(w http.ResponseWriter, err *apierror.Error) int {
 	apierror.Write(w, err)
 	return apierror.ResponseFor(err.Kind).Status
 }
@@ -126,7 +127,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) int {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return writeFault(w, apierror.New(apierror.Internal, "%v", err))
+		return writeError(w, apierror.New(apierror.Internal, "%v", err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -135,7 +136,7 @@
 	return status
 }
 
-// callBody is the body of all calls; each kind of call uses some of its fields.
+// callBody is the body of a call; each operation uses some of its fields.
 type callBody struct {
 	Owner    *string  `json:"owner"`
 	HoldS    *float64 `json:"holdS"`
@@ -144,18 +145,18 @@
 	Expected *uint64  `json:"enabled"`
 }
 
-// operations are the operations of each path prefix, by method.
+// operations maps the path prefix and the HTTP method of a call to its operation.
 var operations = map[string]map[string]coordination.Operation{
-	lockPage:    {http.MethodPost: coordination.Acquire, http.MethodPut: coordination.Renew, http.MethodDelete: coordination.Release},
-	counterPage: {http.MethodPost: coordination.Increment},
-	cellPage:    {http.MethodPut: coordination.Put, http.MethodGet: coordination.Get},
+	lockPathPrefix:    {http.MethodPost: coordination.Acquire, http.MethodPut: coordination.Renew, http.MethodDelete: coordination.Release},
+	counterPathPrefix: {http.MethodPost: coordination.Increment},
+	cellPathPrefix:    {http.MethodPut: coordination.Put, http.MethodGet: coordination.Get},
 }
 
 // readCoordinationCall reads and validates a call.
 func readCoordinationCall(r *http.Request) (coordination.Call, error) {
 	var call coordination.Call
-	for page, methods := range operations {
-		if name, ok := strings.CutPrefix(r.URL.Path, page); ok {
+	for prefix, methods := range operations {
+		if name, ok := strings.CutPrefix(r.URL.Path, prefix); ok {
 			call.Name, call.Operation = name, methods[r.Method]
 		}
 	}
@@ -176,7 +177,7 @@
 }
 
 func readCallBody(r *http.Request, body *callBody) error {
-	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCoordinationBody))
+	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxCoordinationBodyBytes))
 	if err != nil {
 		if large := apierror.BodyTooLargeError(err); large != nil {
 			return large
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// fill validates the fields that the operation of a call needs, and copies them into the call.
+// fill validates the fields that the call's operation needs, and copies them into the call.
 func (b *callBody) fill(call *coordination.Call) error {
 	switch call.Operation {
 	case coordination.Acquire, coordination.Renew, coordination.Release:
@@ -201,8 +202,8 @@
 		switch {
 		case b.Value == nil:
 			return apierror.New(apierror.BadRequest, "value: missing")
-		case len(*b.Value) > maxValue:
-			return apierror.New(apierror.BodyTooLarge, "value: more than %d bytes", maxValue)
+		case len(*b.Value) > maxValueBytes:
+			return apierror.New(apierror.BodyTooLarge, "value: more than %d bytes", maxValueBytes)
 		}
 		call.Value, call.Expected = *b.Value, b.Expected
 	}
@@ -231,8 +232,8 @@
 		return apierror.New(apierror.BadRequest, "holdS: missing")
 	case *b.HoldS <= 0:
 		return apierror.New(apierror.BadRequest, "holdS: not positive")
-	case *b.HoldS > maxHold.Seconds():
-		return apierror.New(apierror.BadRequest, "holdS: more than %v", maxHold.Seconds())
+	case *b.HoldS > maxLease.Seconds():
+		return apierror.New(apierror.BadRequest, "holdS: more than %v", maxLease.Seconds())
 	}
 	call.Lease = time.Duration(*b.HoldS * float64(time.Second))
 	return nil
@@ -286,7 +287,8 @@
 	return c.watchGroup(r.Context(), group, after, wait)
 }
 
-// readWatch reads and validates a watch.
+// readWatch reads and validates a watch: the revision after which it wants events, and how long it
+// waits for them.
 func readWatch(r *http.Request, group string) (after uint64, wait time.Duration, err error) {
 	if r.Method != http.MethodGet {
 		return 0, 0, apierror.New(apierror.WrongMethod, "%s on %s", r.Method, r.URL.Path)
@@ -305,7 +307,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	return after, time.Duration(min(waitMs, uint64(maxWait/time.Millisecond))) * time.Millisecond, nil
+	return after, time.Duration(min(waitMs, uint64(maxWatchWait/time.Millisecond))) * time.Millisecond, nil
 }
 
 // queryNumber reads a number from the query; 0 if it is absent.
@@ -325,14 +327,14 @@
 // coordinationPartition is the partition of the control state that a call with the given path
 // concerns.
 func coordinationPartition(path string) string {
-	if group, ok := strings.CutPrefix(path, watchPage); ok {
+	if group, ok := strings.CutPrefix(path, watchPathPrefix); ok {
 		return coordination.GroupPartition(group)
 	}
-	if cell, ok := strings.CutPrefix(path, cellPage); ok {
+	if cell, ok := strings.CutPrefix(path, cellPathPrefix); ok {
 		return coordination.GroupPartition(coordination.GroupOf(cell))
 	}
-	if counter, ok := strings.CutPrefix(path, counterPage); ok {
+	if counter, ok := strings.CutPrefix(path, counterPathPrefix); ok {
 		return coordination.Call{Operation: coordination.Increment, Name: counter}.Partition()
 	}
-	return coordination.Call{Operation: coordination.Acquire, Name: strings.TrimPrefix(path, lockPage)}.Partition()
+	return coordination.Call{Operation: coordination.Acquire, Name: strings.TrimPrefix(path, lockPathPrefix)}.Partition()
 }
--- a/internal/controlplane/coordination_node.go
+++ b/internal/controlplane/coordination_node.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// Creation of the coordinator in its control node.
+// Creates the coordinator of a control node.
 
 import (
 	"strings"
@@ -11,8 +11,8 @@
 	"madderwing/internal/settings"
 )
 
-// coordinationAdminPage is the path at which operators see the partitions and their locks.
-const coordinationAdminPage = "/v1/admin/coordination"
+// coordinationAdminPath is the path at which operators see the partitions and their locks.
+const coordinationAdminPath = "/v1/admin/coordination"
 
 // newCoordinator creates the coordinator of a node whose replica and transport exist, and whose
 // transport has not started.
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -19,9 +19,9 @@
 // one, and collects what they report about themselves.
 type deliveryController struct {
 	*environment
-	configuration *configuration
-	list          *listController
-	rolloutsLed   func() bool // whether all rollouts in progress have working controllers
+	configuration      *configuration
+	list               *listController
+	rolloutsControlled func() bool // reports whether all rollouts in progress have working controllers
 
 	sender      delivery.Sender // of the configuration
 	watchers    delivery.Watchers
@@ -33,12 +33,12 @@
 
 // peerReport is what another control node reported of its watchers, and when it arrived.
 type peerReport struct {
-	received time.Duration
-	report   delivery.WatcherSummary
+	receivedAt time.Duration
+	report     delivery.WatcherSummary
 }
 
-func newDeliveryController(env *environment, configuration *configuration, list *listController, rolloutsLed func() bool) *deliveryController {
-	c := &deliveryController{environment: env, configuration: configuration, list: list, rolloutsLed: rolloutsLed, peerReports: map[string]peerReport{},
+func newDeliveryController(env *environment, configuration *configuration, list *listController, rolloutsControlled func() bool) *deliveryController {
+	c := &deliveryController{environment: env, configuration: configuration, list: list, rolloutsControlled: rolloutsControlled, peerReports: map[string]peerReport{},
 		sender: delivery.Sender{Log: &configuration.changes}}
 	c.watchers.ExpireAfter = 4 * env.settings.HeartbeatInterval()
 	return c
@@ -49,8 +49,8 @@
 	transport.HandleMessage(c.endpoint, delivery.WatchKind, func(from string, w delivery.Watch) {
 		c.tryEnqueue(func(now time.Duration) { c.handleWatch(now, from, w) })
 	})
-	transport.HandleMessage(c.endpoint, delivery.WatcherSummaryKind, func(from string, t delivery.WatcherSummary) {
-		c.tryEnqueue(func(now time.Duration) { c.peerReports[from] = peerReport{now, t} })
+	transport.HandleMessage(c.endpoint, delivery.WatcherSummaryKind, func(from string, report delivery.WatcherSummary) {
+		c.tryEnqueue(func(now time.Duration) { c.peerReports[from] = peerReport{now, report} })
 	})
 }
 
@@ -62,13 +62,13 @@
 		c.election.RaiseUsedTerm(roleList, watch.ListVersion.Term)
 	}
 	c.list.noteWatcherClock(now, from, watch)
-	has, guessed := c.watchers.Assume(now, from, watch, c.settings.HeartbeatInterval())
+	has, unconfirmed := c.watchers.Assume(now, from, watch, c.settings.HeartbeatInterval())
 	c.watchers.SetAssumed(now, from, has)
-	c.watchers.SetAssumed(now, from, c.sendUpdate(now, from, has, true, guessed))
+	c.watchers.SetAssumed(now, from, c.sendUpdate(now, from, has, true, unconfirmed))
 	c.watchers.SetReported(from, watch)
 }
 
-// tick is called at every tick of the event loop.
+// tick exchanges reports once per heartbeat interval. It runs at every tick of the event loop.
 func (c *deliveryController) tick(now time.Duration) {
 	if now >= c.reportAt {
 		c.reportAt = now + c.settings.HeartbeatInterval()
@@ -89,8 +89,8 @@
 		if len(mine.Digests) > 0 {
 			c.endpoint.SendDatagram(id, delivery.WatcherSummaryKind, mine)
 		}
-		if t, ok := c.peerReports[id]; ok && now-t.received < c.watchers.ExpireAfter {
-			c.addReport(t.report)
+		if peer, ok := c.peerReports[id]; ok && now-peer.receivedAt < c.watchers.ExpireAfter {
+			c.addReport(peer.report)
 		}
 	}
 }
@@ -132,12 +132,12 @@
 }
 
 // sendUpdate sends a watcher what it lacks, and a message without any update too if always is set.
-// It returns what the watcher has then. guessed means that has includes updates that the watcher has
-// not confirmed.
-func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, guessed bool) delivery.Watch {
+// It returns what the watcher has then. unconfirmed means that has includes updates that the watcher
+// has not confirmed.
+func (c *deliveryController) sendUpdate(now time.Duration, to string, has delivery.Watch, always, unconfirmed bool) delivery.Watch {
 	published := c.configuration.published
 	fresh := c.contact.fresh(now)
-	update := delivery.Update{Fresh: fresh, RolloutsControlled: fresh && c.rolloutsLed()}
+	update := delivery.Update{Fresh: fresh, RolloutsControlled: fresh && c.rolloutsControlled()}
 	complete := has.Sums != nil
 	if has.Sums != nil {
 		// A large difference is sent a few ranges at a time; the watcher then reports again what it
@@ -154,7 +154,7 @@
 	}
 	if always {
 		update.Loads = c.loads
-		if at, ok := c.replica.FreshAsOf(config.Partition); ok && complete && !guessed && has.AskedAt > 0 {
+		if at, ok := c.replica.FreshAsOf(config.Partition); ok && complete && !unconfirmed && has.AskedAt > 0 {
 			update.Freshness = &delivery.Freshness{AskedAt: has.AskedAt, Age: now - at}
 		}
 	}
--- a/internal/controlplane/delivery_test.go
+++ b/internal/controlplane/delivery_test.go
@@ -13,11 +13,11 @@
 // A gateway reports to several control nodes. One report that it has the newest items is enough,
 // whether it is processed before or after a report of another digest.
 func TestGatewayIsCurrentIfAnyReportSaysSo(t *testing.T) {
-	shown := newConfiguration()
-	shown.merge([]config.Record{{Name: "route/r", Gen: 1}})
-	newest := shown.published.Sums.Fold()
+	published := newConfiguration()
+	published.merge([]config.Record{{Name: "route/r", Gen: 1}})
+	newest := published.published.Sums.Fold()
 	for _, digests := range [][2]uint64{{newest, newest + 1}, {newest + 1, newest}} {
-		controller := &deliveryController{configuration: shown, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
+		controller := &deliveryController{configuration: published, loads: upstream.Loads{}, itemDigests: map[string]uint64{}}
 		for _, digest := range digests {
 			controller.addReport(delivery.WatcherSummary{Digests: map[string]uint64{"10.0.0.1:1": digest}})
 		}
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -1,6 +1,7 @@
 package controlplane
 
-// Opening the state on disk, the queue of writes, and the goroutine that owns the store.
+// Opens the state on disk, and writes to it: the queue of writes and the goroutine that owns the
+// store.
 
 import (
 	"context"
@@ -14,9 +15,9 @@
 	"madderwing/internal/storage"
 )
 
-// lockDisk locks the data directory for this process. While another process holds the lock, perhaps
+// lockDataDir locks the data directory for this process. While another process holds the lock, perhaps
 // a predecessor that is about to exit, it tries again after a pause.
-func lockDisk(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
+func lockDataDir(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
 	for waiting := false; ; waiting = true {
 		lock, err := storage.LockDir(cfg.DataDir)
 		if !errors.Is(err, storage.ErrInUse) {
@@ -55,15 +56,15 @@
 	}
 }
 
-// writeJob is a batch of entries to make durable, or the whole state. The whole state contains all
-// that was requested up to its id, and so every job that was queued before it.
+// writeJob is a batch of entries to make durable, or a snapshot of the complete state. A snapshot
+// contains all writes that were requested up to its id, and so every job that was queued before it.
 type writeJob struct {
-	entries    []storage.Entry
-	id         uint64
-	wholeState bool
+	entries  []storage.Entry
+	id       uint64
+	snapshot bool
 }
 
-// store is the part of storage.Store that writes use.
+// store is the part of storage.Store that the writer uses.
 type store interface {
 	Write([]storage.Entry) error
 	Rewrite([]storage.Entry) error
@@ -73,15 +74,15 @@
 // writer carries out jobs in order.
 type writer struct {
 	store            store
-	refused          bool // the last write failed: nothing is written before the whole state
-	rewriteRequested bool // the whole state was requested and has not arrived yet
+	lastFailed       bool // the last write failed: nothing is written before the next snapshot
+	rewriteRequested bool // a snapshot was requested and has not arrived yet
 }
 
-// writeOutcome is the result of some jobs.
+// writeOutcome is the result of a batch of jobs.
 type writeOutcome struct {
 	durable uint64        // all jobs up to this id are durable; 0: no more than before
-	rewrite rewriteChoice // whether the whole state must be queued next
-	err     error         // of this write; nil also where jobs were dropped
+	rewrite rewriteChoice // whether a snapshot must be queued next
+	err     error         // of this write; also nil if the jobs were dropped
 }
 
 type rewriteChoice int
@@ -92,41 +93,41 @@
 	rewriteLater // after a pause, since the disk refuses writes
 )
 
-// write carries out jobs that waited together, as one batch. After a failed write it drops all jobs
-// before the whole state, which contains them too.
+// write carries out jobs as one batch. After a failed write it drops all jobs until the next
+// snapshot, which contains them too.
 func (w *writer) write(jobs []writeJob) writeOutcome {
 	var entries []storage.Entry
-	wholeState := false
+	snapshot := false
 	for _, job := range jobs {
-		if job.wholeState {
-			entries, wholeState, w.rewriteRequested = nil, true, false
+		if job.snapshot {
+			entries, snapshot, w.rewriteRequested = nil, true, false
 		}
 		entries = append(entries, job.entries...)
 	}
 	var err error
 	switch {
-	case wholeState:
+	case snapshot:
 		err = w.store.Rewrite(entries)
-	case w.refused:
+	case w.lastFailed:
 		return writeOutcome{}
 	default:
 		err = w.store.Write(entries)
 	}
-	w.refused = err != nil
+	w.lastFailed = err != nil
 	if err != nil {
 		if errors.Is(err, storage.ErrRewriteRequired) {
 			return writeOutcome{0, w.requestRewrite(rewriteNow), err}
 		}
 		return writeOutcome{0, w.requestRewrite(rewriteLater), err}
 	}
-	done := writeOutcome{durable: jobs[len(jobs)-1].id}
-	if !wholeState && w.store.ShouldRewrite() {
-		done.rewrite = w.requestRewrite(rewriteNow)
+	outcome := writeOutcome{durable: jobs[len(jobs)-1].id}
+	if !snapshot && w.store.ShouldRewrite() {
+		outcome.rewrite = w.requestRewrite(rewriteNow)
 	}
-	return done
+	return outcome
 }
 
-// requestRewrite requests the whole state unless that is already on its way: it contains what is
+// requestRewrite requests a snapshot unless one is already on its way: that one contains all that is
 // written or refused before it arrives.
 func (w *writer) requestRewrite(when rewriteChoice) rewriteChoice {
 	if w.rewriteRequested {
@@ -136,44 +137,45 @@
 	return when
 }
 
-// runStore owns the store: it writes jobs in order, waiting ones together, and reports when they
-// are durable. When none has come for a while, it has the store record that all is synced.
-func (n *Node) runStore(open *storage.Store) {
-	defer open.Close()
-	w := writer{store: open}
+// runStore owns the store: it writes the queued jobs in order, all waiting ones as one batch, and
+// reports when they are durable. When no job has come for half a heartbeat interval, it has the
+// store record that all is synced.
+func (n *Node) runStore(opened *storage.Store) {
+	defer opened.Close()
+	w := writer{store: opened}
 	for {
 		jobs, state := n.writes.take(n.settings.HeartbeatInterval() / 2)
 		switch state {
 		case queueClosed:
 			return
 		case queueIdle:
-			if err := open.MarkSynced(); err != nil {
+			if err := opened.MarkSynced(); err != nil {
 				n.log.storage.Warn("last batch not marked as synced", "error", err)
 			}
 			continue
 		}
-		done := w.write(jobs)
-		n.diskRoom.update(open)
-		if done.err != nil {
-			n.log.storage.Warn("write refused", "error", done.err)
+		outcome := w.write(jobs)
+		n.diskRoom.update(opened)
+		if outcome.err != nil {
+			n.log.storage.Warn("write refused", "error", outcome.err)
 		}
-		n.reportWritten(done)
+		n.reportOutcome(outcome)
 	}
 }
 
-// reportWritten reports the result of some jobs to the replica.
-func (n *Node) reportWritten(done writeOutcome) {
-	if done.durable > 0 || done.rewrite == rewriteNow {
+// reportOutcome reports the result of a batch of jobs to the replica.
+func (n *Node) reportOutcome(outcome writeOutcome) {
+	if outcome.durable > 0 || outcome.rewrite == rewriteNow {
 		n.enqueue(func(now time.Duration) {
-			if done.durable > 0 {
-				n.replica.Durable(now, done.durable)
+			if outcome.durable > 0 {
+				n.replica.Durable(now, outcome.durable)
 			}
-			if done.rewrite == rewriteNow {
-				n.replica.WriteFailed(now) // has the replica write the whole state
+			if outcome.rewrite == rewriteNow {
+				n.replica.WriteFailed(now) // has the replica write a snapshot
 			}
 		})
 	}
-	if done.rewrite == rewriteLater {
+	if outcome.rewrite == rewriteLater {
 		go func() {
 			time.Sleep(n.settings.HeartbeatInterval() / 2)
 			n.enqueue(func(now time.Duration) { n.replica.WriteFailed(now) })
@@ -181,17 +183,17 @@
 	}
 }
 
-// writeQueue is the queue of the store's goroutine. It is unbounded, so that a disk that hangs
-// never blocks the event loop.
+// writeQueue is the queue of jobs for the goroutine that owns the store. It is unbounded, so that a
+// disk that hangs never blocks the event loop.
 type writeQueue struct {
 	mu           sync.Mutex
 	pending      []writeJob
 	closed       bool
 	changed      chan struct{} // has a token after a change
-	idleReported bool          // idleness was reported, and no job came since
+	idleReported bool          // queueIdle was returned, and no job has come since
 }
 
-// queueState is what take found.
+// queueState is the state of the queue that take returns.
 type queueState int
 
 const (
@@ -202,55 +204,55 @@
 
 func newWriteQueue() *writeQueue { return &writeQueue{changed: make(chan struct{}, 1)} }
 
-func (j *writeQueue) put(job writeJob) {
-	j.mu.Lock()
-	j.pending = append(j.pending, job)
-	j.mu.Unlock()
-	j.signal()
+func (q *writeQueue) put(job writeJob) {
+	q.mu.Lock()
+	q.pending = append(q.pending, job)
+	q.mu.Unlock()
+	q.signal()
 }
 
-func (j *writeQueue) close() {
-	j.mu.Lock()
-	j.closed = true
-	j.mu.Unlock()
-	j.signal()
+func (q *writeQueue) close() {
+	q.mu.Lock()
+	q.closed = true
+	q.mu.Unlock()
+	q.signal()
 }
 
-func (j *writeQueue) signal() {
+func (q *writeQueue) signal() {
 	select {
-	case j.changed <- struct{}{}:
+	case q.changed <- struct{}{}:
 	default:
 	}
 }
 
-// take waits for jobs and returns all that are queued. When none has come for the given time it
-// returns queueIdle, once after each run of jobs.
-func (j *writeQueue) take(idleAfter time.Duration) ([]writeJob, queueState) {
-	var idle <-chan time.Time // nil, which never fires, if idleness was reported
+// take waits for jobs and returns all that are queued. When none has come for the time idleAfter it
+// returns queueIdle, but not again before the next job.
+func (q *writeQueue) take(idleAfter time.Duration) ([]writeJob, queueState) {
+	var idle <-chan time.Time // nil, which never fires, if queueIdle was returned
 	for {
-		list, closed := j.takeAll()
+		jobs, closed := q.takeAll()
 		switch {
-		case len(list) > 0:
-			j.idleReported = false
-			return list, queueHasJobs
+		case len(jobs) > 0:
+			q.idleReported = false
+			return jobs, queueHasJobs
 		case closed:
 			return nil, queueClosed
 		}
-		if idle == nil && !j.idleReported {
+		if idle == nil && !q.idleReported {
 			idle = time.After(idleAfter)
 		}
 		select {
-		case <-j.changed:
+		case <-q.changed:
 		case <-idle:
-			j.idleReported = true
+			q.idleReported = true
 			return nil, queueIdle
 		}
 	}
 }
 
-func (j *writeQueue) takeAll() (list []writeJob, closed bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	list, j.pending = j.pending, nil
-	return list, j.closed
+func (q *writeQueue) takeAll() (jobs []writeJob, closed bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	jobs, q.pending = q.pending, nil
+	return jobs, q.closed
 }
--- a/internal/controlplane/disk_room.go
+++ b/internal/controlplane/disk_room.go
@@ -8,13 +8,13 @@
 	"madderwing/internal/storage"
 )
 
-// recordOverhead is roughly what a record takes on disk beside its name and data, in bytes.
-const recordOverhead = 128
+// recordOverheadBytes is roughly what a record takes on disk in addition to its name and data.
+const recordOverheadBytes = 128
 
-// diskRoom tracks how much may be added to the control state such that its file can still be
-// rewritten. The goroutine that owns the store updates it; others read it.
+// diskRoom tracks by how many bytes the control state may grow so that the disk still has room to
+// rewrite its file. The goroutine that owns the store updates it; others read it.
 type diskRoom struct {
-	remaining atomic.Int64
+	remaining atomic.Int64 // bytes
 }
 
 // update recomputes the room from the store.
@@ -22,11 +22,11 @@
 	d.remaining.Store(int64(float64(store.DiskSize())*storage.MaxStateFraction) - store.LiveSize())
 }
 
-// fits reports whether so many bytes may be added. A change that doesn't enlarge the state always
-// fits.
+// fits reports whether the state may grow by the given number of bytes. A change that doesn't
+// enlarge the state always fits.
 func (d *diskRoom) fits(bytes int) bool { return bytes <= 0 || int64(bytes) <= d.remaining.Load() }
 
-// admit refuses changes for which the disk has no room.
+// admit returns an error if the disk has no room for changes to the records of a partition.
 func (d *diskRoom) admit(have records, changes []replication.Record) error {
 	bytes := 0
 	for _, r := range changes {
@@ -45,5 +45,5 @@
 	if r.Erased {
 		return 0
 	}
-	return len(r.Name) + len(r.Data) + recordOverhead
+	return len(r.Name) + len(r.Data) + recordOverheadBytes
 }
--- a/internal/controlplane/disk_room_test.go
+++ b/internal/controlplane/disk_room_test.go
@@ -79,7 +79,7 @@
 	return dir
 }
 
-// writeRecords writes a record as the replica does, and the whole state when a rewrite is due.
+// writeRecords writes a record as the replica does, and a snapshot when a rewrite is due.
 func writeRecords(t *testing.T, store *storage.Store, have records, r replication.Record) {
 	t.Helper()
 	entry := func(r replication.Record) storage.Entry {
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -66,9 +66,9 @@
 		j.id = id
 		return j
 	}
-	rewriteJob := func(id uint64, keys ...string) writeJob {
+	snapshotJob := func(id uint64, keys ...string) writeJob {
 		j := job(id, keys...)
-		j.wholeState = true
+		j.snapshot = true
 		return j
 	}
 	errRefused := errors.New("refused")
@@ -88,44 +88,44 @@
 	}{
 		{"one batch", []step{ok(1, "write a", job(1, "a"))}},
 		{"queued batches", []step{ok(3, "write a b a", job(1, "a"), job(2, "b"), job(3, "a"))}},
-		{"the whole state replaces what was queued before it", []step{
-			ok(2, "rewrite a b", job(1, "a"), job(2, "b"), rewriteJob(2, "a", "b"))}},
-		{"what was queued after the whole state is written with it", []step{
-			ok(3, "rewrite a b c", job(1, "a"), rewriteJob(2, "a", "b"), job(3, "c"))}},
-		{"the newer of two whole states", []step{ok(4, "rewrite a c d", rewriteJob(1, "a"), job(2, "b"), rewriteJob(3, "a", "c"), job(4, "d"))}},
-		{"after a failure nothing is durable before the whole state", []step{
+		{"a snapshot replaces what was queued before it", []step{
+			ok(2, "rewrite a b", job(1, "a"), job(2, "b"), snapshotJob(2, "a", "b"))}},
+		{"what was queued after a snapshot is written with it", []step{
+			ok(3, "rewrite a b c", job(1, "a"), snapshotJob(2, "a", "b"), job(3, "c"))}},
+		{"the newer of two snapshots", []step{ok(4, "rewrite a c d", snapshotJob(1, "a"), job(2, "b"), snapshotJob(3, "a", "c"), job(4, "d"))}},
+		{"after a failure nothing is durable before a snapshot", []step{
 			{[]writeJob{job(1, "a")}, errRefused, false, "write a", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(2, "b")}, nil, false, "", writeOutcome{}},
 			{[]writeJob{job(3, "c")}, nil, true, "", writeOutcome{}},
-			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c")),
+			ok(3, "rewrite a b c", snapshotJob(3, "a", "b", "c")),
 			ok(4, "write d", job(4, "d"))}},
 		{"repeated failures", []step{
 			{[]writeJob{job(1, "a")}, errRefused, false, "write a", writeOutcome{0, rewriteLater, errRefused}},
-			{[]writeJob{rewriteJob(1, "a"), job(2, "b")}, errRefused, false, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
+			{[]writeJob{snapshotJob(1, "a"), job(2, "b")}, errRefused, false, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
-			{[]writeJob{rewriteJob(3, "a", "b", "c")}, errRefused, false, "rewrite a b c", writeOutcome{0, rewriteLater, errRefused}},
-			ok(5, "rewrite a b c d e", job(4, "d"), rewriteJob(4, "a", "b", "c", "d"), job(5, "e"))}},
-		{"a whole state queued before a failed batch does not cover it", []step{
+			{[]writeJob{snapshotJob(3, "a", "b", "c")}, errRefused, false, "rewrite a b c", writeOutcome{0, rewriteLater, errRefused}},
+			ok(5, "rewrite a b c d e", job(4, "d"), snapshotJob(4, "a", "b", "c", "d"), job(5, "e"))}},
+		{"a snapshot queued before a failed batch does not cover it", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
-			ok(1, "rewrite a", rewriteJob(1, "a")),
+			ok(1, "rewrite a", snapshotJob(1, "a")),
 			{[]writeJob{job(2, "b")}, errRefused, false, "write b", writeOutcome{0, rewriteLater, errRefused}},
 			{[]writeJob{job(3, "c")}, nil, false, "", writeOutcome{}},
-			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c"))}},
-		{"no room: the whole state is requested at once", []step{
+			ok(3, "rewrite a b c", snapshotJob(3, "a", "b", "c"))}},
+		{"no room: a snapshot is requested at once", []step{
 			{[]writeJob{job(1, "a")}, storage.ErrRewriteRequired, false, "write a", writeOutcome{0, rewriteNow, storage.ErrRewriteRequired}},
-			ok(1, "rewrite a", rewriteJob(1, "a"))}},
-		{"full: the whole state is requested once", []step{
+			ok(1, "rewrite a", snapshotJob(1, "a"))}},
+		{"full: a snapshot is requested once", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
 			{[]writeJob{job(2, "b")}, nil, true, "write b", writeOutcome{2, noRewrite, nil}},
 			{[]writeJob{job(3, "c")}, errRefused, true, "write c", writeOutcome{0, noRewrite, errRefused}},
-			ok(3, "rewrite a b c", rewriteJob(3, "a", "b", "c")),
+			ok(3, "rewrite a b c", snapshotJob(3, "a", "b", "c")),
 			{[]writeJob{job(4, "d")}, nil, true, "write d", writeOutcome{4, rewriteNow, nil}}}},
 		{"full after a rewrite: no further request before a change", []step{
-			{[]writeJob{rewriteJob(1, "a")}, nil, true, "rewrite a", writeOutcome{1, noRewrite, nil}}}},
+			{[]writeJob{snapshotJob(1, "a")}, nil, true, "rewrite a", writeOutcome{1, noRewrite, nil}}}},
 		{"a rewrite to make room fails", []step{
 			{[]writeJob{job(1, "a")}, nil, true, "write a", writeOutcome{1, rewriteNow, nil}},
-			{[]writeJob{rewriteJob(1, "a"), job(2, "b")}, errRefused, true, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
-			ok(2, "rewrite a b", rewriteJob(2, "a", "b"))}},
+			{[]writeJob{snapshotJob(1, "a"), job(2, "b")}, errRefused, true, "rewrite a b", writeOutcome{0, rewriteLater, errRefused}},
+			ok(2, "rewrite a b", snapshotJob(2, "a", "b"))}},
 	} {
 		store := &memoryStore{t: t, state: map[string]string{}}
 		diskWriter := writer{store: store}
@@ -163,11 +163,11 @@
 			}
 			if rewritesDue > 0 && (round >= 200 || rng.IntN(4) == 0) {
 				rewritesDue--
-				all := writeJob{nil, uint64(len(states) - 1), true}
+				snapshot := writeJob{nil, uint64(len(states) - 1), true}
 				for k, v := range state {
-					all.entries = append(all.entries, storage.Entry{Key: k, Value: []byte(v)})
+					snapshot.entries = append(snapshot.entries, storage.Entry{Key: k, Value: []byte(v)})
 				}
-				queue = append(queue, all)
+				queue = append(queue, snapshot)
 			}
 			if len(queue) == 0 || round < 200 && rng.IntN(3) > 0 {
 				continue
@@ -177,13 +177,13 @@
 				store.err = []error{storage.ErrRewriteRequired, errors.New("refused")}[rng.IntN(2)]
 			}
 			store.full = rng.IntN(4) == 0
-			done := diskWriter.write(queue)
+			outcome := diskWriter.write(queue)
 			queue = nil
-			if done.rewrite != noRewrite {
+			if outcome.rewrite != noRewrite {
 				rewritesDue++
 			}
-			if done.durable > 0 {
-				if last = done.durable; !maps.Equal(store.state, states[last]) {
+			if outcome.durable > 0 {
+				if last = outcome.durable; !maps.Equal(store.state, states[last]) {
 					t.Fatalf("seed %d: job %d is reported, but the store holds %v, not %v", seed, last, store.state, states[last])
 				}
 			}
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -110,8 +110,8 @@
 	maps.DeleteFunc(e.seenAt, func(id uint64, _ time.Duration) bool { return !named[id] })
 }
 
-// takeOverdue returns the zones' records that have been in doubt for too long, with their
-// generations. Each is returned again after callerTimeout for as long as it stays in doubt.
+// takeOverdue returns the zones' records that have been in doubt for maxDoubt or longer, by name,
+// with their generations. Each is returned again after callerTimeout for as long as it stays in doubt.
 func (e *evacuations) takeOverdue(now time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
 	for name, d := range e.doubts {
--- a/internal/controlplane/evacuations_test.go
+++ b/internal/controlplane/evacuations_test.go
@@ -63,8 +63,8 @@
 	const s = time.Second
 	const name = config.EvacuationPrefix + "z"
 	tracker := newEvacuations(settings.Bounds{AckS: 5, RecoveryS: 15})
-	doubtful := config.Record{Name: name, Gen: 4, Data: []byte{1, 0}} // possible, not certain
-	tracker.recordPublished(0, doubtful)
+	record := config.Record{Name: name, Gen: 4, Data: []byte{1, 0}} // possible, not certain
+	tracker.recordPublished(0, record)
 	for _, test := range []struct {
 		at    time.Duration
 		ended bool
@@ -73,8 +73,8 @@
 			t.Errorf("at %v: ended is %v", test.at, ended)
 		}
 	}
-	doubtful.Gen = 5
-	tracker.recordPublished(14*s, doubtful)
+	record.Gen = 5
+	tracker.recordPublished(14*s, record)
 	if len(tracker.takeOverdue(25*s)) > 0 || tracker.takeOverdue(26 * s)[name] != 5 {
 		t.Error("a further order does not restart the time of the doubt")
 	}
@@ -98,20 +98,20 @@
 }
 
 type zoneNode struct {
-	evacuations  *evacuations
-	known        config.Record
-	stoppedUntil time.Duration
+	evacuations *evacuations
+	known       config.Record
+	frozenUntil time.Duration
 }
 
 // zoneOperator evacuates, waits, withdraws, and begins again.
 type zoneOperator struct {
-	evacuate    bool // the current order
-	attempts    int
-	firstSent   time.Duration // first attempt of the current order
-	nextAttempt time.Duration
-	acked       bool
-	inForce     bool // an evacuation of this operator was acknowledged and not withdrawn
-	idleUntil   time.Duration
+	evacuate     bool // the current order
+	attempts     int
+	firstSent    time.Duration // first attempt of the current order
+	nextAttempt  time.Duration
+	acknowledged bool
+	inForce      bool // an evacuation of this operator was acknowledged and not withdrawn
+	idleUntil    time.Duration
 }
 
 // zoneCall is one attempt of an order, in flight or executing.
@@ -150,16 +150,16 @@
 func (s *zoneSimulation) step() {
 	s.now += 10 * time.Millisecond
 	for _, n := range s.nodes {
-		if s.now >= n.stoppedUntil {
+		if s.now >= n.frozenUntil {
 			if s.rng.Float64() < 0.002 {
-				n.stoppedUntil = s.now + s.randomDuration(200*time.Millisecond, 6*time.Second)
+				n.frozenUntil = s.now + s.randomDuration(200*time.Millisecond, 6*time.Second)
 			} else if s.rng.Float64() < 0.3 { // replication lags a little
 				n.known = s.record[zoneName]
 				n.evacuations.recordPublished(s.now, n.known)
 			}
 		}
 	}
-	if s.rng.Float64() < 0.002 || s.now < s.nodes[s.owner].stoppedUntil-time.Second {
+	if s.rng.Float64() < 0.002 || s.now < s.nodes[s.owner].frozenUntil-time.Second {
 		s.owner = s.rng.IntN(len(s.nodes))
 	}
 	s.deliverCalls()
@@ -177,7 +177,7 @@
 	for _, c := range due {
 		node := s.nodes[c.node]
 		switch {
-		case c.executes == 0 && s.now >= c.arrives && s.now >= node.stoppedUntil:
+		case c.executes == 0 && s.now >= c.arrives && s.now >= node.frozenUntil:
 			if s.now-c.arrives > maxOrderWait {
 				s.remove(c)
 				continue
@@ -188,7 +188,7 @@
 			if s.rng.Float64() < 0.1 {
 				c.executes += s.randomDuration(0, 3*time.Second) // queued at a stalled owner
 			}
-		case c.executes > 0 && s.now >= c.executes && s.now >= s.nodes[s.owner].stoppedUntil:
+		case c.executes > 0 && s.now >= c.executes && s.now >= s.nodes[s.owner].frozenUntil:
 			s.execute(c)
 			s.remove(c)
 		}
@@ -213,14 +213,14 @@
 	}
 	s.logf("executed: evacuate %v, generation %d, in doubt %v", c.order.Evacuate, s.record[zoneName].Gen, config.InDoubt(s.record[zoneName]))
 	if !c.answerLost && c.operator.firstSent == c.orderSent && s.now-c.arrives < callerTimeout {
-		c.operator.acked = true
+		c.operator.acknowledged = true
 	}
 }
 
 // advanceOperator has an operator send, retry or finish its order.
 func (s *zoneSimulation) advanceOperator(number int, operator *zoneOperator) {
 	switch {
-	case operator.acked:
+	case operator.acknowledged:
 		s.logf("operator %d: acknowledged, evacuate %v", number, operator.evacuate)
 		operator.inForce = operator.evacuate
 		s.nextOrder(operator)
@@ -252,12 +252,12 @@
 	if !operator.evacuate {
 		idle = s.randomDuration(0, 2*time.Second)
 	}
-	*operator = zoneOperator{evacuate: !operator.acked || !operator.evacuate, inForce: operator.inForce, idleUntil: s.now + idle}
+	*operator = zoneOperator{evacuate: !operator.acknowledged || !operator.evacuate, inForce: operator.inForce, idleUntil: s.now + idle}
 }
 
 func (s *zoneSimulation) endDoubt() {
 	owner := s.nodes[s.owner]
-	if s.now < owner.stoppedUntil {
+	if s.now < owner.frozenUntil {
 		return
 	}
 	for name, generation := range owner.evacuations.takeOverdue(s.now) {
--- a/internal/controlplane/generation_conflict_process_test.go
+++ b/internal/controlplane/generation_conflict_process_test.go
@@ -111,7 +111,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("the catalogue has no owner")
+	t.Fatal("the configuration has no owner")
 	return 0
 }
 
--- a/internal/controlplane/isolation_process_test.go
+++ b/internal/controlplane/isolation_process_test.go
@@ -216,8 +216,8 @@
 	cluster.waitFor(t, "the gateway watches the control node again", func() bool { return cluster.watchers(t, 0) > 0 })
 }
 
-// A catalogue that is sent in several parts reaches a gateway, and so do later changes to it.
-func TestLargeCatalogueReachesAGateway(t *testing.T) {
+// A configuration that is sent in several parts reaches a gateway, and so do later changes to it.
+func TestLargeConfigurationReachesAGateway(t *testing.T) {
 	cluster := newControlCluster(t)
 	cluster.callUntil(t, 200, "PATCH", cluster.controlAddresses[1]+"/v1/config", items)
 	var routes strings.Builder
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -69,8 +69,8 @@
 
 // registerHandlers registers the handler for lists that other control nodes send.
 func (c *listController) registerHandlers() {
-	transport.HandleMessage(c.endpoint, delivery.UpdateKind, func(_ string, i delivery.Update) {
-		c.tryEnqueue(func(now time.Duration) { c.handleUpdate(now, i) })
+	transport.HandleMessage(c.endpoint, delivery.UpdateKind, func(_ string, update delivery.Update) {
+		c.tryEnqueue(func(now time.Duration) { c.handleUpdate(now, update) })
 	})
 }
 
@@ -90,7 +90,8 @@
 	}
 }
 
-// tick is called at every tick of the event loop.
+// tick reads the list if this node holds the role or has no list. Otherwise it asks the holder for
+// the list, and reads it as a standby if the holder's is too old. It runs at every tick of the event loop.
 func (c *listController) tick(now time.Duration) {
 	if _, mine := c.election.Holds(now, roleList); mine || !c.snapshot.HasList() {
 		// A node without any list reads one itself; the list of any role holder replaces that.
@@ -137,8 +138,8 @@
 	}
 }
 
-// listedFor says as of when the list is valid, on the clock of a control node that watches this
-// one; nil if it has not sent its clock or there is no list.
+// listedFor reports as of when the list is valid, on the clock of a control node that watches this
+// one; nil if that node has not sent its clock or there is no list.
 func (c *listController) listedFor(to string) *delivery.ListFreshness {
 	clock, ok := c.watcherClocks[to]
 	if !ok || !c.snapshot.HasList() {
--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -25,7 +25,7 @@
 	listJitterFraction = 0.25
 )
 
-// listStandby is a control node's state for reading the list while another holds the role.
+// listStandby is the state of a control node that reads the list while another one holds the role.
 type listStandby struct {
 	reading   listReading   // the last complete one
 	failures  int           // consecutive
@@ -34,13 +34,13 @@
 }
 
 // succeeded records a complete reading.
-func (d *listStandby) succeeded(reading listReading) { d.reading, d.failures = reading, 0 }
+func (s *listStandby) succeeded(reading listReading) { s.reading, s.failures = reading, 0 }
 
 // nextPeer picks a control node to ask beside the holder, each in turn; empty if there is none.
-func (d *listStandby) nextPeer(all []string, self, holder string) string {
+func (s *listStandby) nextPeer(all []string, self, holder string) string {
 	for range all {
-		d.lastAsked++
-		if id := all[d.lastAsked%len(all)]; id != self && id != holder {
+		s.lastAsked++
+		if id := all[s.lastAsked%len(all)]; id != self && id != holder {
 			return id
 		}
 	}
@@ -76,8 +76,8 @@
 }
 
 // standbyThreshold is how old the holder's list may be before the first standby reads one too. It
-// exceeds the maximum lag only where the list is so long that reading it takes as much, or where
-// this node's own last reading took so long that it could do no better.
+// exceeds the maximum lag only if the list is so long that the holder's readings take as much, or if
+// this node's own last reading did, so that its list would be no newer.
 func (c *listController) standbyThreshold(now time.Duration) time.Duration {
 	drainS := c.settings.Bounds.DrainS
 	reading := min(c.readingTime, upstream.PollingPace(c.settings.CloudAPI.RatePerS).TotalPause(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
@@ -85,6 +85,7 @@
 	if last := c.standby.reading; last.end > 0 && now-last.end < longest {
 		reading = max(reading, last.end-last.began)
 	}
-	late := c.settings.HeartbeatInterval()/5 + time.Duration(listJitterFraction*float64(c.maxLag())) // one tick, and lateness that is no fault
+	// One tick, and the lateness that is no fault.
+	late := c.settings.HeartbeatInterval()/5 + time.Duration(listJitterFraction*float64(c.maxLag()))
 	return max(c.maxLag(), min(readingsPerCycle*reading, longest)+late)
 }
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -20,10 +20,10 @@
 // orderKind is the kind of message that carries an order to the owner of its partition.
 const orderKind = "order"
 
-// order is a request to the owner of a partition, as it is sent between control nodes. Beside Partition,
-// which names the partition, one field selects the task that the owner carries out; with none, the
-// owner only confirms that it owns the partition. Fields that merely accompany another one are
-// described as such.
+// order is a request to the owner of a partition, as it is sent between control nodes. In addition
+// to Partition, one field selects the task that the owner carries out; with none, the owner only
+// confirms that it owns the partition. Fields that merely accompany another one are described as
+// such.
 type order struct {
 	Partition string                  `cbor:"1,keyasint"`
 	Patch     []byte                  `cbor:"2,keyasint,omitempty"`
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -38,7 +38,8 @@
 // requestReconcile has the routes reconciled after the current event.
 func (c *placementController) requestReconcile() { c.reconcilePending, c.recheck = true, true }
 
-// tick is called at every tick of the event loop.
+// tick requests a reconcile when the scheduler is due for one, and checks for waiting routes. It
+// runs at every tick of the event loop.
 func (c *placementController) tick(now time.Duration) {
 	c.reconcilePending = c.reconcilePending || c.scheduler.Due(now)
 	c.checkWaiting(now)
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -21,12 +21,11 @@
 
 	allocator   *quota.Allocator
 	local       *quota.LocalQuota
-	configured  map[string]quota.Quota // of the tenants, as configured
-	reportAt    time.Duration          // when the next report to the allocator is due
-	recallAt    time.Duration          // when control nodes that have not reported may be recalled again
-	allocatorID string                 // the allocator that was last reported to
-	// fullReport makes the next report name all shares.
-	fullReport  bool
+	configured  map[string]quota.Quota   // of the tenants, as configured
+	reportAt    time.Duration            // when the next report to the allocator is due
+	recallAt    time.Duration            // when control nodes that have not reported may be recalled again
+	allocatorID string                   // the allocator that was last reported to
+	fullReport  bool                     // the next report names all shares
 	lastVoterAt map[string]time.Duration // when a holder of allocations was last a voter
 }
 
@@ -48,18 +47,18 @@
 	transport.HandleMessage(c.endpoint, delivery.RecallKind, func(from string, r quota.Recall) {
 		c.tryEnqueue(func(now time.Duration) { c.handleRecall(now, from, r) })
 	})
-	transport.HandleMessage(c.endpoint, delivery.AllocationKind, func(_ string, l quota.Allocation) {
-		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, l) })
+	transport.HandleMessage(c.endpoint, delivery.AllocationKind, func(_ string, allocation quota.Allocation) {
+		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, allocation) })
 	})
-	transport.HandleMessage(c.endpoint, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
-		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, d) })
+	transport.HandleMessage(c.endpoint, delivery.AcquireKind, func(from string, request quota.AcquireRequest) {
+		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, request) })
 	})
 	transport.HandleMessage(c.endpoint, delivery.ReturnKind, func(_ string, r quota.Return) {
 		c.tryEnqueue(func(now time.Duration) { c.local.ReturnToken(now, r.RunID, r.Tenant) })
 	})
 }
 
-// tick is called at every tick of the event loop.
+// tick advances the allocator and the local quota. It runs at every tick of the event loop.
 func (c *quotaController) tick(now time.Duration) {
 	c.updateAllocator(now)
 	c.updateLocalQuota(now)
@@ -91,7 +90,7 @@
 
 // setConfiguration updates the tenants' quotas.
 func (c *quotaController) setConfiguration() {
-	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.reader)
+	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.decoder)
 	c.local.SetLimits(c.configured)
 }
 
@@ -200,7 +199,7 @@
 
 // states describes the tenants, without their keys, and the allocator of their quotas.
 func (c *quotaController) states() (tenants []TenantState, quotas *Quotas) {
-	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.reader) {
+	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.decoder) {
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
 	}
 	quotas = &Quotas{Allocator: c.allocatorID}
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -17,7 +17,7 @@
 type registryController struct {
 	*environment
 	directory *registry.Directory
-	table     atomic.Pointer[config.Table] // the directory reads it from its own goroutines
+	table     atomic.Pointer[config.Table] // read by the directory on the goroutines of requests
 	tables    config.Builder               // owned by the event loop
 }
 
@@ -29,15 +29,15 @@
 		}
 		return nil
 	})
-	// Answers continue while an owner is being replaced, which takes less than contactS, since they
-	// rest on what nodes say of themselves. So do those of a control node that has just started.
-	// Control nodes that are cut off from the majority stop answering.
+	// The answers depend on what gateways report about themselves, so a control node keeps answering
+	// while an owner is being replaced, which takes less than contactS, and for contactS after its
+	// start. A control node that is cut off from the majority for longer stops answering.
 	c.directory.InContact = func() bool { return c.recentlyInContact(c.now()) }
 	return c
 }
 
-// answerTTL is for how long a client may rely on an answer. A gateway that shuts down is missing
-// from the answers for longer than that before it stops accepting connections.
+// answerTTL is how long a client may use an answer. A gateway that shuts down is absent from the
+// answers for longer than that before it stops accepting connections.
 func answerTTL(bounds settings.Bounds) (ttl time.Duration) {
 	ttl = settings.Seconds(bounds.GraceS * 0.4)
 	if bounds.TTLMaxS > 0 {
@@ -51,7 +51,7 @@
 	c.directory.SetGateways(listedGateways(c.settings, nodes))
 }
 
-// setConfiguration updates the part of the configuration that concerns clients.
+// setConfiguration rebuilds the configuration table from the published records.
 func (c *registryController) setConfiguration(records map[string]config.Record) {
 	c.table.Store(c.tables.Build(records))
 }
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -23,10 +23,10 @@
 )
 
 // relay is a process in the role of a control node whose settings name no dataDir: it stores
-// nothing, is in no list of members, and redirects the operators' calls to a working control node.
+// nothing, is not a member of the cluster, and redirects the operators' calls to a working control node.
 // It does nothing between calls.
 type relay struct {
-	pick        func(caller context.Context, key string) string
+	pick        func(caller context.Context, partition string) string
 	known       func() []membership.Node
 	port        string        // of the operators' API, on all machines
 	bodyTimeout time.Duration // how long the rest of a call's body is read
@@ -84,8 +84,8 @@
 	handler.log.Info("relay is up and redirects to control nodes", "node", cfg.Node, "zone", cfg.Zone)
 	for {
 		select {
-		case fresh := <-reload:
-			picker.setSeeds(fresh.SeedControlAddresses())
+		case reloaded := <-reload:
+			picker.setSeeds(reloaded.SeedControlAddresses())
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -120,7 +120,7 @@
 	// The body is read first: closing a connection with unread bytes may lose the answer.
 	if req.Header.Get("Expect") == "" {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(r.bodyTimeout))
-		_, _ = io.Copy(io.Discard, io.LimitReader(req.Body, maxCallBody))
+		_, _ = io.Copy(io.Discard, io.LimitReader(req.Body, maxCallBodyBytes))
 	}
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
--- a/internal/controlplane/relay_bootstrap.go
+++ b/internal/controlplane/relay_bootstrap.go
@@ -13,7 +13,7 @@
 type bootstrapResponder struct {
 	bootstrap bool
 	mu        sync.Mutex
-	appointed string
+	appointee string
 }
 
 // answer returns the reply to a member's message; nil: none.
@@ -24,8 +24,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bootstrap && b.appointed == "" {
-		b.appointed = from
+	if b.bootstrap && b.appointee == "" {
+		b.appointee = from
 	}
-	return &replication.BootstrapReply{Relay: true, Appointed: b.appointed}
+	return &replication.BootstrapReply{Relay: true, Appointed: b.appointee}
 }
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -13,7 +13,7 @@
 // relayKind is the kind of a relay's question, which control nodes and other relays answer.
 const relayKind = "relay"
 
-// relayQuestion asks who can serve a call that concerns a partition, which Partition names.
+// relayQuestion asks which control node can serve a call that concerns the named partition.
 type relayQuestion struct {
 	Partition string `cbor:"1,keyasint"`
 }
@@ -38,7 +38,7 @@
 		}
 		ch := make(chan relayAnswer, 1)
 		n.enqueue(func(now time.Duration) {
-			ch <- relayAnswerFor(q.Partition, n.endpoint.Address(), n.replica.Partitions(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
+			ch <- relayAnswerFor(q.Partition, n.endpoint.Address(), n.replica.Partitions(), func(partition string) string { return n.replica.Owner(now, partition) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
@@ -46,7 +46,7 @@
 
 // relayAnswerFor returns the answer about a partition, given the partitions of this control node, a
 // lookup of their owners, and the known nodes.
-func relayAnswerFor(partition, self string, partitions []string, owner func(key string) string, nodes *membership.List) (answer relayAnswer) {
+func relayAnswerFor(partition, self string, partitions []string, owner func(partition string) string, nodes *membership.List) (answer relayAnswer) {
 	// Looking up the owner creates the partition, so only existing partitions are looked up.
 	if slices.Contains(partitions, partition) {
 		answer.Owner = owner(partition)
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -17,8 +17,8 @@
 )
 
 // Times of a relay: the fractions of contactS after which another control node is asked as well,
-// and that a call may take in all, and the upper limit of the latter. A caller gives a node up
-// after a second.
+// and that a call may take in all, and the upper limit of the latter. A caller gives up
+// on a node after a second.
 const (
 	relayHedgeFraction   = 1.0 / 20
 	relayTimeoutFraction = 1.0 / 6
@@ -29,15 +29,15 @@
 // themselves.
 const maxRelayNodes = 64
 
-// picker finds the control node that a call is redirected to. It sends questions only when it is
-// asked for a node itself.
+// picker finds the control node that a call is redirected to. It queries nodes only
+// while it handles a call itself.
 type picker struct {
 	self       string
 	zone       string
 	hedgeDelay time.Duration // after which another node is asked as well
 	timeout    time.Duration // for a call in all
 	cooldown   time.Duration // how long a control node that gave no good answer is asked last
-	ask        func(ctx context.Context, to, key string) (relayAnswer, error)
+	ask        func(ctx context.Context, to, partition string) (relayAnswer, error)
 
 	mu          sync.Mutex
 	seeds       []string
@@ -55,8 +55,8 @@
 		timeout:    min(settings.Seconds(cfg.Bounds.ContactS*relayTimeoutFraction), maxRelayTimeout),
 		cooldown:   settings.Seconds(cfg.Bounds.ContactS),
 		nodes:      map[string]membership.Node{}, owners: map[string]string{}, failed: map[string]time.Time{},
-		ask: func(ctx context.Context, to, key string) (a relayAnswer, err error) {
-			err = endpoint.Call(ctx, to, relayKind, relayQuestion{key}, &a)
+		ask: func(ctx context.Context, to, partition string) (a relayAnswer, err error) {
+			err = endpoint.Call(ctx, to, relayKind, relayQuestion{partition}, &a)
 			return a, err
 		}}
 }
@@ -144,13 +144,13 @@
 }
 
 // query asks one node and records the result.
-func (p *picker) query(ctx context.Context, to, partition string) (relayAnswer, error) {
-	answer, err := p.ask(ctx, to, partition)
+func (p *picker) query(ctx context.Context, target, partition string) (relayAnswer, error) {
+	answer, err := p.ask(ctx, target, partition)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case err == nil && answer.Working && !answer.Relay:
-		delete(p.failed, to)
+		delete(p.failed, target)
 		p.nodes = map[string]membership.Node{}
 		for _, n := range answer.Nodes {
 			p.nodes[n.Address] = n
@@ -158,13 +158,13 @@
 		if answer.Owner != "" {
 			p.owners[partition] = answer.Owner
 		}
-		p.lastWorking, p.searchedAt = to, time.Now()
+		p.lastWorking, p.searchedAt = target, time.Now()
 		maps.DeleteFunc(p.failed, func(id string, at time.Time) bool { return time.Since(at) > p.cooldown })
 	case err != nil && ctx.Err() != nil:
 		// Another node was quicker, or the time is over; the caller decides whether this one
 		// failed.
 	default:
-		p.failed[to] = time.Now()
+		p.failed[target] = time.Now()
 	}
 	return answer, err
 }
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -236,7 +236,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			picked := ""
 			handler := &relay{port: "8080", retryAfter: time.Second / 2, log: slog.New(slog.DiscardHandler),
-				pick: func(_ context.Context, k string) string { picked = k; return test.pick }, known: func() []membership.Node { return nil }}
+				pick: func(_ context.Context, partition string) string { picked = partition; return test.pick }, known: func() []membership.Node { return nil }}
 			response := httptest.NewRecorder()
 			body := strings.NewReader(strings.Repeat("x", 1<<20))
 			req := httptest.NewRequest(test.method, test.target, body)
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -15,8 +15,8 @@
 	"madderwing/internal/upstream"
 )
 
-// rolloutController takes the steps of the rollouts whose partitions this control node owns,
-// forwards reports on the others, and has the versions recorded that services run without a
+// rolloutController carries out the transitions of the rollouts whose partitions this control node
+// owns, forwards reports on the others, and records the versions that services run without a
 // rollout.
 type rolloutController struct {
 	*environment
@@ -59,13 +59,13 @@
 	}
 }
 
-// tick checks the rollouts in progress, takes the steps of those whose partition this control node
-// owns, and forwards the reports on the others.
+// tick evaluates the rollouts in progress, carries out the transitions of those whose partition this
+// control node owns, and forwards the reports on the others.
 func (c *rolloutController) tick(now time.Duration) {
 	heartbeat := c.settings.HeartbeatInterval()
-	moves, forwards := c.controller.Evaluate(now, c.versions, rollout.Environment{
+	transitions, forwards := c.controller.Evaluate(now, c.versions, rollout.Environment{
 		Self: c.endpoint.Address(), MaxReportAge: 2 * heartbeat, Fill: c.fillView,
-		Owner: func(key string) string { return c.replica.Owner(now, key) }})
+		Owner: func(partition string) string { return c.replica.Owner(now, partition) }})
 	for service, v := range c.versions {
 		if p := v.Active(); p != nil && p.Stage == rollout.Full && c.replica.Owner(now, rollout.PartitionOf(service)) == c.endpoint.Address() {
 			c.logWaiting(now, service)
@@ -74,13 +74,13 @@
 	for to, all := range forwards {
 		c.endpoint.Send(to, delivery.ForwardedReportsKind, all)
 	}
-	for _, m := range moves {
-		c.commitMove(now, m)
+	for _, transition := range transitions {
+		c.commitTransition(now, transition)
 	}
 }
 
-// logWaiting logs from time to time what a rollout waits for that has been at full weight for
-// longer than gateways take to report.
+// logWaiting logs, at most once per two heartbeat intervals, what a rollout waits for. It does so
+// only once the rollout has been at full weight for longer than gateways take to report.
 func (c *rolloutController) logWaiting(now time.Duration, service string) {
 	minWait := 2 * c.settings.HeartbeatInterval()
 	view := c.controller.View(service)
@@ -92,14 +92,14 @@
 		"unheard", c.gatewaysNotHeard(c.controller.Gathered(service).OtherInFlightByGateway), "requestsAtOtherVersion", view.OtherInFlight)
 }
 
-// commitMove has a step of a rollout committed.
-func (c *rolloutController) commitMove(now time.Duration, move rollout.Transition) {
-	plan := move.To
+// commitTransition proposes a transition of a rollout to the replica.
+func (c *rolloutController) commitTransition(now time.Duration, transition rollout.Transition) {
+	plan := transition.To
 	change := func(have map[string]replication.Record) ([]replication.Record, error) {
-		return rollout.Advance(have, move.From.Generation, plan)
+		return rollout.Advance(have, transition.From.Generation, plan)
 	}
 	c.replica.Propose(now, rollout.PartitionOf(plan.Service), change, func(err error) {
-		c.controller.TransitionEnded(move)
+		c.controller.TransitionEnded(transition)
 		if err != nil {
 			c.log.rollout.Warn("rollout step not taken", "service", plan.Service, "stage", plan.Stage.String(), "error", err)
 			return
@@ -144,7 +144,7 @@
 	})
 	for _, services := range c.loads() {
 		for name, load := range services {
-			if of, _, _ := strings.Cut(name, "@"); of == plan.Service {
+			if service, _, _ := strings.Cut(name, "@"); service == plan.Service {
 				view.Load += load
 			}
 		}
@@ -171,9 +171,9 @@
 	return rollout.Call{ID: o.ID, BaseOrder: o.Basis, MayBeResent: func(id uint64) bool { return c.controller.Recent(now, service, id, ackS) }}
 }
 
-// adopt has the versions recorded, beside the items, that services run without a rollout: the first
-// version of a service, and another one where the platform lists no upstream of the recorded
-// version any more and no rollout is in progress.
+// adopt records, in the configuration's partition, the versions that services run without a rollout:
+// the first version of a service, and another one where the platform lists no upstream of the
+// recorded version any more and no rollout is in progress.
 func (c *rolloutController) adopt(now time.Duration) {
 	if c.adopting || !c.replica.IsVoter() {
 		return
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -27,24 +27,24 @@
 		if err != nil {
 			return nil, err
 		}
-		ask, err := rollout.ParseOrderRequest(body)
+		request, err := rollout.ParseOrderRequest(body)
 		if err != nil {
 			c.log.control.Warn("rollout refused", "error", err)
 			return nil, err
 		}
-		basis, err := c.newestBasis(arrived, ask.Service)
+		basis, err := c.newestBasis(arrived, request.Service)
 		if err != nil {
 			return nil, err
 		}
-		current, err := c.askService(r.Context(), ask.Service)
+		current, err := c.askService(r.Context(), request.Service)
 		if err != nil {
 			return nil, err
 		}
-		if _, err := c.submit(r.Context(), order{Partition: rollout.PartitionOf(ask.Service), Rollout: &ask, Current: current, Basis: basis}); err != nil {
-			c.log.control.Warn("rollout not taken", "service", ask.Service, "version", ask.Version, "error", err)
+		if _, err := c.submit(r.Context(), order{Partition: rollout.PartitionOf(request.Service), Rollout: &request, Current: current, Basis: basis}); err != nil {
+			c.log.control.Warn("rollout not taken", "service", request.Service, "version", request.Version, "error", err)
 			return nil, err
 		}
-		c.log.control.Info("rollout taken", "service", ask.Service, "version", ask.Version)
+		c.log.control.Info("rollout taken", "service", request.Service, "version", request.Version)
 		return []byte("{}\n"), nil
 	}
 	if err := c.hasService(r.Context(), service); err != nil {
@@ -67,8 +67,8 @@
 	return nil, wrongMethod
 }
 
-// newestBasis is the number of a service's newest rollout as this control node knows it, for an
-// order that relies on it.
+// newestBasis is the basis of an order on a service's rollout: the number of the service's newest
+// rollout as this control node knows it.
 func (c *rolloutController) newestBasis(arrived arrival, service string) (*uint64, error) {
 	return c.orderBasis(arrived, func() uint64 {
 		plan, ok := rollout.DecodePlan(c.configuration.published.Records[rollout.PartitionOf(service)])
@@ -80,8 +80,7 @@
 }
 
 // reverse reverses a service's rollout: that to the given version, or, if the operator names none,
-// the one that a majority confirms now. So an order that is delayed on its way can't affect a later
-// rollout.
+// the one that a majority confirms now. So a delayed order can't affect a later rollout.
 func (c *rolloutController) reverse(caller context.Context, service, version string, basis *uint64) error {
 	reversal := rollout.Reversal{Version: version, Named: version != ""}
 	if !reversal.Named {
@@ -102,9 +101,9 @@
 // hasService returns an error if a service doesn't exist. A control node that doesn't know the
 // service asks the owner of the configuration first.
 func (c *rolloutController) hasService(caller context.Context, name string) error {
-	has := make(chan bool, 1)
-	c.enqueue(func(time.Duration) { has <- c.configuration.hasService(name) })
-	if <-has {
+	known := make(chan bool, 1)
+	c.enqueue(func(time.Duration) { known <- c.configuration.hasService(name) })
+	if <-known {
 		return nil
 	}
 	_, err := c.askService(caller, name)
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -13,7 +13,7 @@
 // ArmState is one arm of a rollout as the administration API shows it.
 type ArmState struct {
 	Version  string  `json:"version"`
-	Answers  uint64  `json:"answers"` // scored at the present weight
+	Answers  uint64  `json:"answers"` // counted at the current weight
 	Failed   uint64  `json:"failed"`
 	P99AtMs  float64 `json:"p99AtMostMs"` // 0: too few answers
 	MeanTime float64 `json:"meanTimeScore"`
@@ -29,30 +29,29 @@
 	AgeS       float64    `json:"ageS"`
 	WithinS    float64    `json:"withinS"`
 	Reason     string     `json:"reason,omitempty"`
-	Heard      int        `json:"heard"` // nodes where this weight is in effect
-	Braked     int        `json:"braked"`
+	Heard      int        `json:"heard"`  // gateways that have reported that this weight is in effect
+	Braked     int        `json:"braked"` // gateways that have stopped the rollout by themselves
 	Arms       []ArmState `json:"arms"`
 }
 
-// states describes all rollouts. The figures of the arms are known only at the controller of a
-// rollout.
+// states describes all rollouts. Only the controller of a rollout knows the figures of its arms.
 func (c *rolloutController) states(now time.Duration) (out []RolloutState) {
 	out = []RolloutState{}
-	for service, v := range c.versions {
-		plan := v.Plan
+	for service, versions := range c.versions {
+		plan := versions.Plan
 		if plan == nil {
 			continue
 		}
-		sums := c.controller.Gathered(service)
+		gathered := c.controller.Gathered(service)
 		state := RolloutState{Service: service, State: plan.State(), Stage: plan.Stage.String(), Weight: plan.Weight, AgeS: plan.Age.Seconds(),
 			Controller: c.replica.Owner(now, rollout.PartitionOf(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
-			Heard: len(sums.OtherInFlightByGateway), Braked: sums.StoppedGateways}
+			Heard: len(gathered.OtherInFlightByGateway), Braked: gathered.StoppedGateways}
 		if !plan.Final() {
 			state.AgeS = c.controller.Age(now, service).Seconds()
 		}
-		all := sums.Sums.All()
+		cells := gathered.Sums.All()
 		for arm, version := range []string{plan.Prior, plan.Candidate} {
-			state.Arms = append(state.Arms, armState(version, all[arm]))
+			state.Arms = append(state.Arms, armState(version, cells[arm]))
 		}
 		out = append(out, state)
 	}
@@ -60,6 +59,7 @@
 	return out
 }
 
+// stateJSON returns the state of a service's rollout as JSON; nil if there is none.
 func (c *rolloutController) stateJSON(now time.Duration, service string) []byte {
 	for _, s := range c.states(now) {
 		if s.Service == service {
--- a/internal/controlplane/stalls.go
+++ b/internal/controlplane/stalls.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// Detection that the process was frozen, and that a call waited meanwhile.
+// Detects that the process was frozen, and that calls waited unread meanwhile.
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 // callerTimeout is the time after which a caller without an answer tries another node.
 const callerTimeout = time.Second
 
-// A process that was frozen for longer than stallLimit refuses the calls that may have arrived
-// meanwhile, since their callers may have tried another node. Reading those calls takes up to
-// resumeWindow. A call that waited for less than stallLimit begins before its caller gives up.
+// After a freeze longer than stallLimit, the process refuses calls for the time resumeWindow, in
+// which it reads those that arrived during the freeze: their callers may have tried another node. A
+// call that waited for less than stallLimit begins before its caller gives up.
 const (
 	stallLimit   = callerTimeout / 4
 	resumeWindow = callerTimeout / 20
@@ -25,37 +25,37 @@
 
 // stallDetector records when the process was last frozen.
 type stallDetector struct {
-	clock     func() time.Duration
-	tickedAt  atomic.Int64 // time of the last tick
-	resumedAt atomic.Int64 // when a tick last came more than stallLimit after the one before; 0: never
+	clock      func() time.Duration
+	lastTickAt atomic.Int64 // when the last tick came
+	resumedAt  atomic.Int64 // when a tick last came more than stallLimit after the one before; 0: never
 }
 
-// stalled reports whether the process was frozen a moment ago, or has resumed without a tick so
-// far.
+// stalled reports whether the process was frozen within the last resumeWindow, or has not ticked
+// since it was frozen.
 func (d *stallDetector) stalled() bool {
 	now := d.clock()
-	ticked, resumed := time.Duration(d.tickedAt.Load()), time.Duration(d.resumedAt.Load())
-	return now-ticked > stallLimit || resumed > 0 && now-resumed < resumeWindow
+	lastTick, resumedAt := time.Duration(d.lastTickAt.Load()), time.Duration(d.resumedAt.Load())
+	return now-lastTick > stallLimit || resumedAt > 0 && now-resumedAt < resumeWindow
 }
 
-// recordTicks records the times at which the process runs, until stop is closed.
+// recordTicks records a tick at regular intervals until stop is closed.
 func (d *stallDetector) recordTicks(stop <-chan struct{}) {
 	ticker := time.NewTicker(stallLimit / 5)
 	defer ticker.Stop()
-	d.noteRunning(d.clock())
+	d.recordTick(d.clock())
 	for {
 		select {
 		case <-ticker.C:
 		case <-stop:
 			return
 		}
-		d.noteRunning(d.clock())
+		d.recordTick(d.clock())
 	}
 }
 
-// noteRunning records that the process is running now.
-func (d *stallDetector) noteRunning(now time.Duration) {
-	last := time.Duration(d.tickedAt.Swap(int64(now)))
+// recordTick records that the process is running now.
+func (d *stallDetector) recordTick(now time.Duration) {
+	last := time.Duration(d.lastTickAt.Swap(int64(now)))
 	if last > 0 && now-last > stallLimit {
 		d.resumedAt.Store(int64(now))
 	}
@@ -64,7 +64,8 @@
 // connectionKey is the context key for the connection of a call.
 type connectionKey struct{}
 
-// withConnection is the http.Server.ConnContext that arrivalOf needs.
+// withConnection stores the connection of a call in its context, for arrivalOf. It is an
+// http.Server.ConnContext.
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
@@ -84,9 +85,9 @@
 // age is how long the call has been on this machine, including the wait in the kernel.
 func (a arrival) age() time.Duration { return max(sinceReceived(a.conn), time.Since(a.read)) }
 
-// sinceReceived is how long the kernel has had the last bytes received on a connection; 0 where the
-// kernel doesn't report it.
-func sinceReceived(conn net.Conn) (held time.Duration) {
+// sinceReceived is the time since the kernel last received bytes on a connection; 0 if the kernel
+// doesn't report it.
+func sinceReceived(conn net.Conn) (elapsed time.Duration) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return 0
@@ -97,8 +98,8 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			held = time.Duration(info.Last_data_recv) * time.Millisecond
+			elapsed = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	return held
+	return elapsed
 }
--- a/internal/controlplane/stalls_test.go
+++ b/internal/controlplane/stalls_test.go
@@ -39,7 +39,7 @@
 
 	env := &environment{settings: &settings.Settings{Bounds: settings.Bounds{ContactS: 3, AckS: 5}}, startedAt: time.Now(), queue: make(chan func(time.Duration)), log: loggers{control: logging.Logger(logging.Control)}}
 	env.stalls = &stallDetector{clock: env.now}
-	env.stalls.noteRunning(env.now())
+	env.stalls.recordTick(env.now())
 	go func() {
 		for fn := range env.queue {
 			fn(env.now())
@@ -53,7 +53,7 @@
 		t.Errorf("read at once, after %v: %v, %v", age, generation, err)
 	}
 	time.Sleep(maxOrderWait + 50*time.Millisecond)
-	env.stalls.noteRunning(env.now())
+	env.stalls.recordTick(env.now())
 	var refused *apierror.Error
 	if _, err := env.orderBasis(arrival{conn, time.Now()}, readGeneration); !errors.As(err, &refused) || refused.Kind != apierror.OutdatedOrder {
 		t.Errorf("read after maxOrderWait: %v", err)
@@ -65,7 +65,7 @@
 func TestCoordinationCallThatWaitedUnreadIsRefused(t *testing.T) {
 	clock := func() time.Duration { return time.Minute }
 	stalls := &stallDetector{clock: clock}
-	stalls.noteRunning(clock())
+	stalls.recordTick(clock())
 	c := &coordinator{owners: noOwners{}, clock: clock, stalls: stalls, enqueue: func(fn func(time.Duration)) { fn(time.Minute) },
 		statistics: newCoordinationStats(), retryAfter: time.Second, pause: coordinationLimit, server: coordination.NewServer(coordination.ServerConfig{Self: "self"}, soleOwnerReplica{})}
 	for name, test := range map[string]struct {
@@ -107,7 +107,7 @@
 	now := time.Minute
 	detector := &stallDetector{clock: func() time.Duration { return now }}
 	for range 50 {
-		detector.noteRunning(now)
+		detector.recordTick(now)
 		now += throttlePeriod + stallLimit/5 // the tick that was due in the pause is late by this much
 		if detector.stalled() {
 			t.Fatal("an exhausted CPU quota counts as a stall")
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -54,11 +54,11 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := lockDisk(ctx, set, noLog); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := lockDataDir(ctx, set, noLog); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
 	time.AfterFunc(20*time.Millisecond, other.Release)
-	lock, err := lockDisk(t.Context(), set, noLog)
+	lock, err := lockDataDir(t.Context(), set, noLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/summary.go
+++ b/internal/controlplane/summary.go
@@ -22,17 +22,18 @@
 type Summary struct {
 	Node    string  `json:"node"`
 	Contact Contact `json:"contact"`
-	// Tolerates is how many more members may be lost now, LossesToTolerate how many losses should be tolerated.
+	// Tolerates is how many more members may be lost now, LossesToTolerate how many losses should
+	// be tolerated.
 	Tolerates        int      `json:"bears"`
 	LossesToTolerate int      `json:"wanted"`
 	Nodes            []Count  `json:"nodes"`
 	Upstreams        []Count  `json:"upstreams"`
 	Gateways         int      `json:"desks"`
 	Behind           int      `json:"behind"`   // gateways without the newest items
-	BehindNames      []string `json:"behindOf"` // the first of them
+	BehindNames      []string `json:"behindOf"` // at most maxNamedGateways of them
 }
 
-// maxNamedGateways is how many gateways a summary or a log line names.
+// maxNamedGateways is the maximum number of gateways that a summary or a log line names.
 const maxNamedGateways = 10
 
 // Summary counts the nodes and upstreams of an overview by kind, zone and state.
@@ -73,7 +74,7 @@
 	return out
 }
 
-// Status is a node's state in one word.
+// Status is a node's state, or draining if it is alive and draining.
 func (m Member) Status() string {
 	if m.Draining && m.State == "alive" {
 		return "draining"
@@ -81,7 +82,7 @@
 	return m.State
 }
 
-// InstanceStatus is an upstream's state in one word.
+// InstanceStatus reports whether an upstream is draining, cold (warming up) or ready.
 func InstanceStatus(u upstream.Instance) string {
 	switch {
 	case u.Draining:
--- a/internal/controlplane/system_process_test.go
+++ b/internal/controlplane/system_process_test.go
@@ -23,16 +23,16 @@
 	t.Helper()
 	for try := 0; try < 200; try++ {
 		base := 20000 + (os.Getpid()*7+try*n)%12000
-		var held []net.Listener
+		var listeners []net.Listener
 		for i := 0; i < n; i++ {
 			if l, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", base+i)); err == nil {
-				held = append(held, l)
+				listeners = append(listeners, l)
 			}
 		}
-		for _, l := range held {
+		for _, l := range listeners {
 			l.Close()
 		}
-		if len(held) == n {
+		if len(listeners) == n {
 			return base
 		}
 	}
--- a/internal/controlplane/tasks.go
+++ b/internal/controlplane/tasks.go
@@ -87,16 +87,16 @@
 type planTask struct {
 	orders    *orderController
 	requested *config.Change
-	steps     []config.ItemEffect
+	effects   []config.ItemEffect
 }
 
 func (t *planTask) change(_ time.Duration, have records) (_ []replication.Record, err error) {
-	t.steps, err = t.requested.Plan(have, &t.orders.configuration.reader)
+	t.effects, err = t.requested.Plan(have, &t.orders.configuration.decoder)
 	return nil, err
 }
 
 func (t *planTask) finish(_, _ time.Duration, answer func(orderReply)) {
-	body, _ := json.Marshal(t.steps)
+	body, _ := json.Marshal(t.effects)
 	answer(orderReply{Body: body})
 }
 
@@ -108,15 +108,15 @@
 }
 
 func (t *patchTask) change(_ time.Duration, have records) ([]replication.Record, error) {
-	reader := &t.orders.configuration.reader
-	changes, err := t.requested.Apply(have, reader)
+	decoder := &t.orders.configuration.decoder
+	changes, err := t.requested.Apply(have, decoder)
 	if err == nil {
 		err = t.orders.diskRoom.admit(have, changes)
 	}
 	if err != nil {
 		return nil, err
 	}
-	t.revokes = t.orders.revocations != nil && config.RevokesAPIKey(have, changes, reader)
+	t.revokes = t.orders.revocations != nil && config.RevokesAPIKey(have, changes, decoder)
 	return changes, nil
 }
 
@@ -130,7 +130,7 @@
 		revocations.noteRevocation(now)
 	}
 	if t.requested.ChangesTenants() {
-		if remaining := revocations.remainingHold(t.orders.now()); remaining > 0 {
+		if remaining := revocations.remainingDelay(t.orders.now()); remaining > 0 {
 			t.orders.answerLater(remaining, answer)
 			return
 		}
@@ -179,7 +179,7 @@
 // orderName formats the ID of an order for the log.
 func orderName(id uint64) string { return strconv.FormatUint(id, 16) }
 
-// bindTask creates bindings of routes to shards, and reports for each whether it was refused.
+// bindTask creates bindings of routes to shards, and returns for each whether it was refused.
 type bindTask struct {
 	bindings []placement.BindRequest
 	refused  []bool
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -81,22 +81,24 @@
 
 // Overview is all that the administration API shows.
 type Overview struct {
-	Node               string                     `json:"node"`
-	Voting             bool                       `json:"voting"`
-	Contact            Contact                    `json:"contact"`
-	VoterSet           replication.VoterSetStatus `json:"roster"`
-	Members            []Member                   `json:"members"`
-	Partitions         []PartitionSummary         `json:"keys"`
-	Roles              []election.State           `json:"duties"`
-	Routes             []RouteState               `json:"routes"`
-	Shards             []ShardState               `json:"shards"`
-	Upstreams          []upstream.Instance        `json:"upstreams"`
-	Listing            upstream.ListVersion       `json:"listing"`
-	Evacuations        []string                   `json:"evacuations"`
-	EvacuationsInDoubt []string                   `json:"evacuationsInDoubt,omitempty"` // of these, zones all of whose evacuations may have been withdrawn
-	Delivery           []Delivery                 `json:"delivery"`
-	Tenants            []TenantState              `json:"tenants,omitempty"`
-	Quotas             *Quotas                    `json:"quotas,omitempty"`
-	Rollouts           []RolloutState             `json:"rollouts"`
-	Counters           map[string]uint64          `json:"counters"`
+	Node        string                     `json:"node"`
+	Voting      bool                       `json:"voting"`
+	Contact     Contact                    `json:"contact"`
+	VoterSet    replication.VoterSetStatus `json:"roster"`
+	Members     []Member                   `json:"members"`
+	Partitions  []PartitionSummary         `json:"keys"`
+	Roles       []election.State           `json:"duties"`
+	Routes      []RouteState               `json:"routes"`
+	Shards      []ShardState               `json:"shards"`
+	Upstreams   []upstream.Instance        `json:"upstreams"`
+	Listing     upstream.ListVersion       `json:"listing"`
+	Evacuations []string                   `json:"evacuations"`
+	// EvacuationsInDoubt lists the zones in Evacuations all of whose evacuations may have been
+	// withdrawn.
+	EvacuationsInDoubt []string          `json:"evacuationsInDoubt,omitempty"`
+	Delivery           []Delivery        `json:"delivery"`
+	Tenants            []TenantState     `json:"tenants,omitempty"`
+	Quotas             *Quotas           `json:"quotas,omitempty"`
+	Rollouts           []RolloutState    `json:"rollouts"`
+	Counters           map[string]uint64 `json:"counters"`
 }
