--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -17,10 +17,10 @@
 // coordinationStats counts the calls by operation and status of the answer.
 type coordinationStats struct {
 	mu    sync.Mutex
-	calls map[callKind]*callCount
+	calls map[callLabels]*callCount
 }
 
-type callKind struct {
+type callLabels struct {
 	operation string
 	status    int
 }
@@ -31,18 +31,18 @@
 }
 
 func newCoordinationStats() coordinationStats {
-	return coordinationStats{calls: map[callKind]*callCount{}}
+	return coordinationStats{calls: map[callLabels]*callCount{}}
 }
 
 func (s *coordinationStats) count(operation string, status int, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kind := callKind{operation, status}
-	if s.calls[kind] == nil {
-		s.calls[kind] = &callCount{}
+	labels := callLabels{operation, status}
+	if s.calls[labels] == nil {
+		s.calls[labels] = &callCount{}
 	}
-	s.calls[kind].count++
-	s.calls[kind].wait += wait
+	s.calls[labels].count++
+	s.calls[labels].wait += wait
 }
 
 // CallState is the number of calls with the same operation and status, and how long they took on
@@ -58,9 +58,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := []CallState{}
-	for kind, c := range s.calls {
+	for labels, c := range s.calls {
 		mean := c.wait.Seconds() * 1000 / float64(c.count)
-		out = append(out, CallState{kind.operation, kind.status, c.count, mean})
+		out = append(out, CallState{labels.operation, labels.status, c.count, mean})
 	}
 	sort.Slice(out, func(i, j int) bool {
 		a, b := out[i], out[j]
--- a/internal/controlplane/coordination_http.go
+++ b/internal/controlplane/coordination_http.go
@@ -58,7 +58,7 @@
 		return
 	}
 	status := c.serveCall(w, r, arrived, call)
-	c.statistics.count(call.Operation.String(), status, time.Since(arrived.read))
+	c.statistics.count(call.Operation.String(), status, time.Since(arrived.readAt))
 }
 
 // serveCall carries out a call, writes the answer and returns its HTTP status.
--- a/internal/controlplane/delivery.go
+++ b/internal/controlplane/delivery.go
@@ -23,12 +23,12 @@
 	list               *listController
 	rolloutsControlled func() bool // reports whether all rollouts in progress have working controllers
 
-	sender      delivery.Sender // of the configuration
-	watchers    delivery.Watchers
-	peerReports map[string]peerReport // by control node
-	reportAt    time.Duration         // when the next exchange is due
-	loads       upstream.Loads        // of all gateways
-	itemDigests map[string]uint64     // gateway -> digest of the items in effect there
+	sender       delivery.Sender // of the configuration
+	watchers     delivery.Watchers
+	peerReports  map[string]peerReport // by control node
+	nextReportAt time.Duration         // when the next exchange is due
+	loads        upstream.Loads        // of all gateways
+	itemDigests  map[string]uint64     // gateway -> digest of the items in effect there
 }
 
 // peerReport is what another control node reported of its watchers, and when it arrived.
@@ -70,8 +70,8 @@
 
 // tick exchanges reports once per heartbeat interval. It runs at every tick of the event loop.
 func (c *deliveryController) tick(now time.Duration) {
-	if now >= c.reportAt {
-		c.reportAt = now + c.settings.HeartbeatInterval()
+	if now >= c.nextReportAt {
+		c.nextReportAt = now + c.settings.HeartbeatInterval()
 		c.exchangeReports(now)
 	}
 }
@@ -126,7 +126,7 @@
 		if now-clock.receivedAt > c.watchers.ExpireAfter {
 			delete(c.list.watcherClocks, id)
 		} else if has, ok := c.watchers.Assumed(id); ok && has.ListVersion == c.list.snapshot.Version {
-			c.endpoint.Send(id, delivery.UpdateKind, delivery.Update{ListFreshness: c.list.listedFor(id)})
+			c.endpoint.Send(id, delivery.UpdateKind, delivery.Update{ListFreshness: c.list.freshnessFor(id)})
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		has.ListVersion = l.Version
 	}
 	if always || update.List != nil {
-		update.ListFreshness = c.list.listedFor(to)
+		update.ListFreshness = c.list.freshnessFor(to)
 	}
 	if always {
 		update.Loads = c.loads
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -45,7 +45,7 @@
 type evacuations struct {
 	repeatWindow time.Duration // how long an operator may send an order again
 	maxDoubt     time.Duration // after which the evacuation of a zone in doubt ends
-	seenAt       map[uint64]time.Duration
+	orderSeenAt  map[uint64]time.Duration
 	doubts       map[string]doubt // by record name
 }
 
@@ -62,14 +62,14 @@
 func newEvacuations(bounds settings.Bounds) *evacuations {
 	recoveryS := cmp.Or(bounds.RecoveryS, 3*bounds.AckS)
 	return &evacuations{repeatWindow: settings.Seconds(bounds.AckS) + callerTimeout, maxDoubt: settings.Seconds(doubtFraction * recoveryS),
-		seenAt: map[uint64]time.Duration{}, doubts: map[string]doubt{}}
+		orderSeenAt: map[uint64]time.Duration{}, doubts: map[string]doubt{}}
 }
 
 // recent returns a function that reports whether an order named in a record may still be sent again
 // by its operator. An order that was not seen yet was carried out a moment ago.
 func (e *evacuations) recent(now time.Duration) func(id uint64) bool {
 	return func(id uint64) bool {
-		at, ok := e.seenAt[id]
+		at, ok := e.orderSeenAt[id]
 		return !ok || now-at <= e.repeatWindow
 	}
 }
@@ -86,8 +86,8 @@
 // recordPublished handles a zone's published record.
 func (e *evacuations) recordPublished(now time.Duration, record config.Record) {
 	for _, id := range config.EvacuationOrders(record) {
-		if _, ok := e.seenAt[id]; !ok {
-			e.seenAt[id] = now
+		if _, ok := e.orderSeenAt[id]; !ok {
+			e.orderSeenAt[id] = now
 		}
 	}
 	if config.InDoubt(record) {
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	maps.DeleteFunc(e.seenAt, func(id uint64, _ time.Duration) bool { return !named[id] })
+	maps.DeleteFunc(e.orderSeenAt, func(id uint64, _ time.Duration) bool { return !named[id] })
 }
 
 // takeOverdue returns the zones' records that have been in doubt for maxDoubt or longer, by name,
--- a/internal/controlplane/list.go
+++ b/internal/controlplane/list.go
@@ -33,7 +33,7 @@
 type listController struct {
 	*environment
 	client         *http.Client
-	reading        atomic.Bool
+	readInProgress atomic.Bool
 	platformCalls  atomic.Uint64
 	platformErrors atomic.Uint64
 
@@ -43,8 +43,8 @@
 	readingCalls  int                     // platform calls that reading the list took
 	readingTime   time.Duration           // duration of the reading
 	watcherClocks map[string]watcherClock // by control node that watches this one
-	readAt        time.Duration           // when the next reading is due
-	askAt         time.Duration           // when to ask the holder next
+	nextReadAt    time.Duration           // when the next reading is due
+	nextAskAt     time.Duration           // when to ask the holder next
 	standby       listStandby
 	onChange      func(now time.Duration) // called when the snapshot has changed
 	onRead        func(now time.Duration) // called when this node has read the list as the role holder
@@ -91,7 +91,8 @@
 }
 
 // tick reads the list if this node holds the role or has no list. Otherwise it asks the holder for
-// the list, and reads it as a standby if the holder's is too old. It runs at every tick of the event loop.
+// the list, and reads it as a standby if the holder's is too old. It runs at every tick of the event
+// loop.
 func (c *listController) tick(now time.Duration) {
 	if _, mine := c.election.Holds(now, roleList); mine || !c.snapshot.HasList() {
 		// A node without any list reads one itself; the list of any role holder replaces that.
@@ -105,10 +106,10 @@
 // askHolder asks the role holder for its list, and another control node too if the list has not
 // been confirmed for long.
 func (c *listController) askHolder(now time.Duration) {
-	if now < c.askAt {
+	if now < c.nextAskAt {
 		return
 	}
-	c.askAt = now + c.settings.HeartbeatInterval()
+	c.nextAskAt = now + c.settings.HeartbeatInterval()
 	question := delivery.Watch{ListVersion: c.snapshot.Version, AskedAt: max(now, 1)}
 	holder, _, _ := c.election.Holder(now, roleList)
 	if holder != "" && holder != c.endpoint.Address() {
@@ -128,7 +129,7 @@
 
 // progress reports to the election how recent the list is here.
 func (c *listController) progress() election.Progress {
-	return election.Progress{Known: c.validAt, Own: c.standby.reading.began, Limit: c.maxLag()}
+	return election.Progress{Known: c.validAt, Own: c.standby.lastReading.began, Limit: c.maxLag()}
 }
 
 // noteWatcherClock records the clock of a control node that watches this one.
@@ -138,9 +139,9 @@
 	}
 }
 
-// listedFor reports as of when the list is valid, on the clock of a control node that watches this
+// freshnessFor reports as of when the list is valid, on the clock of a control node that watches this
 // one; nil if that node has not sent its clock or there is no list.
-func (c *listController) listedFor(to string) *delivery.ListFreshness {
+func (c *listController) freshnessFor(to string) *delivery.ListFreshness {
 	clock, ok := c.watcherClocks[to]
 	if !ok || !c.snapshot.HasList() {
 		return nil
@@ -150,8 +151,8 @@
 
 // readWhenDue reads the list if that is due.
 func (c *listController) readWhenDue(now time.Duration, pace upstream.CallPace) {
-	if now >= c.readAt {
-		c.readAt = now + settings.Seconds(c.settings.Bounds.DrainS*listIntervalFraction)
+	if now >= c.nextReadAt {
+		c.nextReadAt = now + settings.Seconds(c.settings.Bounds.DrainS*listIntervalFraction)
 		c.read(pace)
 	}
 }
@@ -167,11 +168,11 @@
 
 // read reads the platform's list in the background.
 func (c *listController) read(pace upstream.CallPace) {
-	if c.settings.CloudAPI.Address == "" || !c.reading.CompareAndSwap(false, true) {
+	if c.settings.CloudAPI.Address == "" || !c.readInProgress.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer c.reading.Store(false)
+		defer c.readInProgress.Store(false)
 		began := c.now()
 		ctx, cancel := context.WithTimeout(context.Background(), settings.Seconds(maxReadingFactor*c.settings.Bounds.DrainS))
 		defer cancel()
@@ -196,9 +197,9 @@
 // roleAcquired starts this node's reading as the role holder, from the list that it may have read
 // as a standby.
 func (c *listController) roleAcquired(now time.Duration) {
-	if c.standby.reading.began > c.validAt {
+	if c.standby.lastReading.began > c.validAt {
 		c.log.upstream.Warn("list of the last duty holder is too old, using this node's", "ageS", logSeconds(now-c.validAt))
-		c.accept(now, c.standby.reading)
+		c.accept(now, c.standby.lastReading)
 	}
 	c.read(upstream.PollingPace(c.settings.CloudAPI.RatePerS))
 }
@@ -242,9 +243,9 @@
 		versions.counts[i.Version]++
 		out[i.Service] = versions
 	})
-	for s, l := range out {
-		l.mostFrequent = upstream.MostFrequent(l.counts)
-		out[s] = l
+	for service, listed := range out {
+		listed.mostFrequent = upstream.MostFrequent(listed.counts)
+		out[service] = listed
 	}
 	return out
 }
--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -27,14 +27,14 @@
 
 // listStandby is the state of a control node that reads the list while another one holds the role.
 type listStandby struct {
-	reading   listReading   // the last complete one
-	failures  int           // consecutive
-	lastAsked int           // index of the peer that was asked last
-	checkedAt time.Duration // when the age of the holder's list was last checked
+	lastReading listReading   // the last complete one
+	failures    int           // consecutive
+	lastAsked   int           // index of the peer that was asked last
+	checkedAt   time.Duration // when the age of the holder's list was last checked
 }
 
 // succeeded records a complete reading.
-func (s *listStandby) succeeded(reading listReading) { s.reading, s.failures = reading, 0 }
+func (s *listStandby) succeeded(reading listReading) { s.lastReading, s.failures = reading, 0 }
 
 // nextPeer picks a control node to ask beside the holder, each in turn; empty if there is none.
 func (s *listStandby) nextPeer(all []string, self, holder string) string {
@@ -55,7 +55,7 @@
 	}
 	c.standby.failures++
 	interval := settings.Seconds(c.settings.Bounds.DrainS * listIntervalFraction)
-	c.readAt = now + min(interval<<min(c.standby.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
+	c.nextReadAt = now + min(interval<<min(c.standby.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
 }
 
 // readAsStandby reads the list in place of the holder if the holder's list is too old: the first
@@ -82,7 +82,7 @@
 	drainS := c.settings.Bounds.DrainS
 	reading := min(c.readingTime, upstream.PollingPace(c.settings.CloudAPI.RatePerS).TotalPause(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
 	longest := settings.Seconds(maxReadingFactor * drainS)
-	if last := c.standby.reading; last.end > 0 && now-last.end < longest {
+	if last := c.standby.lastReading; last.end > 0 && now-last.end < longest {
 		reading = max(reading, last.end-last.began)
 	}
 	// One tick, and the lateness that is no fault.
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -86,14 +86,14 @@
 		list.snapshot.Update(0, 1, 1, nil)
 		list.validAt, list.readingCalls, list.readingTime = now-test.age, test.calls, test.holderTook
 		if test.ownTook > 0 {
-			list.standby.reading = listReading{began: now - time.Second - test.ownTook, end: now - time.Second}
+			list.standby.lastReading = listReading{began: now - time.Second - test.ownTook, end: now - time.Second}
 		}
 		list.readAsStandby(now - ms)
-		if list.readAt != 0 {
+		if list.nextReadAt != 0 {
 			t.Errorf("%s: reads right after a freeze, before queued messages are handled", name)
 		}
 		list.readAsStandby(now)
-		if reads := list.readAt != 0; reads != test.wantRead {
+		if reads := list.nextReadAt != 0; reads != test.wantRead {
 			t.Errorf("%s: reads is %v", name, reads)
 		}
 	}
@@ -108,7 +108,7 @@
 	holder.validAt = 100 * time.Second // by its clock
 	// The other node's clock shows 5 s when it asks, the holder's 101 s when the question arrives.
 	holder.noteWatcherClock(101*time.Second, "b", delivery.Watch{AskedAt: 5 * time.Second})
-	listed := func() *delivery.ListFreshness { return holder.listedFor("b") }
+	listed := func() *delivery.ListFreshness { return holder.freshnessFor("b") }
 	other.handleUpdate(9*time.Second, delivery.Update{List: holder.snapshot.UpdateFor(0, upstream.ListVersion{}), ListFreshness: listed()})
 	if other.validAt != 4*time.Second {
 		t.Errorf("the list is valid as of %v, want 4s", other.validAt)
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -26,7 +26,7 @@
 	recheck       bool          // routes, shards or the role have changed since the last check for waiting routes
 	waiting       bool          // the last check found routes that wait for a binding
 	noneWaitingAt time.Duration // when no route was last known to wait
-	checkAt       time.Duration // when the next check is due
+	nextCheckAt   time.Duration // when the next check is due
 }
 
 func newPlacementController(env *environment, configuration *configuration, submit submitFunc) *placementController {
@@ -48,8 +48,8 @@
 // checkWaiting checks, at most once per heartbeat interval, whether any route waits for its
 // binding.
 func (c *placementController) checkWaiting(now time.Duration) {
-	if now >= c.checkAt && (c.recheck || c.waiting) {
-		c.checkAt, c.recheck = now+c.settings.HeartbeatInterval(), false
+	if now >= c.nextCheckAt && (c.recheck || c.waiting) {
+		c.nextCheckAt, c.recheck = now+c.settings.HeartbeatInterval(), false
 		c.waiting = placement.AnyUnscheduled(c.configuration.routes(), c.shards())
 	}
 	if !c.waiting {
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -19,14 +19,14 @@
 	*environment
 	configuration *configuration
 
-	allocator   *quota.Allocator
-	local       *quota.LocalQuota
-	configured  map[string]quota.Quota   // of the tenants, as configured
-	reportAt    time.Duration            // when the next report to the allocator is due
-	recallAt    time.Duration            // when control nodes that have not reported may be recalled again
-	allocatorID string                   // the allocator that was last reported to
-	fullReport  bool                     // the next report names all shares
-	lastVoterAt map[string]time.Duration // when a holder of allocations was last a voter
+	allocator    *quota.Allocator
+	local        *quota.LocalQuota
+	configured   map[string]quota.Quota   // of the tenants, as configured
+	nextReportAt time.Duration            // when the next report to the allocator is due
+	nextRecallAt time.Duration            // when control nodes that have not reported may be recalled again
+	allocatorID  string                   // the allocator that was last reported to
+	fullReport   bool                     // the next report names all shares
+	lastVoterAt  map[string]time.Duration // when a holder of allocations was last a voter
 }
 
 func newQuotaController(env *environment, configuration *configuration) *quotaController {
@@ -104,12 +104,12 @@
 	}
 	if last, allocating := c.allocator.Active(); !allocating || last != term.Epoch {
 		c.allocator.Activate(now, term.Epoch, term.PredecessorUntil, term.Inherited)
-		c.recallAt = 0
+		c.nextRecallAt = 0
 		c.switchAllocator(now, c.endpoint.Address()) // its own local quota reports first
 	}
 	c.allocator.Tick(now)
-	if silent := c.allocator.UnreportedNodes(); len(silent) > 0 && now >= c.recallAt {
-		c.recallAt = now + c.settings.HeartbeatInterval()/5
+	if silent := c.allocator.UnreportedNodes(); len(silent) > 0 && now >= c.nextRecallAt {
+		c.nextRecallAt = now + c.settings.HeartbeatInterval()/5
 		for _, id := range silent {
 			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: term.Epoch})
 		}
@@ -143,7 +143,7 @@
 
 // switchAllocator makes the next report a full one to the given allocator, due at once.
 func (c *quotaController) switchAllocator(now time.Duration, allocatorID string) {
-	c.allocatorID, c.fullReport, c.reportAt = allocatorID, true, now
+	c.allocatorID, c.fullReport, c.nextReportAt = allocatorID, true, now
 }
 
 // updateLocalQuota reports to the allocator once per heartbeat interval, and at once to a new one.
@@ -153,8 +153,8 @@
 	if owner := c.replica.Owner(now, config.Partition); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
-	if now >= c.reportAt {
-		c.reportAt, c.fullReport = now+c.settings.HeartbeatInterval(), true
+	if now >= c.nextReportAt {
+		c.nextReportAt, c.fullReport = now+c.settings.HeartbeatInterval(), true
 		c.sendReport(now)
 	}
 }
--- a/internal/controlplane/relay_picker.go
+++ b/internal/controlplane/relay_picker.go
@@ -17,8 +17,8 @@
 )
 
 // Times of a relay: the fractions of contactS after which another control node is asked as well,
-// and that a call may take in all, and the upper limit of the latter. A caller gives up
-// on a node after a second.
+// and that a call may take in all, and the upper limit of the latter. A caller gives up on a node
+// after a second.
 const (
 	relayHedgeFraction   = 1.0 / 20
 	relayTimeoutFraction = 1.0 / 6
@@ -29,8 +29,8 @@
 // themselves.
 const maxRelayNodes = 64
 
-// picker finds the control node that a call is redirected to. It queries nodes only
-// while it handles a call itself.
+// picker finds the control node that a call is redirected to. It queries nodes only while it
+// handles a call itself.
 type picker struct {
 	self       string
 	zone       string
--- a/internal/controlplane/rollout_http.go
+++ b/internal/controlplane/rollout_http.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		var confirmed rolloutText
+		var confirmed rolloutView
 		if text == nil || json.Unmarshal(text, &confirmed) != nil {
 			return apierror.New(apierror.NoRollout, "%s", service)
 		}
@@ -152,12 +152,12 @@
 	if !ok {
 		return nil
 	}
-	b, _ := json.Marshal(rolloutText{State: plan.State(), TargetVersion: plan.Candidate})
+	b, _ := json.Marshal(rolloutView{State: plan.State(), TargetVersion: plan.Candidate})
 	return b
 }
 
-// rolloutText is a rollout as the operators' API shows it.
-type rolloutText struct {
+// rolloutView is a rollout as the operators' API shows it.
+type rolloutView struct {
 	State         string `json:"state"`
 	TargetVersion string `json:"targetVersion"`
 }
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -30,7 +30,7 @@
 	WithinS    float64    `json:"withinS"`
 	Reason     string     `json:"reason,omitempty"`
 	Heard      int        `json:"heard"`  // gateways that have reported that this weight is in effect
-	Braked     int        `json:"braked"` // gateways that have stopped the rollout by themselves
+	Braked     int        `json:"braked"` // gateways that have stopped the candidate by themselves
 	Arms       []ArmState `json:"arms"`
 }
 
--- a/internal/controlplane/stalls.go
+++ b/internal/controlplane/stalls.go
@@ -72,18 +72,18 @@
 
 // arrival is when a call reached this machine.
 type arrival struct {
-	conn net.Conn // nil if unknown
-	read time.Time
+	conn   net.Conn // nil if unknown
+	readAt time.Time
 }
 
 // arrivalOf returns the arrival of a call that has just been read.
 func arrivalOf(r *http.Request) arrival {
 	conn, _ := r.Context().Value(connectionKey{}).(net.Conn)
-	return arrival{conn: conn, read: time.Now()}
+	return arrival{conn: conn, readAt: time.Now()}
 }
 
 // age is how long the call has been on this machine, including the wait in the kernel.
-func (a arrival) age() time.Duration { return max(sinceReceived(a.conn), time.Since(a.read)) }
+func (a arrival) age() time.Duration { return max(sinceReceived(a.conn), time.Since(a.readAt)) }
 
 // sinceReceived is the time since the kernel last received bytes on a connection; 0 if the kernel
 // doesn't report it.
