--- a/internal/controlplane/coordination.go
+++ b/internal/controlplane/coordination.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// forwardedCall is a call on its way to the owner of its partition. The owner doesn't begin it
+// forwardedCall is a call that is forwarded to the owner of its partition. The owner doesn't begin it
 // after the deadline, which is on the owner's clock.
 type forwardedCall struct {
 	Call     coordination.Call         `cbor:"1,keyasint"`
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -15,8 +15,8 @@
 	"madderwing/internal/storage"
 )
 
-// lockDataDir locks the data directory for this process. While another process holds the lock, perhaps
-// a predecessor that is about to exit, it tries again after a pause.
+// lockDataDir locks the data directory for this process. While another process holds the lock,
+// perhaps a predecessor that is about to exit, it tries again after a pause.
 func lockDataDir(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Lock, error) {
 	for waiting := false; ; waiting = true {
 		lock, err := storage.LockDir(cfg.DataDir)
@@ -33,8 +33,8 @@
 }
 
 // openStore opens the state on disk. While the disk refuses the writes that opening needs, it tries
-// again after a pause. Other errors need an operator and are returned. storage.ErrDamaged comes
-// with an empty store.
+// again after a pause. Other errors need an operator and are returned. storage.ErrDamaged is
+// returned with an empty store.
 func openStore(ctx context.Context, cfg *settings.Settings, logger *slog.Logger) (*storage.Store, map[string][]byte, error) {
 	maxBytes := int64(cfg.Limits.DiskMb * (1 << 20))
 	lastError := ""
@@ -127,7 +127,7 @@
 	return outcome
 }
 
-// requestRewrite requests a snapshot unless one is already on its way: that one contains all that is
+// requestRewrite requests a snapshot unless one is already awaited: that one contains all that is
 // written or refused before it arrives.
 func (w *writer) requestRewrite(when rewriteChoice) rewriteChoice {
 	if w.rewriteRequested {
--- a/internal/controlplane/evacuations.go
+++ b/internal/controlplane/evacuations.go
@@ -66,7 +66,7 @@
 }
 
 // recent returns a function that reports whether an order named in a record may still be sent again
-// by its operator. An order that was not seen yet was carried out a moment ago.
+// by its operator. An order that was not seen yet has only just been carried out.
 func (e *evacuations) recent(now time.Duration) func(id uint64) bool {
 	return func(id uint64) bool {
 		at, ok := e.orderSeenAt[id]
--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -18,7 +18,7 @@
 	// the other.
 	standbyStaggerFraction = 0.5
 	// readingCallFraction is the fraction of drainS that each call of a long reading may take
-	// beside the pauses.
+	// in addition to the pauses.
 	readingCallFraction = 0.02
 	// listJitterFraction is the fraction of the maximum lag by which a list may be late without a
 	// fault.
@@ -36,7 +36,8 @@
 // succeeded records a complete reading.
 func (s *listStandby) succeeded(reading listReading) { s.lastReading, s.failures = reading, 0 }
 
-// nextPeer picks a control node to ask beside the holder, each in turn; empty if there is none.
+// nextPeer returns, round robin, a control node other than this one and the holder; empty if there is
+// none.
 func (s *listStandby) nextPeer(all []string, self, holder string) string {
 	for range all {
 		s.lastAsked++
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -100,7 +100,7 @@
 
 // submit sends an order to the current owner of its partition, and retries for a short time while
 // there is none. It is not sent again once the context of the caller has ended: an order that took
-// effect then could undo one that its operator has given since. An attempt in progress goes on.
+// effect then could undo one that its operator has given since. An attempt in progress is completed.
 func (c *orderController) submit(caller context.Context, o order) ([]byte, error) {
 	begin := time.Now()
 	deadline := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -20,7 +20,7 @@
 
 // relayAnswer is the answer of a control node, or of another relay.
 type relayAnswer struct {
-	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set beside it
+	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set as well
 	// Working reports that the control node hears the owner of the partition or of the
 	// configuration, and is not about to shut down.
 	Working bool              `cbor:"2,keyasint,omitempty"`
