--- a/internal/controlplane/list_standby.go
+++ b/internal/controlplane/list_standby.go
@@ -18,29 +18,30 @@
 	// the other.
 	standbyStaggerFraction = 0.5
 	// readingCallFraction is the fraction of drainS that each call of a long reading may take
-	// beside the pauses.
+	// in addition to the pauses.
 	readingCallFraction = 0.02
 	// listJitterFraction is the fraction of the maximum lag by which a list may be late without a
 	// fault.
 	listJitterFraction = 0.25
 )
 
-// listStandby is a control node's state for reading the list while another holds the role.
+// listStandby is the state of a control node that reads the list while another one holds the role.
 type listStandby struct {
-	reading   listReading   // the last complete one
-	failures  int           // consecutive
-	lastAsked int           // index of the peer that was asked last
-	checkedAt time.Duration // when the age of the holder's list was last checked
+	lastReading listReading   // the last complete one
+	failures    int           // consecutive
+	lastAsked   int           // index of the peer that was asked last
+	checkedAt   time.Duration // when the age of the holder's list was last checked
 }
 
 // succeeded records a complete reading.
-func (d *listStandby) succeeded(reading listReading) { d.reading, d.failures = reading, 0 }
+func (s *listStandby) succeeded(reading listReading) { s.lastReading, s.failures = reading, 0 }
 
-// nextPeer picks a control node to ask beside the holder, each in turn; empty if there is none.
-func (d *listStandby) nextPeer(all []string, self, holder string) string {
+// nextPeer returns, round robin, a control node other than this one and the holder; empty if there is
+// none.
+func (s *listStandby) nextPeer(all []string, self, holder string) string {
 	for range all {
-		d.lastAsked++
-		if id := all[d.lastAsked%len(all)]; id != self && id != holder {
+		s.lastAsked++
+		if id := all[s.lastAsked%len(all)]; id != self && id != holder {
 			return id
 		}
 	}
@@ -55,7 +56,7 @@
 	}
 	c.standby.failures++
 	interval := settings.Seconds(c.settings.Bounds.DrainS * listIntervalFraction)
-	c.readAt = now + min(interval<<min(c.standby.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
+	c.nextReadAt = now + min(interval<<min(c.standby.failures, 8), settings.Seconds(c.settings.Bounds.DrainS))
 }
 
 // readAsStandby reads the list in place of the holder if the holder's list is too old: the first
@@ -76,15 +77,16 @@
 }
 
 // standbyThreshold is how old the holder's list may be before the first standby reads one too. It
-// exceeds the maximum lag only where the list is so long that reading it takes as much, or where
-// this node's own last reading took so long that it could do no better.
+// exceeds the maximum lag only if the list is so long that the holder's readings take as much, or if
+// this node's own last reading did, so that its list would be no newer.
 func (c *listController) standbyThreshold(now time.Duration) time.Duration {
 	drainS := c.settings.Bounds.DrainS
 	reading := min(c.readingTime, upstream.PollingPace(c.settings.CloudAPI.RatePerS).TotalPause(c.readingCalls)+settings.Seconds(readingCallFraction*drainS*float64(c.readingCalls)))
 	longest := settings.Seconds(maxReadingFactor * drainS)
-	if last := c.standby.reading; last.end > 0 && now-last.end < longest {
+	if last := c.standby.lastReading; last.end > 0 && now-last.end < longest {
 		reading = max(reading, last.end-last.began)
 	}
-	late := c.settings.HeartbeatInterval()/5 + time.Duration(listJitterFraction*float64(c.maxLag())) // one tick, and lateness that is no fault
+	// One tick, and the lateness that is no fault.
+	late := c.settings.HeartbeatInterval()/5 + time.Duration(listJitterFraction*float64(c.maxLag()))
 	return max(c.maxLag(), min(readingsPerCycle*reading, longest)+late)
 }
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -20,10 +20,10 @@
 // orderKind is the kind of message that carries an order to the owner of its partition.
 const orderKind = "order"
 
-// order is a request to the owner of a partition, as it is sent between control nodes. Beside Partition,
-// which names the partition, one field selects the task that the owner carries out; with none, the
-// owner only confirms that it owns the partition. Fields that merely accompany another one are
-// described as such.
+// order is a request to the owner of a partition, as it is sent between control nodes. In addition
+// to Partition, one field selects the task that the owner carries out; with none, the owner only
+// confirms that it owns the partition. Fields that merely accompany another one are described as
+// such.
 type order struct {
 	Partition string                  `cbor:"1,keyasint"`
 	Patch     []byte                  `cbor:"2,keyasint,omitempty"`
@@ -100,7 +100,7 @@
 
 // submit sends an order to the current owner of its partition, and retries for a short time while
 // there is none. It is not sent again once the context of the caller has ended: an order that took
-// effect then could undo one that its operator has given since. An attempt in progress goes on.
+// effect then could undo one that its operator has given since. An attempt in progress is completed.
 func (c *orderController) submit(caller context.Context, o order) ([]byte, error) {
 	begin := time.Now()
 	deadline := begin.Add(settings.Seconds(c.settings.Bounds.AckS * 0.17))
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -19,15 +19,14 @@
 	*environment
 	configuration *configuration
 
-	allocator   *quota.Allocator
-	local       *quota.LocalQuota
-	configured  map[string]quota.Quota // of the tenants, as configured
-	reportAt    time.Duration          // when the next report to the allocator is due
-	recallAt    time.Duration          // when control nodes that have not reported may be recalled again
-	allocatorID string                 // the allocator that was last reported to
-	// fullReport makes the next report name all shares.
-	fullReport  bool
-	lastVoterAt map[string]time.Duration // when a holder of allocations was last a voter
+	allocator    *quota.Allocator
+	local        *quota.LocalQuota
+	configured   map[string]quota.Quota   // of the tenants, as configured
+	nextReportAt time.Duration            // when the next report to the allocator is due
+	nextRecallAt time.Duration            // when control nodes that have not reported may be recalled again
+	allocatorID  string                   // the allocator that was last reported to
+	fullReport   bool                     // the next report names all shares
+	lastVoterAt  map[string]time.Duration // when a holder of allocations was last a voter
 }
 
 func newQuotaController(env *environment, configuration *configuration) *quotaController {
@@ -48,18 +47,18 @@
 	transport.HandleMessage(c.endpoint, delivery.RecallKind, func(from string, r quota.Recall) {
 		c.tryEnqueue(func(now time.Duration) { c.handleRecall(now, from, r) })
 	})
-	transport.HandleMessage(c.endpoint, delivery.AllocationKind, func(_ string, l quota.Allocation) {
-		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, l) })
+	transport.HandleMessage(c.endpoint, delivery.AllocationKind, func(_ string, allocation quota.Allocation) {
+		c.tryEnqueue(func(now time.Duration) { c.handleAllocation(now, allocation) })
 	})
-	transport.HandleMessage(c.endpoint, delivery.AcquireKind, func(from string, d quota.AcquireRequest) {
-		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, d) })
+	transport.HandleMessage(c.endpoint, delivery.AcquireKind, func(from string, request quota.AcquireRequest) {
+		c.tryEnqueue(func(now time.Duration) { c.acquireFor(now, from, request) })
 	})
 	transport.HandleMessage(c.endpoint, delivery.ReturnKind, func(_ string, r quota.Return) {
 		c.tryEnqueue(func(now time.Duration) { c.local.ReturnToken(now, r.RunID, r.Tenant) })
 	})
 }
 
-// tick is called at every tick of the event loop.
+// tick advances the allocator and the local quota. It runs at every tick of the event loop.
 func (c *quotaController) tick(now time.Duration) {
 	c.updateAllocator(now)
 	c.updateLocalQuota(now)
@@ -91,7 +90,7 @@
 
 // setConfiguration updates the tenants' quotas.
 func (c *quotaController) setConfiguration() {
-	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.reader)
+	c.configured = config.Quotas(c.configuration.published.Records, &c.configuration.decoder)
 	c.local.SetLimits(c.configured)
 }
 
@@ -105,12 +104,12 @@
 	}
 	if last, allocating := c.allocator.Active(); !allocating || last != term.Epoch {
 		c.allocator.Activate(now, term.Epoch, term.PredecessorUntil, term.Inherited)
-		c.recallAt = 0
+		c.nextRecallAt = 0
 		c.switchAllocator(now, c.endpoint.Address()) // its own local quota reports first
 	}
 	c.allocator.Tick(now)
-	if silent := c.allocator.UnreportedNodes(); len(silent) > 0 && now >= c.recallAt {
-		c.recallAt = now + c.settings.HeartbeatInterval()/5
+	if silent := c.allocator.UnreportedNodes(); len(silent) > 0 && now >= c.nextRecallAt {
+		c.nextRecallAt = now + c.settings.HeartbeatInterval()/5
 		for _, id := range silent {
 			c.endpoint.Send(id, delivery.RecallKind, quota.Recall{Term: term.Epoch})
 		}
@@ -144,7 +143,7 @@
 
 // switchAllocator makes the next report a full one to the given allocator, due at once.
 func (c *quotaController) switchAllocator(now time.Duration, allocatorID string) {
-	c.allocatorID, c.fullReport, c.reportAt = allocatorID, true, now
+	c.allocatorID, c.fullReport, c.nextReportAt = allocatorID, true, now
 }
 
 // updateLocalQuota reports to the allocator once per heartbeat interval, and at once to a new one.
@@ -154,8 +153,8 @@
 	if owner := c.replica.Owner(now, config.Partition); owner != "" && owner != c.allocatorID {
 		c.switchAllocator(now, owner)
 	}
-	if now >= c.reportAt {
-		c.reportAt, c.fullReport = now+c.settings.HeartbeatInterval(), true
+	if now >= c.nextReportAt {
+		c.nextReportAt, c.fullReport = now+c.settings.HeartbeatInterval(), true
 		c.sendReport(now)
 	}
 }
@@ -200,7 +199,7 @@
 
 // states describes the tenants, without their keys, and the allocator of their quotas.
 func (c *quotaController) states() (tenants []TenantState, quotas *Quotas) {
-	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.reader) {
+	for _, t := range config.Tenants(c.configuration.published.Records, &c.configuration.decoder) {
 		tenants = append(tenants, TenantState{t.Name, len(t.APIKeys), t.Priority, t.RatePerS, t.Burst, t.Residency, t.Generation})
 	}
 	quotas = &Quotas{Allocator: c.allocatorID}
--- a/internal/controlplane/relay_messages.go
+++ b/internal/controlplane/relay_messages.go
@@ -13,14 +13,14 @@
 // relayKind is the kind of a relay's question, which control nodes and other relays answer.
 const relayKind = "relay"
 
-// relayQuestion asks who can serve a call that concerns a partition, which Partition names.
+// relayQuestion asks which control node can serve a call that concerns the named partition.
 type relayQuestion struct {
 	Partition string `cbor:"1,keyasint"`
 }
 
 // relayAnswer is the answer of a control node, or of another relay.
 type relayAnswer struct {
-	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set beside it
+	Relay bool `cbor:"1,keyasint,omitempty"` // the sender is a relay; only Nodes is set as well
 	// Working reports that the control node hears the owner of the partition or of the
 	// configuration, and is not about to shut down.
 	Working bool              `cbor:"2,keyasint,omitempty"`
@@ -38,7 +38,7 @@
 		}
 		ch := make(chan relayAnswer, 1)
 		n.enqueue(func(now time.Duration) {
-			ch <- relayAnswerFor(q.Partition, n.endpoint.Address(), n.replica.Partitions(), func(key string) string { return n.replica.Owner(now, key) }, n.membership.List())
+			ch <- relayAnswerFor(q.Partition, n.endpoint.Address(), n.replica.Partitions(), func(partition string) string { return n.replica.Owner(now, partition) }, n.membership.List())
 		})
 		return <-ch, nil
 	})
@@ -46,7 +46,7 @@
 
 // relayAnswerFor returns the answer about a partition, given the partitions of this control node, a
 // lookup of their owners, and the known nodes.
-func relayAnswerFor(partition, self string, partitions []string, owner func(key string) string, nodes *membership.List) (answer relayAnswer) {
+func relayAnswerFor(partition, self string, partitions []string, owner func(partition string) string, nodes *membership.List) (answer relayAnswer) {
 	// Looking up the owner creates the partition, so only existing partitions are looked up.
 	if slices.Contains(partitions, partition) {
 		answer.Owner = owner(partition)
