--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,12 +28,13 @@
 type Options struct {
 	// Shards is the number of shards that the gateways are divided into, see membership.List.Shards.
 	Shards int
-	// LargeResponseFraction is the fraction of the link's rate at which large responses are sent. 0 means no pacing.
+	// LargeResponseFraction is the fraction of the link's rate at which large responses are sent; 0 means
+	// no pacing.
 	LargeResponseFraction float64
 }
 
-// DefaultLargeResponseFraction is the default of Options.LargeResponseFraction. The rest of the link's rate is for small responses, so
-// that they needn't wait behind large ones.
+// DefaultLargeResponseFraction is the default of Options.LargeResponseFraction. The rest of the link's
+// rate is for small responses, so that they need not wait behind large ones.
 const DefaultLargeResponseFraction = 0.65
 
 // reservedFdFraction is the fraction of file descriptors that is not for clients but for files,
@@ -64,10 +65,10 @@
 	pendingNodes   *membership.List // list of nodes that is not applied yet; nil: none
 	nodesAppliedAt time.Duration    // when a list of nodes was last applied
 	readiness      *readiness
-	primary        atomic.Value // string: address of the control node that is watched first
+	firstSource    atomic.Value // string: address of the first control node in sources
 	reporting      atomic.Bool  // the goroutine of reportRollouts is running
 
-	keyLeaseUntil atomic.Int64  // until when API keys may be used, if that is bounded; since startedAt, in ns
+	keyLeaseUntil atomic.Int64  // until when API keys may be used, if that is bounded; nanoseconds since startedAt
 	clockOffset   time.Duration // added to the time since startedAt in messages, see newClockOffset
 	tokenRequests tokenRequests
 
@@ -80,11 +81,11 @@
 
 // Run serves until ctx ends and then shuts down gracefully.
 func Run(ctx context.Context, cfg *settings.Settings, options Options, reload <-chan *settings.Settings) error {
-	beat := cfg.HeartbeatInterval()
+	heartbeatInterval := cfg.HeartbeatInterval()
 	g := &Gateway{settings: cfg, options: options, log: logging.Logger(logging.Gateway), commands: make(chan func(time.Duration), 256), startedAt: time.Now(),
 		configCopy: delivery.NewCopy(), shard: -1, clockOffset: newClockOffset()}
 	upstreamTimeout := settings.Seconds(cfg.Bounds.ContactS / 10)
-	endpoint, err := transport.New(cfg.GatewayAddress(cfg.IP), beat, logging.Logger(logging.Transport))
+	endpoint, err := transport.New(cfg.GatewayAddress(cfg.IP), heartbeatInterval, logging.Logger(logging.Transport))
 	if err != nil {
 		return err
 	}
@@ -96,7 +97,7 @@
 	}
 	balancer := upstream.NewBalancer(upstream.Config{Self: endpoint.Address(), Zone: cfg.Zone, RegionOf: regionOf,
 		RetryRatio: cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack, RetryWindow: settings.Seconds(cfg.Bounds.RetryWindowS),
-		EjectTime: upstreamTimeout, MaxEjectTime: 8 * upstreamTimeout, MaxListAge: maxListAge, StabilizationDelay: beat})
+		EjectTime: upstreamTimeout, MaxEjectTime: 8 * upstreamTimeout, MaxListAge: maxListAge, StabilizationDelay: heartbeatInterval})
 	g.dispatcher = proxy.NewDispatcherAt(g.startedAt, balancer, upstreamTimeout, upstreamTimeout/6)
 	g.arms = rollout.NewSplitter(endpoint.Address(), settings.Seconds(cfg.RollbackSeconds()*controllerSilenceFraction), func() time.Duration { return time.Since(g.startedAt) })
 	g.handler = proxy.NewHandler(g.dispatcher, g.arms)
@@ -107,9 +108,9 @@
 	if err != nil {
 		return err
 	}
-	g.sources = delivery.Sources{Self: endpoint.Address(), Zone: cfg.Zone, Region: regionOf, Seeds: cfg.SeedControlAddresses(), Timeout: 3 * beat}
+	g.sources = delivery.Sources{Self: endpoint.Address(), Zone: cfg.Zone, Region: regionOf, Seeds: cfg.SeedControlAddresses(), Timeout: 3 * heartbeatInterval}
 	self := membership.Node{Address: endpoint.Address(), Name: cfg.Node, Zone: cfg.Zone, Plane: membership.Data}
-	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlAddresses(), ProbeInterval: beat, DeadRetention: 40 * beat},
+	g.members = membership.NewService(membership.Config{Self: self, Seeds: cfg.SeedControlAddresses(), ProbeInterval: heartbeatInterval, DeadRetention: 40 * heartbeatInterval},
 		endpoint, g.nodesChanged)
 	transport.HandleMessage(endpoint, delivery.UpdateKind, func(from string, update delivery.Update) {
 		g.commands <- func(now time.Duration) { g.handleUpdate(now, from, update) }
@@ -121,7 +122,7 @@
 	go g.dispatcher.Run()
 	go g.members.Run()
 	stop := make(chan struct{})
-	go g.syncLoop(beat, stop)
+	go g.syncLoop(heartbeatInterval, stop)
 
 	failed := make(chan error, 2)
 	statusServer := &http.Server{Addr: cfg.Bind.Readiness, Handler: g.statusHandler(), ReadHeaderTimeout: settings.Seconds(cfg.Bounds.ContactS),
@@ -141,7 +142,7 @@
 			g.shutDown()
 			g.members.Leave(true)
 			_ = statusServer.Close()
-			time.Sleep(beat / 5)
+			time.Sleep(heartbeatInterval / 5)
 			close(stop)
 			g.members.Stop()
 			endpoint.Close()
@@ -151,7 +152,7 @@
 }
 
 // nodesChanged runs on the goroutine of the membership service. When many nodes join or leave at once,
-// many small changes arrive, so they are applied at most twice per beat.
+// many small changes arrive, so they are applied at most twice per heartbeat interval.
 func (g *Gateway) nodesChanged(nodes *membership.List) {
 	g.commands <- func(now time.Duration) {
 		scheduled := g.pendingNodes != nil
@@ -185,11 +186,12 @@
 	g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetGateways(now, gateways, shards) })
 }
 
-// syncLoop keeps the configuration and the list of upstreams up to date: it tells the control nodes
-// what the gateway holds, and applies their updates.
-func (g *Gateway) syncLoop(beat time.Duration, stop chan struct{}) {
-	// A gateway asks often until it has data, less often until it is ready, and then once per beat.
-	ticker := time.NewTicker(beat / 10)
+// syncLoop keeps the configuration and the list of upstreams up to date: it sends watch requests to
+// control nodes, and applies their updates.
+func (g *Gateway) syncLoop(heartbeatInterval time.Duration, stop chan struct{}) {
+	// A gateway sends watch requests often until it has data, less often until it is ready, and then once
+	// per heartbeat interval.
+	ticker := time.NewTicker(heartbeatInterval / 10)
 	defer ticker.Stop()
 	catchingUp, wasReady := true, false
 	sendWatches := func(now time.Duration, only string) {
@@ -201,8 +203,8 @@
 			g.tokenRequests.mu.Unlock()
 		}
 		for i, address := range sources {
-			if i > 0 && catchingUp && now < beat {
-				continue // both would send everything
+			if i > 0 && catchingUp && now < heartbeatInterval {
+				continue // otherwise both would send all records
 			}
 			if only != "" && address != only {
 				continue
@@ -223,7 +225,7 @@
 			load := balancer.Loads()
 			select {
 			case g.commands <- func(time.Duration) { g.load = load }:
-			default: // the next beat brings a newer load
+			default: // the next tick brings a newer load
 			}
 		})
 	}
@@ -244,14 +246,14 @@
 			sendWatches(time.Since(g.startedAt), "")
 			if catchingUp && g.readiness.hasData() {
 				catchingUp = false
-				ticker.Reset(beat / 3)
+				ticker.Reset(heartbeatInterval / 3)
 			}
 			if !wasReady && g.readiness.isReady() {
 				wasReady = true
 				if g.settings.HasRegistry() {
 					g.members.AnnouncePort(g.settings.ClientPort())
 				}
-				ticker.Reset(beat)
+				ticker.Reset(heartbeatInterval)
 			}
 		case <-stop:
 			return
@@ -272,7 +274,7 @@
 // handleUpdate applies an update from a control node.
 func (g *Gateway) handleUpdate(now time.Duration, from string, update delivery.Update) {
 	g.sources.Received(now, from, update.Fresh)
-	g.primary.Store(g.sources.First())
+	g.firstSource.Store(g.sources.First())
 	if update.RolloutsControlled {
 		g.arms.ControllerSeen()
 	}
@@ -281,7 +283,7 @@
 		g.log.Warn("update with a damaged pack of records rejected", "from", from, "error", err)
 	}
 	if changed && update.More {
-		g.continueFrom = from // the configuration is applied when all of it has arrived, or with the next beat
+		g.continueFrom = from // the configuration is applied when all of it has arrived, or at the next tick
 	} else if changed || g.applyPending {
 		g.applyConfig()
 	}
@@ -347,25 +349,25 @@
 	return zones
 }
 
-// reportsPerBeat is the number of reports per beat on active rollouts.
-const reportsPerBeat = 4
+// reportsPerHeartbeat is the number of reports on active rollouts per heartbeat interval.
+const reportsPerHeartbeat = 4
 
 // controllerSilenceFraction is the fraction of the setting rollbackS after which a gateway that hears
-// of no rollout controller sends no more requests to candidates.
+// of no rollout controller stops sending requests to candidates.
 const controllerSilenceFraction = 0.5
 
 // reportRollouts periodically reports what this gateway has seen of active rollouts to the control node
-// that it watches first, until no rollout is active.
+// that is its first source, until no rollout is active.
 func (g *Gateway) reportRollouts() {
 	if !g.arms.Active() || !g.reporting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		for g.arms.Active() {
-			if to, _ := g.primary.Load().(string); to != "" {
+			if to, _ := g.firstSource.Load().(string); to != "" {
 				g.endpoint.Send(to, delivery.RolloutReportKind, g.arms.Reports())
 			}
-			time.Sleep(g.settings.HeartbeatInterval() / reportsPerBeat)
+			time.Sleep(g.settings.HeartbeatInterval() / reportsPerHeartbeat)
 		}
 		g.reporting.Store(false)
 		g.reportRollouts() // a rollout may have begun just now
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -16,11 +16,11 @@
 	shutdownFraction = 0.95
 )
 
-// linkRate is the rate of this machine's link in bytes per second, or 0 if it isn't configured.
+// linkRate returns the rate of this machine's link in bytes per second, or 0 if it is not configured.
 func linkRate(cfg *settings.Settings) float64 { return cfg.Limits.LinkMbps * 1e6 / 8 }
 
-// responseFraction is the fraction of the link's rate that large responses are assumed to get at a
-// given pace.
+// responseFraction returns the fraction of the link's rate that large responses are assumed to get, if
+// they are sent at the fraction pace of it (0: no pacing).
 func responseFraction(pace float64) float64 {
 	if pace == 0 {
 		return unpacedFraction
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -34,13 +34,13 @@
 		{"keys unconfirmed", func() { keysConfirmed = false }, false, false},
 		{"keys still unconfirmed", func() {}, false, false}, // failed probes without a shutdown
 		{"keys confirmed", func() { keysConfirmed = true }, true, false},
-		{"shutdown, first failed probe", func() { r.leaving.Store(true) }, false, false},
+		{"shutdown, first failed probe", func() { r.shuttingDown.Store(true) }, false, false},
 		{"second failed probe", func() {}, false, true},
 		{"third failed probe", func() {}, false, true},
 	} {
 		c.change()
-		if ok := r.answerProbe(); ok != c.ok || r.leavingRecognized() != c.recognized {
-			t.Errorf("%d, %s: ready %v, shutdown recognized %v", i, c.name, ok, r.leavingRecognized())
+		if ok := r.answerProbe(); ok != c.ok || r.shutdownRecognized() != c.recognized {
+			t.Errorf("%d, %s: ready %v, shutdown recognized %v", i, c.name, ok, r.shutdownRecognized())
 		}
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -13,16 +13,17 @@
 	acceptFraction = 0.45
 	// finishFraction is the fraction of graceS for which requests that have been read are answered.
 	finishFraction = 0.95
-	// quietFraction is the fraction of a beat without a new connection after which none is expected.
+	// quietFraction is the fraction of a heartbeat interval without a new connection after which none is
+	// expected.
 	quietFraction = 0.25
 )
 
-// shutDown ends the service of clients after SIGTERM. The platform continues to send connections until
+// shutDown stops serving clients after SIGTERM. The platform continues to send connections until
 // enough readiness probes have failed, and even longer if too few other nodes of the zone are ready.
 // The gateway accepts connections while they arrive, for a part of graceS.
 func (g *Gateway) shutDown() {
 	g.log.Info("leaving")
-	g.readiness.leaving.Store(true)
+	g.readiness.shuttingDown.Store(true)
 	g.handler.Drain()
 	g.handler.Pacer.SetRate(linkRate(g.settings) * shutdownFraction)
 	g.members.Leave(false)
@@ -32,7 +33,7 @@
 	defer poll.Stop()
 	var recognizedAt time.Time
 	for {
-		if recognizedAt.IsZero() && g.readiness.leavingRecognized() && !g.settings.HasRegistry() { // clients use a registry's answers for longer
+		if recognizedAt.IsZero() && g.readiness.shutdownRecognized() && !g.settings.HasRegistry() { // clients cache a registry's replies for longer
 			recognizedAt = time.Now()
 		}
 		var idle time.Duration // how long the platform has recognized the shutdown and no connection has arrived
@@ -49,16 +50,16 @@
 	g.listener.Shutdown(ctx)
 }
 
-// stillAccepts reports whether a gateway accepts connections at a time since SIGTERM: until the
-// platform has recognized the shutdown and no connection has arrived for a while, but not beyond
-// acceptFraction.
-func stillAccepts(grace, since, idle, quiet time.Duration) bool {
-	return idle < quiet && since < time.Duration(float64(grace)*acceptFraction)
+// stillAccepts reports whether a gateway still accepts connections when the given time has elapsed since
+// SIGTERM: until the platform has recognized the shutdown and no connection has arrived for the time
+// quiet, but not beyond acceptFraction.
+func stillAccepts(grace, elapsed, idle, quiet time.Duration) bool {
+	return idle < quiet && elapsed < time.Duration(float64(grace)*acceptFraction)
 }
 
-// responseTime is how long a gateway continues to answer what it has read, if it stopped accepting
-// connections at a time since SIGTERM. It lasts until finishFraction of graceS has passed, however
-// early the platform recognized the shutdown.
-func responseTime(grace, since time.Duration) time.Duration {
-	return max(time.Duration(float64(grace)*finishFraction)-since, time.Duration(float64(grace)*acceptFraction))
+// responseTime returns how long a gateway continues to respond to requests that it has read, if it stopped
+// accepting connections when the given time had elapsed since SIGTERM: until finishFraction of graceS has
+// passed, however early the platform recognized the shutdown.
+func responseTime(grace, elapsed time.Duration) time.Duration {
+	return max(time.Duration(float64(grace)*finishFraction)-elapsed, time.Duration(float64(grace)*acceptFraction))
 }
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -11,22 +11,22 @@
 	"madderwing/internal/quota"
 )
 
-// tokenRequests holds the requests for quota tokens that wait for a control node's answer.
+// tokenRequests holds the requests for quota tokens that wait for a control node's reply.
 type tokenRequests struct {
 	mu                sync.Mutex
 	lastSeq           uint64
 	pending           map[uint64]pendingRequest // by sequence number
 	controlNodes      [2]string                 // those that the gateway watches, the nearer first
-	avoidNearestUntil time.Time                 // the nearer one couldn't answer recently
+	avoidNearestUntil time.Time                 // the nearer one recently failed to reply
 }
 
-// pendingRequest is a request that waits for its answer.
+// pendingRequest is a request that waits for its reply.
 type pendingRequest struct {
 	to      string // control node that was asked
 	replies chan quota.AcquireReply
 }
 
-// newTokenRequests starts at a random sequence number: after a restart, a control node may still answer
+// newTokenRequests starts at a random sequence number: after a restart, a control node may still reply to
 // a request of the previous process at the same address.
 func newTokenRequests() tokenRequests {
 	return tokenRequests{lastSeq: rand.Uint64(), pending: map[uint64]pendingRequest{}}
@@ -44,9 +44,9 @@
 	}
 }
 
-// acquireToken acquires a token of a tenant's quota at the nearer control node, or at the other one if
-// the nearer can't answer or recently failed to. It ends with ctx. kind says why there is no token; if
-// it is apierror.Internal there is one, and returnUnused returns it if it isn't used.
+// acquireToken acquires a token of a tenant's quota from the nearer control node, or from the other one if
+// the nearer cannot reply or recently failed to. It ends with ctx. kind says why there is no token; if it is
+// apierror.Internal there is one, and returnUnused gives it back if it is not used.
 func (g *Gateway) acquireToken(ctx context.Context, tenant string, timeout time.Duration) (returnUnused func(), kind apierror.Kind) {
 	requests := &g.tokenRequests
 	requests.mu.Lock()
@@ -70,18 +70,18 @@
 		requests.mu.Unlock()
 		g.endpoint.Send(to, delivery.AcquireKind, quota.AcquireRequest{Seq: seq, Tenant: tenant})
 		var reply quota.AcquireReply
-		timedOut, clientGone := false, false
+		timedOut, clientDisconnected := false, false
 		select {
 		case reply = <-replies:
 		case <-timer.C:
 			timedOut = true
 		case <-ctx.Done():
-			clientGone = true
+			clientDisconnected = true
 		}
 		switch {
 		case reply.Granted:
 			return func() { g.returnToken(to, tenant, reply.RunID) }, apierror.Internal
-		case clientGone:
+		case clientDisconnected:
 			g.cancelRequest(to, tenant, seq, replies)
 			return nil, apierror.ClientLeftBeforeSend
 		case !timedOut && !reply.Unknown:
@@ -100,11 +100,11 @@
 	return nil, apierror.QuotaUnknown
 }
 
-// returnToken returns an unused token to the control node that granted it. The incarnation is 0 if that
-// node's version takes no tokens back.
-func (g *Gateway) returnToken(to, tenant string, incarnation uint64) {
-	if incarnation != 0 {
-		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, RunID: incarnation})
+// returnToken returns an unused token to the control node that granted it. runID is 0 if that
+// node's version of the software takes no tokens back.
+func (g *Gateway) returnToken(to, tenant string, runID uint64) {
+	if runID != 0 {
+		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, RunID: runID})
 	}
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// handleAcquireReply passes on the answer of the control node that was asked. An answer that is too
-// late or comes from another node is dropped.
+// handleAcquireReply passes a reply to the request that waits for it. A reply that is too late or comes
+// from another node than the one that was asked is dropped.
 func (g *Gateway) handleAcquireReply(from string, reply quota.AcquireReply) {
 	g.tokenRequests.mu.Lock()
 	defer g.tokenRequests.mu.Unlock()
@@ -134,12 +134,12 @@
 	}
 }
 
-// newClockOffset returns a random offset for the clock in messages, so that answers to messages of an
+// newClockOffset returns a random offset for the times in messages, so that replies to messages of an
 // earlier process at this address are recognized (see toLocalClock).
 func newClockOffset() time.Duration { return 1 + time.Duration(rand.Int64N(1<<61)) }
 
-// toLocalClock converts the time in Update.Freshness to this process's clock. It drops Freshness if the time is in
-// the future: then the update answers an earlier process, whose clock had another offset.
+// toLocalClock converts the time in Update.Freshness to this process's clock. It drops Freshness if the
+// time is in the future: then the update is for an earlier process, whose clock had another offset.
 func (g *Gateway) toLocalClock(now time.Duration, update delivery.Update) delivery.Update {
 	if update.Freshness == nil {
 		return update
@@ -154,7 +154,7 @@
 }
 
 // extendKeyLease extends the lease of the API keys by what an update says of the age of the records.
-// The lease counts from before the request was sent, so a delayed answer can't make it last too long.
+// The lease counts from before the request was sent, so a delayed reply cannot make it last too long.
 func (g *Gateway) extendKeyLease(now time.Duration, update delivery.Update) {
 	update = g.toLocalClock(now, update)
 	if update.Freshness == nil {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -51,9 +51,9 @@
 	ExpectedRev uint64              `cbor:"2,keyasint"`
 }
 
-// Create sends orders to the node that owns the catalogue of routes. It calls done on the
-// scheduler's goroutine, with an error (nil for success) for each order.
-type Create func(orders []BindRequest, done func(errs []error))
+// Create sends bind requests to the control node that owns the routes. It calls done on the scheduler's
+// goroutine, with an error (nil for success) for each request.
+type Create func(requests []BindRequest, done func(errs []error))
 
 // MaxBatch is the maximum of bindings that are created in one call of Create.
 const MaxBatch = 256
@@ -68,7 +68,7 @@
 
 	nextRelist     time.Duration
 	boundRev       map[string]uint64 // route -> revision after its binding was created
-	inFlight       bool              // a batch has been sent to Create and not been answered
+	inFlight       bool              // a batch has been passed to Create, and done has not been called yet
 	batchRemaining bool              // routes are left for another batch
 	resets         int               // counts the calls of Reset
 	retryAt        map[string]time.Duration
@@ -76,7 +76,7 @@
 	Errors         uint64
 }
 
-// Unscheduled says whether a route needs a binding: it has none yet, or its shard has no
+// Unscheduled reports whether a route needs a binding: it has none yet, or its shard has no
 // working gateways while another shard has some.
 func Unscheduled(route *config.Route, shards []Shard) bool {
 	if route.Status.Phase != config.PhaseScheduled {
@@ -95,7 +95,7 @@
 	return otherServed
 }
 
-// AnyUnscheduled says whether any route needs a binding and any shard has a working gateway.
+// AnyUnscheduled reports whether any route needs a binding and any shard has a working gateway.
 func AnyUnscheduled(routes []*config.Route, shards []Shard) bool {
 	if !slices.ContainsFunc(shards, func(s Shard) bool { return s.Gateways > 0 }) {
 		return false
@@ -104,9 +104,8 @@
 }
 
 // Reconcile sends a batch of bindings for unscheduled routes to Create, unless a batch is in
-// flight. Once a relist is due, it also considers again the routes whose binding it has
-// created but that don't show it. reconcileAgain is called when Reconcile should be called
-// for another batch.
+// flight. Once a relist is due, it also binds again those routes whose bindings it has created but
+// which do not show them. reconcileAgain is called when Reconcile should be called for another batch.
 func (s *Scheduler) Reconcile(now time.Duration, routes []*config.Route, shards []Shard, reconcileAgain func()) {
 	if s.retryAt == nil {
 		s.retryAt, s.boundRev = map[string]time.Duration{}, map[string]uint64{}
@@ -164,13 +163,13 @@
 			return // the scheduler was reset after the batch was sent
 		}
 		s.inFlight = false
-		for i, order := range batch {
-			switch name := order.Binding.Route; {
+		for i, request := range batch {
+			switch name := request.Binding.Route; {
 			case errs[i] == nil:
 				s.Bound++
-				s.boundRev[name] = order.ExpectedRev + 1
+				s.boundRev[name] = request.ExpectedRev + 1
 			case apierror.KindOf(errs[i]) == apierror.Conflict:
-				s.Errors++ // the route was bound or changed by others; a later Reconcile gets it
+				s.Errors++ // the route was bound or changed by others; a later Reconcile handles it
 			default:
 				s.Errors++
 				s.retryAt[name] = now + s.RetryDelay
@@ -182,7 +181,7 @@
 	})
 }
 
-// Due says whether Reconcile should be called though nothing has changed: a relist is due,
+// Due reports whether Reconcile should be called though nothing has changed: a relist is due,
 // or a failed route is to be tried again.
 func (s *Scheduler) Due(now time.Duration) bool {
 	if now >= s.nextRelist {
@@ -196,8 +195,8 @@
 	return false
 }
 
-// Reset drops all state; the answer to a batch in flight will be ignored. It is called when
-// this control node gains or loses the role of scheduling.
+// Reset drops all state; the results of a batch in flight will be ignored. It is called when this
+// control node gains or loses the role of scheduler.
 func (s *Scheduler) Reset() {
 	s.retryAt, s.boundRev, s.nextRelist, s.inFlight, s.batchRemaining = nil, nil, 0, false, false
 	s.resets++
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-func (store *fakeStore) create(orders []BindRequest, done func([]error)) {
-	errs := make([]error, len(orders))
-	for i, order := range orders {
+func (store *fakeStore) create(requests []BindRequest, done func([]error)) {
+	errs := make([]error, len(requests))
+	for i, order := range requests {
 		errs[i] = store.err
 		if store.err == nil {
 			var changes []config.Record
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -2,7 +2,7 @@
 
 // This file decides how a request continues when its client disconnects, and counts such requests.
 // Whether the client is connected is known from the context of its request alone: net/http cancels it when
-// it sees the connection close, closeWatch does where net/http does not look.
+// it sees the connection close, and closeWatch does so where net/http does not look.
 
 import (
 	"context"
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -20,7 +20,7 @@
 	balancer     *upstream.Balancer
 	epoch        time.Time // zero of the dispatcher's clock: the balancer's times are durations since it
 	commands     chan func(now time.Duration)
-	peerTimeout  time.Duration // time after which a peer that does not respond is given up
+	peerTimeout  time.Duration // time after which a peer that does not respond is considered failed
 	tickInterval time.Duration
 	connect      func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 	closed       chan struct{}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -22,7 +22,7 @@
 	route          *config.Route
 	tenant         *config.Tenant
 	regions        []string
-	regionBound    bool // it may run in regions only
+	regionBound    bool // it must not be sent to other regions than those in regions
 	service        string
 	stratum        string
 	attemptID      string
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -15,11 +15,11 @@
 // Stats holds the counters of a Handler. Handler.Counters maps them to the names of the metrics.
 type Stats struct {
 	// Requests counts all requests. Ordinary and Exception count them by route; see chooseService. The
-	// others count by result: Served a response was passed on, Refused status 503 or 429, DeadlinePassed status
-	// 504, Failed other errors.
+	// others count them by result: Served if a response was passed on, Refused for status 503 or 429,
+	// DeadlinePassed for status 504, Failed for other errors.
 	Requests, Ordinary, Exception, Served, Refused, Failed, DeadlinePassed atomic.Uint64
-	// Attempts counts attempts at upstreams, Retries retries among them, Dials new connections, BrokenResponses invalid
-	// or truncated responses, CrossRegion attempts in another region.
+	// Attempts counts attempts at upstreams, Retries the retries among them, Dials new connections,
+	// BrokenResponses invalid or truncated responses, CrossRegion attempts in another region.
 	Attempts, Retries, Dials, BrokenResponses, CrossRegion atomic.Uint64
 	// LinkFull counts requests refused because the link had no capacity left for a long response.
 	LinkFull    atomic.Uint64
@@ -45,8 +45,8 @@
 	// keysValidUntil is the time on the dispatcher's clock, in nanoseconds, until which the API keys
 	// in the table may be trusted; nil if their revocation needs no confirmation by every gateway.
 	keysValidUntil *atomic.Int64
-	// drawQuota charges a tenant's quota; nil if quotas are not in use.
-	drawQuota ChargeQuota
+	// chargeTenant charges a tenant's quota; nil if quotas are not in use.
+	chargeTenant ChargeQuota
 }
 
 // NewHandler returns a handler that gets its upstreams from dispatcher. Its table is empty until
@@ -97,12 +97,12 @@
 	}
 	x := &Exchange{w: w, r: r, arrived: time.Now(), table: h.table.Load(), attemptID: r.Header.Get(headerAttemptID)}
 	if err := h.chain(x); err != nil {
-		switch answer := apierror.ResponseFor(apierror.KindOf(err)); {
+		switch response := apierror.ResponseFor(apierror.KindOf(err)); {
 		case x.clientDisconnected() || apierror.KindOf(err) == apierror.ClientLeftBeforeSend:
 			h.countDisconnect(x)
-		case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
+		case response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests:
 			h.Stats.Refused.Add(1)
-		case answer.Status == http.StatusGatewayTimeout:
+		case response.Status == http.StatusGatewayTimeout:
 			h.Stats.DeadlinePassed.Add(1)
 		default:
 			h.Stats.Failed.Add(1)
--- a/internal/proxy/linkbudget.go
+++ b/internal/proxy/linkbudget.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// A process that is told to shut down has the time graceS to finish, in which its link can transfer a
-// limited number of bytes. If more are outstanding, responses are truncated, and on a link that is shared
-// fairly all of them are. The outstanding bytes are therefore limited at all times, since a SIGTERM may
+// A process that is told to shut down has the time graceS (a setting) to finish, in which its link can
+// transfer a limited number of bytes. If more are outstanding, responses are truncated: all of them, if
+// they share the link evenly. The outstanding bytes are therefore limited at all times, since a SIGTERM may
 // arrive at any moment.
 
 const (
-	// graceShare is the share of graceS in which all long responses should be transferred.
-	graceShare = 0.8
-	// queueShare is the share of graceS for which long responses, including expected ones, may occupy
+	// graceFraction is the fraction of graceS in which all long responses should be transferred.
+	graceFraction = 0.8
+	// queueFraction is the fraction of graceS for which long responses, including expected ones, may occupy
 	// the link before further ones are refused, while the process is not shutting down.
-	queueShare = 0.5
+	queueFraction = 0.5
 	// longResponse is the size in bytes above which a response is long. Shorter ones are never refused.
 	longResponse = 16 << 10
 	// defaultDownloadSize is the expected size in bytes of a download of a class without an estimate.
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.shuttingDown {
-		b.shuttingDown, b.finishBy = true, now+time.Duration(float64(b.grace)*graceShare)
+		b.shuttingDown, b.finishBy = true, now+time.Duration(float64(b.grace)*graceFraction)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	// Expected bytes count too: responses that queue on their way from the upstreams start only once the
 	// link has transferred them, and without this all of them would have been admitted by then.
-	return b.transferTime(queued+b.expected+size) <= min(time.Duration(float64(b.grace)*queueShare), deadline-now)
+	return b.transferTime(queued+b.expected+size) <= min(time.Duration(float64(b.grace)*queueFraction), deadline-now)
 }
 
 // transferTime returns the time that the link needs for so many bytes.
@@ -140,7 +140,7 @@
 // Begin notes that the response has started, with the size that its upstream announces (negative if
 // unknown). fits reports whether it can be transferred before the process may have to end. The caller
 // still passes on one that does not fit if it must not replace it by an error: the request may run only
-// once, or the process is shutting down, when no request that was sent to an upstream is given up.
+// once, or the process is shutting down, when no request that was sent to an upstream is abandoned.
 func (r *Reservation) Begin(now time.Duration, size int64) (fits bool) {
 	if r == nil {
 		return true
@@ -157,7 +157,7 @@
 		b.updateEstimate(r.class, r.remaining, now-r.admitted)
 	}
 	queued := b.untransferred(now)
-	finishBy := now + time.Duration(float64(b.grace)*graceShare)
+	finishBy := now + time.Duration(float64(b.grace)*graceFraction)
 	if b.shuttingDown {
 		finishBy = b.finishBy
 	}
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -46,11 +46,11 @@
 	modelGrace    = 6 * time.Second
 	modelMeanSize = 90_000.
 	modelMaxSize  = 540_000
-	// modelShortShare is the share of the link that short responses take.
-	modelShortShare = 0.25
-	// modelLongShare is the share of the link that the budget assumes for long responses.
-	modelLongShare = 0.7
-	modelDeadline  = 8 * time.Second // deadline of the requests
+	// modelShortFraction is the fraction of the link that short responses take.
+	modelShortFraction = 0.25
+	// modelLongFraction is the fraction of the link that the budget assumes for long responses.
+	modelLongFraction = 0.7
+	modelDeadline     = 8 * time.Second // deadline of the requests
 )
 
 // drawResponse returns a random response size and processing time of the upstream.
@@ -98,7 +98,7 @@
 		kept = append(kept, a)
 	}
 	m.active = kept
-	share := m.rate * (1 - modelShortShare) * modelStep.Seconds() / float64(max(1, len(sending)))
+	share := m.rate * (1 - modelShortFraction) * modelStep.Seconds() / float64(max(1, len(sending)))
 	for _, a := range sending {
 		if n := min(a.unwritten, m.bufferSize-int(a.buffered)); n > 0 {
 			a.unwritten -= n
@@ -147,10 +147,10 @@
 func TestLongResponsesEndWithinGrace(t *testing.T) {
 	const rate = 287_500. // 2.3 Mbit/s
 	for _, load := range []float64{.3, .8, 1.3, 2.5} {
-		requestsPerSecond := load * rate * (1 - modelShortShare) / modelMeanSize
+		requestsPerSecond := load * rate * (1 - modelShortFraction) / modelMeanSize
 		var withBudget, withoutBudget linkModel
 		for seed := range uint64(100) {
-			m := simulateShutdown(seed, NewLinkBudget(modelLongShare*rate, modelGrace), rate, requestsPerSecond)
+			m := simulateShutdown(seed, NewLinkBudget(modelLongFraction*rate, modelGrace), rate, requestsPerSecond)
 			if m.truncated > 0 {
 				t.Errorf("load %g, seed %d: %d responses truncated", load, seed, m.truncated)
 			}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -160,7 +160,7 @@
 		return
 	}
 	if !res.complete {
-		h.dispatcher.Do(func(now time.Duration, b *upstream.Balancer) { b.AnswerStarted(now, lease) })
+		h.dispatcher.Do(func(now time.Duration, b *upstream.Balancer) { b.ResponseStarted(now, lease) })
 	}
 	select {
 	case err := <-sent:
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -29,8 +29,8 @@
 // the dispatcher's clock and extended by the caller.
 func (h *Handler) SetKeyLease(lease *atomic.Int64) { h.keysValidUntil = lease }
 
-// SetQuota makes the handler charge requests to the quotas of their tenants through draw.
-func (h *Handler) SetQuota(draw ChargeQuota) { h.drawQuota = draw }
+// SetQuota makes the handler charge requests to the quotas of their tenants with charge.
+func (h *Handler) SetQuota(charge ChargeQuota) { h.chargeTenant = charge }
 
 // KeysConfirmed reports whether API keys may be trusted now: they need no lease, or theirs has not expired.
 func (h *Handler) KeysConfirmed() bool {
@@ -66,11 +66,11 @@
 // any upstream.
 func (h *Handler) chargeQuota(next HandlerFunc) HandlerFunc {
 	return func(x *Exchange) error {
-		if x.tenant == nil || x.tenant.RatePerS <= 0 || h.drawQuota == nil {
+		if x.tenant == nil || x.tenant.RatePerS <= 0 || h.chargeTenant == nil {
 			return next(x)
 		}
 		x.stage = stageQuota
-		refund, refusal := h.drawQuota(x.r.Context(), x.tenant.Name, x.latencyTarget/4)
+		refund, refusal := h.chargeTenant(x.r.Context(), x.tenant.Name, x.latencyTarget/4)
 		if refusal != apierror.Internal {
 			return h.retryLater(x, refusal)
 		}
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -14,10 +14,10 @@
 
 func (f RemoteError) Error() string { return string(f) }
 
-// Call sends a request to a peer, waits for its reply and decodes it into answer, replacing all that
-// answer points to; a nil answer discards the reply. After ErrUnreachable the peer may have
-// executed the request nevertheless.
-func (e *Endpoint) Call(ctx context.Context, to, kind string, body, answer any) error {
+// Call sends a request to a peer, waits for its reply and decodes it into result, replacing all that
+// result points to; a nil result discards the reply. After ErrUnreachable the peer may have executed the
+// request nevertheless.
+func (e *Endpoint) Call(ctx context.Context, to, kind string, body, result any) error {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
 		return err
@@ -42,11 +42,11 @@
 		return err
 	case reply.Fault != "":
 		return RemoteError(reply.Fault)
-	case answer == nil:
+	case result == nil:
 		return nil
 	}
-	reflect.ValueOf(answer).Elem().SetZero() // a field that the reply omits must be zero
-	return cbor.Unmarshal(reply.Body, answer)
+	reflect.ValueOf(result).Elem().SetZero() // a field that the reply omits must be zero
+	return cbor.Unmarshal(reply.Body, result)
 }
 
 // awaitReply waits for a reply until the link or ctx ends.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -17,7 +17,7 @@
 
 const (
 	maxFrameSize    = 48 << 20 // bytes; a longer frame is undecodable
-	initialReadSize = 1 << 20  // bytes allocated for a frame before any of it has arrived
+	initialReadSize = 1 << 20  // maximum of bytes allocated for a frame before any of it has arrived
 	maxDatagramSize = 1400     // bytes; a longer message goes over TCP
 	sendQueueLen    = 256      // frames that may be queued on one link
 )
@@ -67,7 +67,7 @@
 }
 
 // New returns an endpoint that listens on address for TCP and UDP. peerTimeout is the time after which a
-// peer that does not respond is given up.
+// peer that does not respond is considered failed.
 func New(address string, peerTimeout time.Duration, logger *slog.Logger) (*Endpoint, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -104,8 +104,8 @@
 	e.handlers[kind] = registration{fn, async}
 }
 
-// HandleMessage registers a handler for a kind of message whose body is a T. It returns no result. Messages that
-// cannot be decoded are counted and dropped.
+// HandleMessage registers a handler for a kind of message whose body is a T. The handler returns no result.
+// Messages that cannot be decoded are counted and dropped.
 func HandleMessage[T any](e *Endpoint, kind string, fn func(from string, msg T)) {
 	e.Handle(kind, func(from string, body []byte) (any, error) {
 		var msg T
@@ -236,7 +236,8 @@
 	}
 }
 
-// SendDatagram sends a message as a datagram, or over TCP if it does not fit into one. The message may be lost.
+// SendDatagram sends a message as a datagram, or over TCP if it does not fit into one. The message may be
+// lost.
 func (e *Endpoint) SendDatagram(to, kind string, body any) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -1,13 +1,13 @@
 package upstream
 
-// This file holds the request queue: requests acquire an upstream, wait for one in the queue and release it.
+// This file lets requests acquire an upstream, wait in the queue for one, and release it.
 
 import (
 	"sync/atomic"
 	"time"
 )
 
-// WaitHandle refers to the connection on which a retryable request waits for its answer.
+// WaitHandle refers to the connection on which a retryable request waits for its response.
 // When the upstream becomes unresponsive to other requests, the balancer expires the read
 // deadline of that connection, so that the request can be retried elsewhere in time.
 type WaitHandle struct{ conn atomic.Pointer[Conn] }
@@ -36,13 +36,13 @@
 	RegionRestricted bool        // only upstreams in Regions are eligible
 	Regions          []string
 	LatencyTarget    time.Duration   // latency target of the request
-	OnResult         func(SlotLease) // receives the answer
+	OnResult         func(SlotLease) // receives the result
 
 	arrived time.Duration
 	seq     uint64
 }
 
-// SlotLease is the answer to an AcquireRequest: an upstream to use, or the reason for a refusal.
+// SlotLease is the result of an AcquireRequest: an upstream to use, or the reason for a refusal.
 type SlotLease struct {
 	Upstream    *Upstream
 	ID          string
@@ -64,7 +64,7 @@
 const (
 	Granted              Refusal = iota
 	NoEligibleUpstream           // no upstream is eligible
-	QueueFull                    // the queue is full, or the request was withdrawn from it
+	QueueFull                    // the queue is full, or the request was cancelled
 	RetryBudgetExhausted         // the retry budget is used up
 	ListNotReceived              // no list of upstreams has been received yet
 )
@@ -74,7 +74,7 @@
 // the upstream is still processing the request.
 func (b *Balancer) BeginShutdown() { b.shuttingDown = true }
 
-// interrupt ends a request's wait for its answer early, unless the gateway is shutting down.
+// interrupt ends a request's wait for its response early, unless the gateway is shutting down.
 func (b *Balancer) interrupt(handle *WaitHandle) {
 	if !b.shuttingDown {
 		handle.interrupt()
@@ -87,9 +87,9 @@
 	pool.budget.Earn(b.cfg.RetryRatio, b.retryTokenCap(pool))
 }
 
-// retryTokenCap returns the maximum of retry tokens that this gateway may accumulate: the
-// gateways of the service's shard share half of the slack evenly, all others may have one
-// token each. The other half covers gateways that are not known here.
+// retryTokenCap returns the number of retry tokens that this gateway may accumulate: half of the slack
+// is divided evenly among the gateways of the service's shard, after one token for each other gateway.
+// The other half covers gateways that this one does not know of.
 func (b *Balancer) retryTokenCap(pool *servicePool) float64 {
 	total := len(b.gateways)
 	if shard, ok := b.serviceShard[pool.serviceName]; ok {
@@ -161,7 +161,7 @@
 	req.OnResult(SlotLease{Refusal: reason})
 }
 
-// grant answers req with an upstream or a refusal. It returns false if the request has to wait.
+// grant gives req an upstream or a refusal. It returns false if the request has to wait.
 func (b *Balancer) grant(now time.Duration, pool *servicePool, req *AcquireRequest) bool {
 	u, eligible := b.pick(now, pool, req)
 	if u == nil {
@@ -178,7 +178,7 @@
 	u.InFlight++
 	if u.Cold(now) {
 		b.isColdSender(u)
-		u.pacer.Record(now, pool.info.WarmupPerS/float64(u.senderCount))
+		u.warmupLimiter.Record(now, pool.info.WarmupPerS/float64(u.senderCount))
 	}
 	lease := SlotLease{Upstream: u, ID: u.ID, Address: u.Address, WaitHandle: req.WaitHandle, Cold: u.Cold(now), Retry: req.Retry, CrossRegion: !u.sameRegion, GrantedAt: now, InFlight: u.InFlight}
 	u.requestStarted(now, req)
@@ -201,7 +201,7 @@
 	return true
 }
 
-// Cancel takes a request that still waits out of the queue.
+// Cancel removes a request from the queue if it still waits there, and refuses it.
 func (b *Balancer) Cancel(req *AcquireRequest) {
 	pool := b.poolForRequest(req)
 	for i, queued := range pool.queue {
@@ -218,26 +218,26 @@
 
 // Results of a request.
 const (
-	Served           Outcome = iota // the upstream answered
+	Served           Outcome = iota // the upstream responded
 	Overloaded                      // the upstream rejected the request as overloaded
 	ConnectionFailed                // the upstream could not be reached or closed the connection early
 	WrongInstance                   // the address now belongs to another upstream
 	Unresponsive                    // the upstream no longer acknowledges what it is sent
-	ServerError                     // the upstream answered with an error of its own
+	ServerError                     // the upstream responded with a server error
 	NotSent                         // nothing was sent to the upstream
 	ConnectionReset                 // the upstream reset the connection, as some do under overload
-	Cancelled                       // the request was cancelled as nobody waits for its answer; no sign of the upstream's health
+	Cancelled                       // the client disconnected; says nothing about the upstream's health
 )
 
 // Release returns an upstream after a request; conn is its connection if that can be used
-// again, otherwise nil. The result says whether the upstream's error rate stands out from
-// that of its service.
+// again, otherwise nil. outlier reports whether the upstream's error rate is much higher than that of
+// its service.
 func (b *Balancer) Release(now time.Duration, lease SlotLease, conn *Conn, outcome Outcome) (outlier bool) {
 	u := lease.Upstream
 	u.InFlight--
 	latency := now - lease.GrantedAt
-	if !u.requestAnswered(lease.GrantedAt) {
-		latency = 0 // AnswerStarted has been called; the transfer time of the rest of the answer is not the upstream's latency
+	if !u.removePending(lease.GrantedAt) {
+		latency = 0 // ResponseStarted was called before; the transfer of the body is no part of the latency
 	}
 	delete(u.waitHandles, lease.WaitHandle)
 	pool := u.pool
@@ -245,7 +245,7 @@
 	case Served, ServerError:
 		u.verified = true
 		u.Served++
-		outlier = b.recordAnswer(now, pool, u, latency, outcome == ServerError)
+		outlier = b.recordResponse(now, pool, u, latency, outcome == ServerError)
 		if outcome == Served {
 			pool.saturation.record(now, u, lease.InFlight, latency)
 		}
@@ -290,6 +290,7 @@
 	return outlier
 }
 
+// dispatch grants upstreams to queued requests, by priority and then by arrival, until none is free.
 func (b *Balancer) dispatch(now time.Duration, pool *servicePool) {
 	var blocked []*AcquireRequest // requests restricted to regions that have no free upstream now
 	defer func() { pool.queue = append(pool.queue, blocked...) }()
--- a/internal/upstream/assignment.go
+++ b/internal/upstream/assignment.go
@@ -55,7 +55,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// isColdSender says whether this gateway is one of the few that may send to an upstream while
+// isColdSender reports whether this gateway is one of the few that may send to an upstream while
 // it is cold. It is computed on demand, since few upstreams are cold.
 func (b *Balancer) isColdSender(u *Upstream) bool {
 	if u.sendersSeq != b.assignmentSeq {
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -14,9 +14,9 @@
 	Self               string // this gateway's address
 	Zone               string
 	RetryRatio         float64       // retry tokens that each request earns
-	RetrySlack         float64       // retries that all gateways together may send to a service in a RetryWindow beyond the earned ones
+	RetrySlack         float64       // retries beyond the earned ones, by all gateways to one service in a RetryWindow
 	RetryWindow        time.Duration // the window of the retry budget (setting retryWindowS)
-	EjectTime          time.Duration // duration of a first ejection; a first connection reset pauses an upstream for a third of it
+	EjectTime          time.Duration // duration of a first ejection; after a first connection reset, a pause of a third of it
 	MaxEjectTime       time.Duration // maximum duration of an ejection
 	StabilizationDelay time.Duration // how long the set of gateways must be unchanged before first connections are opened
 	MaxListAge         time.Duration // how old the platform's list may be when it arrives here
@@ -103,7 +103,7 @@
 	b.dispatchAll(now)
 }
 
-// HasList says whether a list of instances has been set.
+// HasList reports whether a list of instances has been set.
 func (b *Balancer) HasList() bool { return b.hasList }
 
 // SetServices sets the configuration of the services, and for services that are bound to a shard, the shard.
@@ -120,7 +120,7 @@
 }
 
 // SetEvacuated sets the zones that no requests may be sent to. Upstreams of a zone that is no
-// longer evacuated count as cold at first, since the list that is here may be out of date.
+// longer evacuated count as cold at first, since this gateway's list may be out of date.
 func (b *Balancer) SetEvacuated(now time.Duration, zones map[string]bool) {
 	if maps.Equal(zones, b.evacuated) {
 		return
@@ -154,7 +154,7 @@
 }
 
 // Tick does what is due by time: trials of ejected upstreams, detection of stalled requests,
-// closing of expired idle connections, and requests that wait for the pace of cold upstreams.
+// closing of expired idle connections, and queued requests that cold upstreams may get now.
 func (b *Balancer) Tick(now time.Duration) {
 	b.updateLoads(now)
 	if b.verifyPending {
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -9,7 +9,7 @@
 	refilledAt time.Duration
 }
 
-// Earn adds the fraction of a token that one request brings, up to a maximum.
+// Earn adds the fraction of a token that one request earns, up to a maximum.
 func (b *RetryBudget) Earn(earned, maxTokens float64) {
 	b.tokens = min(b.tokens+earned, max(maxTokens, 1))
 }
@@ -24,7 +24,7 @@
 	}
 }
 
-// Spend takes one token; false: there is none.
+// Spend takes one token. It returns false if there is none.
 func (b *RetryBudget) Spend() bool {
 	if b.tokens < 1 {
 		return false
@@ -41,7 +41,7 @@
 	nextAt time.Duration
 }
 
-// Ready says whether a request may be sent now.
+// Ready reports whether a request may be sent now.
 func (p *WarmupLimiter) Ready(now time.Duration) bool { return now >= p.nextAt }
 
 // Record records that a request was sent; the next may follow after 1/perSecond seconds.
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -38,7 +38,7 @@
 	RunID uint64 `cbor:"3,keyasint,omitempty" json:"life"`
 }
 
-// Less says whether v is older than other.
+// Less reports whether v is older than other.
 func (v ListVersion) Less(other ListVersion) bool {
 	if v.Term != other.Term {
 		return v.Term < other.Term
@@ -49,7 +49,7 @@
 	return v.Seq < other.Seq
 }
 
-// SupersededBy says whether other comes from another owner, unknown to the owner of v, whose lists
+// SupersededBy reports whether other comes from another owner, unknown to the owner of v, whose lists
 // would supersede any list that the owner of v issues.
 func (v ListVersion) SupersededBy(other ListVersion) bool {
 	return other.Term > v.Term || other.Term == v.Term && other.RunID > v.RunID
@@ -64,7 +64,7 @@
 	Removed []string    `cbor:"4,keyasint,omitempty"`
 }
 
-// page is one page of the platform's answer.
+// page is one page of the platform's list.
 type page struct {
 	Instances []struct {
 		ID          string  `json:"id"`
@@ -92,8 +92,8 @@
 	pause      time.Duration // pause before each further call
 }
 
-// PollingPace is the pace for a node that reads the list regularly: after a burst of perSecond/8 calls, half of
-// the platform's rate limit. perSecond is that limit, for all callers together; 0: no limit.
+// PollingPace is the pace for a node that reads the list regularly: after a burst of perSecond/8 calls,
+// half of the platform's rate limit. perSecond is that limit, for all callers together; 0: no limit.
 func PollingPace(perSecond float64) CallPace {
 	if perSecond <= 0 {
 		return CallPace{burst: math.Inf(1)}
@@ -102,8 +102,8 @@
 	return CallPace{burst: perSecond / 8, burstPause: pause, pause: pause}
 }
 
-// TakeoverPace is the pace for a node that reads the list in place of another. It is half of the rate limit too, but
-// the calls of the first second are made at once.
+// TakeoverPace is the pace for a node that takes over reading the list from another. It is half of the
+// rate limit too, but the calls of the first second are made at once.
 func TakeoverPace(perSecond float64) CallPace {
 	pace := PollingPace(perSecond)
 	if perSecond > 0 {
@@ -132,7 +132,7 @@
 }
 
 // ReadAll reads the platform's complete list, sorted by ID, and returns it with the number of
-// calls made. If any page can't be read, it returns an error and no list.
+// calls made. If any page cannot be read, it returns an error and no list.
 func ReadAll(ctx context.Context, client *http.Client, address string, pace CallPace) (list []Instance, calls int, err error) {
 	instances := []Instance{}
 	token := ""
@@ -157,8 +157,8 @@
 		if err != nil {
 			return nil, calls, err
 		}
-		var answer page
-		err = json.NewDecoder(res.Body).Decode(&answer)
+		var decoded page
+		err = json.NewDecoder(res.Body).Decode(&decoded)
 		res.Body.Close()
 		switch {
 		case res.StatusCode == http.StatusTooManyRequests:
@@ -168,15 +168,15 @@
 		case err != nil:
 			return nil, calls, err
 		}
-		for _, item := range answer.Instances {
+		for _, item := range decoded.Instances {
 			instances = append(instances, Instance{ID: item.ID, Service: item.Target, Address: item.Address, Zone: item.Zone,
 				Capacity: max(1, item.Capacity), Draining: item.State != "ready", Version: item.Generation, WarmupMs: int64(item.WarmupLeftS * 1000)})
 		}
-		if answer.NextToken == nil || *answer.NextToken == "" {
+		if decoded.NextToken == nil || *decoded.NextToken == "" {
 			sort.Slice(instances, func(a, b int) bool { return instances[a].ID < instances[b].ID })
 			return instances, calls, nil
 		}
-		token = *answer.NextToken
+		token = *decoded.NextToken
 	}
 	return nil, calls, errors.New("platform's list has too many pages")
 }
@@ -184,8 +184,7 @@
 // warmupTolerance is the shift of the end of a warm-up up to which an instance counts as unchanged.
 const warmupTolerance = 500 * time.Millisecond
 
-// ListSnapshot is one node's copy of the list, which it can pass on completely or as a
-// difference.
+// ListSnapshot is one node's copy of the list, which it sends to others completely or as a difference.
 type ListSnapshot struct {
 	Version ListVersion
 	items   map[string]snapshotItem
@@ -199,7 +198,7 @@
 
 const maxDiffs = 8
 
-// Update takes a list newly read from the platform by the owner with the given term and life.
+// Update takes a list newly read from the platform by the owner with the given term and run ID.
 // It returns false, and keeps the version, if that is the owner of the present version too
 // and nothing has changed.
 func (s *ListSnapshot) Update(now time.Duration, term, runID uint64, listing []Instance) bool {
@@ -229,7 +228,7 @@
 	return true
 }
 
-// Apply applies a list from another node. It returns false if the list isn't newer or is a
+// Apply applies a list from another node. It returns false if the list is not newer or is a
 // difference from another version than the present one.
 func (s *ListSnapshot) Apply(now time.Duration, update List) bool {
 	if !s.Version.Less(update.Version) || update.Base != (ListVersion{}) && update.Base != s.Version {
@@ -257,7 +256,8 @@
 	s.Version = update.Version
 }
 
-// UpdateFor returns the list that brings a node with version have up to date, nil if it needs none.
+// UpdateFor returns the list that brings a node that holds the version have up to date, nil if it is
+// up to date already.
 func (s *ListSnapshot) UpdateFor(now time.Duration, have ListVersion) *List {
 	if s.items == nil || !have.Less(s.Version) {
 		return nil
@@ -316,5 +316,5 @@
 	}
 }
 
-// HasList says whether the snapshot holds any list yet.
+// HasList reports whether the snapshot holds any list yet.
 func (s *ListSnapshot) HasList() bool { return s.items != nil }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -1,6 +1,6 @@
 package upstream
 
-// This file averages the load of each pool, which gateways tell each other by zone.
+// This file averages this gateway's load of each pool, and sets the loads of all zones.
 
 import (
 	"maps"
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// This file detects outliers. A gateway rates upstreams by how they answer its own requests,
-// since what they report of their own health may be wrong. Three signs count: error rate,
-// latency, and stalled requests. All are compared with the rest of the service, so that a
-// fault of the whole service does not count against single upstreams.
+// This file detects outliers. A gateway rates upstreams by their responses to its own requests, since
+// what they report of their own health may be wrong. It measures error rate, latency and stalled
+// requests, each relative to the whole service, so that a fault of the whole service does not count
+// against single upstreams.
 
 const (
-	errorRateWeight    = 0.25 // weight of one answer in the moving average of an upstream's error rate
+	errorRateWeight    = 0.25 // weight of one response in the moving average of an upstream's error rate
 	errorRateEject     = 0.42 // error rate above which an outlier is ejected
 	errorRateCommon    = 0.2  // error rate of a service from which on none of its upstreams is an outlier
-	latencyWeight      = 0.2  // weight of one answer in the moving average of an upstream's latency
-	latencyDecayS      = 4.0  // time constant in seconds by which a latency without new answers fades
+	latencyWeight      = 0.2  // weight of one response in the moving average of an upstream's latency
+	latencyDecayS      = 4.0  // time constant in seconds by which a latency without new responses decays
 	maxRelativeLatency = 6.0
 	minRelativeLatency = 0.6
 	stallLatencies     = 2.5 // a request is stalled after this multiple of the usual latency
-	stallMinRequests   = 2   // stalled requests at once from which on an upstream counts as hanging
+	stallMinRequests   = 2   // simultaneous stalled requests from which on an upstream is ejected
 	stallMinTime       = 150 * time.Millisecond
 	stallAimFraction   = 0.5  // fraction of its latency target that a stalled request must have waited in any case
-	minAnswers         = 30   // answers of a service from which on its usual latency is known
+	minResponses       = 30   // responses of a service from which on its usual latency is known
 	maxEjectedFraction = 0.34 // fraction of a pool's upstreams in one serving zone that may be ejected as outliers
 )
 
-// outlierStats holds what this gateway has observed of an upstream's answers.
+// outlierStats holds what this gateway has observed of an upstream's responses.
 type outlierStats struct {
 	errorRate        float64 // moving average
 	latencyS         float64 // moving average of the latency in seconds; 0: not known
 	latencyAt        time.Duration
-	pending          []pendingRequest // requests without an answer yet
-	otherLoad        float64          // requests of other gateways, by the upstream's last report
+	pending          []pendingRequest // requests without a response yet
+	otherLoad        float64          // requests of other gateways, according to the upstream's last report
 	loadReportedAt   time.Duration
 	reportsLoad      bool
 	unloadedLatencyS float64 // moving average of the latency in seconds while the upstream has room; 0: not known
@@ -44,7 +44,7 @@
 	handle                   *WaitHandle
 }
 
-// stalled says whether the request has waited longer than limit and than stallAimFraction of its latency target.
+// stalled reports whether the request has waited longer than limit and than stallAimFraction of its latency target.
 func (r pendingRequest) stalled(now, limit time.Duration) bool {
 	return now-r.startedAt > max(limit, time.Duration(stallAimFraction*float64(r.latencyTarget)))
 }
@@ -54,9 +54,9 @@
 	stats.pending = append(stats.pending, pendingRequest{now, req.LatencyTarget, req.WaitHandle})
 }
 
-// requestAnswered records that the request that began at the given time has an answer or has
-// ended. It returns false if that had been recorded before.
-func (stats *outlierStats) requestAnswered(began time.Duration) (pending bool) {
+// removePending records that the response to the request that began at the given time has started, or
+// that the request has ended. It returns false if that had been recorded before.
+func (stats *outlierStats) removePending(began time.Duration) (pending bool) {
 	for i, r := range stats.pending {
 		if r.startedAt == began {
 			stats.pending = append(stats.pending[:i], stats.pending[i+1:]...)
@@ -85,15 +85,15 @@
 	return min(max(ratio, minRelativeLatency), maxRelativeLatency)
 }
 
-// recordAnswer records an answer: its latency (0: not known), and whether it was an error of
-// the upstream's own. The result says whether the upstream's error rate is an outlier.
-func (b *Balancer) recordAnswer(now time.Duration, pool *servicePool, u *Upstream, latency time.Duration, serverError bool) (outlier bool) {
+// recordResponse records a response: its latency (0: not known), and whether it was a server error.
+// outlier reports whether the upstream's error rate is much higher than that of its service.
+func (b *Balancer) recordResponse(now time.Duration, pool *servicePool, u *Upstream, latency time.Duration, serverError bool) (outlier bool) {
 	sample := 0.0
 	if serverError {
 		sample = 1
 	}
 	u.errorRate += (sample - u.errorRate) * errorRateWeight
-	pool.answers++
+	pool.responses++
 	pool.errorRate += (sample - pool.errorRate) * errorRateWeight / float64(max(4, len(pool.upstreams)/4))
 	if !serverError && latency > 0 {
 		if u.latencyS == 0 {
@@ -116,24 +116,24 @@
 	return outlier
 }
 
-// AnswerStarted records that the answer has begun to arrive: from then on the request can't be
+// ResponseStarted records that the response has begun to arrive: from then on the request cannot be
 // stalled, however long the transfer of the rest takes.
-func (b *Balancer) AnswerStarted(now time.Duration, lease SlotLease) {
-	lease.Upstream.requestAnswered(lease.GrantedAt)
+func (b *Balancer) ResponseStarted(now time.Duration, lease SlotLease) {
+	lease.Upstream.removePending(lease.GrantedAt)
 }
 
-// ReportedLoad is the load that an upstream reports in an answer.
+// ReportedLoad is the load that an upstream reports in a response.
 type ReportedLoad struct {
 	Known            bool
 	Running, Waiting int
 }
 
-// reportDecayLatencies is the time constant by which a reported load fades, in multiples of
-// the pool's latency: by then the requests that it counted have ended.
+// reportDecayLatencies is the time constant by which a reported load decays, in multiples of the pool's
+// latency: by then most of the requests that it counted have ended.
 const reportDecayLatencies = 1.5
 
-// ReportLoad takes the load that an upstream reports. What exceeds this gateway's own requests
-// comes from other gateways.
+// ReportLoad records the load that an upstream reports. The part of it that exceeds this gateway's own
+// requests comes from other gateways.
 func (b *Balancer) ReportLoad(now time.Duration, u *Upstream, load ReportedLoad) {
 	if !load.Known {
 		return
@@ -178,10 +178,10 @@
 // while on probation. In the first case it also interrupts those that may be retried, so that
 // they are sent elsewhere.
 func (b *Balancer) detectStalls(now time.Duration, pool *servicePool, u *Upstream) {
-	if len(u.pending) == 0 || pool.answers < minAnswers || u.retired || now < u.ejectedUntil {
+	if len(u.pending) == 0 || pool.responses < minResponses || u.retired || now < u.ejectedUntil {
 		return
 	}
-	// A slow upstream gets fewer requests (see score), but isn't ejected for being slow.
+	// A slow upstream gets fewer requests (see score), but is not ejected for being slow.
 	limit := time.Duration(max(1, u.latencyS/pool.latencyS) * float64(pool.stallLimit(stallLatencies)))
 	stalled := u.countStalled(now, limit)
 	if stalled < stallMinRequests && !(stalled > 0 && u.probation) {
@@ -190,7 +190,7 @@
 	// A single stalled request may just be an expensive one, which would take as long elsewhere.
 	if b.ejectOutlier(now, pool, u) && stalled >= stallMinRequests {
 		// Interrupts only as many as the retry budget allows to be sent elsewhere: any other would
-		// fail although the upstream may still answer it.
+		// fail although the upstream may still respond to it.
 		tokens := b.refillBudget(now, b.stablePool(u.Service)).tokens
 		for _, r := range u.pending {
 			if r.handle != nil && r.stalled(now, limit) && tokens >= 1 {
--- a/internal/upstream/pick.go
+++ b/internal/upstream/pick.go
@@ -31,7 +31,7 @@
 		load += slots * 0.93
 	}
 	if u.Cold(now) {
-		if !b.isColdSender(u) || pool.info.WarmupPerS > 0 && !u.pacer.Ready(now) {
+		if !b.isColdSender(u) || pool.info.WarmupPerS > 0 && !u.warmupLimiter.Ready(now) {
 			return math.Inf(1)
 		}
 		load += slots * 0.75
@@ -45,7 +45,7 @@
 	return load / slots
 }
 
-// pick finds the upstream to send to, nil if there is none now. eligible says whether any
+// pick finds the upstream to send to, nil if there is none now. eligible reports whether any
 // could take the request later.
 func (b *Balancer) pick(now time.Duration, pool *servicePool, req *AcquireRequest) (best *Upstream, eligible bool) {
 	// Nearly always a primary upstream has a score below nonPrimaryPenalty, and then no other
@@ -61,7 +61,7 @@
 	return best, eligible
 }
 
-// subsetUnavailable says whether half or more of the subset cannot be used whatever their
+// subsetUnavailable reports whether half or more of the subset cannot be used whatever their
 // load, for example after the loss of a zone.
 func (b *Balancer) subsetUnavailable(now time.Duration, pool *servicePool) bool {
 	unavailable := 0
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -26,20 +26,20 @@
 // Upstream is one instance of a server as this gateway knows it. After a restart the server is another instance.
 type Upstream struct {
 	Instance
-	InFlight int // requests of this gateway that it has at present
-	// AnonymousRefusals says that its refusals don't carry the request's Attempt-Id: on a reused connection
-	// they can't be told from the remains of an earlier answer.
+	InFlight int // requests that this gateway has in flight at it
+	// AnonymousRefusals is set if its refusals do not carry the request's Attempt-Id: on a reused connection
+	// they cannot be told from the remains of an earlier response.
 	AnonymousRefusals atomic.Bool
 
 	idle          []*Conn
 	waitHandles   map[*WaitHandle]struct{} // of the requests in flight that may be retried elsewhere
 	coldUntil     time.Duration
-	pacer         WarmupLimiter
+	warmupLimiter WarmupLimiter
 	senderCount   int  // gateways that may send to it while it is cold; see isColdSender
 	isSender      bool // whether this gateway is one of them
 	sendersSeq    uint64
 	pool          *servicePool // its current pool, or the last one that it was in
-	primary       bool         // this gateway is the one of the serving zone that uses it first
+	primary       bool         // it is a primary upstream of this gateway; see assignPrimaries
 	servingZone   string       // the zone whose gateways use it as local; see reassignZones
 	gatewayWeight uint64       // rendezvous weight for this gateway
 	serviceWeight uint64       // rendezvous weight for its service
@@ -51,10 +51,10 @@
 	ejectedUntil  time.Duration // no requests until a trial connection after this time; 0: not ejected
 	pausedUntil   time.Duration // no requests until then: it has reset a connection and may be overloaded
 	trialPending  bool          // a trial connection has been requested or is being opened
-	verified      bool          // a connection to it has been established, or it has answered
+	verified      bool          // a connection to it has been established, or it has responded
 	newlyListed   bool          // it was not in the first list
 	probing       bool          // a probe of its remaining warm-up time is in flight
-	probeStale    bool          // that probe was sent before the warm-up state became unknown once more
+	probeStale    bool          // the warm-up state became unknown again after that probe was sent
 	outlierStats
 	Served uint64
 	Failed uint64
@@ -73,10 +73,10 @@
 	primarySlots int     // total capacity of the primaries
 	errorRate    float64 // moving average
 	latencyS     float64 // moving average of the latency in seconds
-	answers      int     // number of answers so far
+	responses    int     // number of responses so far
 	saturation   saturation
 	load         float64           // moving average of the requests in flight and queued
-	reassigned   map[string]string // upstream ID -> serving zone, where that isn't its own zone
+	reassigned   map[string]string // upstream ID -> serving zone, where that is not its own zone
 }
 
 func (b *Balancer) stablePool(serviceName string) *servicePool {
@@ -104,5 +104,5 @@
 	u.idle = nil
 }
 
-// Cold says whether an upstream is still warming up, or must be assumed to be.
+// Cold reports whether an upstream is still warming up, or must be assumed to be.
 func (u *Upstream) Cold(now time.Duration) bool { return now < u.coldUntil }
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -15,7 +15,7 @@
 }
 
 // SetVersions sets the versions of the services, by service. The stable version of a service
-// that isn't named is inferred from the list; see inferStableVersions.
+// that is not named is inferred from the list; see inferStableVersions.
 func (b *Balancer) SetVersions(now time.Duration, versions map[string]ServiceVersions) {
 	if maps.Equal(versions, b.versions) {
 		return
@@ -90,7 +90,7 @@
 	return version
 }
 
-// poolForRequest returns the pool that a request is for. A request for a version that isn't
+// poolForRequest returns the pool that a request is for. A request for a version that is not
 // the candidate is changed to one for the stable version.
 func (b *Balancer) poolForRequest(req *AcquireRequest) *servicePool {
 	if req.Version != "" && b.versions[req.Service].Candidate != req.Version {
--- a/internal/upstream/warmup.go
+++ b/internal/upstream/warmup.go
@@ -14,8 +14,8 @@
 	Path        string
 }
 
-// assumeCold treats an upstream whose warm-up state is unknown as cold, until it must have
-// warmed up and a list that says otherwise must have arrived, or until it answers a probe.
+// assumeCold treats an upstream whose warm-up state is unknown as cold, until it responds to a probe or
+// so much time has passed that it has warmed up, and that any list that shows it as cold has arrived.
 func (b *Balancer) assumeCold(now time.Duration, u *Upstream) {
 	info := b.serviceInfos[u.Service]
 	u.coldUntil = max(u.coldUntil, now+time.Duration(info.WarmupS*float64(time.Second))+b.cfg.MaxListAge)
@@ -23,7 +23,7 @@
 }
 
 // probeWarmup asks an upstream how long it stays cold, if this gateway is one of those that
-// send to it. While a probe is in flight, its answer is marked stale instead.
+// send to it. If a probe is already in flight, that one is marked stale instead.
 func (b *Balancer) probeWarmup(u *Upstream) {
 	healthPath := b.serviceInfos[u.Service].HealthPath
 	u.probeStale = u.probing
@@ -33,9 +33,9 @@
 	}
 }
 
-// ProbeDone takes the answer to a probe: how much longer the upstream stays cold. Without an
-// answer (ok is false) it still counts as cold. The answer to a stale probe is ignored, and
-// the upstream is probed again.
+// ProbeDone handles the result of a probe: how much longer the upstream stays cold. Without a valid
+// response (ok is false) its state does not change. The result of a stale probe is ignored, and the
+// upstream is probed again.
 func (b *Balancer) ProbeDone(now time.Duration, u *Upstream, warmupLeft time.Duration, ok bool) {
 	u.probing = false
 	if u.probeStale {
@@ -53,7 +53,7 @@
 
 // verifyPrimaries opens a first connection to primary upstreams of services whose routes are
 // bound to this gateway's shard or to none, and to all newly listed primaries, so that no
-// request has to find out whether they can be reached yet. It waits until the set of gateways
+// request has to wait for an upstream that cannot be reached yet. It waits until the set of gateways
 // is stable, since the primaries change too often while gateways come and go.
 func (b *Balancer) verifyPrimaries(now time.Duration) {
 	b.verifyPending = now < b.stableAt || len(b.gateways) == 0
@@ -73,7 +73,7 @@
 	}
 }
 
-// shardServes says whether the routes of a service are bound to this gateway's shard, or to no shard yet.
+// shardServes reports whether the routes of a service are bound to this gateway's shard, or to no shard yet.
 func (b *Balancer) shardServes(service string) bool {
 	shard, bound := b.serviceShard[service]
 	return !bound || b.gatewayShards[b.cfg.Self] == shard
@@ -90,7 +90,7 @@
 	b.closeIdle(u)
 }
 
-// TrialDone takes the result of a trial connection; nil: it failed.
+// TrialDone handles the result of a trial connection; conn is nil if it failed.
 func (b *Balancer) TrialDone(now time.Duration, u *Upstream, conn *Conn) {
 	u.trialPending = false
 	if conn == nil {
--- a/internal/upstream/zone_reassignment.go
+++ b/internal/upstream/zone_reassignment.go
@@ -10,7 +10,7 @@
 // as a moving average: zone -> pool (the service's name, with "@version" for a candidate) -> requests.
 type Loads map[string]map[string]float64
 
-// Add adds the other loads to these.
+// Add adds the loads in other.
 func (loads Loads) Add(other Loads) {
 	for zone, pools := range other {
 		if loads[zone] == nil {
