--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// answerProbe answers a readiness probe of the platform and counts those answered during the shutdown.
+// answerProbe returns the result of a readiness probe by the platform, and counts probes during a shutdown.
 func (r *readiness) answerProbe() bool {
 	if r.shuttingDown.Load() {
 		r.probesDuringShutdown.Add(1)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -9,9 +9,9 @@
 
 const (
 	// acceptFraction is the fraction of the setting graceS for which connections are accepted at most
-	// after SIGTERM. Later requests might not be answered in time.
+	// after SIGTERM. Later requests might not get their responses in time.
 	acceptFraction = 0.45
-	// finishFraction is the fraction of graceS for which requests that have been read are answered.
+	// finishFraction is the fraction of graceS until which requests that have been read get responses.
 	finishFraction = 0.95
 	// quietFraction is the fraction of a heartbeat interval without a new connection after which none is
 	// expected.
@@ -59,7 +59,7 @@
 
 // responseTime returns how long a gateway continues to respond to requests that it has read, if it stopped
 // accepting connections when the given time had elapsed since SIGTERM: until finishFraction of graceS has
-// passed, however early the platform recognized the shutdown.
+// passed, however early the platform recognized the shutdown, but for at least acceptFraction of graceS.
 func responseTime(grace, elapsed time.Duration) time.Duration {
 	return max(time.Duration(float64(grace)*finishFraction)-elapsed, time.Duration(float64(grace)*acceptFraction))
 }
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -100,8 +100,8 @@
 	return nil, apierror.QuotaUnknown
 }
 
-// returnToken returns an unused token to the control node that granted it. runID is 0 if that
-// node's version of the software takes no tokens back.
+// returnToken returns an unused token to the control node that granted it. runID is 0 if the
+// software version of that node takes no tokens back.
 func (g *Gateway) returnToken(to, tenant string, runID uint64) {
 	if runID != 0 {
 		g.endpoint.Send(to, delivery.ReturnKind, quota.Return{Tenant: tenant, RunID: runID})
@@ -153,7 +153,7 @@
 	return update
 }
 
-// extendKeyLease extends the lease of the API keys by what an update says of the age of the records.
+// extendKeyLease extends the lease of the API keys according to the age of the records in an update.
 // The lease counts from before the request was sent, so a delayed reply cannot make it last too long.
 func (g *Gateway) extendKeyLease(now time.Duration, update delivery.Update) {
 	update = g.toLocalClock(now, update)
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -28,11 +28,11 @@
 	return endpoint
 }
 
-// A reply grants only the token request that it answers, not one with the same number of an earlier
-// process, nor one sent to another control node.
-func TestOnlyTheAskedControlNodeAnswers(t *testing.T) {
+// A token request is granted only by a reply to that request from the control node that it was sent to,
+// not by a late reply to a request of an earlier process.
+func TestOnlyTheAskedControlNodeGrantsTokens(t *testing.T) {
 	var askedSeqs []uint64
-	for incarnation := range 3 {
+	for restart := range 3 {
 		controlNode := newEndpoint(t)
 		g := &Gateway{endpoint: newEndpoint(t), tokenRequests: newTokenRequests()}
 		g.tokenRequests.controlNodes = [2]string{controlNode.Address()}
@@ -54,7 +54,7 @@
 		controlNode.Start()
 		for range 3 {
 			if _, kind := g.acquireToken(t.Context(), "t", 10*time.Second); kind != apierror.OverQuota {
-				t.Errorf("incarnation %d: %v, want over quota", incarnation, apierror.ResponseFor(kind))
+				t.Errorf("restart %d: %v, want over quota", restart, apierror.ResponseFor(kind))
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// An unused token goes back to the control node that granted it, with its incarnation. A request whose
+// An unused token goes back to the control node that granted it, with that node's run ID. A request whose
 // client disconnects is no longer waited for.
 func TestUnusedTokensAreReturned(t *testing.T) {
 	controlNode := newEndpoint(t)
@@ -130,7 +130,7 @@
 	}
 }
 
-// Only an answer to a request that this process has sent extends the lease of the API keys.
+// Only a reply to a request that this process has sent extends the lease of the API keys.
 func TestKeyLeaseComesOnlyFromOwnRequests(t *testing.T) {
 	cfg := &settings.Settings{Bounds: settings.Bounds{RevokeS: 10}}
 	const now = 2 * time.Second
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,7 +9,7 @@
 	"madderwing/internal/config"
 )
 
-// fakeStore stands in for the catalogue of routes and the node that owns it.
+// fakeStore stands in for the control node that owns the routes.
 type fakeStore struct {
 	records  map[string]config.Record
 	err      error
@@ -45,11 +45,11 @@
 
 func (store *fakeStore) create(requests []BindRequest, done func([]error)) {
 	errs := make([]error, len(requests))
-	for i, order := range requests {
+	for i, request := range requests {
 		errs[i] = store.err
 		if store.err == nil {
 			var changes []config.Record
-			if changes, errs[i] = config.Bind(store.records, order.Binding, order.ExpectedRev); errs[i] == nil {
+			if changes, errs[i] = config.Bind(store.records, request.Binding, request.ExpectedRev); errs[i] == nil {
 				store.put(changes)
 				store.bindings++
 			}
@@ -144,25 +144,25 @@
 	}
 }
 
-// An answer that arrives after a reset must not be counted, and must not end the batch
-// that has been sent since.
-func TestAnswersAfterResetAreIgnored(t *testing.T) {
+// The result of a batch that arrives after a reset must not be counted, and must not end the batch that
+// has been sent since.
+func TestResultsAfterResetAreIgnored(t *testing.T) {
 	store := newFakeStore(t, 3)
-	var answers []func([]error)
+	var doneFuncs []func([]error)
 	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
-		Create: func(_ []BindRequest, done func([]error)) { answers = append(answers, done) }}
+		Create: func(_ []BindRequest, done func([]error)) { doneFuncs = append(doneFuncs, done) }}
 	routes := (&config.Decoder{}).Routes(store.records)
 	sched.Reconcile(0, routes, twoShards, func() {})
 	sched.Reset()
-	answers[0](make([]error, 3))
+	doneFuncs[0](make([]error, 3))
 	if sched.Bound != 0 {
-		t.Fatal("bindings of an answer after a reset are counted")
+		t.Fatal("bindings of a batch from before a reset are counted")
 	}
 	sched.Reconcile(time.Second, routes, twoShards, func() {})
-	answers[0](make([]error, 3))
+	doneFuncs[0](make([]error, 3))
 	sched.Reconcile(2*time.Second, routes, twoShards, func() {})
-	if len(answers) != 2 {
-		t.Fatalf("%d batches in flight at once", len(answers)-1)
+	if len(doneFuncs) != 2 {
+		t.Fatalf("%d batches in flight at once", len(doneFuncs)-1)
 	}
 }
 
@@ -170,16 +170,16 @@
 	store := newFakeStore(t, 3*MaxBatch+10)
 	batches := 0
 	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
-	sched.Create = func(orders []BindRequest, done func([]error)) {
-		if batches++; len(orders) > MaxBatch {
-			t.Fatalf("a batch of %d bindings", len(orders))
+	sched.Create = func(requests []BindRequest, done func([]error)) {
+		if batches++; len(requests) > MaxBatch {
+			t.Fatalf("a batch of %d bindings", len(requests))
 		}
-		store.create(orders, done)
+		store.create(requests, done)
 	}
-	reader := &config.Decoder{}
+	decoder := &config.Decoder{}
 	for pending := true; pending; {
 		pending = false
-		sched.Reconcile(0, reader.Routes(store.records), twoShards, func() { pending = true })
+		sched.Reconcile(0, decoder.Routes(store.records), twoShards, func() { pending = true })
 	}
 	if store.bindings != 3*MaxBatch+10 || batches != 4 {
 		t.Fatalf("%d bound in %d batches", store.bindings, batches)
@@ -187,22 +187,22 @@
 }
 
 // AnyUnscheduled reports unbound routes only while a shard has a working gateway.
-func TestWaitingRoutes(t *testing.T) {
+func TestAnyUnscheduled(t *testing.T) {
 	unbound := &config.Route{Name: "r"}
 	bound := &config.Route{Name: "s", Status: config.Status{Phase: config.PhaseScheduled, Shard: 1}}
 	served, empty := []Shard{{Label: 0}, {Label: 1, Gateways: 2}}, []Shard{{Label: 0}, {Label: 1}}
 	for name, c := range map[string]struct {
-		routes  []*config.Route
-		shards  []Shard
-		waiting bool
+		routes []*config.Route
+		shards []Shard
+		want   bool
 	}{
 		"bound":                           {[]*config.Route{bound}, served, false},
 		"one route without a binding":     {[]*config.Route{bound, unbound}, served, true},
 		"no shard with gateways":          {[]*config.Route{bound, unbound}, empty, false},
 		"shard has lost all its gateways": {[]*config.Route{bound}, []Shard{{Label: 0, Gateways: 1}, {Label: 1}}, true},
 	} {
-		if waiting := AnyUnscheduled(c.routes, c.shards); waiting != c.waiting {
-			t.Errorf("%s: waiting is %v", name, waiting)
+		if got := AnyUnscheduled(c.routes, c.shards); got != c.want {
+			t.Errorf("%s: AnyUnscheduled is %v", name, got)
 		}
 	}
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -14,8 +14,7 @@
 )
 
 // forward sends the request to an upstream, and retries at others where that is allowed and useful.
-// If the attempts fail but one upstream answered with an error response, that response goes to the
-// client.
+// If the attempts fail but one upstream gave an error response, that response goes to the client.
 func (h *Handler) forward(x *Exchange) error {
 	err := h.attemptUpstreams(x)
 	if err != nil && x.fallback != nil {
@@ -25,8 +24,8 @@
 	return err
 }
 
-// attemptUpstreams makes attempts until one is answered, the error is final, or no attempts or time
-// are left. It returns nil once a response has been passed to the client.
+// attemptUpstreams makes attempts until a response can be passed on, the error is final, or no attempts
+// or time are left. It returns nil once a response has been passed to the client.
 func (h *Handler) attemptUpstreams(x *Exchange) error {
 	maxAttempts := max(1, x.route.MaxTries)
 	sent, failedDials := 0, 0
--- a/internal/proxy/dialing_test.go
+++ b/internal/proxy/dialing_test.go
@@ -48,13 +48,13 @@
 	 "domains":[{"authority":"h.example","hostRoutes":[{"name":"g","pathPrefix":"/get/","routeKind":"idempotent",
 	 "deadlineS":%g,"targetLatencyS":%g,"target":"a","maxTries":2,"generation":1}]}]}}`, 4*c.latencyTarget.Seconds(), c.latencyTarget.Seconds())))
 				go dispatcher.Run()
-				dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
-					s.SetServices(now, map[string]upstream.ServiceInfo{"a": {MaxConns: 50}}, nil)
+				dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
+					balancer.SetServices(now, map[string]upstream.ServiceInfo{"a": {MaxConns: 50}}, nil)
 					var list []upstream.Instance
 					for i := range 10 {
 						list = append(list, upstream.Instance{ID: fmt.Sprint(i), Service: "a", Address: fmt.Sprint(i), Zone: "z", Capacity: 4})
 					}
-					s.SetList(now, list)
+					balancer.SetList(now, list)
 				})
 				began := time.Now()
 				w := httptest.NewRecorder()
--- a/internal/proxy/disconnect_stages_test.go
+++ b/internal/proxy/disconnect_stages_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// The client disconnects during a paced response: its slot and its share of the link budget are freed at once.
+// The client disconnects during a paced response: its slot and its reservation in the link budget are freed
+// at once.
 func TestDisconnectDuringPacedResponse(t *testing.T) {
 	u := newFakeUpstream(t, "u", func(c net.Conn, r *http.Request, n int) bool {
 		if strings.HasSuffix(r.URL.Path, "long") {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -30,7 +30,8 @@
 	 {"name":"d","pathPrefix":"/down/","routeKind":"download","deadlineS":300,"targetLatencyS":200,"target":"a","maxTries":2,"generation":1},
 	 {"name":"p","pathPrefix":"/put/","routeKind":"mutating","deadlineS":300,"targetLatencyS":200,"target":"a","maxTries":2,"generation":1}]}]}}`
 
-// disconnectHarness is a harness with the routes of longDeadlineTable that gives access to the latest request.
+// disconnectHarness is a harness with the routes of longDeadlineTable that gives access to the latest
+// request.
 type disconnectHarness struct {
 	*harness
 	lastExchange atomic.Pointer[Exchange]
@@ -50,7 +51,8 @@
 	return h
 }
 
-// sawDisconnect reports whether the handler has noticed that the client of the latest request has disconnected.
+// sawDisconnect reports whether the handler has noticed that the client of the latest request has
+// disconnected.
 func (h *disconnectHarness) sawDisconnect() bool {
 	x := h.lastExchange.Load()
 	return x != nil && x.clientDisconnected()
@@ -134,9 +136,9 @@
 // busySlots returns how many slots at the upstreams are taken, according to the balancer.
 func (h *harness) busySlots() int {
 	got := make(chan int)
-	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
+	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
 		busy := 0
-		for _, u := range s.States(now) {
+		for _, u := range balancer.States(now) {
 			busy += u.Busy
 		}
 		got <- busy
@@ -368,7 +370,7 @@
 		waitFor(t, "its slot is free", func() bool { return blocking.aborted.Load() == int64(n+1) && h.busySlots() == 0 })
 	}
 	states := make(chan []upstream.UpstreamStatus, 1)
-	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { states <- s.States(now) })
+	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.States(now) })
 	for _, s := range <-states {
 		if s.Failed != 0 || s.Ejected {
 			t.Errorf("%+v", s)
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -147,7 +147,7 @@
 }
 
 // acquire requests a slot at an upstream and waits for it until the timeout or until canceled is closed.
-// A lease whose Refusal is not upstream.Granted says why there is none.
+// If none is granted, the Refusal of the returned lease is the reason.
 func (d *Dispatcher) acquire(request *upstream.AcquireRequest, timeout time.Duration, canceled <-chan struct{}) upstream.SlotLease {
 	reply := make(chan upstream.SlotLease, 1)
 	request.OnResult = func(lease upstream.SlotLease) { reply <- lease }
@@ -170,8 +170,8 @@
 }
 
 // release returns a lease, with its connection if that can be reused, and reports the outcome and load
-// of the upstream. With wantOutlier it waits for the balancer's verdict whether the upstream has
-// markedly more errors than others.
+// of the upstream. With wantOutlier it waits for the balancer to report whether the upstream has
+// a much higher error rate than others.
 func (d *Dispatcher) release(lease upstream.SlotLease, conn *upstream.Conn, idleTime time.Duration, outcome upstream.Outcome, load upstream.ReportedLoad, wantOutlier bool) (outlier bool) {
 	var verdict chan bool
 	if wantOutlier {
--- a/internal/proxy/finish.go
+++ b/internal/proxy/finish.go
@@ -15,7 +15,8 @@
 )
 
 // finish returns the lease with its connection, which is closed if it cannot be reused. outlier reports
-// whether the upstream has markedly more errors than others; it is determined for upstream.ServerError only.
+// whether the upstream has a much higher error rate than others; it is determined for
+// upstream.ServerError only.
 func (h *Handler) finish(lease upstream.SlotLease, res result, outcome upstream.Outcome) (outlier bool) {
 	conn := res.conn
 	connIntact := res.stopClose == nil || res.stopClose()
@@ -82,7 +83,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// peerUnresponsive reports whether an error means that the peer's machine no longer answers at all.
+// peerUnresponsive reports whether an error means that the peer's machine no longer responds at all.
 func peerUnresponsive(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH)
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -19,7 +19,7 @@
 	"madderwing/internal/upstream"
 )
 
-// fakeUpstream records the requests that it receives and responds as its respondFunc says.
+// fakeUpstream records the requests that it receives and responds by its respondFunc.
 type fakeUpstream struct {
 	listener net.Listener
 	id       string
@@ -137,8 +137,8 @@
 	handler.SetTable(buildTable(t, body))
 	handler.SetTableComplete()
 	go dispatcher.Run()
-	dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
-		s.SetServices(now, map[string]upstream.ServiceInfo{"a": {MaxConns: 50}}, nil)
+	dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
+		balancer.SetServices(now, map[string]upstream.ServiceInfo{"a": {MaxConns: 50}}, nil)
 	})
 	h := &harness{handler: handler, dispatcher: dispatcher}
 	h.setUpstreams(upstreams...)
@@ -158,7 +158,7 @@
 	for _, u := range upstreams {
 		instances = append(instances, upstream.Instance{ID: u.id, Service: "a", Address: u.listener.Addr().String(), Zone: "z", Capacity: 4})
 	}
-	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) { s.SetList(now, instances) })
+	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { balancer.SetList(now, instances) })
 }
 
 // roundTrip sends a raw request of the given method on a new connection and reads the response.
--- a/internal/proxy/linkbudget.go
+++ b/internal/proxy/linkbudget.go
@@ -61,7 +61,7 @@
 	return &LinkBudget{bytesPerSecond: bytesPerSecond, grace: grace, estimates: map[ResponseClass]responseEstimate{}}
 }
 
-// Reservation is the share of one response in the budget. A nil one is for a response without a limit.
+// Reservation is the part of the budget that one response takes. A nil one is for a response without a limit.
 // Its methods must not be called concurrently.
 type Reservation struct {
 	budget    *LinkBudget
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -98,14 +98,14 @@
 		kept = append(kept, a)
 	}
 	m.active = kept
-	share := m.rate * (1 - modelShortFraction) * modelStep.Seconds() / float64(max(1, len(sending)))
+	bytesEach := m.rate * (1 - modelShortFraction) * modelStep.Seconds() / float64(max(1, len(sending)))
 	for _, a := range sending {
 		if n := min(a.unwritten, m.bufferSize-int(a.buffered)); n > 0 {
 			a.unwritten -= n
 			a.buffered += float64(n)
 			a.reservation.Wrote(m.now, n)
 		}
-		a.buffered = max(0, a.buffered-share)
+		a.buffered = max(0, a.buffered-bytesEach)
 	}
 	kept = m.active[:0]
 	for _, a := range m.active {
@@ -124,7 +124,7 @@
 func simulateShutdown(seed uint64, budget *LinkBudget, rate, requestsPerSecond float64) *linkModel {
 	m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 1)), budget: budget, rate: rate, bufferSize: 4096 << (seed % 5)}
 	sigterm := time.Duration(5+m.Float64()*10) * time.Second
-	acceptUntil := sigterm + time.Duration(m.Float64()*acceptShare*float64(modelGrace))
+	acceptUntil := sigterm + time.Duration(m.Float64()*acceptFraction*float64(modelGrace))
 	for m.now < sigterm+modelGrace*95/100 {
 		if m.now == sigterm {
 			m.budget.BeginShutdown(m.now)
@@ -139,8 +139,8 @@
 	return m
 }
 
-// acceptShare is the share of the grace in which requests may still arrive after a SIGTERM.
-const acceptShare = .45
+// acceptFraction is the fraction of the grace in which requests may still arrive after a SIGTERM.
+const acceptFraction = .45
 
 // Every admitted response is transferred completely before the grace ends, at any load and whenever the
 // SIGTERM arrives, without leaving the link idle.
@@ -187,14 +187,14 @@
 		burstRate  = 25
 		burst      = 2 * time.Second
 		normalRate = 1
-		// A request may arrive at acceptShare of the grace, and its response must be complete by 0.95 of it.
+		// A request may arrive at acceptFraction of the grace, and its response must be complete by 0.95 of it.
 		maxInboundDelay = modelGrace / 2
-		// pacedShare is the share of the link that the budget assumes for paced long responses.
-		pacedShare = 0.585
+		// pacedFraction is the fraction of the link that the budget assumes for paced long responses.
+		pacedFraction = 0.585
 	)
 	finished := 0
 	for seed := range uint64(100) {
-		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedShare*rate, modelGrace),
+		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedFraction*rate, modelGrace),
 			rate: rate, bufferSize: 4096, sharesInbound: true}
 		burstAt := time.Duration(8+m.Float64()*4) * time.Second
 		var maxDelay time.Duration
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -247,7 +247,7 @@
 }
 
 // retire ends an idle connection by a read deadline in the past. A request of which a byte has been
-// read is still answered. Connections without a request so far are retired only with includeNew.
+// read still gets a response. Connections without a request so far are retired only with includeNew.
 func (c *clientConn) retire(includeNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -63,7 +63,7 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	p.nextFree = p.nextFree.Add(-cost) // returns the share that is not used
+	p.nextFree = p.nextFree.Add(-cost) // the bytes are not written
 	p.mu.Unlock()
 	return ctx.Err()
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -81,8 +81,8 @@
 	if res, _, err := h.roundTrip(t, "GET", getRequest("/put/1")); err != nil || res.StatusCode != 200 {
 		t.Fatal(err, res)
 	}
-	h.dispatcher.Do(func(now time.Duration, s *upstream.Balancer) {
-		s.SetList(now, []upstream.Instance{
+	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
+		balancer.SetList(now, []upstream.Instance{
 			{ID: "u", Service: "a", Address: u.listener.Addr().String(), Zone: "z", Capacity: 4},
 			{ID: "v", Service: "a", Address: other.listener.Addr().String(), Zone: "far", Capacity: 4}})
 	})
@@ -407,7 +407,7 @@
 	<-shutDown
 }
 
-// A gateway that retires idle connections still answers a request that has begun to be read: whatever the
+// A gateway that retires idle connections still responds to a request that has begun to be read: whatever the
 // timing, a client gets a response or its connection is closed before any of the request is read.
 func TestRetireDoesNotDropPartlyReadRequest(t *testing.T) {
 	for n := range 300 {
--- a/internal/proxy/scenario_test.go
+++ b/internal/proxy/scenario_test.go
@@ -299,7 +299,7 @@
 	var clients sync.WaitGroup
 	for i := range clientsPerScenario {
 		clients.Go(func() {
-			p := s.runClient(h.listener.listener.Addr().String(), i, failf)
+			p := s.YY(h.listener.listener.Addr().String(), i, failf)
 			mu.Lock()
 			defer mu.Unlock()
 			refused = append(refused, p...)
@@ -332,15 +332,15 @@
 	expired, cancel := context.WithCancel(context.Background())
 	cancel()
 	h.listener.Shutdown(expired)
-	for giveUpAt := time.Now().Add(20 * time.Second); h.busySlots() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(giveUpAt) {
+	for limit := time.Now().Add(20 * time.Second); h.busySlots() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
 			t.Errorf("CALLERS_SEED=%d: %d slots at upstreams are still taken after 20 s", s.seed, h.busySlots())
 			break
 		}
 	}
 	h.setUpstreams() // closes the idle connections
-	for giveUpAt := time.Now().Add(20 * time.Second); s.openConns.Load() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(giveUpAt) {
+	for limit := time.Now().Add(20 * time.Second); s.openConns.Load() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
 			t.Errorf("CALLERS_SEED=%d: %d connections to upstreams are still open after 20 s", s.seed, s.openConns.Load())
 			break
 		}
--- a/internal/proxy/soak_rules_test.go
+++ b/internal/proxy/soak_rules_test.go
@@ -162,7 +162,7 @@
 
 // LOST: a request on a keep-alive connection that was forwarded gets a response before the connection
 // closes, whatever its upstream does.
-func TestKeepAliveRequestIsAlwaysAnswered(t *testing.T) {
+func TestKeepAliveRequestAlwaysGetsResponse(t *testing.T) {
 	var n atomic.Int64
 	texts := []string{"", "\x00", "HTTP/1.1 103 Early\r\n\r\n", "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\n", "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf",
 		"HTTP/1.1 500 Oops\r\nAttempt-Id: one\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nAttempt-Id: one\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}
@@ -180,7 +180,7 @@
 	h := newHarness(t, u)
 	var client net.Conn
 	var reader *bufio.Reader
-	unanswered := 0
+	withoutResponse := 0
 	for i := range 60 {
 		if client == nil {
 			client = dialGateway(t, h)
@@ -190,7 +190,7 @@
 		writeText(t, client, getRequest(path))
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			unanswered++
+			withoutResponse++
 			client = nil
 			continue
 		}
@@ -200,8 +200,8 @@
 			client = nil
 		}
 	}
-	if unanswered > 0 || n.Load() < 30 {
-		t.Errorf("%d of 60 requests got no response; %d were forwarded", unanswered, n.Load())
+	if withoutResponse > 0 || n.Load() < 30 {
+		t.Errorf("%d of 60 requests got no response; %d were forwarded", withoutResponse, n.Load())
 	}
 }
 
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -33,17 +33,17 @@
 	h := newHarness(t, u)
 	setTenantTable(t, h)
 	var keysValidUntil atomic.Int64
-	drawResult := apierror.Internal
+	chargeResult := apierror.Internal
 	chargedTenant, returned := "", 0
 	h.handler.SetKeyLease(&keysValidUntil)
 	h.handler.SetQuota(func(_ context.Context, tenant string, _ time.Duration) (func(), apierror.Kind) {
 		chargedTenant = tenant
-		return func() { returned++ }, drawResult
+		return func() { returned++ }, chargeResult
 	})
 	for _, c := range []struct {
 		name, path, headers string
 		leased              bool
-		draw                apierror.Kind
+		chargeResult        apierror.Kind
 		status              int
 		tenant              string
 	}{
@@ -64,7 +64,7 @@
 		if c.leased {
 			keysValidUntil.Store(int64(time.Since(h.dispatcher.epoch) + time.Hour))
 		}
-		drawResult, chargedTenant, returned = c.draw, "", 0
+		chargeResult, chargedTenant, returned = c.chargeResult, "", 0
 		before := len(u.requests())
 		res, _, err := h.roundTrip(t, "GET", "GET "+c.path+"x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\nDeadline-Left: 1000\r\n"+c.headers+"Connection: close\r\n\r\n")
 		if err != nil || res.StatusCode != c.status {
@@ -75,7 +75,7 @@
 			t.Errorf("%s: no Retry-After", c.name)
 		}
 		if strings.HasPrefix(c.headers, "Authorization: Bearer k2") && chargedTenant != "" {
-			t.Errorf("%s: quota drawn for a tenant without one", c.name)
+			t.Errorf("%s: quota charged for a tenant without one", c.name)
 		}
 		sent := u.requests()[before:]
 		if returned != 0 {
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -85,11 +85,11 @@
 	} {
 		received := make(chan string, 1)
 		go func() {
-			var answer string
-			if err := a.Call(ctx, p.Addr().String(), "echo", "x", &answer); err != nil {
-				answer = err.Error()
+			var reply string
+			if err := a.Call(ctx, p.Addr().String(), "echo", "x", &reply); err != nil {
+				reply = err.Error()
 			}
-			received <- answer
+			received <- reply
 		}()
 		call := <-p.frames
 		send(call.ID)
@@ -115,11 +115,11 @@
 		for range 4 {
 			got := make(chan string, 1)
 			go func() {
-				var answer string
-				if err := a.Call(context.Background(), p.Addr().String(), "echo", "x", &answer); err != nil {
-					answer = err.Error()
+				var reply string
+				if err := a.Call(context.Background(), p.Addr().String(), "echo", "x", &reply); err != nil {
+					reply = err.Error()
 				}
-				got <- answer
+				got <- reply
 			}()
 			call := <-p.frames
 			if seen[call.ID] {
@@ -193,10 +193,10 @@
 // and accepts complete frames only.
 func FuzzReadFrame(f *testing.F) {
 	body, _ := cbor.Marshal("x")
-	whole := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
-	f.Add(append(append([]byte(nil), whole...), whole...))
+	encoded := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)-1])
+	f.Add(append(append([]byte(nil), encoded...), encoded...))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x02, 0xff, 0xff, 0xff, 0xa1, 0x06, 0x9f})
 	f.Add([]byte("\x00\x00\x00\x0a\xa1\x06\x5b\x7f\xff\xff\xff\xff\xff\xff\xff"))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -48,13 +48,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	var answer string
-	if err := a.Call(ctx, b.Address(), "echo", "hello", &answer); err != nil || answer != "hello" {
-		t.Fatalf("got error %v, reply %q, want hello", err, answer)
+	var reply string
+	if err := a.Call(ctx, b.Address(), "echo", "hello", &reply); err != nil || reply != "hello" {
+		t.Fatalf("got error %v, reply %q, want hello", err, reply)
 	}
 	var fault RemoteError
-	if err := a.Call(ctx, b.Address(), "echo", "fail", &answer); !errors.As(err, &fault) || fault != "requested failure" {
-		t.Fatalf("got error %v, want the handler's as a Fault", err)
+	if err := a.Call(ctx, b.Address(), "echo", "fail", &reply); !errors.As(err, &fault) || fault != "requested failure" {
+		t.Fatalf("got error %v, want the handler's as a RemoteError", err)
 	}
 	for _, body := range []string{"small", strings.Repeat("x", 5000)} { // the second does not fit into a datagram
 		a.SendDatagram(b.Address(), "note", body)
@@ -63,7 +63,7 @@
 		}
 	}
 	b.Close()
-	if err := a.Call(ctx, b.Address(), "echo", "hello", &answer); !errors.Is(err, ErrUnreachable) {
+	if err := a.Call(ctx, b.Address(), "echo", "hello", &reply); !errors.Is(err, ErrUnreachable) {
 		t.Fatalf("call to a closed peer: got %v, want ErrUnreachable", err)
 	}
 }
@@ -98,8 +98,8 @@
 			t.Errorf("%s: not counted as undecodable", name)
 		}
 	}
-	var answer string
-	if err := other.Call(context.Background(), e.Address(), "echo", "hello", &answer); err != nil || answer != "hello" {
+	var reply string
+	if err := other.Call(context.Background(), e.Address(), "echo", "hello", &reply); err != nil || reply != "hello" {
 		t.Errorf("another peer cannot call any more: %v", err)
 	}
 	e.undecodableMu.Lock()
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -87,9 +87,10 @@
 	pool.budget.Earn(b.cfg.RetryRatio, b.retryTokenCap(pool))
 }
 
-// retryTokenCap returns the number of retry tokens that this gateway may accumulate: half of the slack
-// is divided evenly among the gateways of the service's shard, after one token for each other gateway.
-// The other half covers gateways that this one does not know of.
+// retryTokenCap returns the number of retry tokens that this gateway may accumulate: half of the slack is
+// divided evenly among the gateways of the service's shard, or among all if it has none. The gateways of
+// other shards get one token each, which is deducted first. The other half of the slack covers gateways
+// that this one does not know of.
 func (b *Balancer) retryTokenCap(pool *servicePool) float64 {
 	total := len(b.gateways)
 	if shard, ok := b.serviceShard[pool.serviceName]; ok {
@@ -230,8 +231,8 @@
 )
 
 // Release returns an upstream after a request; conn is its connection if that can be used
-// again, otherwise nil. outlier reports whether the upstream's error rate is much higher than that of
-// its service.
+// again, otherwise nil. outlier reports whether the upstream's error rate is above errorRateCommon and
+// that of its pool below it.
 func (b *Balancer) Release(now time.Duration, lease SlotLease, conn *Conn, outcome Outcome) (outlier bool) {
 	u := lease.Upstream
 	u.InFlight--
--- a/internal/upstream/list.go
+++ b/internal/upstream/list.go
@@ -256,8 +256,8 @@
 	s.Version = update.Version
 }
 
-// UpdateFor returns the list that brings a node that holds the version have up to date, nil if it is
-// up to date already.
+// UpdateFor returns the list that updates a node from version have to the current one, nil if have is not
+// older.
 func (s *ListSnapshot) UpdateFor(now time.Duration, have ListVersion) *List {
 	if s.items == nil || !have.Less(s.Version) {
 		return nil
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -44,7 +44,8 @@
 	handle                   *WaitHandle
 }
 
-// stalled reports whether the request has waited longer than limit and than stallAimFraction of its latency target.
+// stalled reports whether the request has waited longer than limit and than stallAimFraction of its latency
+// target.
 func (r pendingRequest) stalled(now, limit time.Duration) bool {
 	return now-r.startedAt > max(limit, time.Duration(stallAimFraction*float64(r.latencyTarget)))
 }
@@ -86,7 +87,8 @@
 }
 
 // recordResponse records a response: its latency (0: not known), and whether it was a server error.
-// outlier reports whether the upstream's error rate is much higher than that of its service.
+// outlier reports whether the upstream's error rate is above errorRateCommon and that of its pool below
+// it.
 func (b *Balancer) recordResponse(now time.Duration, pool *servicePool, u *Upstream, latency time.Duration, serverError bool) (outlier bool) {
 	sample := 0.0
 	if serverError {
--- a/internal/upstream/outlier_test.go
+++ b/internal/upstream/outlier_test.go
@@ -10,7 +10,8 @@
 	"madderwing/internal/membership"
 )
 
-// sendOne sends one request to the upstream that the balancer picks, and releases it with the given outcome and latency.
+// sendOne sends one request to the upstream that the balancer picks, and releases it with the outcome and
+// latency that outcomeOf returns for it. It returns the upstream's ID.
 func sendOne(t *testing.T, balancer *Balancer, now time.Duration, outcomeOf func(id string) (Outcome, time.Duration)) string {
 	t.Helper()
 	lease, ok := acquire(balancer, now, &AcquireRequest{LatencyTarget: 400 * ms})
@@ -175,13 +176,13 @@
 		}
 	}
 	if lease, ok := acquire(balancer, ms, &AcquireRequest{}); !ok || lease.Upstream.Zone != "n1" {
-		t.Errorf("blocked by a request for another region: answered is %v", ok)
+		t.Errorf("blocked by a request for another region: decided is %v", ok)
 	}
 }
 
 // A gateway that is shutting down waits for all requests that it has forwarded. Otherwise it
 // interrupts requests at an unresponsive upstream, and as many stalled requests as the retry
-// budget allows: any more would fail although the upstream may still answer them.
+// budget allows: any more would fail although the upstream may still respond to them.
 func TestShuttingDownGatewayInterruptsNoRequest(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
--- a/internal/upstream/scale_test.go
+++ b/internal/upstream/scale_test.go
@@ -115,7 +115,7 @@
 }
 
 // The senders of an upstream are computed only while it is cold. With hundreds of gateways and
-// upstreams, some come or go all the time, so that each change must cost little.
+// upstreams, changes are frequent, so each must cost little.
 func TestColdSendersAreComputedOnDemand(t *testing.T) {
 	balancer, _, _, instances := newLargeBalancer()
 	computed := 0
@@ -143,7 +143,8 @@
 	}
 }
 
-// A gateway that has missed up to maxDiffs differences gets one merged difference instead of the complete list.
+// A gateway that has missed up to maxDiffs differences gets one merged difference instead of the complete
+// list.
 func TestMissedDiffsAreMerged(t *testing.T) {
 	_, _, instances := largeFleet()
 	var owner ListSnapshot
@@ -177,7 +178,7 @@
 // BenchmarkSizes measures the cost of a change of the list, a change of gateways, a tick and a
 // request for growing deployments. docs/CAPACITY.md derives its growth rates from it.
 func BenchmarkSizes(b *testing.B) {
-	for _, size := range []struct{ gateways, ups, services, zones int }{
+	for _, size := range []struct{ gateways, upstreams, services, zones int }{
 		{300, 1000, 8, 6}, {900, 5000, 120, 12}, {1400, 13000, 300, 25}, {2800, 26000, 590, 25},
 	} {
 		var nodes []membership.Node
@@ -192,7 +193,7 @@
 			infos[fmt.Sprintf("s%d", i)] = ServiceInfo{MaxConns: 1900}
 		}
 		var instances []Instance
-		for i := range size.ups {
+		for i := range size.upstreams {
 			instances = append(instances, Instance{ID: fmt.Sprintf("i-%08x", i*2654435761), Service: fmt.Sprintf("s%d", i%size.services),
 				Address: fmt.Sprintf("10.128.%d.%d:80", i/200, i%200), Zone: fmt.Sprintf("z%d", i/size.services%size.zones), Capacity: 3, Version: "v1"})
 		}
@@ -205,7 +206,7 @@
 		balancer.SetList(0, instances)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		name := fmt.Sprintf("gateways=%d/upstreams=%d/", size.gateways, size.ups)
+		name := fmt.Sprintf("gateways=%d/upstreams=%d/", size.gateways, size.upstreams)
 		b.Run(name+"list", func(b *testing.B) {
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
 			for i := range b.N {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -42,7 +42,8 @@
 	return nodes, shards
 }
 
-// newReadyBalancer makes a balancer with gateways, services and a list; its first connections succeed at once.
+// newReadyBalancer returns a balancer with gateways, services and a list whose first connections have
+// succeeded.
 func newReadyBalancer(self, zone string, instances []Instance, nodes []membership.Node, shards map[string]int, serviceShard map[string]int) *Balancer {
 	balancer := NewBalancer(testConfig(self, zone))
 	balancer.SetGateways(0, nodes, shards)
@@ -60,12 +61,12 @@
 	}
 }
 
-// acquire asks for an upstream and returns the answer, if there is one at once.
-func acquire(balancer *Balancer, now time.Duration, req *AcquireRequest) (lease SlotLease, answered bool) {
+// acquire asks for an upstream and returns the result; decided is false if the request is queued.
+func acquire(balancer *Balancer, now time.Duration, req *AcquireRequest) (lease SlotLease, decided bool) {
 	req.Service = "a"
-	req.OnResult = func(answer SlotLease) { lease, answered = answer, true }
+	req.OnResult = func(result SlotLease) { lease, decided = result, true }
 	balancer.Acquire(now, req)
-	return lease, answered
+	return lease, decided
 }
 
 func TestLocalZonePreferenceAndInFlightLimits(t *testing.T) {
@@ -326,7 +327,7 @@
 		for _, probe := range balancer.PendingProbes {
 			balancer.ProbeDone(2*time.Second, probe.Upstream, 500*ms, true)
 			if probe.Upstream.Cold(2600*ms) || !probe.Upstream.Cold(2400*ms) {
-				t.Error("the upstream's answer to the probe is not used")
+				t.Error("the result of the probe is not used")
 			}
 		}
 	}
@@ -335,9 +336,9 @@
 	}
 }
 
-// The answer to a probe is ignored if the upstream's warm-up state has become unknown again
+// The result of a probe is ignored if the upstream's warm-up state has become unknown again
 // since the probe was sent.
-func TestStaleProbeAnswerIsIgnored(t *testing.T) {
+func TestStaleProbeResultIsIgnored(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(1, "z", 0), nodes, shards, nil)
 	balancer.serviceInfos["a"] = ServiceInfo{MaxConns: 200, HealthPath: "/h", WarmupS: 3, WarmupPerS: 8}
@@ -353,14 +354,14 @@
 	u := balancer.PendingProbes[0].Upstream
 	balancer.ProbeDone(2100*ms, u, 0, true)
 	if !u.Cold(2200 * ms) {
-		t.Error("the answer to a stale probe is used")
+		t.Error("the result of a stale probe is used")
 	}
 	if len(balancer.PendingProbes) != 2 {
 		t.Fatalf("%d probes sent, want 2", len(balancer.PendingProbes))
 	}
 	balancer.ProbeDone(2300*ms, u, 0, true)
 	if u.Cold(2400*ms) || len(balancer.PendingProbes) != 2 {
-		t.Error("the answer to the second probe is not used")
+		t.Error("the result of the second probe is not used")
 	}
 }
 
@@ -475,8 +476,8 @@
 
 func TestListVersionsOfTwoOwnersInOneTerm(t *testing.T) {
 	for _, c := range []struct {
-		known, shown ListVersion
-		foreign      bool
+		known, received ListVersion
+		superseded      bool
 	}{
 		{ListVersion{1, 5, 7}, ListVersion{1, 9, 7}, false}, // the same owner, a newer list
 		{ListVersion{1, 1, 7}, ListVersion{1, 9, 8}, true},  // a former owner's list would supersede ours
@@ -484,8 +485,8 @@
 		{ListVersion{1, 1, 8}, ListVersion{2, 1, 7}, true},
 		{ListVersion{3, 1, 8}, ListVersion{2, 9, 9}, false},
 	} {
-		if got := c.known.SupersededBy(c.shown); got != c.foreign {
-			t.Errorf("version %v compared with %v: foreign is %v", c.known, c.shown, got)
+		if got := c.known.SupersededBy(c.received); got != c.superseded {
+			t.Errorf("version %v compared with %v: superseded is %v", c.known, c.received, got)
 		}
 	}
 }
@@ -573,8 +574,8 @@
 		outcome Outcome
 		want    Refusal
 	}{{NotSent, Granted}, {NotSent, Granted}, {Served, Granted}, {Served, RetryBudgetExhausted}} {
-		lease, answered := acquire(balancer, 0, &AcquireRequest{Retry: true})
-		if !answered || lease.Refusal != c.want {
+		lease, decided := acquire(balancer, 0, &AcquireRequest{Retry: true})
+		if !decided || lease.Refusal != c.want {
 			t.Fatalf("refusal is %v, want %v", lease.Refusal, c.want)
 		}
 		if lease.Refusal == Granted {
@@ -583,8 +584,8 @@
 	}
 }
 
-// The steady pace is half of the platform's rate limit. The hasty pace makes no more calls in any second, but those of
-// the first second at once.
+// PollingPace allows half of the platform's rate limit. TakeoverPace allows no more calls in any second,
+// but makes those of the first second at once.
 func TestCallPacePauses(t *testing.T) {
 	const perSecond = 44
 	for name, c := range map[string]struct {
@@ -592,12 +593,12 @@
 		calls int
 		takes time.Duration
 	}{
-		"steady, a short list": {PollingPace(perSecond), 6, 0},
-		"steady, 20 pages":     {PollingPace(perSecond), 20, 14 * time.Second / 22},
-		"hasty, 20 pages":      {TakeoverPace(perSecond), 20, 0},
-		"hasty, 22 pages":      {TakeoverPace(perSecond), 22, 0},
-		"hasty, 44 pages":      {TakeoverPace(perSecond), 44, time.Second + 21*time.Second/22},
-		"no limit":             {TakeoverPace(0), 1000, 0},
+		"polling, a short list": {PollingPace(perSecond), 6, 0},
+		"polling, 20 pages":     {PollingPace(perSecond), 20, 14 * time.Second / 22},
+		"takeover, 20 pages":    {TakeoverPace(perSecond), 20, 0},
+		"takeover, 22 pages":    {TakeoverPace(perSecond), 22, 0},
+		"takeover, 44 pages":    {TakeoverPace(perSecond), 44, time.Second + 21*time.Second/22},
+		"no limit":              {TakeoverPace(0), 1000, 0},
 	} {
 		if takes := c.pace.TotalPause(c.calls); takes < c.takes-time.Microsecond || takes > c.takes+time.Microsecond {
 			t.Errorf("%s: pauses of %v, want %v", name, takes, c.takes)
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -9,7 +9,7 @@
 type ServiceVersions struct {
 	Stable    string // the stable version; empty: the inferred version, or if SetByRollout every version but the candidate
 	Candidate string // the version that is being rolled out, with a pool of its own; empty: none
-	// SetByRollout says that an operator's rollout order set these versions. Without one, if no
+	// SetByRollout is set if an operator's rollout order set these versions. Without one, if no
 	// upstream of the stable version is listed, the inferred version takes its place.
 	SetByRollout bool
 }
--- a/internal/upstream/versions_test.go
+++ b/internal/upstream/versions_test.go
@@ -20,9 +20,9 @@
 	var leases []SlotLease
 	for range 60 {
 		req := &AcquireRequest{Version: version}
-		lease, answered := acquire(balancer, now, req)
+		lease, decided := acquire(balancer, now, req)
 		switch {
-		case !answered:
+		case !decided:
 			balancer.Cancel(req)
 		case lease.Refusal == Granted:
 			counts[strings.SplitN(lease.ID, "-", 2)[0]]++
@@ -115,8 +115,8 @@
 	var leases []SlotLease
 	for { // use the full capacity of the candidate
 		req := &AcquireRequest{Version: "v2"}
-		lease, answered := acquire(balancer, 0, req)
-		if !answered {
+		lease, decided := acquire(balancer, 0, req)
+		if !decided {
 			balancer.Cancel(req)
 			break
 		}
@@ -143,7 +143,7 @@
 	}
 }
 
-// Retries of all versions of a service draw on one budget.
+// Retries of all versions of a service are charged to one budget.
 func TestVersionsShareOneRetryBudget(t *testing.T) {
 	nodes, shards := makeGateways("z")
 	balancer := newReadyBalancer("z-gateway-0", "z", nil, nodes[:1], shards, nil)
--- a/internal/upstream/warmup.go
+++ b/internal/upstream/warmup.go
@@ -14,8 +14,8 @@
 	Path        string
 }
 
-// assumeCold treats an upstream whose warm-up state is unknown as cold, until it responds to a probe or
-// so much time has passed that it has warmed up, and that any list that shows it as cold has arrived.
+// assumeCold treats an upstream whose warm-up state is unknown as cold, until it responds to a probe,
+// or until it must have warmed up and any list that shows it as cold must have arrived.
 func (b *Balancer) assumeCold(now time.Duration, u *Upstream) {
 	info := b.serviceInfos[u.Service]
 	u.coldUntil = max(u.coldUntil, now+time.Duration(info.WarmupS*float64(time.Second))+b.cfg.MaxListAge)
@@ -34,7 +34,7 @@
 }
 
 // ProbeDone handles the result of a probe: how much longer the upstream stays cold. Without a valid
-// response (ok is false) its state does not change. The result of a stale probe is ignored, and the
+// response (ok is false) it still counts as cold. The result of a stale probe is ignored, and the
 // upstream is probed again.
 func (b *Balancer) ProbeDone(now time.Duration, u *Upstream, warmupLeft time.Duration, ok bool) {
 	u.probing = false
