--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -13,11 +13,11 @@
 
 // tokenRequests holds the requests for quota tokens that wait for a control node's reply.
 type tokenRequests struct {
-	mu                sync.Mutex
-	lastSeq           uint64
-	pending           map[uint64]pendingRequest // by sequence number
-	controlNodes      [2]string                 // those that the gateway watches, the nearer first
-	avoidNearestUntil time.Time                 // the nearer one recently failed to reply
+	mu               sync.Mutex
+	lastSeq          uint64
+	pending          map[uint64]pendingRequest // by sequence number
+	controlNodes     [2]string                 // those that the gateway watches, the nearer first
+	avoidNearerUntil time.Time                 // the nearer one recently failed to reply
 }
 
 // pendingRequest is a request that waits for its reply.
@@ -51,7 +51,7 @@
 	requests := &g.tokenRequests
 	requests.mu.Lock()
 	order := requests.controlNodes
-	if order[1] != "" && time.Now().Before(requests.avoidNearestUntil) {
+	if order[1] != "" && time.Now().Before(requests.avoidNearerUntil) {
 		order[0], order[1] = order[1], order[0]
 	}
 	nearer := requests.controlNodes[0]
@@ -90,7 +90,7 @@
 		requests.mu.Lock()
 		delete(requests.pending, seq)
 		if to == nearer {
-			requests.avoidNearestUntil = time.Now().Add(g.settings.HeartbeatInterval())
+			requests.avoidNearerUntil = time.Now().Add(g.settings.HeartbeatInterval())
 		}
 		requests.mu.Unlock()
 		if timedOut {
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -61,7 +61,7 @@
 }
 
 // If the use of removed keys is bounded, a gateway uses keys only while they are confirmed, with or
-// without a registry. A partitioned gateway, which doesn't hear of a removal, stops using keys within
+// without a registry. A partitioned gateway, which does not learn of a removal, stops using keys within
 // revokeS after the removal was acknowledged. The acknowledgement is delayed for that purpose.
 func TestPartitionedGatewayStopsUsingKeys(t *testing.T) {
 	for _, ingress := range []string{"vip", "registry"} {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -72,10 +72,10 @@
 
 func TestRoundRobinBindsEveryRouteOnce(t *testing.T) {
 	store := newFakeStore(t, 8)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
 	routes := (&config.Decoder{}).Routes(store.records)
-	sched.Reconcile(0, routes, twoShards, func() {})
-	sched.Reconcile(1, routes, twoShards, func() {}) // again with the same routes, now stale
+	scheduler.Reconcile(0, routes, twoShards, func() {})
+	scheduler.Reconcile(1, routes, twoShards, func() {}) // again with the same routes, now stale
 	if counts := store.counts(); counts[0] != 4 || counts[1] != 4 || store.bindings != 8 {
 		t.Fatalf("counts %v, bindings %d", counts, store.bindings)
 	}
@@ -85,8 +85,8 @@
 	store := newFakeStore(t, 6)
 	stale := (&config.Decoder{}).Routes(store.records)
 	for i := 0; i < 2; i++ {
-		sched := &Scheduler{Strategy: &RoundRobin{next: i}, RelistInterval: time.Minute, RetryDelay: time.Second, Create: store.create}
-		sched.Reconcile(0, stale, twoShards, func() {})
+		scheduler := &Scheduler{Strategy: &RoundRobin{next: i}, RelistInterval: time.Minute, RetryDelay: time.Second, Create: store.create}
+		scheduler.Reconcile(0, stale, twoShards, func() {})
 	}
 	if store.bindings != 6 {
 		t.Fatalf("%d bindings for 6 routes", store.bindings)
@@ -106,18 +106,18 @@
 func TestErrorsAreRetriedUntilBindingSucceeds(t *testing.T) {
 	store := newFakeStore(t, 1)
 	store.err = errors.New("no quorum")
-	sched := &Scheduler{Strategy: &failingStrategy{remaining: 3}, RelistInterval: time.Hour, RetryDelay: time.Second, Create: store.create}
+	scheduler := &Scheduler{Strategy: &failingStrategy{remaining: 3}, RelistInterval: time.Hour, RetryDelay: time.Second, Create: store.create}
 	tries := 0
 	for now := time.Duration(0); store.bindings == 0 && now < time.Minute; now += 100 * time.Millisecond {
 		if now > 10*time.Second {
 			store.err = nil
 		}
-		before := sched.Errors
-		if !sched.Due(now) {
+		before := scheduler.Errors
+		if !scheduler.Due(now) {
 			continue
 		}
-		sched.Reconcile(now, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
-		if sched.Errors > before {
+		scheduler.Reconcile(now, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
+		if scheduler.Errors > before {
 			tries++
 		}
 	}
@@ -131,14 +131,14 @@
 
 func TestRouteIsReboundWhenShardLosesItsGateways(t *testing.T) {
 	store := newFakeStore(t, 4)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
-	sched.Reconcile(0, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	scheduler.Reconcile(0, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
 	none := []Shard{{Label: 0}, {Label: 1}}
-	sched.Reconcile(time.Second, (&config.Decoder{}).Routes(store.records), none, func() {})
+	scheduler.Reconcile(time.Second, (&config.Decoder{}).Routes(store.records), none, func() {})
 	if counts := store.counts(); counts[0] != 2 || counts[1] != 2 {
 		t.Fatalf("routes per shard changed though no shard has gateways: %v", counts)
 	}
-	sched.Reconcile(2*time.Second, (&config.Decoder{}).Routes(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
+	scheduler.Reconcile(2*time.Second, (&config.Decoder{}).Routes(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
 	if counts := store.counts(); counts[0] != 0 || counts[1] != 4 {
 		t.Fatalf("routes per shard after the loss of shard 0: %v", counts)
 	}
@@ -149,18 +149,18 @@
 func TestResultsAfterResetAreIgnored(t *testing.T) {
 	store := newFakeStore(t, 3)
 	var doneFuncs []func([]error)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
 		Create: func(_ []BindRequest, done func([]error)) { doneFuncs = append(doneFuncs, done) }}
 	routes := (&config.Decoder{}).Routes(store.records)
-	sched.Reconcile(0, routes, twoShards, func() {})
-	sched.Reset()
+	scheduler.Reconcile(0, routes, twoShards, func() {})
+	scheduler.Reset()
 	doneFuncs[0](make([]error, 3))
-	if sched.Bound != 0 {
+	if scheduler.Bound != 0 {
 		t.Fatal("bindings of a batch from before a reset are counted")
 	}
-	sched.Reconcile(time.Second, routes, twoShards, func() {})
+	scheduler.Reconcile(time.Second, routes, twoShards, func() {})
 	doneFuncs[0](make([]error, 3))
-	sched.Reconcile(2*time.Second, routes, twoShards, func() {})
+	scheduler.Reconcile(2*time.Second, routes, twoShards, func() {})
 	if len(doneFuncs) != 2 {
 		t.Fatalf("%d batches in flight at once", len(doneFuncs)-1)
 	}
@@ -169,8 +169,8 @@
 func TestManyRoutesAreBoundInBatches(t *testing.T) {
 	store := newFakeStore(t, 3*MaxBatch+10)
 	batches := 0
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
-	sched.Create = func(requests []BindRequest, done func([]error)) {
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
+	scheduler.Create = func(requests []BindRequest, done func([]error)) {
 		if batches++; len(requests) > MaxBatch {
 			t.Fatalf("a batch of %d bindings", len(requests))
 		}
@@ -179,7 +179,7 @@
 	decoder := &config.Decoder{}
 	for pending := true; pending; {
 		pending = false
-		sched.Reconcile(0, decoder.Routes(store.records), twoShards, func() { pending = true })
+		scheduler.Reconcile(0, decoder.Routes(store.records), twoShards, func() { pending = true })
 	}
 	if store.bindings != 3*MaxBatch+10 || batches != 4 {
 		t.Fatalf("%d bound in %d batches", store.bindings, batches)
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -54,10 +54,10 @@
 )
 
 // drawResponse returns a random response size and processing time of the upstream.
-func (m *linkModel) drawResponse() (size int, work time.Duration) {
-	spread := func(mean, s float64) float64 { return mean * math.Exp(s*m.NormFloat64()-s*s/2) }
-	work = time.Duration(min(spread(.52, .5), 3.1) * float64(time.Second))
-	return int(min(spread(modelMeanSize, .6), modelMaxSize)), work
+func (m *linkModel) drawResponse() (size int, processing time.Duration) {
+	logNormal := func(mean, s float64) float64 { return mean * math.Exp(s*m.NormFloat64()-s*s/2) }
+	processing = time.Duration(min(logNormal(.52, .5), 3.1) * float64(time.Second))
+	return int(min(logNormal(modelMeanSize, .6), modelMaxSize)), processing
 }
 
 // admitRequest asks the budget to admit a request for a long response.
@@ -67,8 +67,8 @@
 		m.refused++
 		return false
 	}
-	size, work := m.drawResponse()
-	m.active = append(m.active, &modelResponse{reservation: r, startsAt: m.now + work, size: size, unwritten: size})
+	size, processing := m.drawResponse()
+	m.active = append(m.active, &modelResponse{reservation: r, startsAt: m.now + processing, size: size, unwritten: size})
 	return true
 }
 
--- a/internal/proxy/scenario_client_test.go
+++ b/internal/proxy/scenario_client_test.go
@@ -80,9 +80,9 @@
 
 var idPattern = regexp.MustCompile(`id=([0-9.]+)`)
 
-// YY sends the requests of one client one after the other and checks the responses. refused are
+// runClient sends the requests of one client one after the other and checks the responses. refused are
 // the ids of the requests whose status promises that they were not executed.
-func (s *scenario) YY(address string, client int, failf func(format string, args ...any)) (refused []string) {
+func (s *scenario) runClient(address string, client int, failf func(format string, args ...any)) (refused []string) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	faultless := s.isFaultless()
--- a/internal/proxy/scenario_test.go
+++ b/internal/proxy/scenario_test.go
@@ -299,10 +299,10 @@
 	var clients sync.WaitGroup
 	for i := range clientsPerScenario {
 		clients.Go(func() {
-			p := s.YY(h.listener.listener.Addr().String(), i, failf)
+			ids := s.runClient(h.listener.listener.Addr().String(), i, failf)
 			mu.Lock()
 			defer mu.Unlock()
-			refused = append(refused, p...)
+			refused = append(refused, ids...)
 		})
 	}
 	clients.Wait()
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -40,8 +40,8 @@
 	switch {
 	case err != nil:
 		return err
-	case reply.Fault != "":
-		return RemoteError(reply.Fault)
+	case reply.Error != "":
+		return RemoteError(reply.Error)
 	case result == nil:
 		return nil
 	}
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -193,7 +193,7 @@
 // and accepts complete frames only.
 func FuzzReadFrame(f *testing.F) {
 	body, _ := cbor.Marshal("x")
-	encoded := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Fault: "no", Body: body})
+	encoded := encodeFrame(frame{From: "127.0.0.1:1", Kind: "echo", ID: 1 << 60, Reply: true, Error: "no", Body: body})
 	f.Add(encoded)
 	f.Add(encoded[:len(encoded)-1])
 	f.Add(append(append([]byte(nil), encoded...), encoded...))
@@ -224,7 +224,7 @@
 			}
 			payload := remaining[4 : 4+binary.BigEndian.Uint32(remaining)]
 			remaining = remaining[4+len(payload):]
-			if len(got.Body) > len(payload) || len(got.From)+len(got.Kind)+len(got.Fault) > 2*len(payload) {
+			if len(got.Body) > len(payload) || len(got.From)+len(got.Kind)+len(got.Error) > 2*len(payload) {
 				t.Fatalf("the decoded frame is larger than its input: %+v", got)
 			}
 		}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -12,13 +12,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// frame is a message or a reply. ID is zero if no reply is wanted; Fault is the error of a reply.
+// frame is a message or a reply. ID is zero if no reply is wanted; Error is the error of the handler in
+// a reply.
 type frame struct {
 	From  string          `cbor:"1,keyasint"`
 	Kind  string          `cbor:"2,keyasint"`
 	ID    uint64          `cbor:"3,keyasint,omitempty"`
 	Reply bool            `cbor:"4,keyasint,omitempty"`
-	Fault string          `cbor:"5,keyasint,omitempty"`
+	Error string          `cbor:"5,keyasint,omitempty"`
 	Body  cbor.RawMessage `cbor:"6,keyasint,omitempty"`
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -208,10 +208,10 @@
 		}
 		reply := frame{From: e.self, Kind: f.Kind, ID: f.ID, Reply: true}
 		if err != nil {
-			reply.Fault = err.Error()
+			reply.Error = err.Error()
 		} else if result != nil {
 			if reply.Body, err = cbor.Marshal(result); err != nil {
-				reply.Fault = err.Error()
+				reply.Error = err.Error()
 			}
 		}
 		if b := encodeFrame(reply); b != nil {
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -155,6 +155,7 @@
 	return true
 }
 
+// refuse reports a refusal to the request, and refunds its retry token.
 func (b *Balancer) refuse(pool *servicePool, req *AcquireRequest, reason Refusal) {
 	if req.Retry {
 		b.stablePool(req.Service).budget.Refund()
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -68,7 +68,7 @@
 	return b.cfg.RegionOf(zone)
 }
 
-// SetList replaces the list of instances.
+// SetList replaces the list of instances. Upstreams that are draining or no longer listed are retired.
 func (b *Balancer) SetList(now time.Duration, instances []Instance) {
 	seen := map[string]bool{}
 	for _, instance := range instances {
