--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,7 +9,7 @@
 	"madderwing/internal/config"
 )
 
-// fakeStore stands in for the catalogue of routes and the node that owns it.
+// fakeStore stands in for the control node that owns the routes.
 type fakeStore struct {
 	records  map[string]config.Record
 	err      error
@@ -43,13 +43,13 @@
 	}
 }
 
-func (store *fakeStore) create(orders []BindRequest, done func([]error)) {
-	errs := make([]error, len(orders))
-	for i, order := range orders {
+func (store *fakeStore) create(requests []BindRequest, done func([]error)) {
+	errs := make([]error, len(requests))
+	for i, request := range requests {
 		errs[i] = store.err
 		if store.err == nil {
 			var changes []config.Record
-			if changes, errs[i] = config.Bind(store.records, order.Binding, order.ExpectedRev); errs[i] == nil {
+			if changes, errs[i] = config.Bind(store.records, request.Binding, request.ExpectedRev); errs[i] == nil {
 				store.put(changes)
 				store.bindings++
 			}
@@ -72,10 +72,10 @@
 
 func TestRoundRobinBindsEveryRouteOnce(t *testing.T) {
 	store := newFakeStore(t, 8)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
 	routes := (&config.Decoder{}).Routes(store.records)
-	sched.Reconcile(0, routes, twoShards, func() {})
-	sched.Reconcile(1, routes, twoShards, func() {}) // again with the same routes, now stale
+	scheduler.Reconcile(0, routes, twoShards, func() {})
+	scheduler.Reconcile(1, routes, twoShards, func() {}) // again with the same routes, now stale
 	if counts := store.counts(); counts[0] != 4 || counts[1] != 4 || store.bindings != 8 {
 		t.Fatalf("counts %v, bindings %d", counts, store.bindings)
 	}
@@ -85,8 +85,8 @@
 	store := newFakeStore(t, 6)
 	stale := (&config.Decoder{}).Routes(store.records)
 	for i := 0; i < 2; i++ {
-		sched := &Scheduler{Strategy: &RoundRobin{next: i}, RelistInterval: time.Minute, RetryDelay: time.Second, Create: store.create}
-		sched.Reconcile(0, stale, twoShards, func() {})
+		scheduler := &Scheduler{Strategy: &RoundRobin{next: i}, RelistInterval: time.Minute, RetryDelay: time.Second, Create: store.create}
+		scheduler.Reconcile(0, stale, twoShards, func() {})
 	}
 	if store.bindings != 6 {
 		t.Fatalf("%d bindings for 6 routes", store.bindings)
@@ -106,18 +106,18 @@
 func TestErrorsAreRetriedUntilBindingSucceeds(t *testing.T) {
 	store := newFakeStore(t, 1)
 	store.err = errors.New("no quorum")
-	sched := &Scheduler{Strategy: &failingStrategy{remaining: 3}, RelistInterval: time.Hour, RetryDelay: time.Second, Create: store.create}
+	scheduler := &Scheduler{Strategy: &failingStrategy{remaining: 3}, RelistInterval: time.Hour, RetryDelay: time.Second, Create: store.create}
 	tries := 0
 	for now := time.Duration(0); store.bindings == 0 && now < time.Minute; now += 100 * time.Millisecond {
 		if now > 10*time.Second {
 			store.err = nil
 		}
-		before := sched.Errors
-		if !sched.Due(now) {
+		before := scheduler.Errors
+		if !scheduler.Due(now) {
 			continue
 		}
-		sched.Reconcile(now, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
-		if sched.Errors > before {
+		scheduler.Reconcile(now, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
+		if scheduler.Errors > before {
 			tries++
 		}
 	}
@@ -131,55 +131,55 @@
 
 func TestRouteIsReboundWhenShardLosesItsGateways(t *testing.T) {
 	store := newFakeStore(t, 4)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
-	sched.Reconcile(0, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: 30 * time.Second, RetryDelay: time.Second, Create: store.create}
+	scheduler.Reconcile(0, (&config.Decoder{}).Routes(store.records), twoShards, func() {})
 	none := []Shard{{Label: 0}, {Label: 1}}
-	sched.Reconcile(time.Second, (&config.Decoder{}).Routes(store.records), none, func() {})
+	scheduler.Reconcile(time.Second, (&config.Decoder{}).Routes(store.records), none, func() {})
 	if counts := store.counts(); counts[0] != 2 || counts[1] != 2 {
 		t.Fatalf("routes per shard changed though no shard has gateways: %v", counts)
 	}
-	sched.Reconcile(2*time.Second, (&config.Decoder{}).Routes(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
+	scheduler.Reconcile(2*time.Second, (&config.Decoder{}).Routes(store.records), []Shard{{Label: 0}, twoShards[1]}, func() {})
 	if counts := store.counts(); counts[0] != 0 || counts[1] != 4 {
 		t.Fatalf("routes per shard after the loss of shard 0: %v", counts)
 	}
 }
 
-// An answer that arrives after a reset must not be counted, and must not end the batch
-// that has been sent since.
-func TestAnswersAfterResetAreIgnored(t *testing.T) {
+// The result of a batch that arrives after a reset must not be counted, and must not end the batch that
+// has been sent since.
+func TestResultsAfterResetAreIgnored(t *testing.T) {
 	store := newFakeStore(t, 3)
-	var answers []func([]error)
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
-		Create: func(_ []BindRequest, done func([]error)) { answers = append(answers, done) }}
+	var doneFuncs []func([]error)
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second,
+		Create: func(_ []BindRequest, done func([]error)) { doneFuncs = append(doneFuncs, done) }}
 	routes := (&config.Decoder{}).Routes(store.records)
-	sched.Reconcile(0, routes, twoShards, func() {})
-	sched.Reset()
-	answers[0](make([]error, 3))
-	if sched.Bound != 0 {
-		t.Fatal("bindings of an answer after a reset are counted")
-	}
-	sched.Reconcile(time.Second, routes, twoShards, func() {})
-	answers[0](make([]error, 3))
-	sched.Reconcile(2*time.Second, routes, twoShards, func() {})
-	if len(answers) != 2 {
-		t.Fatalf("%d batches in flight at once", len(answers)-1)
+	scheduler.Reconcile(0, routes, twoShards, func() {})
+	scheduler.Reset()
+	doneFuncs[0](make([]error, 3))
+	if scheduler.Bound != 0 {
+		t.Fatal("bindings of a batch from before a reset are counted")
+	}
+	scheduler.Reconcile(time.Second, routes, twoShards, func() {})
+	doneFuncs[0](make([]error, 3))
+	scheduler.Reconcile(2*time.Second, routes, twoShards, func() {})
+	if len(doneFuncs) != 2 {
+		t.Fatalf("%d batches in flight at once", len(doneFuncs)-1)
 	}
 }
 
 func TestManyRoutesAreBoundInBatches(t *testing.T) {
 	store := newFakeStore(t, 3*MaxBatch+10)
 	batches := 0
-	sched := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
-	sched.Create = func(orders []BindRequest, done func([]error)) {
-		if batches++; len(orders) > MaxBatch {
-			t.Fatalf("a batch of %d bindings", len(orders))
+	scheduler := &Scheduler{Strategy: &RoundRobin{}, RelistInterval: time.Minute, RetryDelay: time.Second}
+	scheduler.Create = func(requests []BindRequest, done func([]error)) {
+		if batches++; len(requests) > MaxBatch {
+			t.Fatalf("a batch of %d bindings", len(requests))
 		}
-		store.create(orders, done)
+		store.create(requests, done)
 	}
-	reader := &config.Decoder{}
+	decoder := &config.Decoder{}
 	for pending := true; pending; {
 		pending = false
-		sched.Reconcile(0, reader.Routes(store.records), twoShards, func() { pending = true })
+		scheduler.Reconcile(0, decoder.Routes(store.records), twoShards, func() { pending = true })
 	}
 	if store.bindings != 3*MaxBatch+10 || batches != 4 {
 		t.Fatalf("%d bound in %d batches", store.bindings, batches)
@@ -187,22 +187,22 @@
 }
 
 // AnyUnscheduled reports unbound routes only while a shard has a working gateway.
-func TestWaitingRoutes(t *testing.T) {
+func TestAnyUnscheduled(t *testing.T) {
 	unbound := &config.Route{Name: "r"}
 	bound := &config.Route{Name: "s", Status: config.Status{Phase: config.PhaseScheduled, Shard: 1}}
 	served, empty := []Shard{{Label: 0}, {Label: 1, Gateways: 2}}, []Shard{{Label: 0}, {Label: 1}}
 	for name, c := range map[string]struct {
-		routes  []*config.Route
-		shards  []Shard
-		waiting bool
+		routes []*config.Route
+		shards []Shard
+		want   bool
 	}{
 		"bound":                           {[]*config.Route{bound}, served, false},
 		"one route without a binding":     {[]*config.Route{bound, unbound}, served, true},
 		"no shard with gateways":          {[]*config.Route{bound, unbound}, empty, false},
 		"shard has lost all its gateways": {[]*config.Route{bound}, []Shard{{Label: 0, Gateways: 1}, {Label: 1}}, true},
 	} {
-		if waiting := AnyUnscheduled(c.routes, c.shards); waiting != c.waiting {
-			t.Errorf("%s: waiting is %v", name, waiting)
+		if got := AnyUnscheduled(c.routes, c.shards); got != c.want {
+			t.Errorf("%s: AnyUnscheduled is %v", name, got)
 		}
 	}
 }
--- a/internal/proxy/linkbudget_test.go
+++ b/internal/proxy/linkbudget_test.go
@@ -46,18 +46,18 @@
 	modelGrace    = 6 * time.Second
 	modelMeanSize = 90_000.
 	modelMaxSize  = 540_000
-	// modelShortShare is the share of the link that short responses take.
-	modelShortShare = 0.25
-	// modelLongShare is the share of the link that the budget assumes for long responses.
-	modelLongShare = 0.7
-	modelDeadline  = 8 * time.Second // deadline of the requests
+	// modelShortFraction is the fraction of the link that short responses take.
+	modelShortFraction = 0.25
+	// modelLongFraction is the fraction of the link that the budget assumes for long responses.
+	modelLongFraction = 0.7
+	modelDeadline     = 8 * time.Second // deadline of the requests
 )
 
 // drawResponse returns a random response size and processing time of the upstream.
-func (m *linkModel) drawResponse() (size int, work time.Duration) {
-	spread := func(mean, s float64) float64 { return mean * math.Exp(s*m.NormFloat64()-s*s/2) }
-	work = time.Duration(min(spread(.52, .5), 3.1) * float64(time.Second))
-	return int(min(spread(modelMeanSize, .6), modelMaxSize)), work
+func (m *linkModel) drawResponse() (size int, processing time.Duration) {
+	logNormal := func(mean, s float64) float64 { return mean * math.Exp(s*m.NormFloat64()-s*s/2) }
+	processing = time.Duration(min(logNormal(.52, .5), 3.1) * float64(time.Second))
+	return int(min(logNormal(modelMeanSize, .6), modelMaxSize)), processing
 }
 
 // admitRequest asks the budget to admit a request for a long response.
@@ -67,8 +67,8 @@
 		m.refused++
 		return false
 	}
-	size, work := m.drawResponse()
-	m.active = append(m.active, &modelResponse{reservation: r, startsAt: m.now + work, size: size, unwritten: size})
+	size, processing := m.drawResponse()
+	m.active = append(m.active, &modelResponse{reservation: r, startsAt: m.now + processing, size: size, unwritten: size})
 	return true
 }
 
@@ -98,14 +98,14 @@
 		kept = append(kept, a)
 	}
 	m.active = kept
-	share := m.rate * (1 - modelShortShare) * modelStep.Seconds() / float64(max(1, len(sending)))
+	bytesEach := m.rate * (1 - modelShortFraction) * modelStep.Seconds() / float64(max(1, len(sending)))
 	for _, a := range sending {
 		if n := min(a.unwritten, m.bufferSize-int(a.buffered)); n > 0 {
 			a.unwritten -= n
 			a.buffered += float64(n)
 			a.reservation.Wrote(m.now, n)
 		}
-		a.buffered = max(0, a.buffered-share)
+		a.buffered = max(0, a.buffered-bytesEach)
 	}
 	kept = m.active[:0]
 	for _, a := range m.active {
@@ -124,7 +124,7 @@
 func simulateShutdown(seed uint64, budget *LinkBudget, rate, requestsPerSecond float64) *linkModel {
 	m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 1)), budget: budget, rate: rate, bufferSize: 4096 << (seed % 5)}
 	sigterm := time.Duration(5+m.Float64()*10) * time.Second
-	acceptUntil := sigterm + time.Duration(m.Float64()*acceptShare*float64(modelGrace))
+	acceptUntil := sigterm + time.Duration(m.Float64()*acceptFraction*float64(modelGrace))
 	for m.now < sigterm+modelGrace*95/100 {
 		if m.now == sigterm {
 			m.budget.BeginShutdown(m.now)
@@ -139,18 +139,18 @@
 	return m
 }
 
-// acceptShare is the share of the grace in which requests may still arrive after a SIGTERM.
-const acceptShare = .45
+// acceptFraction is the fraction of the grace in which requests may still arrive after a SIGTERM.
+const acceptFraction = .45
 
 // Every admitted response is transferred completely before the grace ends, at any load and whenever the
 // SIGTERM arrives, without leaving the link idle.
 func TestLongResponsesEndWithinGrace(t *testing.T) {
 	const rate = 287_500. // 2.3 Mbit/s
 	for _, load := range []float64{.3, .8, 1.3, 2.5} {
-		requestsPerSecond := load * rate * (1 - modelShortShare) / modelMeanSize
+		requestsPerSecond := load * rate * (1 - modelShortFraction) / modelMeanSize
 		var withBudget, withoutBudget linkModel
 		for seed := range uint64(100) {
-			m := simulateShutdown(seed, NewLinkBudget(modelLongShare*rate, modelGrace), rate, requestsPerSecond)
+			m := simulateShutdown(seed, NewLinkBudget(modelLongFraction*rate, modelGrace), rate, requestsPerSecond)
 			if m.truncated > 0 {
 				t.Errorf("load %g, seed %d: %d responses truncated", load, seed, m.truncated)
 			}
@@ -187,14 +187,14 @@
 		burstRate  = 25
 		burst      = 2 * time.Second
 		normalRate = 1
-		// A request may arrive at acceptShare of the grace, and its response must be complete by 0.95 of it.
+		// A request may arrive at acceptFraction of the grace, and its response must be complete by 0.95 of it.
 		maxInboundDelay = modelGrace / 2
-		// pacedShare is the share of the link that the budget assumes for paced long responses.
-		pacedShare = 0.585
+		// pacedFraction is the fraction of the link that the budget assumes for paced long responses.
+		pacedFraction = 0.585
 	)
 	finished := 0
 	for seed := range uint64(100) {
-		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedShare*rate, modelGrace),
+		m := &linkModel{Rand: rand.New(rand.NewPCG(seed, 2)), budget: NewLinkBudget(pacedFraction*rate, modelGrace),
 			rate: rate, bufferSize: 4096, sharesInbound: true}
 		burstAt := time.Duration(8+m.Float64()*4) * time.Second
 		var maxDelay time.Duration
--- a/internal/upstream/versions.go
+++ b/internal/upstream/versions.go
@@ -9,13 +9,13 @@
 type ServiceVersions struct {
 	Stable    string // the stable version; empty: the inferred version, or if SetByRollout every version but the candidate
 	Candidate string // the version that is being rolled out, with a pool of its own; empty: none
-	// SetByRollout says that an operator's rollout order set these versions. Without one, if no
+	// SetByRollout is set if an operator's rollout order set these versions. Without one, if no
 	// upstream of the stable version is listed, the inferred version takes its place.
 	SetByRollout bool
 }
 
 // SetVersions sets the versions of the services, by service. The stable version of a service
-// that isn't named is inferred from the list; see inferStableVersions.
+// that is not named is inferred from the list; see inferStableVersions.
 func (b *Balancer) SetVersions(now time.Duration, versions map[string]ServiceVersions) {
 	if maps.Equal(versions, b.versions) {
 		return
@@ -90,7 +90,7 @@
 	return version
 }
 
-// poolForRequest returns the pool that a request is for. A request for a version that isn't
+// poolForRequest returns the pool that a request is for. A request for a version that is not
 // the candidate is changed to one for the stable version.
 func (b *Balancer) poolForRequest(req *AcquireRequest) *servicePool {
 	if req.Version != "" && b.versions[req.Service].Candidate != req.Version {
