--- a/internal/replication/append.go
+++ b/internal/replication/append.go
@@ -82,11 +82,11 @@
 			// The error is returned only once the state that it was based on is confirmed, or
 			// it may be wrong.
 			done := p.done
-			p.done = func(lost error) {
-				if lost == nil {
-					lost = err
+			p.done = func(confirmErr error) {
+				if confirmErr == nil {
+					confirmErr = err
 				}
-				done(lost)
+				done(confirmErr)
 			}
 		} else if len(c) > 0 {
 			entries = append(entries, m.apply(part, c)...)
@@ -132,24 +132,24 @@
 	if !ok || part.confirmedAt == neverConfirmed {
 		return msg
 	}
-	withSure := *msg
-	withSure.Freshness = &Freshness{echo.runID, echo.clock, m.now - echo.receivedAt, m.now - part.confirmedAt}
-	return &withSure
+	withAge := *msg
+	withAge.Freshness = &Freshness{echo.runID, echo.clock, m.now - echo.receivedAt, m.now - part.confirmedAt}
+	return &withAge
 }
 
 // rejection returns the answer to an owner that the member accepts nothing from, because its
 // epoch is older than the one promised or its voter set is older than the one adopted here; nil if
 // the owner is acceptable.
 func (m *Replica) rejection(part *partition, e Epoch, voterSet Position) *AppendAck {
-	older := m.olderVoterSet(voterSet)
-	if !older && !e.Less(part.promised) {
+	outdated := m.olderVoterSet(voterSet)
+	if !outdated && !e.Less(part.promised) {
 		return nil
 	}
 	reply := &AppendAck{Partition: part.name, Epoch: e}
 	if e.Less(part.promised) {
 		reply.Promised = part.promised
 	}
-	if older {
+	if outdated {
 		reply.Outdated = m.voterSetCopy()
 	}
 	return reply
@@ -201,7 +201,7 @@
 	}
 	// When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
 	if msg.Freshness != nil && msg.Freshness.RunID == m.cfg.RunID && msg.Commit > 0 && part.commit == commit {
-		part.freshAsOf = max(part.freshAsOf, msg.Freshness.Mark+msg.Freshness.Held-msg.Freshness.Age)
+		part.freshAsOf = max(part.freshAsOf, msg.Freshness.Clock+msg.Freshness.HeldFor-msg.Freshness.Age)
 	}
 	m.replyWhenDurable(part, from, reply)
 }
@@ -222,7 +222,7 @@
 	m.whenDurable(func() {
 		ack.At, ack.Promised = at, part.promised
 		if part.trackFreshness {
-			ack.Mark = max(m.now, 1)
+			ack.Clock = max(m.now, 1)
 			part.lastConfirmSent = m.now
 		}
 		if !ack.OK {
@@ -257,8 +257,8 @@
 		// member is still there.
 		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
 	}
-	if ack.Mark > 0 {
-		m.noteClockReading(from, id, ack.Mark)
+	if ack.Clock > 0 {
+		m.noteClockReading(from, id, ack.Clock)
 	}
 	part.confirmedRounds[id] = max(part.confirmedRounds[id], ack.Round)
 	if ack.OK {
--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -112,36 +112,36 @@
 	return true
 }
 
-func (m *Replica) onBootstrapRequest(from string, f *BootstrapRequest) {
+func (m *Replica) onBootstrapRequest(from string, request *BootstrapRequest) {
 	part := m.partitions[VoterSetPartition]
 	switch {
-	case len(f.Records) == 0:
+	case len(request.Records) == 0:
 		if len(part.Records) == 0 && !m.bootstrapped {
 			m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{MayNotPropose: !m.mayBootstrap()}}) })
 		}
 		return
 	case len(part.Records) == 0:
-		if m.bootstrapped || !slices.ContainsFunc(f.Records, func(r Record) bool { return r.Name == m.self }) {
+		if m.bootstrapped || !slices.ContainsFunc(request.Records, func(r Record) bool { return r.Name == m.self }) {
 			return
 		}
-		entries := m.replace(part, allRanges, f.Records)
-		part.promised, part.position = f.At.Epoch, f.At
+		entries := m.replace(part, allRanges, request.Records)
+		part.promised, part.position = request.At.Epoch, request.At
 		part.lastContact, part.hadContact = m.now, true
 		m.write(append(entries, part.meta()), nil)
-	case part.position.Less(f.At):
+	case part.position.Less(request.At):
 		return
 	}
-	m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{At: f.At}}) })
+	m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{At: request.At}}) })
 }
 
-func (m *Replica) onBootstrapReply(from, id string, f *BootstrapReply) {
+func (m *Replica) onBootstrapReply(from, id string, reply *BootstrapReply) {
 	switch {
 	case !m.bootstrapping():
-	case f.Relay:
-		m.relays[from] = f.Appointed
-	case f.At.Seq == 0:
-		m.seedIDs[from], m.passive[from] = id, f.MayNotPropose
-	case f.At == m.partitions[VoterSetPartition].position:
+	case reply.Relay:
+		m.relays[from] = reply.Appointed
+	case reply.At.Seq == 0:
+		m.seedIDs[from], m.passive[from] = id, reply.MayNotPropose
+	case reply.At == m.partitions[VoterSetPartition].position:
 		m.bootstrapAcks[from] = true
 		m.finishBootstrap()
 		return
@@ -155,8 +155,8 @@
 	if m.bootstrapped {
 		return
 	}
-	for _, a := range m.Voters() {
-		if !m.bootstrapAcks[a] {
+	for _, address := range m.Voters() {
+		if !m.bootstrapAcks[address] {
 			return
 		}
 	}
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -31,7 +31,7 @@
 	wipeAndPowerLoss                      // right after an acknowledgement some disks are lost and all other machines lose power
 	changeStream                          // a continuous stream of changes
 	lossyNetwork                          // messages on all links are lost, delayed and reordered
-	failureKinds
+	failureKindCount
 )
 
 var kindNames = [...]string{"restart", "wipe", "freeze", "cutOff", "cutOutgoing", "cutIncoming", "cutPair", "stall", "refuse", "replace",
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -20,7 +20,7 @@
 	}
 	part.role, part.roleSince, part.preVote = roleCandidate, m.now, !transferred
 	part.ownEpoch = Epoch{max(part.promised.Number, part.position.Epoch.Number, part.maxSeenEpoch) + 1, m.cfg.Self, m.cfg.RunID}
-	part.votes, part.quietSince = map[string]*Vote{}, map[string]time.Duration{}
+	part.votes, part.voterConfirmedAt = map[string]*Vote{}, map[string]time.Duration{}
 	if part.preVote {
 		part.votes[m.self] = &Vote{At: part.position}
 		m.requestVotes(part)
@@ -68,9 +68,9 @@
 func (m *Replica) onVoteRequest(from string, req *VoteRequest) {
 	part := m.partition(req.Partition)
 	part.maxSeenEpoch = max(part.maxSeenEpoch, req.Epoch.Number)
-	older := m.olderVoterSet(req.VoterSet)
+	outdated := m.olderVoterSet(req.VoterSet)
 	behind := req.At.Less(part.position)
-	granted := !req.Epoch.Less(part.promised) && !older && !behind
+	granted := !req.Epoch.Less(part.promised) && !outdated && !behind
 	if req.PreVote && granted && m.hasLiveOwner(part) && part.promised.Owner != from {
 		granted = false
 	}
@@ -80,7 +80,7 @@
 		m.write([]storageEntry{part.meta()}, nil)
 	}
 	vote := &Vote{Partition: req.Partition, Epoch: req.Epoch, Granted: granted, Promised: part.promised, At: part.position, PreVote: req.PreVote, Sums: part.Sums}
-	if older {
+	if outdated {
 		vote.Outdated = m.voterSetCopy()
 	}
 	if behind && (m.leaving || !m.mayOwn()) {
@@ -93,7 +93,7 @@
 		}
 		m.send(from, Message{Body: vote})
 	})
-	if behind && !older && !m.hasLiveOwner(part) {
+	if behind && !outdated && !m.hasLiveOwner(part) {
 		// The candidate lacks changes that this member has, so this member is the better
 		// candidate.
 		m.startElection(part, false)
@@ -128,7 +128,7 @@
 		return
 	}
 	part.votes[id] = vote
-	part.quietSince[id] = m.now - vote.SinceConfirmed
+	part.voterConfirmedAt[id] = m.now - vote.SinceConfirmed
 	m.tallyVotes(part)
 }
 
@@ -151,7 +151,7 @@
 	// that any of them sent.
 	part.predecessorUntil = part.lastConfirmSent
 	for id := range part.votes {
-		part.predecessorUntil = max(part.predecessorUntil, part.quietSince[id])
+		part.predecessorUntil = max(part.predecessorUntil, part.voterConfirmedAt[id])
 	}
 	// The ownership still has to be confirmed. A vote doesn't count as a confirmation: later
 	// owners have to wait for the confirmations that a member sent (see replyWhenDurable).
@@ -164,7 +164,7 @@
 	part.position = Position{part.ownEpoch, base.Seq + 1}
 	part.log.add(base, part.position, nil)
 	at, votes := part.position, part.votes
-	part.votes, part.quietSince, part.incoming = nil, nil, nil
+	part.votes, part.voterConfirmedAt, part.incoming = nil, nil, nil
 	m.write(append(m.apply(part, nil), part.meta()), func() { m.noteAck(part, m.self, at) })
 	for _, id := range slices.Sorted(maps.Keys(votes)) {
 		if vote := votes[id]; id != m.self {
@@ -218,11 +218,11 @@
 // this one in the partition's order of successors.
 func (m *Replica) rankAmongLive(part *partition) int {
 	n := 0
-	for _, id := range m.successors(part) {
-		if id == m.cfg.Self {
+	for _, address := range m.successors(part) {
+		if address == m.cfg.Self {
 			return n
 		}
-		if id != part.promised.Owner && m.cfg.Alive(id) && !m.diskReplaced(id) {
+		if address != part.promised.Owner && m.cfg.Alive(address) && !m.diskReplaced(address) {
 			n++
 		}
 	}
@@ -237,8 +237,8 @@
 
 // rankAmongAll is this member's index in the partition's order of successors.
 func (m *Replica) rankAmongAll(name string) int {
-	for i, id := range m.successors(m.partition(name)) {
-		if id == m.cfg.Self {
+	for i, address := range m.successors(m.partition(name)) {
+		if address == m.cfg.Self {
 			return i
 		}
 	}
@@ -292,15 +292,15 @@
 // or else the first live one.
 func (m *Replica) transfer(part *partition) {
 	var successor string
-	for _, id := range m.Successors(part.name) {
-		if id == m.cfg.Self || !m.cfg.Alive(id) {
+	for _, address := range m.Successors(part.name) {
+		if address == m.cfg.Self || !m.cfg.Alive(address) {
 			continue
 		}
 		if successor == "" {
-			successor = id
+			successor = address
 		}
-		if at, ok := part.ackedPosition(id); ok && at == part.position {
-			successor = id
+		if at, ok := part.ackedPosition(address); ok && at == part.position {
+			successor = address
 			break
 		}
 	}
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -164,12 +164,12 @@
 	}
 	full := m.fullHeartbeats(round, owned)
 	partial := m.partialHeartbeat(round, partitions)
-	for _, a := range m.others() {
+	for _, address := range m.others() {
 		switch {
-		case all || to[a]:
-			m.sendFull(a, owned, full)
+		case all || to[address]:
+			m.sendFull(address, owned, full)
 		case len(partitions) > 0:
-			m.sendPartial(a, partitions, partial)
+			m.sendPartial(address, partitions, partial)
 		}
 	}
 }
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -21,8 +21,8 @@
 		m.heartbeats.dueAll = m.heartbeats.dueAll || m.mayOwn() // again, under the newer voter set
 		return
 	}
-	if ack.Mark > 0 {
-		m.noteClockReading(from, id, ack.Mark)
+	if ack.Clock > 0 {
+		m.noteClockReading(from, id, ack.Clock)
 	}
 	deviating := m.handleDeviations(from, id, ack)
 	s, ok := m.heartbeats.sent[ack.Round]
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -105,7 +105,7 @@
 		}
 		statuses, ack.Version = l.statuses, l.version
 	}
-	older := m.olderVoterSet(h.VoterSet)
+	outdated := m.olderVoterSet(h.VoterSet)
 	ages := map[string]time.Duration{}
 	for _, a := range h.Ages {
 		ages[a.Partition] = a.Age
@@ -116,7 +116,7 @@
 		switch {
 		case e.Less(part.promised):
 			ack.Deviations = append(ack.Deviations, &AppendAck{Partition: s.Partition, Epoch: e, Promised: part.promised})
-		case !older:
+		case !outdated:
 			heard = append(heard, heardPartition{part, e})
 			if !m.applyPartitionStatus(part, e, s) {
 				sums := part.Sums
@@ -125,10 +125,10 @@
 			m.updateFreshness(part, e, s, h.Freshness, ages)
 		}
 	}
-	if older {
+	if outdated {
 		ack.Outdated = m.voterSetCopy()
 	}
-	if h.Round == 0 && len(ack.Deviations) == 0 && !older {
+	if h.Round == 0 && len(ack.Deviations) == 0 && !outdated {
 		return
 	}
 	m.whenDurable(func() { m.replyHeartbeat(from, ack, heard) })
@@ -154,7 +154,7 @@
 		age = freshness.Age
 	}
 	if age >= 0 {
-		part.freshAsOf = max(part.freshAsOf, freshness.Mark+freshness.Held-age)
+		part.freshAsOf = max(part.freshAsOf, freshness.Clock+freshness.HeldFor-age)
 	}
 }
 
@@ -173,6 +173,6 @@
 			h.lastConfirmSent = m.now
 		}
 	}
-	ack.Mark = max(m.now, 1)
+	ack.Clock = max(m.now, 1)
 	m.send(from, Message{Body: ack})
 }
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -60,7 +60,7 @@
 	Partial     bool           `cbor:"3,keyasint,omitempty"`
 	ListMissing bool           `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
 	Version     uint64         `cbor:"5,keyasint,omitempty"` // list version that the member holds
-	Mark        time.Duration  `cbor:"6,keyasint,omitempty"` // the member's clock
+	Clock        time.Duration  `cbor:"6,keyasint,omitempty"` // the member's clock
 	Deviations  []*AppendAck   `cbor:"7,keyasint,omitempty"` // partitions in which the member's copy differs from the owner's, or for which it has promised another epoch
 	Outdated    *PartitionCopy `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -37,7 +37,7 @@
 			if id == m.self || m.survey == nil || m.survey.replies[id] == nil {
 				return false
 			}
-			for _, s := range m.survey.replies[id].Keys {
+			for _, s := range m.survey.replies[id].Positions {
 				if s.Partition == name {
 					return !s.At.Less(part.position)
 				}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -128,7 +128,7 @@
 // olderVersions reports whether some voter runs a version without identities.
 func (m *Replica) olderVersions() bool {
 	for _, voter := range m.voterSet().all() {
-		if a := addressOf(voter); m.lastIdentity[a] == a {
+		if address := addressOf(voter); m.lastIdentity[address] == address {
 			return true
 		}
 	}
@@ -139,8 +139,8 @@
 func (m *Replica) Voters() []string {
 	var out []string
 	for _, id := range m.voterSet().all() {
-		if a := addressOf(id); !slices.Contains(out, a) {
-			out = append(out, a)
+		if address := addressOf(id); !slices.Contains(out, address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -149,9 +149,9 @@
 // otherVoters returns the addresses of the other voters.
 func (m *Replica) otherVoters() []string {
 	var out []string
-	for _, a := range m.Voters() {
-		if a != m.cfg.Self {
-			out = append(out, a)
+	for _, address := range m.Voters() {
+		if address != m.cfg.Self {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -162,8 +162,8 @@
 func (m *Replica) others() []string {
 	out := m.otherVoters()
 	for _, id := range m.activeLearners() {
-		if a := addressOf(id); !slices.Contains(out, a) {
-			out = append(out, a)
+		if address := addressOf(id); !slices.Contains(out, address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -248,16 +248,16 @@
 
 // adoptVoterSet takes over a newer voter set, sent by a member that rejected a message because this
 // member's voter set is outdated.
-func (m *Replica) adoptVoterSet(h *PartitionCopy) {
+func (m *Replica) adoptVoterSet(newer *PartitionCopy) {
 	part := m.partitions[VoterSetPartition]
-	if !part.position.Less(h.At) {
+	if !part.position.Less(newer.At) {
 		return
 	}
 	m.becomeFollower(part, ErrNoQuorum)
-	entries := m.replace(part, allRanges, h.Records)
-	part.position = h.At
-	if part.promised.Less(h.At.Epoch) {
-		part.promised = h.At.Epoch
+	entries := m.replace(part, allRanges, newer.Records)
+	part.position = newer.At
+	if part.promised.Less(newer.At.Epoch) {
+		part.promised = newer.At.Epoch
 	}
 	m.write(append(entries, part.meta()), nil)
 	if !m.mayOwn() {
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -129,8 +129,8 @@
 // clock, however long the message was in transit.
 type Freshness struct {
 	RunID uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.RunID)
-	Mark  time.Duration `cbor:"2,keyasint"`
-	Held  time.Duration `cbor:"3,keyasint"`
+	Clock  time.Duration `cbor:"2,keyasint"`
+	HeldFor  time.Duration `cbor:"3,keyasint"`
 	Age   time.Duration `cbor:"4,keyasint"`
 }
 
@@ -143,7 +143,7 @@
 	At        Position          `cbor:"5,keyasint"`
 	Round     uint64            `cbor:"6,keyasint,omitempty"`
 	Sums      *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Mark      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Freshness for this partition
+	Clock      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Freshness for this partition
 	Outdated  *PartitionCopy    `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
 
@@ -181,7 +181,7 @@
 type StateReport struct {
 	Round    uint64              `cbor:"1,keyasint"`
 	VoterSet Position            `cbor:"2,keyasint"`
-	Keys     []PartitionPosition `cbor:"3,keyasint,omitempty"`
+	Positions     []PartitionPosition `cbor:"3,keyasint,omitempty"`
 	// Outdated is a newer, committed voter set for a sender that is leaving: nothing is replicated
 	// to it any more once it has been removed from the voter set.
 	Outdated *PartitionCopy `cbor:"4,keyasint,omitempty"`
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -100,7 +100,7 @@
 	firstRound       uint64                   // the first round begun since then
 	lastConfirmSent  time.Duration            // when this member last confirmed an epoch, as a follower or as the owner
 	predecessorUntil time.Duration            // no earlier owner was confirmed later than this
-	quietSince       map[string]time.Duration // by voter: when it last confirmed another epoch
+	voterConfirmedAt       map[string]time.Duration // by voter: when it last confirmed another epoch
 	successorsFor    *voterSet                // the voter set that successorList was computed for
 	successorList    []string
 	inherited        bool          // there were records when this member became owner
@@ -179,7 +179,7 @@
 		case len(entryKey) > len(recordPrefix) && entryKey[:len(recordPrefix)] == recordPrefix:
 			var r storedRecord
 			if err = cbor.Unmarshal(value, &r); err == nil {
-				m.partition(r.Key).Put(r.Record)
+				m.partition(r.Partition).Put(r.Record)
 			}
 		}
 		if err != nil {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -338,7 +338,7 @@
 		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
-			if len(name) > len(recordPrefix) && name[:len(recordPrefix)] == recordPrefix && unmarshal(b, &r) && r.Key == VoterSetPartition {
+			if len(name) > len(recordPrefix) && name[:len(recordPrefix)] == recordPrefix && unmarshal(b, &r) && r.Partition == VoterSetPartition {
 				delete(disk, name)
 				if !r.Record.Dropped {
 					r.Record.Name = addressOf(r.Record.Name)
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -101,7 +101,7 @@
 		return f
 	}
 	for n := 5 + r.Intn(6); len(s.failures) < n; {
-		switch kind := failureKind(r.Intn(int(failureKinds))); kind {
+		switch kind := failureKind(r.Intn(int(failureKindCount))); kind {
 		case drain: // a rolling restart
 			for i := 0; i < s.members; i++ {
 				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: milliseconds(300, 1200)})
@@ -209,7 +209,7 @@
 
 // shrink removes failures from a schedule as long as it still fails.
 func shrink(s schedule) schedule {
-	fails := func(s schedule) bool { broken, _ := runSchedule(s); return broken != "" }
+	fails := func(s schedule) bool { violation, _ := runSchedule(s); return violation != "" }
 	for changed := true; changed; {
 		changed = false
 		for i := 0; i < len(s.failures); i++ {
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -41,7 +41,7 @@
 )
 
 type storedRecord struct {
-	Key    string `cbor:"1,keyasint"`
+	Partition    string `cbor:"1,keyasint"`
 	Record Record `cbor:"2,keyasint"`
 }
 
@@ -70,10 +70,10 @@
 func (m *Replica) Durable(now time.Duration, id uint64) {
 	m.now = now
 	for ; m.firstPending <= id; m.firstPending++ {
-		thens := m.onDurable[m.firstPending]
+		callbacks := m.onDurable[m.firstPending]
 		delete(m.onDurable, m.firstPending)
 		m.pendingSince = now
-		for _, then := range thens {
+		for _, then := range callbacks {
 			then()
 		}
 	}
--- a/internal/replication/views.go
+++ b/internal/replication/views.go
@@ -39,9 +39,9 @@
 	if part.hadContact || part.role != roleFollower || part.promised != (Epoch{}) {
 		return ""
 	}
-	for _, id := range m.Successors(part.name) {
-		if id == m.cfg.Self || m.cfg.Alive(id) {
-			return id
+	for _, address := range m.Successors(part.name) {
+		if address == m.cfg.Self || m.cfg.Alive(address) {
+			return address
 		}
 	}
 	return ""
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -21,9 +21,9 @@
 	if m.cfg.Peers != nil {
 		known = append(append([]string(nil), known...), m.cfg.Peers()...)
 	}
-	for _, a := range known {
-		if a != m.cfg.Self && !slices.Contains(targets, a) {
-			targets = append(targets, a)
+	for _, address := range known {
+		if address != m.cfg.Self && !slices.Contains(targets, address) {
+			targets = append(targets, address)
 		}
 	}
 	for _, a := range targets {
@@ -37,9 +37,9 @@
 		// tells it.
 		return
 	}
-	at, known := m.learners[id]
+	lastRequest, known := m.learners[id]
 	m.learners[id] = m.now
-	if known && m.now-at <= m.cfg.ElectionTimeout {
+	if known && m.now-lastRequest <= m.cfg.ElectionTimeout {
 		return
 	}
 	m.heartbeats.dueTo[from] = true
@@ -134,8 +134,8 @@
 
 func (m *Replica) sendSurvey(to []string) {
 	m.surveyRound++
-	for _, a := range to {
-		m.send(a, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[VoterSetPartition].position}})
+	for _, address := range to {
+		m.send(address, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[VoterSetPartition].position}})
 	}
 	m.reportState(func(s *StateReport) { m.onStateReport(m.self, s) })
 }
@@ -145,7 +145,7 @@
 	report := &StateReport{Round: m.surveyRound, VoterSet: m.partitions[VoterSetPartition].position}
 	for _, name := range m.names {
 		if part := m.partitions[name]; part.promised != (Epoch{}) || part.position.Seq > 0 {
-			report.Keys = append(report.Keys, PartitionPosition{name, part.promised, part.position})
+			report.Positions = append(report.Positions, PartitionPosition{name, part.promised, part.position})
 		}
 	}
 	m.whenDurable(func() { then(report) })
@@ -194,7 +194,7 @@
 	sv.required = map[string]PartitionPosition{}
 	for _, voter := range m.voterSet().all() {
 		if id := m.voterIdentity(voter); reported(id) {
-			for _, reported := range sv.replies[id].Keys {
+			for _, reported := range sv.replies[id].Positions {
 				need := sv.required[reported.Partition]
 				if need.At.Less(reported.At) {
 					need.At = reported.At
@@ -216,7 +216,7 @@
 		return false
 	}
 	have := map[string]PartitionPosition{}
-	for _, s := range report.Keys {
+	for _, s := range report.Positions {
 		have[s.Partition] = s
 	}
 	for partition, need := range sv.required {
@@ -362,8 +362,8 @@
 			likelyFailed = append(likelyFailed, voter)
 		}
 	}
-	pending := slices.ContainsFunc(s.newVoters, m.suspected)
-	certain := len(replaceable)
+	anySuspected := slices.ContainsFunc(s.newVoters, m.suspected)
+	certainCount := len(replaceable)
 	replaceable = append(replaceable, likelyFailed...)
 	drop := func(voter string) {
 		next[voter] = voterLeaving
@@ -371,8 +371,8 @@
 		for i, id := range replaceable {
 			if id == voter {
 				replaceable = append(replaceable[:i:i], replaceable[i+1:]...)
-				if i < certain {
-					certain--
+				if i < certainCount {
+					certainCount--
 				}
 				break
 			}
@@ -392,7 +392,7 @@
 		if replaced == "" && len(replaceable) > 0 {
 			replaced = replaceable[0]
 		}
-		if replaced == "" && (size >= maxVoters || pending) {
+		if replaced == "" && (size >= maxVoters || anySuspected) {
 			continue // or it would be added beside a voter that it should replace
 		}
 		if replaced != "" {
@@ -401,7 +401,7 @@
 		next[id], changed = voterJoining, true
 		size++
 	}
-	for certain > 0 && size > m.minVoters() {
+	for certainCount > 0 && size > m.minVoters() {
 		drop(replaceable[0])
 		changed = true
 	}
