--- a/internal/antientropy/antientropy.go
+++ b/internal/antientropy/antientropy.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Merge takes over every record that is newer than the set's version of it, and reports whether
-// there was any.
+// Merge adds or replaces every record that is newer than the set's version of it, and reports
+// whether there was any.
 func (s *Set) Merge(from []Record) (changed bool) {
 	for _, r := range from {
 		if have, ok := s.Records[r.Name]; !ok || r.Newer(have) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -94,24 +94,24 @@
 func TestNodeIsSuspectBeforeDeadAndRejoins(t *testing.T) {
 	c := newCluster(12)
 	c.run(8)
-	gone := addressOf(7)
-	c.down[gone] = true
+	downNode := addressOf(7)
+	c.down[downNode] = true
 	c.run(3)
 	suspected := false
 	for address, table := range c.tables {
-		if address != gone && table.entries[gone].node.State == Dead {
+		if address != downNode && table.entries[downNode].node.State == Dead {
 			t.Fatal("dead without having been suspect for two probe intervals")
 		}
-		suspected = suspected || address != gone && table.entries[gone].node.State == Suspect
+		suspected = suspected || address != downNode && table.entries[downNode].node.State == Suspect
 	}
 	if !suspected {
 		t.Fatal("no node suspects the one that is down")
 	}
 	c.run(12)
-	c.expectState(t, gone, Dead)
+	c.expectState(t, downNode, Dead)
 	c.start(7) // a new process with no memory
 	c.run(10)
-	c.expectState(t, gone, Alive)
+	c.expectState(t, downNode, Alive)
 }
 
 func TestPausedNodeRefutesSuspicion(t *testing.T) {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,6 +1,6 @@
 // Package membership keeps the list of the system's nodes by a gossip protocol similar to SWIM. Each
 // node probes a few others, chosen by rendezvous hashing; changes spread as payload of the probes and
-// their answers. Table is the state machine; Service runs it over the network.
+// their replies. Table is the state machine; Service runs it over the network.
 package membership
 
 import (
@@ -61,19 +61,19 @@
 	return n.Draining && !other.Draining
 }
 
-// Message is a message of the gossip protocol: a request (Ping) or an answer. With Seq it belongs to a
+// Message is a message of the gossip protocol: a request (Ping) or a reply. With Seq it belongs to a
 // probe, with FullList to a request for the full list, with RangeDigests to a comparison of digests. A message
 // without these carries only changes.
 type Message struct {
 	Ping     bool   `cbor:"1,keyasint,omitempty"`
-	Seq      uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in its answer
+	Seq      uint64 `cbor:"2,keyasint,omitempty"` // number of the probe, repeated in the reply
 	Digest   uint64 `cbor:"3,keyasint,omitempty"` // digest of the sender's full list
 	Nodes    []Node `cbor:"4,keyasint,omitempty"` // changes, or the full list
 	FullList bool   `cbor:"5,keyasint,omitempty"`
 	Joining  *Node  `cbor:"6,keyasint,omitempty"` // the sender, when it joins
-	// RangeDigests are the sender's digests by range. A request is answered with the receiver's nodes of the
-	// ranges that differ and its digests; to these the requester replies with its own nodes of the
-	// ranges that still differ.
+	// RangeDigests are the sender's digests by range. The reply to a request carries the receiver's nodes of
+	// the ranges that differ, and its digests. The requester then sends its own nodes of the ranges that
+	// still differ.
 	RangeDigests []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -97,7 +97,7 @@
 type Config struct {
 	Self          Node
 	Seeds         []string      // addresses of control nodes
-	ProbeInterval time.Duration // probe interval
+	ProbeInterval time.Duration // between probes of the same node
 	DeadRetention time.Duration // how long a dead node stays in the list
 }
 
@@ -127,7 +127,7 @@
 	digestsValid bool
 	changed      bool
 	joined       bool
-	mismatches   map[string]int // peer -> consecutive probe answers with a digest that differs
+	mismatches   map[string]int // by peer: consecutive probe replies with a digest that differs
 }
 
 // NewTable returns the list of a node that knows only itself.
@@ -319,7 +319,7 @@
 		t.joined = true
 	}
 	if e := t.entries[from]; e == nil && message.Joining == nil {
-		// The sender is unknown: send it the digests, since its answer to these describes the sender too.
+		// The sender is unknown: send it the digests, since its reply to these describes the sender too.
 		// Other messages from unknown nodes are not answered, so that two nodes that don't accept each
 		// other do not exchange messages endlessly.
 		if message.Ping && len(message.RangeDigests) == 0 {
@@ -330,7 +330,7 @@
 	if p := t.probes[from]; p != nil && !message.Ping && message.Seq == p.lastSent {
 		p.lastAnswered = message.Seq
 		if e := t.entries[from]; e != nil && e.node.State == Suspect {
-			// The suspect answers, but only the suspect itself may refute the suspicion: tell it.
+			// The suspect replies, but only the suspect itself can refute the suspicion: tell it.
 			t.outbox = append(t.outbox, Envelope{To: from, Msg: Message{Nodes: []Node{e.node}}})
 		}
 	}
@@ -341,14 +341,14 @@
 		return
 	}
 	if len(message.RangeDigests) > 0 {
-		answer := Message{Nodes: t.nodesInDifferingRanges(message.RangeDigests)}
-		differ := len(answer.Nodes) > 0
+		reply := Message{Nodes: t.nodesInDifferingRanges(message.RangeDigests)}
+		differ := len(reply.Nodes) > 0
 		if message.Ping {
-			answer.RangeDigests = slices.Clone(t.digestsByRange())
-			differ = !slices.Equal(message.RangeDigests, answer.RangeDigests)
+			reply.RangeDigests = slices.Clone(t.digestsByRange())
+			differ = !slices.Equal(message.RangeDigests, reply.RangeDigests)
 		}
 		if differ {
-			t.outbox = append(t.outbox, Envelope{To: from, Msg: answer, Large: len(answer.Nodes) > maxGossipNodes})
+			t.outbox = append(t.outbox, Envelope{To: from, Msg: reply, Large: len(reply.Nodes) > maxGossipNodes})
 		}
 		return
 	}
@@ -364,7 +364,7 @@
 	}
 }
 
-// merge takes over the description of a node if it supersedes the known one. If others describe this
+// merge adopts the description of a node if it supersedes the known one. If others describe this
 // node itself wrongly, it refutes that under a higher incarnation.
 func (t *Table) merge(now time.Duration, n Node) {
 	if n.Address == t.cfg.Self.Address {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -86,8 +86,8 @@
 
 func candidateNames(list []weighted) []string {
 	out := make([]string, len(list))
-	for i, x := range list {
-		out[i] = x.candidate
+	for i, w := range list {
+		out[i] = w.candidate
 	}
 	return out
 }
--- a/internal/replication/append.go
+++ b/internal/replication/append.go
@@ -79,8 +79,8 @@
 		}
 		c, err := p.fn(part.Records)
 		if err != nil {
-			// The error is returned only once the state that it was based on is confirmed, or
-			// it may be wrong.
+			// The error may be wrong until the state that it is based on is confirmed, so it is
+			// returned only then.
 			done := p.done
 			p.done = func(confirmErr error) {
 				if confirmErr == nil {
@@ -99,7 +99,7 @@
 		m.appendEntry(part, base, changes, entries)
 		w.seq = part.position.Seq
 	} else {
-		// There is nothing to replicate, but this member must still be the owner for its answer
+		// There is nothing to replicate, but this member must still be the owner for its reply
 		// to count.
 		w.round = m.scheduleConfirm(part)
 	}
@@ -137,7 +137,7 @@
 	return &withAge
 }
 
-// rejection returns the answer to an owner that the member accepts nothing from, because its
+// rejection returns the reply to an owner that the member accepts nothing from, because its
 // epoch is older than the one promised or its voter set is older than the one adopted here; nil if
 // the owner is acceptable.
 func (m *Replica) rejection(part *partition, e Epoch, voterSet Position) *AppendAck {
@@ -176,8 +176,8 @@
 	}
 	m.followOwner(part, msg.Epoch)
 	to, commit := Position{msg.Epoch, msg.Seq}, Position{msg.Epoch, msg.Commit}
-	// The message may show that the position held here is committed. Readers see that now, not
-	// only when the stream of changes pauses.
+	// The message may show that the position held here is committed. It is recorded before the new
+	// changes are applied, so that readers see committed changes also while more keep arriving.
 	m.noteCommitted(part, commit)
 	switch {
 	case part.position == msg.Base && part.position != to:
@@ -199,7 +199,7 @@
 	if reply.OK {
 		m.noteCommitted(part, commit)
 	}
-	// When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
+	// At the time when its ownership was confirmed, the owner had committed nothing beyond Commit.
 	if msg.Freshness != nil && msg.Freshness.RunID == m.cfg.RunID && msg.Commit > 0 && part.commit == commit {
 		part.freshAsOf = max(part.freshAsOf, msg.Freshness.Clock+msg.Freshness.HeldFor-msg.Freshness.Age)
 	}
@@ -253,7 +253,7 @@
 	}
 	part.ackedAt[id] = m.now
 	if s, ok := m.heartbeats.sent[ack.Round]; ok && part.name == VoterSetPartition {
-		// The time when the round was sent counts: a delayed answer is no evidence that the
+		// The time when the round was sent counts: a delayed reply is no evidence that the
 		// member is still there.
 		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
 	}
@@ -336,7 +336,7 @@
 }
 
 // commit records that a position is committed, on disk too, so that after a restart of all
-// members at once there is something to show before an owner is elected.
+// members at once readers can be served before an owner is elected.
 func (m *Replica) commit(part *partition, p Position) {
 	part.commit = p
 	changed, known := m.effects.Changed[part.name]
--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -3,11 +3,11 @@
 // This file holds how a new system is bootstrapped: how its first voter set is chosen.
 //
 // A member that starts with an empty disk and the bootstrap setting stores the seeds of that
-// start along with its identity. Until it has a voter set it may take the lead in the bootstrap,
-// also after restarts. The lowest such seed proposes the initial voter set once all seeds with a
+// start along with its identity. Until it has a voter set it may propose the initial one, also
+// after restarts. The lowest such seed proposes the initial voter set once all seeds with a
 // disk have answered that they are there and have no voter set. A seed without these stored seeds
-// is passive: it was killed before its first write, or has lost its disk. It never proposes but
-// takes part. Nothing is sent before the state that it rests on is durable, so a seed accepts
+// is passive: it was killed before its first write, or has lost its disk. It takes part in the
+// bootstrap but never proposes. Nothing is sent before the state that it depends on is durable, so a seed accepts
 // at most one initial voter set, and one that was proposed before a restart is continued.
 
 import "slices"
--- a/internal/replication/bootstrap_test.go
+++ b/internal/replication/bootstrap_test.go
@@ -71,13 +71,13 @@
 // no seed is running or has the seeds of the first start, or a voter set, on its disk.
 func (r bootstrapRun) kill(sim *cluster) (cannotBootstrap bool) {
 	cannotBootstrap = !r.bootstrap
-	for i, id := range sim.ids {
+	for i, address := range sim.addresses {
 		if r.killed>>i&1 == 1 {
-			sim.crash(id, false)
-			sim.nodes[id].bootstrap = r.bootstrap
-			sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, func() { sim.restartMachine(sim.nodes[id]) })
+			sim.crash(address, false)
+			sim.nodes[address].bootstrap = r.bootstrap
+			sim.after(time.Duration(50+sim.rng.Intn(400))*time.Millisecond, func() { sim.restartMachine(sim.nodes[address]) })
 		}
-		if n := sim.nodes[id]; slices.Contains(sim.seeds, id) && (n.up || mayBootstrapFrom(n.disk)) {
+		if n := sim.nodes[address]; slices.Contains(sim.seeds, address) && (n.up || mayBootstrapFrom(n.disk)) {
 			cannotBootstrap = false
 		}
 	}
@@ -112,7 +112,7 @@
 		for i := range 4 {
 			sim.addMachine(i+1, 4, i != passive)
 		}
-		sim.seeds = append([]string(nil), sim.ids[:3]...)
+		sim.seeds = append([]string(nil), sim.addresses[:3]...)
 		proposers := map[string]bool{}
 		sim.drop = func(from string, e Envelope) bool {
 			if f := bodyAs[*BootstrapRequest](e.Msg); f != nil && len(f.Records) > 0 {
@@ -120,11 +120,11 @@
 			}
 			return false
 		}
-		for _, id := range sim.ids {
-			sim.start(id)
+		for _, address := range sim.addresses {
+			sim.start(address)
 		}
 		sim.waitForOwner(t)
-		if proposers[sim.ids[passive]] || len(proposers) != 1 {
+		if proposers[sim.addresses[passive]] || len(proposers) != 1 {
 			t.Errorf("seed %d is passive; initial voter sets were proposed by %v", passive, proposers)
 		}
 	}
@@ -141,12 +141,12 @@
 			for index := 0; index < 6; index++ {
 				sim.addMachine(index+1, 3, true)
 			}
-			sim.seeds = slices.Clone(sim.ids[:3])
+			sim.seeds = slices.Clone(sim.addresses[:3])
 			for _, number := range relays {
 				appointed[sim.seeds[number]] = ""
 				delete(sim.nodes, sim.seeds[number])
 			}
-			sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { _, ok := appointed[id]; return ok })
+			sim.addresses = slices.DeleteFunc(sim.addresses, func(address string) bool { _, ok := appointed[address]; return ok })
 			sim.drop = func(from string, e Envelope) bool {
 				if _, ok := appointed[e.To]; !ok {
 					return false
@@ -165,15 +165,15 @@
 				}
 				return true
 			}
-			for _, id := range sim.ids {
+			for _, address := range sim.addresses {
 				// All machines start within 0.3 s of each other.
-				sim.after(time.Duration(sim.rng.Intn(300))*time.Millisecond, func() { sim.start(id) })
+				sim.after(time.Duration(sim.rng.Intn(300))*time.Millisecond, func() { sim.start(address) })
 			}
 			sim.runUntil(400 * time.Millisecond)
 			sim.waitFor(fmt.Sprintf("relays %v, seed %d: all members are voters", relays, seed), 8*time.Second, sim.voterSetProblem)
 			sim.mustPut(t, "x", 1)
 			sim.runUntil(sim.now + 2*time.Second)
-			if got := sim.machinesWithCopy("x", 1); len(got) != len(sim.ids) {
+			if got := sim.machinesWithCopy("x", 1); len(got) != len(sim.addresses) {
 				t.Fatalf("copies at %v", got)
 			}
 		}
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -76,13 +76,15 @@
 
 // outgoingSnapshot is a snapshot that is being sent to a member.
 type outgoingSnapshot struct {
-	position    Position
-	sums        antientropy.Sums
-	ranges      []int
-	chunks      [][]Record
-	nextChunk   int
-	sentAt      time.Duration // when a chunk was last sent
-	resendAfter time.Duration // silence after which the chunk is sent again; doubled each time, for links on which a chunk takes long
+	position  Position
+	sums      antientropy.Sums
+	ranges    []int
+	chunks    [][]Record
+	nextChunk int
+	sentAt    time.Duration // when a chunk was last sent
+	// resendAfter is the silence after which the chunk is sent again. It doubles each time, for links on
+	// which a chunk takes long.
+	resendAfter time.Duration
 }
 
 // catchUpSent describes the changes last sent to a lagging member: the position that they
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -32,20 +32,20 @@
 		behind := map[string]time.Duration{}
 		for end := sim.now + 18*time.Second; sim.now < end; sim.runUntil(sim.now + 10*time.Millisecond) {
 			history = append(history, observation{sim.now, sim.committedAt[testPartition]})
-			for _, id := range sim.ids {
-				_, pos, ok := sim.nodes[id].replica.Committed(testPartition)
+			for _, address := range sim.addresses {
+				_, pos, ok := sim.nodes[address].replica.Committed(testPartition)
 				if !ok {
-					pos = sim.nodes[id].lastPosition[testPartition] // what it showed last
+					pos = sim.nodes[address].lastPosition[testPartition] // what it showed last
 				}
 				index := slices.IndexFunc(history, func(h observation) bool { return pos.Less(h.pos) })
 				if index >= 0 {
-					behind[id] = max(behind[id], sim.now-history[index].when)
+					behind[address] = max(behind[address], sim.now-history[index].when)
 				}
 			}
 		}
-		for id, lag := range behind {
+		for address, lag := range behind {
 			if lag > 3*testHeartbeat {
-				t.Errorf("seed %d: %s (owner %s) was %v behind", seed, id, owner.id, lag)
+				t.Errorf("seed %d: %s (owner %s) was %v behind", seed, address, owner.address, lag)
 			}
 		}
 		t.Logf("seed %d: %v after %d changes", seed, behind, sim.answeredChanges)
@@ -81,7 +81,7 @@
 		at := Position{part.promised, part.position.Seq + 5}
 		follower.replica.Take()
 		for i, records := range tc.records {
-			follower.replica.Handle(sim.clock(follower), owner.id, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Partition: testPartition, Epoch: part.promised,
+			follower.replica.Handle(sim.clock(follower), owner.address, Message{Identity: owner.replica.identity, Body: &SnapshotChunk{Partition: testPartition, Epoch: part.promised,
 				VoterSet: follower.replica.partitions[VoterSetPartition].position, At: at, Sums: set.Sums, Index: tc.index[i], Count: 2, Ranges: allRanges, Records: records}})
 		}
 		follower.replica.Durable(sim.clock(follower), follower.replica.lastWrite)
@@ -107,7 +107,7 @@
 			sim.lossless, sim.skipContents = true, true
 			change := func(name string, version uint64, data string) {
 				if o := sim.ownerOf(testPartition); o != nil {
-					sim.proposeVersion(o.id, testPartition, name, version, data, func(uint64, error) {})
+					sim.proposeVersion(o.address, testPartition, name, version, data, func(uint64, error) {})
 				}
 			}
 			filler := strings.Repeat("f", size)
@@ -132,8 +132,8 @@
 			}
 			sim.runUntil(sim.now + 5*time.Second)
 			var member *node
-			for _, id := range sim.ids {
-				if o := sim.nodes[id]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[VoterSetPartition].role != roleOwner {
+			for _, address := range sim.addresses {
+				if o := sim.nodes[address]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[VoterSetPartition].role != roleOwner {
 					member = o
 				}
 			}
@@ -141,11 +141,11 @@
 			sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 15 * time.Second, replaceAfter: 5 * time.Second})
 			if kind == replace {
 				sim.runUntil(sim.now + 5100*time.Millisecond)
-				member = sim.nodes[sim.ids[len(sim.ids)-1]]
+				member = sim.nodes[sim.addresses[len(sim.addresses)-1]]
 			} else {
 				sim.runUntil(sim.now + 15100*time.Millisecond)
 			}
-			backAt, bytesBefore := sim.now, sim.bytesSentTo[member.id]
+			backAt, bytesBefore := sim.now, sim.bytesSentTo[member.address]
 			limit := testCatchUp
 			if kind == wipe || kind == replace {
 				limit = copyTime*3/2 + 2*testElectionTimeout
@@ -162,7 +162,7 @@
 				}
 				return ""
 			})
-			bytes := float64(sim.bytesSentTo[member.id] - bytesBefore)
+			bytes := float64(sim.bytesSentTo[member.address] - bytesBefore)
 			t.Logf("caught up after %v with %.2f times the bytes of the catalogue", sim.now-backAt, bytes/catalogueBytes)
 			if bytes > 1.25*catalogueBytes {
 				t.Fatalf("%.2f times the bytes of the catalogue were sent", bytes/catalogueBytes)
@@ -174,9 +174,9 @@
 			sim.linkRate = 0
 			sim.runUntil(sim.now + 3*time.Second)
 			want := sim.ownersRecords(testPartition)
-			for _, id := range sim.ids {
-				have, _, _ := sim.nodes[id].replica.Committed(testPartition)
-				sim.checkHolds(id, testPartition, have, want)
+			for _, address := range sim.addresses {
+				have, _, _ := sim.nodes[address].replica.Committed(testPartition)
+				sim.checkHolds(address, testPartition, have, want)
 			}
 		})
 	}
--- a/internal/replication/cluster_checks_test.go
+++ b/internal/replication/cluster_checks_test.go
@@ -21,7 +21,7 @@
 		}
 		n.ownEpochs[name] = part.ownEpoch
 		if !n.replica.mayOwn() {
-			sim.fatal("at %v %s owns %s without being a voter", sim.now, n.id, name)
+			sim.fatal("at %v %s owns %s without being a voter", sim.now, n.address, name)
 		}
 		if sim.initialRecords[name] == nil {
 			sim.initialRecords[name] = map[Epoch]map[string]Record{}
@@ -32,7 +32,7 @@
 		}
 		sim.initialRecords[name][part.ownEpoch] = records
 		if sim.committedAt[name].Epoch.Less(part.ownEpoch) {
-			sim.checkHolds(fmt.Sprintf("%s, owner of %s in %v,", n.id, name, part.ownEpoch), name, records, sim.committed[name])
+			sim.checkHolds(fmt.Sprintf("%s, owner of %s in %v,", n.address, name, part.ownEpoch), name, records, sim.committed[name])
 		}
 	}
 }
@@ -58,7 +58,7 @@
 		sim.freshnessClaims++
 		for i := len(sim.acks) - 1; i >= 0 && i > len(sim.acks)-40; i-- {
 			if a := sim.acks[i]; a.at < n.startedAt+at && have[a.name].Gen < a.version {
-				sim.fatal("at %v %s reports its copy to be the newest as of %v, but it lacks %s=%d of %v", sim.now, n.id, n.startedAt+at, a.name, a.version, a.at)
+				sim.fatal("at %v %s reports its copy to be the newest as of %v, but it lacks %s=%d of %v", sim.now, n.address, n.startedAt+at, a.name, a.version, a.at)
 			}
 		}
 	}
@@ -81,11 +81,11 @@
 
 // checkSameContents checks that a version of a record has the same contents at all members.
 func (sim *cluster) checkSameContents(member, partition string, r Record) {
-	id := fmt.Sprintf("%s/%s/%d", partition, r.Name, r.Gen)
-	if previous, ok := sim.contents[id]; !ok {
-		sim.contents[id] = string(r.Data)
+	version := fmt.Sprintf("%s/%s/%d", partition, r.Name, r.Gen)
+	if previous, ok := sim.contents[version]; !ok {
+		sim.contents[version] = string(r.Data)
 	} else if previous != string(r.Data) {
-		sim.fatal("at %v %s has %s as %q, it was %q", sim.now, member, id, r.Data, previous)
+		sim.fatal("at %v %s has %s as %q, it was %q", sim.now, member, version, r.Data, previous)
 	}
 }
 
@@ -98,7 +98,7 @@
 		return
 	}
 	if position.Less(n.lastPosition[partition]) {
-		sim.fatal("at %v %s went back from %v to %v of %s", sim.now, n.id, n.lastPosition[partition], position, partition)
+		sim.fatal("at %v %s went back from %v to %v of %s", sim.now, n.address, n.lastPosition[partition], position, partition)
 	}
 	n.lastPosition[partition] = position
 	if sim.skipContents {
@@ -108,7 +108,7 @@
 	for _, r := range sortedRecords(records) {
 		fmt.Fprintf(&text, "%s=%d/%v/%s ", r.Name, r.Gen, r.Dropped, r.Data)
 		if partition != VoterSetPartition {
-			sim.checkSameContents(n.id, partition, r)
+			sim.checkSameContents(n.address, partition, r)
 		}
 	}
 	if sim.shown[partition] == nil {
@@ -122,7 +122,7 @@
 	if !sim.committedAt[partition].Less(position) {
 		return
 	}
-	sim.checkHolds(fmt.Sprintf("%s at %v of %s", n.id, position, partition), partition, records, sim.committed[partition])
+	sim.checkHolds(fmt.Sprintf("%s at %v of %s", n.address, position, partition), partition, records, sim.committed[partition])
 	sim.committedAt[partition], sim.committed[partition] = position, map[string]Record{}
 	for name, r := range records {
 		sim.committed[partition][name] = r
@@ -144,8 +144,8 @@
 	if r.Gen > 0 {
 		sim.checkSameContents(member, partition, r)
 	}
-	id := partition + "/" + name
-	sim.minVersions[id] = max(sim.minVersions[id], r.Gen)
+	record := partition + "/" + name
+	sim.minVersions[record] = max(sim.minVersions[record], r.Gen)
 }
 
 // ownershipProblem names a partition that doesn't have exactly one owner that has committed in its
@@ -153,8 +153,8 @@
 func (sim *cluster) ownershipProblem() string {
 	for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
 		n := 0
-		for _, id := range sim.ids {
-			if part := sim.nodes[id].replica.partitions[partition]; sim.nodes[id].up && part.role == roleOwner && part.commit == part.position || sim.nodes[id].up && part.role == roleOwner && part.commit.Epoch == part.ownEpoch {
+		for _, address := range sim.addresses {
+			if part := sim.nodes[address].replica.partitions[partition]; sim.nodes[address].up && part.role == roleOwner && part.commit == part.position || sim.nodes[address].up && part.role == roleOwner && part.commit.Epoch == part.ownEpoch {
 				n++
 			}
 		}
@@ -169,38 +169,38 @@
 // state a member lacks; empty if all is well.
 func (sim *cluster) voterSetProblem() string {
 	var running []string
-	for _, id := range sim.ids {
-		if n := sim.nodes[id]; n.up {
+	for _, address := range sim.addresses {
+		if n := sim.nodes[address]; n.up {
 			running = append(running, n.replica.self)
 		} else {
-			return id + " is down"
+			return address + " is down"
 		}
 	}
-	for _, id := range sim.ids {
-		n := sim.nodes[id]
+	for _, address := range sim.addresses {
+		n := sim.nodes[address]
 		s := n.replica.voterSet()
 		if s.joint || len(s.newVoters) != min(len(running), maxVoters) {
-			return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, running)
+			return fmt.Sprintf("%s has the voter set %+v, running are %v", address, *s, running)
 		}
 		for _, voter := range s.newVoters {
 			if !slices.Contains(running, voter) {
-				return fmt.Sprintf("%s has the voter set %+v, running are %v", id, *s, running)
+				return fmt.Sprintf("%s has the voter set %+v, running are %v", address, *s, running)
 			}
 		}
 		for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
 			have, pos, ok := n.replica.Committed(partition)
 			if !ok || pos.Seq == 0 {
-				return fmt.Sprintf("%s has no committed copy of %s", id, partition)
+				return fmt.Sprintf("%s has no committed copy of %s", address, partition)
 			}
 			if pos.Epoch != sim.committedAt[partition].Epoch {
-				return fmt.Sprintf("%s has %s committed up to %v, the newest position is %v", id, partition, pos, sim.committedAt[partition])
+				return fmt.Sprintf("%s has %s committed up to %v, the newest position is %v", address, partition, pos, sim.committedAt[partition])
 			}
 			if sim.operatorsStopped && len(have) != len(sim.committed[partition]) {
-				return fmt.Sprintf("%s has %d records of %s, %d are committed", id, len(have), partition, len(sim.committed[partition]))
+				return fmt.Sprintf("%s has %d records of %s, %d are committed", address, len(have), partition, len(sim.committed[partition]))
 			}
 			for name, r := range sim.committed[partition] {
 				if sim.operatorsStopped && partition != VoterSetPartition && have[name].Gen != r.Gen {
-					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", id, partition, name, have[name].Gen, r.Gen)
+					return fmt.Sprintf("%s has %s/%s=%d, %d is committed", address, partition, name, have[name].Gen, r.Gen)
 				}
 			}
 		}
--- a/internal/replication/cluster_competing_operators_test.go
+++ b/internal/replication/cluster_competing_operators_test.go
@@ -46,16 +46,16 @@
 
 // runCompetingOperators keeps two operators proposing conflicting contents, and a third one reading.
 func (sim *cluster) runCompetingOperators() {
-	var again func()
-	again = func() {
+	var next func()
+	next = func() {
 		if sim.operatorsStopped {
 			return
 		}
 		sim.proposeTwoContents()
 		sim.readAroundChange()
-		sim.after(time.Duration(100+sim.rng.Intn(700))*time.Millisecond, again)
+		sim.after(time.Duration(100+sim.rng.Intn(700))*time.Millisecond, next)
 	}
-	again()
+	next()
 }
 
 // proposeTwoContents sends two contents under one generation, either the next one or the one that is
@@ -123,14 +123,14 @@
 
 // readAll reads the test partition's records at the time when the owner processes the request; the
 // answer counts once a majority has confirmed the owner after that.
-func (sim *cluster) readAll(id string) {
-	n := sim.nodes[id]
+func (sim *cluster) readAll(address string) {
+	n := sim.nodes[address]
 	if n == nil {
 		return
 	}
 	read := sim.history.recordRead(testPartition)
 	var got map[string]Record
-	sim.runOn(id, n.runID, func() {
+	sim.runOn(address, n.runID, func() {
 		n.replica.Propose(sim.clock(n), testPartition, func(have map[string]Record) ([]Record, error) {
 			got = map[string]Record{}
 			for _, name := range recordNames {
@@ -149,7 +149,7 @@
 // ownerByAnyNode returns the owner of the test partition as known to a random node; empty if that
 // node knows none.
 func (sim *cluster) ownerByAnyNode() string {
-	n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+	n := sim.nodes[sim.addresses[sim.rng.Intn(len(sim.addresses))]]
 	if !n.up || n.frozenUntil > sim.now {
 		return ""
 	}
--- a/internal/replication/cluster_failures_test.go
+++ b/internal/replication/cluster_failures_test.go
@@ -28,9 +28,11 @@
 	plannedReplacement                    // an empty machine is added, then another one is drained
 	drain                                 // a process drains, shuts down and starts again
 	killAll                               // all processes crash at once
-	wipeAndPowerLoss                      // right after an acknowledgement some disks are lost and all other machines lose power
-	changeStream                          // a continuous stream of changes
-	lossyNetwork                          // messages on all links are lost, delayed and reordered
+	// wipeAndPowerLoss begins right after an acknowledgement: some disks are lost, and all other machines
+	// lose power.
+	wipeAndPowerLoss
+	changeStream // a continuous stream of changes
+	lossyNetwork // messages on all links are lost, delayed and reordered
 	failureKindCount
 )
 
@@ -111,7 +113,7 @@
 		switch {
 		case f.target == owner && n.replica.partitions[testPartition].role == roleOwner, f.target == voterSetOwner && n.replica.partitions[VoterSetPartition].role == roleOwner:
 			first = i
-		case f.target == newest && n.id == sim.ids[len(sim.ids)-1]:
+		case f.target == newest && n.address == sim.addresses[len(sim.addresses)-1]:
 			first = i
 		}
 	}
@@ -126,19 +128,20 @@
 	f.count = min(f.count, sim.remainingFaults())
 	if sim.schedule.competing {
 		sim.proposeTwoContents()
-		sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, sim.proposeTwoContents) // during a takeover by another member
+		// Two more contents are proposed later, during a takeover by another member.
+		sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, sim.proposeTwoContents)
 		if f.kind == wipeAndPowerLoss {
 			sim.onAck = append(sim.onAck, sim.repeatLastAck)
 		}
 	}
 	forAll := func(fn func(n *node)) {
-		for _, id := range slices.Clone(sim.ids) {
-			fn(sim.nodes[id])
+		for _, address := range slices.Clone(sim.addresses) {
+			fn(sim.nodes[address])
 		}
 	}
 	powerOff := func(n *node) {
 		sim.beginFailure(n)
-		sim.crash(n.id, false)
+		sim.crash(n.address, false)
 		sim.after(f.duration+time.Duration(sim.rng.Intn(300))*time.Millisecond, func() { sim.recover(n) })
 	}
 	switch f.kind {
@@ -156,10 +159,10 @@
 				return
 			}
 			sim.changesSent++
-			for _, id := range sim.ids {
-				if n := sim.nodes[id]; n.up && n.replica.partitions[testPartition].role == roleOwner {
+			for _, address := range sim.addresses {
+				if n := sim.nodes[address]; n.up && n.replica.partitions[testPartition].role == roleOwner {
 					version := sim.changesSent
-					sim.proposeVersion(id, testPartition, "s"+strconv.Itoa(int(version%4)), version, fmt.Sprint("storm", version), func(uint64, error) {})
+					sim.proposeVersion(address, testPartition, "s"+strconv.Itoa(int(version%4)), version, fmt.Sprint("storm", version), func(uint64, error) {})
 				}
 			}
 			sim.after(15*time.Millisecond, next)
@@ -168,7 +171,7 @@
 		return
 	case plannedReplacement:
 		sim.beginFailure(sim.startReplacement())
-		added := sim.nodes[sim.ids[len(sim.ids)-1]]
+		added := sim.nodes[sim.addresses[len(sim.addresses)-1]]
 		added.unreachableSince = 0
 		sim.endFailure(added)
 		sim.pendingFailures++
@@ -202,12 +205,12 @@
 	switch f.kind {
 	case restart:
 		for _, n := range targets {
-			sim.crash(n.id, false)
+			sim.crash(n.address, false)
 		}
 		afterwards(f.duration, sim.recover)
 	case wipe:
 		for _, n := range targets {
-			sim.crash(n.id, true)
+			sim.crash(n.address, true)
 		}
 		afterwards(f.duration, sim.recover)
 	case freeze:
@@ -228,12 +231,12 @@
 	case cutPair:
 		for _, n := range targets {
 			n.unreachableSince = 0 // others can still reach it
-			other := sim.ids[(f.index/7+1)%len(sim.ids)]
-			sim.cutLinks[[2]string{n.id, other}]++
-			sim.cutLinks[[2]string{other, n.id}]++
+			other := sim.addresses[(f.index/7+1)%len(sim.addresses)]
+			sim.cutLinks[[2]string{n.address, other}]++
+			sim.cutLinks[[2]string{other, n.address}]++
 			sim.after(f.duration, func() {
-				sim.cutLinks[[2]string{n.id, other}]--
-				sim.cutLinks[[2]string{other, n.id}]--
+				sim.cutLinks[[2]string{n.address, other}]--
+				sim.cutLinks[[2]string{other, n.address}]--
 				sim.endFailure(n)
 			})
 		}
@@ -249,7 +252,7 @@
 		afterwards(f.duration, sim.endFailure)
 	case replace:
 		for _, n := range targets {
-			sim.crash(n.id, true)
+			sim.crash(n.address, true)
 			sim.remove(n, f.replaceAfter)
 		}
 	case replaceFrozen:
@@ -265,7 +268,7 @@
 	case drain:
 		for _, n := range targets {
 			sim.drain(n, sim.now+3*time.Second, func() {
-				sim.crash(n.id, false)
+				sim.crash(n.address, false)
 				sim.after(f.duration, func() { sim.recover(n) })
 			})
 		}
--- a/internal/replication/cluster_network_test.go
+++ b/internal/replication/cluster_network_test.go
@@ -61,15 +61,15 @@
 // changeCutsTo is changeCuts for the given other machines only.
 func (sim *cluster) changeCutsTo(others []string, machines []*node, out, in bool, delta int) {
 	for _, n := range machines {
-		for _, id := range others {
-			if slices.Contains(machines, sim.nodes[id]) {
+		for _, address := range others {
+			if slices.Contains(machines, sim.nodes[address]) {
 				continue
 			}
 			if out {
-				sim.cutLinks[[2]string{n.id, id}] += delta
+				sim.cutLinks[[2]string{n.address, address}] += delta
 			}
 			if in {
-				sim.cutLinks[[2]string{id, n.id}] += delta
+				sim.cutLinks[[2]string{address, n.address}] += delta
 			}
 		}
 	}
@@ -77,7 +77,9 @@
 
 // crossesCut reports whether a message goes from one side to the other.
 func crossesCut(side []*node, from, to string) bool {
-	in := func(id string) bool { return slices.ContainsFunc(side, func(n *node) bool { return n.id == id }) }
+	in := func(address string) bool {
+		return slices.ContainsFunc(side, func(n *node) bool { return n.address == address })
+	}
 	return in(from) != in(to)
 }
 
--- a/internal/replication/cluster_nodes_test.go
+++ b/internal/replication/cluster_nodes_test.go
@@ -12,7 +12,7 @@
 )
 
 type node struct {
-	id                string
+	address           string
 	replica           *Replica
 	up                bool
 	frozenUntil       time.Duration
@@ -39,61 +39,61 @@
 
 // addMachine adds a machine without starting it.
 func (sim *cluster) addMachine(number, zones int, bootstrap bool) string {
-	id := fmt.Sprintf("10.0.0.%02d:7661", number)
-	sim.ids = append(sim.ids, id)
+	address := fmt.Sprintf("10.0.0.%02d:7661", number)
+	sim.addresses = append(sim.addresses, address)
 	if zones > 0 {
-		sim.zones[id] = fmt.Sprintf("zone-%d", number%zones)
+		sim.zones[address] = fmt.Sprintf("zone-%d", number%zones)
 	}
-	sim.nodes[id] = &node{id: id, disk: replicationtest.Disk{}, bootstrap: bootstrap, withoutHeartbeats: sim.olderEvery > 0 && number%sim.olderEvery == 0}
-	return id
+	sim.nodes[address] = &node{address: address, disk: replicationtest.Disk{}, bootstrap: bootstrap, withoutHeartbeats: sim.olderEvery > 0 && number%sim.olderEvery == 0}
+	return address
 }
 
 func (sim *cluster) clock(n *node) time.Duration { return sim.now - n.startedAt }
 
-func (sim *cluster) start(id string) {
-	n := sim.nodes[id]
+func (sim *cluster) start(address string) {
+	n := sim.nodes[address]
 	n.up, n.left, n.diskFailed = true, false, false
 	n.unreachableSince = 0
 	n.runID++
 	n.diskBusyUntil, n.startedAt, n.pendingWrites = 0, sim.now, nil
 	sim.lastRunID++
 	n.lastPosition, n.ownEpochs = map[string]Position{}, map[string]Epoch{}
-	cfg := Config{Self: id, RunID: sim.lastRunID, Identity: sim.rng.Uint64() | 1, Seeds: sim.seeds, Faults: sim.faults,
+	cfg := Config{Self: address, RunID: sim.lastRunID, Identity: sim.rng.Uint64() | 1, Seeds: sim.seeds, Faults: sim.faults,
 		Left:  func(o string) bool { return sim.nodes[o] != nil && sim.nodes[o].left },
-		Peers: func() []string { return sim.ids },
+		Peers: func() []string { return sim.addresses },
 		Zone:  func(o string) string { return sim.zones[o] }, Bootstrap: n.bootstrap, Empty: len(n.disk) == 0, Partitions: sim.partitions,
 		HeartbeatInterval: testHeartbeat, ElectionTimeout: testElectionTimeout, ProposalTimeout: 900 * time.Millisecond, TransferBackDelay: 4 * time.Second, FreshnessPartitions: []string{testPartition},
-		Alive: func(o string) bool { return sim.seesAlive(id, o) }}
+		Alive: func(o string) bool { return sim.seesAlive(address, o) }}
 	n.bootstrap = false
 	replica, err := NewReplica(cfg, n.disk)
 	if err != nil {
 		sim.fatal("%v", err)
 	}
 	n.replica = replica
-	sim.tick(id, n.runID)
+	sim.tick(address, n.runID)
 }
 
-func (sim *cluster) tick(id string, runID int) {
-	n := sim.nodes[id]
+func (sim *cluster) tick(address string, runID int) {
+	n := sim.nodes[address]
 	if !n.up || n.runID != runID {
 		return
 	}
 	if n.frozenUntil <= sim.now { // missed ticks are not made up for
-		sim.runOn(id, runID, func() { n.replica.Tick(sim.clock(n)) })
+		sim.runOn(address, runID, func() { n.replica.Tick(sim.clock(n)) })
 	}
-	sim.after(100*time.Millisecond, func() { sim.tick(id, runID) })
+	sim.after(100*time.Millisecond, func() { sim.tick(address, runID) })
 }
 
 // runOn runs a step of a node's process run and carries out the effects. It does nothing if that
 // run has ended.
-func (sim *cluster) runOn(id string, runID int, step func()) {
-	n := sim.nodes[id]
+func (sim *cluster) runOn(address string, runID int, step func()) {
+	n := sim.nodes[address]
 	if !n.up || n.runID != runID {
 		return
 	}
 	if n.frozenUntil > sim.now {
 		// Steps that were deferred run in any order when the process resumes.
-		sim.after(n.frozenUntil-sim.now+time.Duration(1+sim.rng.Intn(50))*time.Microsecond, func() { sim.runOn(id, runID, step) })
+		sim.after(n.frozenUntil-sim.now+time.Duration(1+sim.rng.Intn(50))*time.Microsecond, func() { sim.runOn(address, runID, step) })
 		return
 	}
 	step()
@@ -101,7 +101,7 @@
 	sim.checkNewOwner(n)
 	effects := n.replica.Take()
 	for _, e := range effects.Send {
-		sim.deliver(id, e)
+		sim.deliver(address, e)
 	}
 	for _, write := range effects.Writes {
 		sim.write(n, runID, &pendingWrite{write.Entries, false}, write.ID)
@@ -117,8 +117,8 @@
 
 // seesAlive reports whether a member believes another one to be alive. A failure is noticed after 1 s.
 func (sim *cluster) seesAlive(viewer, other string) bool {
-	unreachable := func(id string) bool {
-		n := sim.nodes[id]
+	unreachable := func(address string) bool {
+		n := sim.nodes[address]
 		return n != nil && (n.removed && !n.up || n.unreachableSince > 0 && sim.now-n.unreachableSince > time.Second)
 	}
 	return !unreachable(other) && !unreachable(viewer)
@@ -126,8 +126,8 @@
 
 // crash kills a process and, with wipe, erases its disk. A prefix of the pending writes may have
 // reached the disk.
-func (sim *cluster) crash(id string, wipe bool) {
-	n := sim.nodes[id]
+func (sim *cluster) crash(address string, wipe bool) {
+	n := sim.nodes[address]
 	if !n.up {
 		if wipe {
 			n.disk = replicationtest.Disk{}
@@ -158,21 +158,21 @@
 		return
 	}
 	sim.beginFailure(n)
-	sim.crash(n.id, true)
+	sim.crash(n.address, true)
 	sim.after(testCatchUp, func() { n.failures--; sim.pendingFailures-- })
 }
 
 // loseDisk crashes a machine, which starts again with an empty disk after the given time.
 func (sim *cluster) loseDisk(n *node, downFor time.Duration) {
 	sim.beginFailure(n)
-	sim.crash(n.id, true)
+	sim.crash(n.address, true)
 	sim.after(downFor, func() { sim.recover(n) })
 }
 
 // remove removes a machine for good; its replacement starts after the given time.
 func (sim *cluster) remove(n *node, replaceAfter time.Duration) {
 	n.removed = true
-	sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { return id == n.id })
+	sim.addresses = slices.DeleteFunc(sim.addresses, func(address string) bool { return address == n.address })
 	sim.after(replaceAfter, func() {
 		replacement := sim.startReplacement()
 		sim.after(testCatchUp, func() { n.failures--; _ = replacement })
@@ -183,9 +183,9 @@
 // may have been removed since.
 func (sim *cluster) startReplacement() *node {
 	sim.newestMachine++
-	id := sim.addMachine(sim.newestMachine, sim.schedule.zones, false)
-	sim.start(id)
-	return sim.nodes[id]
+	address := sim.addMachine(sim.newestMachine, sim.schedule.zones, false)
+	sim.start(address)
+	return sim.nodes[address]
 }
 
 // recover starts a machine again and ends its failure.
@@ -197,7 +197,7 @@
 // restartMachine starts a machine again, unless it has been replaced.
 func (sim *cluster) restartMachine(n *node) {
 	if !n.removed && !n.up {
-		sim.start(n.id)
+		sim.start(n.address)
 	}
 }
 
@@ -210,7 +210,7 @@
 		if n.up && n.frozenUntil <= sim.now {
 			if runID != n.runID {
 				runID = n.runID
-				sim.runOn(n.id, n.runID, func() { n.replica.Leave(sim.clock(n)) })
+				sim.runOn(n.address, n.runID, func() { n.replica.Leave(sim.clock(n)) })
 			}
 			safeToLeave = n.replica.SafeToLeave(sim.clock(n))
 		}
@@ -228,7 +228,7 @@
 // is already leaving or is the newest.
 func (sim *cluster) retire(f failure, tries int) {
 	targets := sim.failureTargets(f)
-	if len(targets) == 0 || targets[0].leaving || targets[0].id == sim.ids[len(sim.ids)-1] {
+	if len(targets) == 0 || targets[0].leaving || targets[0].address == sim.addresses[len(sim.addresses)-1] {
 		if tries < 100 {
 			f.target, f.index = anyMachine, f.index+1
 			sim.after(100*time.Millisecond, func() { sim.retire(f, tries+1) })
@@ -240,17 +240,17 @@
 	n := targets[0]
 	n.leaving = true
 	sim.drain(n, sim.now+time.Minute, func() {
-		sim.crash(n.id, true)
+		sim.crash(n.address, true)
 		n.removed = true
 		sim.pendingFailures--
-		sim.ids = slices.DeleteFunc(sim.ids, func(id string) bool { return id == n.id })
+		sim.addresses = slices.DeleteFunc(sim.addresses, func(address string) bool { return address == n.address })
 	})
 }
 
 // ownerOf returns the node that owns a partition; nil if none does.
 func (sim *cluster) ownerOf(partition string) *node {
-	for _, id := range sim.ids {
-		if n := sim.nodes[id]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
+	for _, address := range sim.addresses {
+		if n := sim.nodes[address]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
 			return n
 		}
 	}
@@ -263,8 +263,8 @@
 	t.Helper()
 	for end := sim.now + 20*time.Second; sim.now < end; {
 		sim.runUntil(sim.now + 100*time.Millisecond)
-		for _, id := range sim.ids {
-			if n := sim.nodes[id]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[testPartition].role == roleOwner && n.replica.partitions[testPartition].commit == n.replica.partitions[testPartition].position {
+		for _, address := range sim.addresses {
+			if n := sim.nodes[address]; n.up && n.frozenUntil <= sim.now && n.replica.partitions[testPartition].role == roleOwner && n.replica.partitions[testPartition].commit == n.replica.partitions[testPartition].position {
 				return n
 			}
 		}
@@ -275,8 +275,8 @@
 
 // healthy returns the running machines that don't count as lost.
 func (sim *cluster) healthy() (out []*node) {
-	for _, id := range sim.ids {
-		if n := sim.nodes[id]; n.up && !sim.countsAsLost(n) {
+	for _, address := range sim.addresses {
+		if n := sim.nodes[address]; n.up && !sim.countsAsLost(n) {
 			out = append(out, n)
 		}
 	}
@@ -285,8 +285,8 @@
 
 // machinesExcept returns all machines but the given ones.
 func (sim *cluster) machinesExcept(except ...*node) (out []*node) {
-	for _, id := range sim.ids {
-		if n := sim.nodes[id]; !slices.Contains(except, n) {
+	for _, address := range sim.addresses {
+		if n := sim.nodes[address]; !slices.Contains(except, n) {
 			out = append(out, n)
 		}
 	}
@@ -318,7 +318,7 @@
 			return ""
 		}
 		if voterSetOwner != nil {
-			sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() {
+			sim.runOn(voterSetOwner.address, voterSetOwner.runID, func() {
 				part := voterSetOwner.replica.partitions[VoterSetPartition]
 				voterSetOwner.replica.transfer(part)
 				voterSetOwner.replica.becomeFollower(part, ErrNotOwner)
--- a/internal/replication/cluster_operators_test.go
+++ b/internal/replication/cluster_operators_test.go
@@ -20,13 +20,13 @@
 }
 
 // proposeVersion runs a proposal at a node that compares versions as the catalogue does. done is
-// called with the answer and the version that is stored.
-func (sim *cluster) proposeVersion(id, partition, name string, version uint64, data string, done func(stored uint64, err error)) {
-	n := sim.nodes[id]
+// called with the reply and the version that is stored.
+func (sim *cluster) proposeVersion(address, partition, name string, version uint64, data string, done func(stored uint64, err error)) {
+	n := sim.nodes[address]
 	minVersion := sim.minVersions[partition+"/"+name]
 	var stored Record
 	answered := sim.history.recordChange(partition, name, version, data)
-	sim.runOn(id, n.runID, func() {
+	sim.runOn(address, n.runID, func() {
 		n.replica.Propose(sim.clock(n), partition, func(have map[string]Record) ([]Record, error) {
 			stored = have[name]
 			switch {
@@ -41,7 +41,7 @@
 		}, func(err error) {
 			answered(stored, err)
 			if err == nil || err == errConflict {
-				sim.checkVersion(id, partition, name, minVersion, stored)
+				sim.checkVersion(address, partition, name, minVersion, stored)
 			}
 			if err == nil {
 				sim.answeredChanges++
@@ -49,7 +49,7 @@
 					sim.acks = append(sim.acks, ack{name, version, sim.now})
 				}
 				for _, fn := range sim.onAck {
-					// The failure begins once the answer has been sent.
+					// The failure begins once the reply has been sent.
 					sim.after(0, fn)
 				}
 				sim.onAck = nil
@@ -60,8 +60,8 @@
 }
 
 // readPartition reads a partition at a node.
-func (sim *cluster) readPartition(id, partition string, done func(error)) {
-	n := sim.nodes[id]
+func (sim *cluster) readPartition(address, partition string, done func(error)) {
+	n := sim.nodes[address]
 	minVersions := map[string]uint64{}
 	for _, name := range recordNames {
 		if f := sim.minVersions[partition+"/"+name]; f > 0 {
@@ -69,17 +69,17 @@
 		}
 	}
 	read := sim.history.recordRead(partition)
-	sim.runOn(id, n.runID, func() {
+	sim.runOn(address, n.runID, func() {
 		n.replica.Read(sim.clock(n), partition, func(err error) {
 			if err == nil {
 				sim.answeredReads++
 				got, _, ok := n.replica.Committed(partition)
 				if !ok {
-					sim.fatal("at %v %s answered a read of %s without a committed copy", sim.now, id, partition)
+					sim.fatal("at %v %s answered a read of %s without a committed copy", sim.now, address, partition)
 				}
 				read(got)
 				for _, name := range recordNames {
-					sim.checkVersion(id, partition, name, minVersions[name], got[name])
+					sim.checkVersion(address, partition, name, minVersions[name], got[name])
 				}
 			}
 			done(err)
@@ -90,7 +90,7 @@
 // put proposes a value at a node and runs until it is answered, at most 3 s.
 func (sim *cluster) put(n *node, name string, version uint64) (err error) {
 	answered := false
-	sim.runOn(n.id, n.runID, func() {
+	sim.runOn(n.address, n.runID, func() {
 		n.replica.Propose(sim.now, testPartition, func(map[string]Record) ([]Record, error) {
 			return []Record{{Name: name, Gen: version}}, nil
 		}, func(e error) { err, answered = e, true })
@@ -132,7 +132,7 @@
 			answered = true
 			sim.after(d, func() { send(recordName, version, data) })
 		}
-		asked := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+		asked := sim.nodes[sim.addresses[sim.rng.Intn(len(sim.addresses))]]
 		owner := ""
 		if asked.up && asked.frozenUntil <= sim.now {
 			if owner = asked.replica.Owner(sim.clock(asked), partition); owner == "" {
@@ -169,9 +169,9 @@
 			return
 		}
 		if sim.rng.Intn(3) == 0 {
-			n := sim.nodes[sim.ids[sim.rng.Intn(len(sim.ids))]]
+			n := sim.nodes[sim.addresses[sim.rng.Intn(len(sim.addresses))]]
 			if n.up {
-				sim.readPartition(n.id, partition, func(error) {})
+				sim.readPartition(n.address, partition, func(error) {})
 				if o := n.replica.Owner(sim.clock(n), partition); o != "" && sim.nodes[o] != nil {
 					sim.readPartition(o, partition, func(error) {})
 				}
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -17,7 +17,7 @@
 	now        time.Duration
 	queue      replicationtest.Queue
 	nodes      map[string]*node
-	ids        []string          // addresses of the machines, also of those that are down and will start again
+	addresses  []string          // addresses of the machines, also of those that are down and will start again
 	cutLinks   map[[2]string]int // by sender and receiver: how many failures cut the link
 	lastRunID  uint64
 	partitions []string
@@ -31,12 +31,13 @@
 	olderEvery int // every olderEvery-th machine runs a version without heartbeats; 0: none does
 	zones      map[string]string
 
-	minVersions     map[string]uint64            // by partition/record: the newest version returned to a client
-	contents        map[string]string            // by partition/record/version
-	committed       map[string]map[string]Record // by partition: the newest records that a member reported as committed
-	committedAt     map[string]Position
-	initialRecords  map[string]map[Epoch]map[string]Record // by partition and owner's epoch: the records when the ownership began
-	shown           map[string]map[Position]string         // by partition and position: the committed records
+	minVersions map[string]uint64            // by partition/record: the newest version returned to a client
+	contents    map[string]string            // by partition/record/version
+	committed   map[string]map[string]Record // by partition: the newest records that a member reported as committed
+	committedAt map[string]Position
+	// initialRecords are, by partition and owner's epoch, the records when the ownership began.
+	initialRecords  map[string]map[Epoch]map[string]Record
+	shown           map[string]map[Position]string // by partition and position: the committed records
 	changesSent     uint64
 	answeredChanges int
 	answeredReads   int
@@ -114,9 +115,9 @@
 	for i := 0; i < members; i++ {
 		sim.addMachine(i+1, zones, true)
 	}
-	sim.seeds = append([]string(nil), sim.ids[:min(3, members)]...)
-	for _, id := range sim.ids {
-		sim.start(id)
+	sim.seeds = append([]string(nil), sim.addresses[:min(3, members)]...)
+	for _, address := range sim.addresses {
+		sim.start(address)
 	}
 }
 
--- a/internal/replication/elections.go
+++ b/internal/replication/elections.go
@@ -12,8 +12,8 @@
 
 // startElection starts an election in which this member is the candidate for a partition. It begins
 // with a pre-vote unless the partition was transferred to this member, by its owner or by the
-// bootstrap: a member that the others don't need as owner, because it is cut off in one
-// direction or has only just restarted, then doesn't raise the epoch.
+// bootstrap. The pre-vote keeps a member that the others don't need as owner, because it is cut off
+// in one direction or has only just restarted, from raising the epoch.
 func (m *Replica) startElection(part *partition, transferred bool) {
 	if !m.mayOwn() || m.leaving || part.role == roleOwner || part.role == roleCandidate && !(part.preVote && transferred) || m.now < part.noElectionUntil && !transferred {
 		return
@@ -58,8 +58,8 @@
 	m.tallyVotes(part)
 }
 
-// hasLiveOwner reports whether, as far as this member knows, the partition has an owner in contact
-// with a quorum (if it is this member) or with this member.
+// hasLiveOwner reports whether this member owns the partition and was recently in contact with a
+// quorum, or has recently heard from another owner.
 func (m *Replica) hasLiveOwner(part *partition) bool {
 	limit := m.cfg.ElectionTimeout * 3 / 4
 	return part.role == roleOwner && m.now-part.quorumAt <= limit || part.role != roleOwner && part.hasOwner && m.now-part.ownerContact <= limit
@@ -94,8 +94,8 @@
 		m.send(from, Message{Body: vote})
 	})
 	if behind && !outdated && !m.hasLiveOwner(part) {
-		// The candidate lacks changes that this member has, so this member is the better
-		// candidate.
+		// The candidate lacks changes that this member has, so this member starts an election
+		// itself.
 		m.startElection(part, false)
 	}
 }
@@ -247,7 +247,7 @@
 
 func (m *Replica) onProbe(from string) {
 	if !m.mayOwn() || m.leaving {
-		return // an answer would make the sender wait for this member to take over partitions
+		return // a reply would make the sender wait for this member to take over partitions
 	}
 	ack := &ProbeAck{}
 	for _, name := range m.names {
@@ -274,14 +274,14 @@
 			return false
 		}
 	}
-	if !hasQuorumOf(m.Voters(), false, func(id string) bool { return id == m.cfg.Self || m.probeAcks[id] != nil }) {
+	if !hasQuorumOf(m.Voters(), false, func(address string) bool { return address == m.cfg.Self || m.probeAcks[address] != nil }) {
 		return false
 	}
-	for _, id := range m.Successors(name) {
-		if id == m.cfg.Self {
+	for _, address := range m.Successors(name) {
+		if address == m.cfg.Self {
 			return true
 		}
-		if m.probeAcks[id] != nil {
+		if m.probeAcks[address] != nil {
 			return false
 		}
 	}
@@ -311,7 +311,7 @@
 
 // transferBack returns a partition to the first member in its order of successors once that member
 // has been alive and up to date, and the partition idle, for the period TransferBackDelay. Partitions that
-// were gathered at one member by a failure are thus spread out again.
+// a failure has concentrated at one member are thus spread out again.
 func (m *Replica) transferBack(part *partition) {
 	preferred := m.successors(part)[0]
 	at, _ := part.ackedPosition(preferred)
--- a/internal/replication/erased_records_test.go
+++ b/internal/replication/erased_records_test.go
@@ -20,7 +20,7 @@
 				done := false
 				for ; !done; sim.runUntil(sim.now + 100*time.Millisecond) {
 					if o := sim.ownerOf(testPartition); o != nil {
-						sim.runOn(o.id, o.runID, func() {
+						sim.runOn(o.address, o.runID, func() {
 							o.replica.Propose(sim.clock(o), testPartition, func(have map[string]Record) ([]Record, error) { return change(have), nil },
 								func(err error) { done = done || err == nil })
 						})
@@ -53,12 +53,12 @@
 			if len(want) != 2*namesPerStep {
 				t.Fatalf("%s: the owner holds %d records", kindNames[kind], len(want))
 			}
-			for _, id := range sim.ids {
-				have, _, ok := sim.nodes[id].replica.Committed(testPartition)
+			for _, address := range sim.addresses {
+				have, _, ok := sim.nodes[address].replica.Committed(testPartition)
 				if !ok || len(have) != len(want) {
-					t.Errorf("%s, %d steps: %s holds %d records, %v, not %d", kindNames[kind], steps, id, len(have), ok, len(want))
+					t.Errorf("%s, %d steps: %s holds %d records, %v, not %d", kindNames[kind], steps, address, len(have), ok, len(want))
 				}
-				sim.checkHolds(id, testPartition, have, want)
+				sim.checkHolds(address, testPartition, have, want)
 			}
 		}
 	}
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -1,7 +1,7 @@
 package replication
 
 // This file holds the owner's side of heartbeats: what a member that owns partitions sends to the
-// others at each heartbeat interval. heartbeat_acks.go holds what it does with the answers.
+// others at each heartbeat interval. heartbeat_acks.go holds what it does with the replies.
 //
 // One heartbeat covers all partitions that a process owns. It identifies their epochs and positions
 // by a version and a digest of the whole list, and carries only the entries that differ from the
--- a/internal/replication/heartbeat_acks.go
+++ b/internal/replication/heartbeat_acks.go
@@ -1,6 +1,6 @@
 package replication
 
-// This file holds what an owner does with the answers to its heartbeats.
+// This file holds what an owner does with the replies to its heartbeats.
 
 import (
 	"time"
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleDeviations handles the answers about individual partitions and returns the names of those
+// handleDeviations handles the replies about individual partitions and returns the names of those
 // partitions.
 func (m *Replica) handleDeviations(from, id string, ack *HeartbeatAck) map[string]bool {
 	deviating := map[string]bool{}
@@ -63,7 +63,7 @@
 	part.ackedAt[id] = m.now
 	part.confirmedRounds[id] = max(part.confirmedRounds[id], round)
 	if s, ok := m.heartbeats.sent[round]; ok && part.name == VoterSetPartition {
-		// The time when the round was sent counts: a delayed answer is no evidence that the
+		// The time when the round was sent counts: a delayed reply is no evidence that the
 		// member is still there.
 		m.voterSetAnsweredAt[id] = max(m.voterSetAnsweredAt[id], s.at)
 	}
--- a/internal/replication/heartbeat_follow.go
+++ b/internal/replication/heartbeat_follow.go
@@ -144,7 +144,7 @@
 }
 
 // updateFreshness updates the time as of which the copy of a partition is known to be the newest.
-// When the owner's ownership was confirmed, it had told nobody of anything beyond Commit.
+// At the time when its ownership was confirmed, the owner had committed nothing beyond Commit.
 func (m *Replica) updateFreshness(part *partition, e Epoch, s PartitionStatus, freshness *Freshness, ages map[string]time.Duration) {
 	if freshness == nil || freshness.RunID != m.cfg.RunID || s.Commit == 0 || part.commit.Epoch != e || part.commit.Seq < s.Commit {
 		return
--- a/internal/replication/heartbeat_messages.go
+++ b/internal/replication/heartbeat_messages.go
@@ -39,10 +39,12 @@
 // Heartbeat covers all partitions of an owner once per heartbeat interval or, if it is partial,
 // those that it names.
 type Heartbeat struct {
-	Round      uint64            `cbor:"1,keyasint,omitempty"` // 0: answered only if a partition deviates or the voter set is outdated
-	VoterSet   Position          `cbor:"2,keyasint"`
-	Partial    bool              `cbor:"3,keyasint,omitempty"`
-	Base       uint64            `cbor:"4,keyasint,omitempty"` // list version that Partitions and Removed are relative to; 0: Partitions is the whole list
+	// Round is 0 in a heartbeat that is answered only if a partition deviates or the voter set is outdated.
+	Round    uint64   `cbor:"1,keyasint,omitempty"`
+	VoterSet Position `cbor:"2,keyasint"`
+	Partial  bool     `cbor:"3,keyasint,omitempty"`
+	// Base is the list version that Partitions and Removed are relative to; 0: Partitions is the whole list.
+	Base       uint64            `cbor:"4,keyasint,omitempty"`
 	Version    uint64            `cbor:"5,keyasint,omitempty"`
 	Digest     uint64            `cbor:"6,keyasint,omitempty"` // digest of the list at Version
 	Partitions []PartitionStatus `cbor:"7,keyasint,omitempty"`
@@ -55,12 +57,15 @@
 // covered, except those in Deviations, unless the owner's voter set is outdated or the member lacks
 // the list.
 type HeartbeatAck struct {
-	RunID       uint64         `cbor:"1,keyasint"` // the owner's process run (Message.RunID)
-	Round       uint64         `cbor:"2,keyasint,omitempty"`
-	Partial     bool           `cbor:"3,keyasint,omitempty"`
-	ListMissing bool           `cbor:"4,keyasint,omitempty"` // the member doesn't have the list version that the heartbeat builds on
-	Version     uint64         `cbor:"5,keyasint,omitempty"` // list version that the member holds
-	Clock        time.Duration  `cbor:"6,keyasint,omitempty"` // the member's clock
-	Deviations  []*AppendAck   `cbor:"7,keyasint,omitempty"` // partitions in which the member's copy differs from the owner's, or for which it has promised another epoch
-	Outdated    *PartitionCopy `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
+	RunID   uint64 `cbor:"1,keyasint"` // the owner's process run (Message.RunID)
+	Round   uint64 `cbor:"2,keyasint,omitempty"`
+	Partial bool   `cbor:"3,keyasint,omitempty"`
+	// ListMissing says that the member doesn't have the list version that the heartbeat builds on.
+	ListMissing bool          `cbor:"4,keyasint,omitempty"`
+	Version     uint64        `cbor:"5,keyasint,omitempty"` // list version that the member holds
+	Clock       time.Duration `cbor:"6,keyasint,omitempty"` // the member's clock
+	// Deviations are the partitions in which the member's copy differs from the owner's, or for which it has
+	// promised another epoch.
+	Deviations []*AppendAck   `cbor:"7,keyasint,omitempty"`
+	Outdated   *PartitionCopy `cbor:"8,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
--- a/internal/replication/heartbeat_test.go
+++ b/internal/replication/heartbeat_test.go
@@ -72,7 +72,7 @@
 // notAtFirstSuccessor counts the partitions that their first successors don't own.
 func (sim *cluster) notAtFirstSuccessor() (n int) {
 	for _, partition := range append([]string{VoterSetPartition}, sim.partitions...) {
-		if owner := sim.ownerOf(partition); owner == nil || owner.replica.Successors(partition)[0] != owner.id || len(owner.replica.Voters()) < len(sim.ids) {
+		if owner := sim.ownerOf(partition); owner == nil || owner.replica.Successors(partition)[0] != owner.address || len(owner.replica.Voters()) < len(sim.addresses) {
 			n++
 		}
 	}
@@ -113,19 +113,20 @@
 		}
 	}
 	if len(owned) < 10 {
-		t.Fatalf("%s owns only %v", owner.id, owned)
+		t.Fatalf("%s owns only %v", owner.address, owned)
 	}
 	var sent traffic
 	sim.drop = func(from string, e Envelope) bool {
-		if from == owner.id || e.To == owner.id {
+		if from == owner.address || e.To == owner.address {
 			sent.count(t, e.Msg)
 		}
 		return false
 	}
-	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 150*time.Millisecond) // between two heartbeats
+	// Between two heartbeats.
+	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 150*time.Millisecond)
 	sent = traffic{}
 	answered := 0
-	sim.runOn(owner.id, owner.runID, func() {
+	sim.runOn(owner.address, owner.runID, func() {
 		for _, partition := range owned {
 			owner.replica.Propose(sim.clock(owner), partition, func(map[string]Record) ([]Record, error) {
 				return []Record{{Name: "x", Gen: 1}}, nil
@@ -151,10 +152,10 @@
 	if answered != len(owned) || sent.noticeAcks != 0 {
 		t.Errorf("%d of %d proposals were answered, and %d commit notices", answered, len(owned), sent.noticeAcks)
 	}
-	for _, id := range sim.ids {
+	for _, address := range sim.addresses {
 		for _, partition := range owned {
-			if records, _, ok := sim.nodes[id].replica.Committed(partition); !ok || records["x"].Gen != 1 {
-				t.Errorf("%s shows %+v of %s", id, records, partition)
+			if records, _, ok := sim.nodes[address].replica.Committed(partition); !ok || records["x"].Gen != 1 {
+				t.Errorf("%s shows %+v of %s", address, records, partition)
 			}
 		}
 	}
@@ -165,10 +166,11 @@
 	sim := newClusterWithPartitions(t, 4, 2)
 	owner := sim.ownerOf(testPartition)
 	follower := sim.lastMachineExcept(owner)
-	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 10*time.Millisecond) // just after a heartbeat
+	// Just after a heartbeat.
+	sim.runUntil(owner.startedAt + owner.replica.heartbeats.lastFullAt + testHeartbeat + 10*time.Millisecond)
 	lost := 0
 	sim.drop = func(_ string, e Envelope) bool {
-		if e.To == follower.id && bodyAs[*Append](e.Msg) != nil && lost == 0 {
+		if e.To == follower.address && bodyAs[*Append](e.Msg) != nil && lost == 0 {
 			lost++
 			return true
 		}
@@ -200,14 +202,14 @@
 	}
 	epochBefore, otherEpoch := owner.replica.partitions[testPartition].ownEpoch, owner.replica.partitions[other].ownEpoch
 	sim.drop = func(_ string, e Envelope) bool { // the owner receives nothing from its successor's election
-		return e.To == owner.id && (bodyAs[*VoteRequest](e.Msg) != nil || bodyAs[*Append](e.Msg) != nil || bodyAs[*Heartbeat](e.Msg) != nil)
+		return e.To == owner.address && (bodyAs[*VoteRequest](e.Msg) != nil || bodyAs[*Append](e.Msg) != nil || bodyAs[*Heartbeat](e.Msg) != nil)
 	}
-	sim.runOn(successor.id, successor.runID, func() {
-		successor.replica.Handle(sim.clock(successor), owner.id, Message{Body: &Transfer{testPartition}})
+	sim.runOn(successor.address, successor.runID, func() {
+		successor.replica.Handle(sim.clock(successor), owner.address, Message{Body: &Transfer{testPartition}})
 	})
 	sim.runUntil(sim.now + testHeartbeat + 100*time.Millisecond)
 	if part := successor.replica.partitions[testPartition]; part.role != roleOwner || !epochBefore.Less(part.ownEpoch) {
-		t.Fatalf("%s did not take the partition over", successor.id)
+		t.Fatalf("%s did not take the partition over", successor.address)
 	}
 	if part := owner.replica.partitions[testPartition]; part.role == roleOwner {
 		t.Errorf("the old owner still acts under %v", part.ownEpoch)
@@ -221,10 +223,10 @@
 // other messages.
 func (sim *cluster) electByVotes(n *node, name string) *partition {
 	sim.drop = func(from string, e Envelope) bool {
-		return (from == n.id || e.To == n.id) && bodyAs[*VoteRequest](e.Msg) == nil && bodyAs[*Vote](e.Msg) == nil
+		return (from == n.address || e.To == n.address) && bodyAs[*VoteRequest](e.Msg) == nil && bodyAs[*Vote](e.Msg) == nil
 	}
-	sim.runOn(n.id, n.runID, func() {
-		n.replica.Handle(sim.clock(n), n.id, Message{Body: &Transfer{name}, Identity: n.replica.identity})
+	sim.runOn(n.address, n.runID, func() {
+		n.replica.Handle(sim.clock(n), n.address, Message{Body: &Transfer{name}, Identity: n.replica.identity})
 	})
 	for end := sim.now + testHeartbeat; n.replica.partitions[name].role != roleOwner && sim.now < end; {
 		sim.runUntil(sim.now + time.Millisecond)
@@ -232,29 +234,29 @@
 	return n.replica.partitions[name]
 }
 
-// Answers to rounds that began before the election of an owner don't confirm its ownership.
+// Replies to rounds that began before the election of an owner don't confirm its ownership.
 func TestRoundBeforeElectionDoesNotConfirm(t *testing.T) {
 	sim := newClusterWithPartitions(t, 4, 30)
-	owner := sim.nodes[sim.ids[1]]
+	owner := sim.nodes[sim.addresses[1]]
 	if owner == sim.ownerOf(testPartition) {
-		owner = sim.nodes[sim.ids[2]]
+		owner = sim.nodes[sim.addresses[2]]
 	}
 	part := sim.electByVotes(owner, testPartition)
 	if part.role != roleOwner || part.firstRound < 2 {
-		t.Fatalf("%s does not own the partition: %+v", owner.id, part)
+		t.Fatalf("%s does not own the partition: %+v", owner.address, part)
 	}
-	for _, id := range sim.ids {
-		if other := sim.nodes[id]; other != owner {
-			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
+	for _, address := range sim.addresses {
+		if other := sim.nodes[address]; other != owner {
+			owner.replica.Handle(sim.clock(owner), address, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
 				Body: &HeartbeatAck{RunID: owner.replica.cfg.RunID, Round: part.firstRound - 1, Version: owner.replica.heartbeats.version}})
 		}
 	}
 	if part.confirmedAt != neverConfirmed {
 		t.Errorf("the ownership is confirmed as of %v, it began at %v", part.confirmedAt, part.ownerSince)
 	}
-	for _, id := range sim.ids {
-		if other := sim.nodes[id]; other != owner {
-			owner.replica.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
+	for _, address := range sim.addresses {
+		if other := sim.nodes[address]; other != owner {
+			owner.replica.Handle(sim.clock(owner), address, Message{Identity: other.replica.identity, RunID: 1, Protocol: protocolHeartbeat,
 				Body: &HeartbeatAck{RunID: owner.replica.cfg.RunID + 1, Round: owner.replica.heartbeats.round, Version: owner.replica.heartbeats.version}})
 		}
 	}
@@ -263,8 +265,8 @@
 	}
 }
 
-// A member that votes for another owner between the arrival of a heartbeat and its answer doesn't
-// confirm the partition in that answer.
+// A member that votes for another owner between the arrival of a heartbeat and its reply doesn't
+// confirm the partition in that reply.
 func TestHeartbeatAckReportsPromiseMadeBeforeIt(t *testing.T) {
 	for _, stepsBehind := range []uint64{0, 1} {
 		testPromiseBeforeHeartbeatAck(t, stepsBehind)
@@ -282,9 +284,9 @@
 	heartbeatEpoch := part.promised
 	heartbeat := &Heartbeat{Round: 7, VoterSet: m.partitions[VoterSetPartition].position, Partial: true,
 		Partitions: []PartitionStatus{{Partition: testPartition, Epoch: part.promised.Number, Seq: part.position.Seq + stepsBehind, Commit: part.commit.Seq, Sum: part.Sums.Fold()}}}
-	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat, Body: heartbeat})
-	newer := Epoch{part.promised.Number + 1, follower.id, 99}
-	m.Handle(now, owner.id, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat,
+	m.Handle(now, owner.address, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat, Body: heartbeat})
+	newer := Epoch{part.promised.Number + 1, follower.address, 99}
+	m.Handle(now, owner.address, Message{Identity: owner.replica.identity, RunID: owner.replica.cfg.RunID, Protocol: protocolHeartbeat,
 		Body: &VoteRequest{Partition: testPartition, Epoch: newer, VoterSet: m.partitions[VoterSetPartition].position, At: part.position}})
 	if part.promised != newer {
 		t.Fatalf("the follower promised %v", part.promised)
@@ -357,20 +359,20 @@
 			ownedWith++
 		}
 		answered := false
-		sim.proposeVersion(owner.id, partition, "x", 1, "one", func(_ uint64, err error) { answered = err == nil })
+		sim.proposeVersion(owner.address, partition, "x", 1, "one", func(_ uint64, err error) { answered = err == nil })
 		sim.runUntil(sim.now + testHeartbeat/5)
 		if !answered {
-			t.Errorf("a change of %s at %s was not answered", partition, owner.id)
+			t.Errorf("a change of %s at %s was not answered", partition, owner.address)
 		}
 	}
 	if ownedWithout == 0 || ownedWith == 0 {
 		t.Fatalf("%d partitions are owned by members without heartbeats, %d by others", ownedWithout, ownedWith)
 	}
 	for end := sim.now + 4*testHeartbeat; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
-		for _, id := range sim.ids {
-			n := sim.nodes[id]
+		for _, address := range sim.addresses {
+			n := sim.nodes[address]
 			if at, ok := n.replica.FreshAsOf(testPartition); !ok || sim.clock(n)-at > 3*testHeartbeat {
-				t.Fatalf("%s (without heartbeats: %v) reports its copy as fresh as of %v (%v), at %v", id, n.withoutHeartbeats, at, ok, sim.clock(n))
+				t.Fatalf("%s (without heartbeats: %v) reports its copy as fresh as of %v (%v), at %v", address, n.withoutHeartbeats, at, ok, sim.clock(n))
 			}
 		}
 	}
@@ -430,29 +432,29 @@
 		sim := newClusterWithPartitions(t, 4, 3)
 		owner := sim.ownerOf(testPartition)
 		m, part := owner.replica, owner.replica.partitions[testPartition]
-		sim.drop = func(from string, e Envelope) bool { return from == owner.id || e.To == owner.id }
+		sim.drop = func(from string, e Envelope) bool { return from == owner.address || e.To == owner.address }
 		sim.runUntil(sim.now + 20*time.Millisecond)
 		if partial {
 			m.scheduleConfirm(part)
 		} else {
 			m.heartbeats.dueAll = true
 		}
-		sim.runOn(owner.id, owner.runID, func() {})
+		sim.runOn(owner.address, owner.runID, func() {})
 		round, version, before := m.heartbeats.round, m.heartbeats.version, part.position
 		answered := false
-		sim.proposeVersion(owner.id, testPartition, "x", 1, "one", func(uint64, error) { answered = true })
+		sim.proposeVersion(owner.address, testPartition, "x", 1, "one", func(uint64, error) { answered = true })
 		sim.runUntil(sim.now + 20*time.Millisecond)
 		m.heartbeats.dueAll = true
-		sim.runOn(owner.id, owner.runID, func() {})
+		sim.runOn(owner.address, owner.runID, func() {})
 		if entry := m.heartbeats.listed[testPartition]; !before.Less(part.position) || entry.Seq != part.position.Seq || entry.version <= version {
 			t.Fatalf("the change is not listed: %+v, at %v", entry, part.position)
 		}
-		for _, id := range sim.ids {
-			if other := sim.nodes[id]; other != owner {
-				m.Handle(sim.clock(owner), id, Message{Identity: other.replica.identity, RunID: other.replica.cfg.RunID, Protocol: protocolHeartbeat,
+		for _, address := range sim.addresses {
+			if other := sim.nodes[address]; other != owner {
+				m.Handle(sim.clock(owner), address, Message{Identity: other.replica.identity, RunID: other.replica.cfg.RunID, Protocol: protocolHeartbeat,
 					Body: &HeartbeatAck{RunID: m.cfg.RunID, Round: round, Partial: partial, Version: version}})
 				if part.confirmedRounds[other.replica.self] != round || part.acks[other.replica.self] != before {
-					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, id, part.confirmedRounds[other.replica.self], part.acks[other.replica.self], round, before)
+					t.Errorf("partial %v: %s counts for round %d and %v, it answered %d and %v", partial, address, part.confirmedRounds[other.replica.self], part.acks[other.replica.self], round, before)
 				}
 			}
 		}
@@ -466,7 +468,7 @@
 // nobody answers its heartbeats.
 func TestSingleMemberStaysOwner(t *testing.T) {
 	sim := newClusterWithPartitions(t, 1, 3)
-	member := sim.nodes[sim.ids[0]]
+	member := sim.nodes[sim.addresses[0]]
 	epochs := map[string]Epoch{}
 	for end := sim.now + 20*member.replica.cfg.ElectionTimeout; sim.now < end; sim.runUntil(sim.now + testHeartbeat/2) {
 		for _, partition := range sim.partitions {
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -14,7 +14,7 @@
 )
 
 // This file holds the history of operators' calls and the check that it is linearizable: that each
-// call could have taken effect at one moment between its request and its answer.
+// call could have taken effect at one moment between its request and its reply.
 
 // recordValue is a record as operators see it.
 type recordValue struct {
@@ -29,7 +29,7 @@
 type outcome int
 
 const (
-	unknown outcome = iota // no answer, or one that leaves open whether the change was made
+	unknown outcome = iota // no reply, or one that leaves open whether the change was made
 	accepted
 	refused // another content is stored under that generation, or a higher generation is
 )
@@ -113,17 +113,17 @@
 	return &one
 }
 
-// history holds the calls and answers of each partition. Its clock counts requests and answers; the
+// history holds the calls and replies of each partition. Its clock counts requests and replies; the
 // simulation is sequential, so that is their real order.
 type history struct {
 	clock int64
 	calls map[string][]*porcupine.Operation
 }
 
-// unanswered is the time of an answer that has not arrived.
+// unanswered is the time of a reply that has not arrived.
 const unanswered = math.MaxInt64
 
-// begin records a call's request; the function that it returns records the answer.
+// begin records a call's request; the function that it returns records the reply.
 func (h *history) begin(partition string, c *operatorCall) (answered func()) {
 	if h.calls == nil {
 		h.calls = map[string][]*porcupine.Operation{}
@@ -138,9 +138,9 @@
 }
 
 // callsUntil returns the calls of a partition up to a time in the form in which they are checked,
-// restricted to one record unless name is allNames. A read without an answer is left out. A change
-// without an answer counts only if an answered call saw its content, once for each content, and is
-// taken to end at the first such answer; so few calls are open at any time.
+// restricted to one record unless name is allNames. A read without a reply is left out. A change
+// without a reply counts only if an answered call saw its content, once for each content, and is
+// taken to end at the first such reply; so few calls are open at any time.
 func (h *history) callsUntil(end int64, partition string, name int) (out []porcupine.Operation) {
 	seen := map[writtenContent]int64{} // when the first call that saw it was answered
 	var unanswered []porcupine.Operation
@@ -392,7 +392,7 @@
 	}
 	second := func(r recordValue) *operatorCall { return &operatorCall{nameIndex: 1, proposed: r, outcome: accepted} }
 	// In each order string the first occurrence of a letter is the request of that call and the second
-	// one its answer.
+	// one its reply.
 	for name, tc := range map[string]struct {
 		order string
 		calls map[rune]*operatorCall
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -9,7 +9,7 @@
 // their own, which learn of a change at different times. Their safety rests on three rules, none of
 // which depends on time:
 //
-//   - A member that has taken over a voter set rejects every owner and candidate that acts
+//   - A member that has adopted a voter set rejects every owner and candidate that acts
 //     under an older one, whether or not it knows the newer one to be committed.
 //   - The joint voter set ends only after a survey in which a majority of the old voters and
 //     a majority of the new voters, all of them under the joint voter set, reported the positions
@@ -246,7 +246,7 @@
 	return &PartitionCopy{At: part.position, Records: part.Pick(allRanges)}
 }
 
-// adoptVoterSet takes over a newer voter set, sent by a member that rejected a message because this
+// adoptVoterSet adopts a newer voter set, sent by a member that rejected a message because this
 // member's voter set is outdated.
 func (m *Replica) adoptVoterSet(newer *PartitionCopy) {
 	part := m.partitions[VoterSetPartition]
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -124,14 +124,14 @@
 }
 
 // Freshness tells a member how long ago the owner's ownership was last confirmed, and thus how old the
-// member's copy may be. It consists of durations: the member's own clock reading is echoed with
-// the time for which the owner held it, so the member can date the confirmation by its own
-// clock, however long the message was in transit.
+// member's copy may be. The owner echoes the member's own clock reading, with the time since it
+// arrived, so the member can date the confirmation by its own clock, however long the message was
+// in transit.
 type Freshness struct {
-	RunID uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.RunID)
-	Clock  time.Duration `cbor:"2,keyasint"`
-	HeldFor  time.Duration `cbor:"3,keyasint"`
-	Age   time.Duration `cbor:"4,keyasint"`
+	RunID   uint64        `cbor:"1,keyasint"` // process run that read the clock (Message.RunID)
+	Clock   time.Duration `cbor:"2,keyasint"` // the reading that is echoed
+	HeldFor time.Duration `cbor:"3,keyasint"` // from its arrival at the owner until this message was sent
+	Age     time.Duration `cbor:"4,keyasint"` // time since the ownership was last confirmed
 }
 
 // AppendAck answers Append. If the member lags behind, Sums are the digests of what it holds.
@@ -143,8 +143,9 @@
 	At        Position          `cbor:"5,keyasint"`
 	Round     uint64            `cbor:"6,keyasint,omitempty"`
 	Sums      *antientropy.Sums `cbor:"7,keyasint,omitempty"`
-	Clock      time.Duration     `cbor:"8,keyasint,omitempty"` // the member's clock, if it needs a Freshness for this partition
-	Outdated  *PartitionCopy    `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
+	// Clock is the member's clock reading, set if it needs a Freshness for this partition.
+	Clock    time.Duration  `cbor:"8,keyasint,omitempty"`
+	Outdated *PartitionCopy `cbor:"9,keyasint,omitempty"` // the newer voter set, if the owner's is older
 }
 
 // SnapshotChunk is a part of a snapshot: the records of some ranges at a position. A member
@@ -179,9 +180,9 @@
 // StateReport answers StateQuery: the member's voter set, below which it no longer accepts
 // anything, and the positions of its copies under it.
 type StateReport struct {
-	Round    uint64              `cbor:"1,keyasint"`
-	VoterSet Position            `cbor:"2,keyasint"`
-	Positions     []PartitionPosition `cbor:"3,keyasint,omitempty"`
+	Round     uint64              `cbor:"1,keyasint"`
+	VoterSet  Position            `cbor:"2,keyasint"`
+	Positions []PartitionPosition `cbor:"3,keyasint,omitempty"`
 	// Outdated is a newer, committed voter set for a sender that is leaving: nothing is replicated
 	// to it any more once it has been removed from the voter set.
 	Outdated *PartitionCopy `cbor:"4,keyasint,omitempty"`
@@ -230,8 +231,8 @@
 // Probe asks, after a start, which partitions have an owner.
 type Probe struct{}
 
-// ProbeAck lists the partitions that, as far as the sender knows, have an owner or an election
-// under way. It binds nobody; it only saves a restarted member the wait for owners that don't
+// ProbeAck lists the partitions that, as far as the sender knows, have an owner or an election in
+// progress. It promises nothing; it only saves a restarted member the wait for owners that don't
 // exist.
 type ProbeAck struct {
 	OwnedPartitions []string `cbor:"1,keyasint,omitempty"`
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -12,7 +12,7 @@
 }
 
 // FreshAsOf returns a time on this member's clock as of which its committed copy of a partition was
-// certainly the newest that anybody could have been told of.
+// certainly the newest that any client could have been sent.
 func (m *Replica) FreshAsOf(name string) (time.Duration, bool) {
 	part := m.partition(name)
 	if part.commit.Seq == 0 || part.commit != part.position && part.undo == nil {
@@ -29,10 +29,12 @@
 
 // OwnershipTerm describes a member's ownership of a partition.
 type OwnershipTerm struct {
-	Epoch            Epoch
-	Since            time.Duration // when the member won the election
-	ConfirmedAt      time.Duration // when it was last certain that there was no other owner
-	Inherited        bool          // the partition had records when the ownership began, so others may have owned it before
+	Epoch       Epoch
+	Since       time.Duration // when the member won the election
+	ConfirmedAt time.Duration // when it was last certain that there was no other owner
+	// Inherited says that the partition had records when the ownership began, so others may have owned it
+	// before.
+	Inherited        bool
 	PredecessorUntil time.Duration // no earlier owner was confirmed later than this
 }
 
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -14,17 +14,19 @@
 // Config is the configuration of a member. The driver derives the durations from the bounds in
 // the settings.
 type Config struct {
-	Self                string               // the member's address
-	RunID               uint64               // unique to each run of the process
-	Identity            uint64               // for a disk that has none yet; unique to each disk
-	Seeds               []string             // sorted
-	Bootstrap           bool                 // setting: with an empty disk, take part in the bootstrap of a new system
-	Empty               bool                 // the disk held nothing, or nothing readable
-	Partitions          []string             // partitions that exist from the start, besides the voter set
-	HeartbeatInterval   time.Duration        // interval between an owner's heartbeats
-	ElectionTimeout     time.Duration        // election timeout: silence after which a partition is taken over
-	ProposalTimeout     time.Duration        // how long a proposal may wait
-	TransferBackDelay   time.Duration        // how long everything must be stable before a partition goes back to its first successor; 0: never
+	Self              string        // the member's address
+	RunID             uint64        // unique to each run of the process
+	Identity          uint64        // for a disk that has none yet; unique to each disk
+	Seeds             []string      // sorted
+	Bootstrap         bool          // take part in the bootstrap of a new system if the disk is empty
+	Empty             bool          // the disk held nothing, or nothing readable
+	Partitions        []string      // partitions that exist from the start, besides the voter set
+	HeartbeatInterval time.Duration // between an owner's heartbeats
+	ElectionTimeout   time.Duration // silence of an owner after which its partition is taken over
+	ProposalTimeout   time.Duration // how long a proposal may wait
+	// TransferBackDelay is how long everything must be stable before a partition goes back to its first
+	// successor; 0: never.
+	TransferBackDelay   time.Duration
 	Alive               func(id string) bool // whether the process at an address seems alive
 	FreshnessPartitions []string             // partitions whose members must know how fresh their copy is
 	// FreshnessPrefix is the prefix of further such partitions, which are created on demand; empty:
@@ -63,8 +65,10 @@
 	promised Epoch    // the newest epoch that this member has promised to follow
 	position Position // of the copy
 	*antientropy.Set
-	commit       Position      // the newest position known to be committed
-	lastContact  time.Duration // start of the election timeout: the last contact with an owner or candidate, or the end of this member's own role
+	commit Position // the newest position known to be committed
+	// lastContact is the start of the election timeout: the last contact with an owner or candidate, or the
+	// end of this member's own role.
+	lastContact  time.Duration
 	hadContact   bool          // lastContact is set
 	ownerContact time.Duration // when the owner was last heard from
 	hasOwner     bool          // an owner has been heard from since the last vote for another member
@@ -100,7 +104,7 @@
 	firstRound       uint64                   // the first round begun since then
 	lastConfirmSent  time.Duration            // when this member last confirmed an epoch, as a follower or as the owner
 	predecessorUntil time.Duration            // no earlier owner was confirmed later than this
-	voterConfirmedAt       map[string]time.Duration // by voter: when it last confirmed another epoch
+	voterConfirmedAt map[string]time.Duration // in a candidate, by voter: when it last confirmed another epoch
 	successorsFor    *voterSet                // the voter set that successorList was computed for
 	successorList    []string
 	inherited        bool          // there were records when this member became owner
@@ -132,12 +136,14 @@
 	passive         map[string]bool   // seeds that may not propose the initial voter set
 	// firstSeeds are the seeds of the system's first start, if this member took part in it; see
 	// bootstrap.go.
-	firstSeeds         []string
-	leaving            bool
-	started            bool
-	startedAt          time.Duration
-	runIDs             map[string]uint64          // by identity: the process run (Message.RunID) last heard from
-	voterSetAnsweredAt map[string]time.Duration   // by identity: when the newest round of the voter set that it has answered was sent
+	firstSeeds []string
+	leaving    bool
+	started    bool
+	startedAt  time.Duration
+	runIDs     map[string]uint64 // by identity: the process run (Message.RunID) last heard from
+	// voterSetAnsweredAt is, by identity, when the newest round of the voter set that the member has answered
+	// was sent.
+	voterSetAnsweredAt map[string]time.Duration
 	lastIdentity       map[string]string          // by address: the identity last heard from
 	learners           map[string]time.Duration   // identities that ask to become voters, and when they last did
 	leavers            map[string]time.Duration   // identities that are leaving, and when they last said so
@@ -187,8 +193,8 @@
 		}
 	}
 	if m.identity == 0 {
-		// The first use of this disk. Batches become durable in order, so no message that
-		// counts is sent before the identity is durable.
+		// The first use of this disk. Batches become durable in order, so no message that asserts
+		// a durable state is sent before the identity is durable.
 		m.identity = cfg.Identity
 		if cfg.Bootstrap && cfg.Empty {
 			m.firstSeeds = cfg.Seeds
@@ -280,7 +286,7 @@
 		switch part.role {
 		case roleOwner:
 			if now-part.quorumAt > m.cfg.ElectionTimeout || diskStalled {
-				// The owner is cut off, was suspended for a while, or its disk doesn't respond.
+				// This owner is cut off, was suspended for a while, or its disk doesn't respond.
 				if diskStalled {
 					m.transfer(part)
 				}
@@ -311,8 +317,8 @@
 				wait = m.cfg.HeartbeatInterval + m.cfg.HeartbeatInterval/2 + time.Duration(m.rankAmongAll(part.name))*m.cfg.ElectionTimeout/4
 				since = m.startedAt
 				if part.knownSince > m.startedAt {
-					// A new partition can't have had an owner, unless this member missed that; then
-					// the owner will make itself known.
+					// The partition was created after this member started. It has no owner yet, or one that
+					// this member has not heard of and that will make itself known.
 					wait = time.Duration(m.rankAmongAll(part.name)) * m.cfg.ElectionTimeout / 4
 					since = part.knownSince
 				}
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -14,7 +14,7 @@
 	for version := uint64(1); version <= 40; version++ {
 		n := sim.mustPut(t, "x", version)
 		if got := sim.machinesWithCopy("x", version); len(got) < 3 {
-			t.Fatalf("x=%d was acknowledged by %s with copies at %v", version, n.id, got)
+			t.Fatalf("x=%d was acknowledged by %s with copies at %v", version, n.address, got)
 		}
 	}
 }
@@ -25,14 +25,14 @@
 		for seed := int64(1); seed <= 25; seed++ {
 			sim := newCluster(t, seed, 4)
 			lost := sim.mustPut(t, "x", 1)
-			sim.crash(lost.id, wipe)
-			sim.after(3*time.Second, func() { sim.start(lost.id) })
+			sim.crash(lost.address, wipe)
+			sim.after(3*time.Second, func() { sim.start(lost.address) })
 			next := sim.waitForOwner(t)
 			if got := next.replica.partitions[testPartition].Records["x"].Gen; got != 1 {
-				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.id, got)
+				t.Fatalf("seed %d wipe %v: %s holds x=%d", seed, wipe, next.address, got)
 			}
 			sim.runUntil(sim.now + 8*time.Second)
-			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.id].replica.IsVoter() {
+			if len(sim.machinesWithCopy("x", 1)) != 4 || !sim.nodes[lost.address].replica.IsVoter() {
 				t.Fatalf("seed %d: the lost member did not catch up", seed)
 			}
 		}
@@ -40,36 +40,36 @@
 }
 
 // A member that has lost its disk is another member: until the voter set includes it, neither its
-// answers nor those of its former identity count.
+// replies nor those of its former identity count.
 func TestMemberWithNewDiskDoesNotCountUntilItIsVoter(t *testing.T) {
 	sim := newCluster(t, 2, 4)
 	sim.runUntil(6 * time.Second)
 	sim.mustPut(t, "x", 7)
-	id, down := sim.ids[3], sim.ids[2]
-	formerIdentity := sim.nodes[id].replica.self
-	sim.crash(id, true)
+	address, down := sim.addresses[3], sim.addresses[2]
+	formerIdentity := sim.nodes[address].replica.self
+	sim.crash(address, true)
 	sim.crash(down, false)
 	sim.runUntil(sim.now + 2*time.Second)
-	sim.start(id)
+	sim.start(address)
 	sim.runUntil(sim.now + 5*time.Second)
-	n := sim.nodes[id]
+	n := sim.nodes[address]
 	if n.replica.self == formerIdentity || n.replica.IsVoter() {
 		t.Fatalf("the member still is %s, or votes", formerIdentity)
 	}
 	for _, m := range []Message{
-		{Body: &VoteRequest{Partition: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, VoterSet: Position{Epoch: Epoch{Number: 99}}, At: Position{Epoch: Epoch{Number: 99}}}},
-		{Body: &Append{Partition: testPartition, Epoch: Epoch{99, sim.ids[0], 1}, Base: Position{Epoch{99, sim.ids[0], 1}, 5}, Seq: 6, VoterSet: Position{Epoch: Epoch{Number: 99}}}},
+		{Body: &VoteRequest{Partition: testPartition, Epoch: Epoch{99, sim.addresses[0], 1}, VoterSet: Position{Epoch: Epoch{Number: 99}}, At: Position{Epoch: Epoch{Number: 99}}}},
+		{Body: &Append{Partition: testPartition, Epoch: Epoch{99, sim.addresses[0], 1}, Base: Position{Epoch{99, sim.addresses[0], 1}, 5}, Seq: 6, VoterSet: Position{Epoch: Epoch{Number: 99}}}},
 		{Body: &StateQuery{Round: 1}},
 	} {
 		n.replica.Take()
-		n.replica.Handle(sim.clock(n), sim.ids[0], m)
+		n.replica.Handle(sim.clock(n), sim.addresses[0], m)
 		for _, e := range n.replica.Take().Send {
-			if sender := idOf(id, e.Msg.Identity); sender == formerIdentity {
+			if sender := idOf(address, e.Msg.Identity); sender == formerIdentity {
 				t.Fatalf("it answered %+v as %s", m, sender)
 			}
 		}
 	}
-	for i, o := range sim.ids[:2] { // two of four voters, and the wiped member
+	for i, o := range sim.addresses[:2] { // two of four voters, and the wiped member
 		if err := sim.put(sim.nodes[o], "x", uint64(8+i)); err == nil {
 			t.Fatalf("%s acknowledged without a majority of the voters", o)
 		}
@@ -111,15 +111,15 @@
 	_ = sim.put(stalled, "x", 2)
 	n := sim.mustPut(t, "x", 3)
 	if n == stalled || sim.now-begin > 3*time.Second {
-		t.Fatalf("%s acknowledged after %v", n.id, sim.now-begin)
+		t.Fatalf("%s acknowledged after %v", n.address, sim.now-begin)
 	}
 }
 
 func TestRefusedWritesAreRetried(t *testing.T) {
 	sim := newCluster(t, 4, 4)
 	n := sim.mustPut(t, "x", 1)
-	for _, id := range sim.ids {
-		sim.nodes[id].writesToRefuse = 2
+	for _, address := range sim.addresses {
+		sim.nodes[address].writesToRefuse = 2
 	}
 	_ = sim.put(n, "x", 2)
 	sim.mustPut(t, "x", 3)
@@ -136,19 +136,19 @@
 	sim.mustPut(t, "y", 6)
 	sim.runUntil(sim.now + time.Second)
 	owner := sim.waitForOwner(t)
-	for _, id := range sim.ids {
-		if id == owner.id {
+	for _, address := range sim.addresses {
+		if address == owner.address {
 			continue
 		}
-		part := sim.nodes[id].replica.partitions[testPartition]
+		part := sim.nodes[address].replica.partitions[testPartition]
 		part.Records["x"] = Record{Name: "x", Gen: 4, Data: []byte("rotten")}
 		part.Sums = antientropy.Digest(part.Records)
 		break
 	}
 	sim.runUntil(sim.now + 2*time.Second)
-	for _, id := range sim.ids {
-		if r := sim.nodes[id].replica.partitions[testPartition].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
-			t.Fatalf("%s holds %+v", id, r)
+	for _, address := range sim.addresses {
+		if r := sim.nodes[address].replica.partitions[testPartition].Records["x"]; r.Gen != 5 || len(r.Data) > 0 {
+			t.Fatalf("%s holds %+v", address, r)
 		}
 	}
 }
@@ -156,17 +156,17 @@
 func TestOnlyFirstStartBootstraps(t *testing.T) {
 	sim := newCluster(t, 3, 4)
 	sim.runUntil(5 * time.Second)
-	for _, id := range sim.ids { // all disks are lost, which exceeds any fault budget
-		sim.crash(id, true)
+	for _, address := range sim.addresses { // all disks are lost, which exceeds any fault budget
+		sim.crash(address, true)
 	}
 	sim.runUntil(sim.now + time.Second)
-	for _, id := range sim.ids {
-		sim.start(id)
+	for _, address := range sim.addresses {
+		sim.start(address)
 	}
 	sim.runUntil(sim.now + 10*time.Second)
-	for _, id := range sim.ids {
-		if sim.nodes[id].replica.IsVoter() || len(sim.nodes[id].replica.Voters()) > 0 {
-			t.Fatalf("%s bootstrapped again although the system had existed before", id)
+	for _, address := range sim.addresses {
+		if sim.nodes[address].replica.IsVoter() || len(sim.nodes[address].replica.Voters()) > 0 {
+			t.Fatalf("%s bootstrapped again although the system had existed before", address)
 		}
 	}
 }
@@ -174,11 +174,11 @@
 func TestLeavingTransfersPartitionsAtOnce(t *testing.T) {
 	sim := newCluster(t, 8, 4)
 	leaving := sim.mustPut(t, "x", 1)
-	sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.now) })
+	sim.runOn(leaving.address, leaving.runID, func() { leaving.replica.Leave(sim.now) })
 	begin := sim.now
 	n := sim.waitForOwner(t)
 	if n == leaving || sim.now-begin > 600*time.Millisecond {
-		t.Fatalf("%s owns the partition after %v", n.id, sim.now-begin)
+		t.Fatalf("%s owns the partition after %v", n.address, sim.now-begin)
 	}
 	if n.replica.partitions[testPartition].Records["x"].Gen != 1 {
 		t.Fatal("x=1 was lost in the transfer")
@@ -186,16 +186,16 @@
 }
 
 func TestQuorums(t *testing.T) {
-	ids := []string{"a", "b", "c", "d", "e", "f", "g"}
+	voters := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for _, tc := range []struct{ members, promise, durable int }{
 		{1, 1, 1}, {2, 2, 2}, {3, 2, 3}, {4, 3, 3}, {5, 3, 3}, {6, 4, 4}, {7, 4, 4},
 	} {
 		for n := 0; n <= tc.members; n++ {
-			has := func(id string) bool { return int(id[0]-'a') < n }
-			if got := hasQuorumOf(ids[:tc.members], false, has); got != (n >= tc.promise) {
+			has := func(address string) bool { return int(address[0]-'a') < n }
+			if got := hasQuorumOf(voters[:tc.members], false, has); got != (n >= tc.promise) {
 				t.Errorf("quorum for a vote by %d of %d: %v", n, tc.members, got)
 			}
-			if got := hasQuorumOf(ids[:tc.members], true, has); got != (n >= tc.durable) {
+			if got := hasQuorumOf(voters[:tc.members], true, has); got != (n >= tc.durable) {
 				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, tc.members, got)
 			}
 		}
@@ -208,8 +208,8 @@
 	sim := newCluster(t, 12, 4)
 	sim.runUntil(6 * time.Second)
 	sim.mustPut(t, "x", 1)
-	lost := sim.ids[2]
-	retire := func(id string) (err error) {
+	lost := sim.addresses[2]
+	retire := func(address string) (err error) {
 		for i := 0; i < 10; i++ {
 			var owner *node
 			for sim.runUntil(sim.now + 200*time.Millisecond); owner == nil && sim.now < time.Minute; sim.runUntil(sim.now + 100*time.Millisecond) {
@@ -219,7 +219,7 @@
 				t.Fatal("the voter set has no owner")
 			}
 			err = ErrNoQuorum
-			sim.runOn(owner.id, owner.runID, func() { owner.replica.Retire(sim.now, id, func(e error) { err = e }) })
+			sim.runOn(owner.address, owner.runID, func() { owner.replica.Retire(sim.now, address, func(e error) { err = e }) })
 			sim.runUntil(sim.now + 1500*time.Millisecond)
 			if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNotOwner) {
 				return err
@@ -239,32 +239,32 @@
 		t.Fatal(err)
 	}
 	sim.runUntil(sim.now + time.Second)
-	for _, id := range sim.ids {
-		if id != lost && len(sim.nodes[id].replica.Voters()) != 3 {
-			t.Fatalf("%s has the voter set %v", id, sim.nodes[id].replica.Voters())
+	for _, address := range sim.addresses {
+		if address != lost && len(sim.nodes[address].replica.Voters()) != 3 {
+			t.Fatalf("%s has the voter set %v", address, sim.nodes[address].replica.Voters())
 		}
 	}
-	other := sim.ids[3]
+	other := sim.addresses[3]
 	sim.crash(other, false)
 	if err := retire(other); !errors.Is(err, ErrTooFew) {
 		t.Fatalf("retiring a member of three: %v", err)
 	}
 	sim.start(other)
 	replacement := "10.0.0.9:7661"
-	sim.ids = append(sim.ids, replacement)
-	sim.nodes[replacement] = &node{id: replacement, disk: map[string][]byte{}}
+	sim.addresses = append(sim.addresses, replacement)
+	sim.nodes[replacement] = &node{address: replacement, disk: map[string][]byte{}}
 	sim.start(replacement)
 	sim.runUntil(sim.now + 6*time.Second)
 	if !sim.nodes[replacement].replica.IsVoter() {
 		t.Fatal("the replacement is not a voter")
 	}
-	sim.crash(sim.ids[0], false)
+	sim.crash(sim.addresses[0], false)
 	sim.mustPut(t, "x", 2)
 	if got := sim.machinesWithCopy("x", 2); len(got) < 3 {
 		t.Fatalf("copies at %v", got)
 	}
 	// The retired machine starts again after all, without its old disk.
-	sim.start(sim.ids[0])
+	sim.start(sim.addresses[0])
 	sim.start(lost)
 	sim.runUntil(sim.now + 8*time.Second)
 	if n := sim.nodes[lost]; !n.replica.IsVoter() || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
@@ -277,16 +277,16 @@
 	sim := newCluster(t, 13, 4)
 	sim.runUntil(6 * time.Second) // all four are voters
 	sim.mustPut(t, "x", 1)
-	retired := sim.ids[1]
+	retired := sim.addresses[1]
 	sim.crash(retired, false)
 	done := false
 	for ; !done; sim.runUntil(sim.now + 500*time.Millisecond) {
 		if sim.now > time.Minute {
 			t.Fatal("the member was not retired within a minute")
 		}
-		for _, id := range sim.ids {
-			if n := sim.nodes[id]; n.up && n.replica.partitions[VoterSetPartition].role == roleOwner {
-				sim.runOn(id, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { done = done || e == nil }) })
+		for _, address := range sim.addresses {
+			if n := sim.nodes[address]; n.up && n.replica.partitions[VoterSetPartition].role == roleOwner {
+				sim.runOn(address, n.runID, func() { n.replica.Retire(sim.now, retired, func(e error) { done = done || e == nil }) })
 			}
 		}
 	}
@@ -318,8 +318,8 @@
 		t.Fatalf("the partition returned after %v (0: never)", returnedAfter)
 	}
 	sim.mustPut(t, "x", 2)
-	if n := sim.waitForOwner(t); n.id != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
-		t.Fatalf("%s owns x=%d", n.id, n.replica.partitions[testPartition].Records["x"].Gen)
+	if n := sim.waitForOwner(t); n.address != successor || n.replica.partitions[testPartition].Records["x"].Gen != 2 {
+		t.Fatalf("%s owns x=%d", n.address, n.replica.partitions[testPartition].Records["x"].Gen)
 	}
 }
 
@@ -330,11 +330,11 @@
 	sim.runUntil(6 * time.Second)
 	sim.mustPut(t, "x", 1)
 	sim.runUntil(sim.now + time.Second)
-	for _, id := range sim.ids {
-		sim.crash(id, false)
+	for _, address := range sim.addresses {
+		sim.crash(address, false)
 	}
-	for _, id := range sim.ids {
-		disk := sim.nodes[id].disk
+	for _, address := range sim.addresses {
+		disk := sim.nodes[address].disk
 		disk[nodeEntryKey] = marshal(nodeValue{Voting: true, Bootstrapped: true})
 		for name, b := range disk {
 			var r storedRecord
@@ -346,17 +346,17 @@
 				}
 			}
 		}
-		sim.start(id)
+		sim.start(address)
 	}
 	sim.mustPut(t, "x", 2)
 	sim.runUntil(sim.now + 8*time.Second)
-	for _, id := range sim.ids {
-		s := sim.nodes[id].replica.voterSet()
-		if len(s.newVoters) != 4 || s.joint || !slices.Contains(s.newVoters, sim.nodes[id].replica.self) {
-			t.Fatalf("%s has the voter set %+v", id, s)
+	for _, address := range sim.addresses {
+		s := sim.nodes[address].replica.voterSet()
+		if len(s.newVoters) != 4 || s.joint || !slices.Contains(s.newVoters, sim.nodes[address].replica.self) {
+			t.Fatalf("%s has the voter set %+v", address, s)
 		}
 	}
-	sim.crash(sim.ids[1], true) // a wiped member must not count here either
+	sim.crash(sim.addresses[1], true) // a wiped member must not count here either
 	sim.mustPut(t, "x", 3)
 }
 
@@ -367,17 +367,17 @@
 		sim := newCluster(t, seed, 5)
 		sim.runUntil(6 * time.Second)
 		successor := sim.mustPut(t, "x", 1).replica.Successors(testPartition)[0]
-		for _, id := range sim.ids {
-			sim.crash(id, id == successor)
+		for _, address := range sim.addresses {
+			sim.crash(address, address == successor)
 		}
 		sim.runUntil(sim.now + time.Second)
-		for _, id := range sim.ids {
-			sim.start(id)
+		for _, address := range sim.addresses {
+			sim.start(address)
 		}
 		begin := sim.now
 		n := sim.waitForOwner(t)
-		if took := sim.now - begin; n.id == successor || took > testHeartbeat {
-			t.Errorf("seed %d: %s owns the partition after %v", seed, n.id, took)
+		if took := sim.now - begin; n.address == successor || took > testHeartbeat {
+			t.Errorf("seed %d: %s owns the partition after %v", seed, n.address, took)
 		}
 	}
 }
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -50,7 +50,7 @@
 		}
 		sim.minVersions[testPartition+"/x"] = 2
 		sim.runUntil(frozen.frozenUntil - time.Millisecond)
-		sim.readPartition(frozen.id, testPartition, func(err error) {
+		sim.readPartition(frozen.address, testPartition, func(err error) {
 			if err == nil {
 				t.Fatalf("seed %d: the stale read was answered", seed)
 			}
@@ -66,7 +66,7 @@
 		sim, owner := newLosslessCluster(t, seed, 5, 2, 5, time.Second)
 		others := sim.machinesExcept(owner)
 		sim.drop = func(from string, e Envelope) bool {
-			return from == owner.id && (e.To == others[2].id || e.To == others[3].id) && bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Partition == testPartition
+			return from == owner.address && (e.To == others[2].address || e.To == others[3].address) && bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Partition == testPartition
 		}
 		if err := sim.put(owner, "x", 2); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -76,17 +76,17 @@
 		}
 		sim.drop = nil
 		for i, n := range append(others, owner) {
-			sim.crash(n.id, i < 2)
+			sim.crash(n.address, i < 2)
 		}
 		for _, n := range others {
-			sim.start(n.id)
+			sim.start(n.address)
 		}
 		for end := sim.now + 4*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 			if n := sim.ownerOf(testPartition); n != nil {
-				t.Fatalf("seed %d: %s owns the partition although two of the disks are new", seed, n.id)
+				t.Fatalf("seed %d: %s owns the partition although two of the disks are new", seed, n.address)
 			}
 		}
-		sim.start(owner.id)
+		sim.start(owner.address)
 		sim.waitFor("all members hold everything", 12*time.Second, sim.voterSetProblem)
 		if n := sim.waitForOwner(t); n.replica.partitions[testPartition].Records["x"].Gen != 2 {
 			t.Fatalf("seed %d: lost", seed)
@@ -104,7 +104,7 @@
 		sim.runUntil(sim.now + time.Second)
 		owner := sim.waitForOwner(t)
 		acknowledged := false
-		sim.runOn(owner.id, owner.runID, func() {
+		sim.runOn(owner.address, owner.runID, func() {
 			owner.replica.Propose(sim.clock(owner), testPartition, func(map[string]Record) ([]Record, error) {
 				return []Record{{Name: "x", Gen: 2, Data: []byte("old")}}, nil
 			}, func(err error) { acknowledged = err == nil })
@@ -112,15 +112,15 @@
 		sim.freeze(owner, 12*time.Second)
 		sim.runUntil(sim.now + time.Duration(seed)*100*time.Millisecond)
 		var wiped *node
-		for _, id := range sim.ids {
-			if n := sim.nodes[id]; n != owner && n.replica.partitions[VoterSetPartition].role != roleOwner {
+		for _, address := range sim.addresses {
+			if n := sim.nodes[address]; n != owner && n.replica.partitions[VoterSetPartition].role != roleOwner {
 				wiped = n
 				break
 			}
 		}
-		sim.crash(wiped.id, true)
+		sim.crash(wiped.address, true)
 		sim.runUntil(sim.now + 500*time.Millisecond)
-		sim.start(wiped.id)
+		sim.start(wiped.address)
 		sim.runUntil(sim.now + 6*time.Second)
 		if !wiped.replica.IsVoter() {
 			t.Fatalf("seed %d: the member that lost its disk is not a voter", seed)
@@ -174,14 +174,14 @@
 				for _, partition := range partitions {
 					before[partition] = sim.ownerOf(partition).replica.partitions[partition].ownEpoch
 				}
-				cut := sim.nodes[sim.ids[index]]
+				cut := sim.nodes[sim.addresses[index]]
 				sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 20 * time.Second})
 				unservedFor := map[string]time.Duration{}
 				for begin := sim.now; sim.now < begin+22*time.Second; sim.runUntil(sim.now + 50*time.Millisecond) {
 					for _, partition := range partitions {
 						served := false
-						for _, id := range sim.ids {
-							n := sim.nodes[id]
+						for _, address := range sim.addresses {
+							n := sim.nodes[address]
 							part := n.replica.partitions[partition]
 							served = served || part.role == roleOwner && sim.clock(n)-part.quorumAt <= testElectionTimeout && part.commit.Epoch == part.ownEpoch
 						}
@@ -190,7 +190,7 @@
 								t.Fatalf("%s had no owner for %v", partition, unservedFor[partition])
 							}
 						}
-						if owner := sim.ownerOf(partition); before[partition].Owner != cut.id && owner != nil && owner.replica.partitions[partition].ownEpoch != before[partition] && sim.now < begin+20*time.Second {
+						if owner := sim.ownerOf(partition); before[partition].Owner != cut.address && owner != nil && owner.replica.partitions[partition].ownEpoch != before[partition] && sim.now < begin+20*time.Second {
 							t.Fatalf("%v of %s was deposed by %v", before[partition], partition, owner.replica.partitions[partition].ownEpoch)
 						}
 					}
@@ -214,7 +214,7 @@
 				return bodyAs[*Append](e.Msg) != nil && bodyAs[*Append](e.Msg).Partition == testPartition || bodyAs[*SnapshotChunk](e.Msg) != nil || bodyAs[*AppendAck](e.Msg) != nil && bodyAs[*AppendAck](e.Msg).Partition == testPartition
 			}
 			_ = sim.put(leaving, "x", 2) // only the leaving member may hold it
-			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
+			sim.runOn(leaving.address, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			for end := sim.now + 3*time.Second; sim.now < end; sim.runUntil(sim.now + 50*time.Millisecond) {
 				if leaving.replica.SafeToLeave(sim.clock(leaving)) && leaving.replica.isVoter() {
 					t.Fatalf("%d members, seed %d: the member may leave with x=2 at %v", tc.members, seed, sim.machinesWithCopy("x", 2))
@@ -247,8 +247,8 @@
 			sim.lossless = true
 			sim.mustPut(t, "x", 1)
 			sim.runUntil(sim.now + time.Second)
-			leaving := sim.nodes[sim.ids[int(seed)%tc.members]]
-			sim.runOn(leaving.id, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
+			leaving := sim.nodes[sim.addresses[int(seed)%tc.members]]
+			sim.runOn(leaving.address, leaving.runID, func() { leaving.replica.Leave(sim.clock(leaving)) })
 			begin := sim.now
 			sim.waitFor("the member may leave", 2*time.Second, func() string {
 				if leaving.replica.SafeToLeave(sim.clock(leaving)) {
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -178,11 +178,11 @@
 	for _, partition := range append(sim.partitions, "rollout/c") {
 		for i := 0; i < 10; i++ {
 			sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, func() {
-				for _, id := range sim.ids {
-					if n := sim.nodes[id]; n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
+				for _, address := range sim.addresses {
+					if n := sim.nodes[address]; n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
 						proposed++
 						sim.changesSent++
-						sim.proposeVersion(id, partition, "s0", sim.minVersions[partition+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
+						sim.proposeVersion(address, partition, "s0", sim.minVersions[partition+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
 					}
 				}
 			})
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -19,12 +19,14 @@
 	Entries []storage.Entry
 }
 
+// metaValue is the stored state of a partition besides its records.
 type metaValue struct {
 	Promised Epoch    `cbor:"1,keyasint"`
 	At       Position `cbor:"2,keyasint"`
 	Commit   Position `cbor:"3,keyasint"`
 }
 
+// nodeValue is the stored state of the member itself.
 type nodeValue struct {
 	Voting       bool   `cbor:"1,keyasint"` // read by versions without identities
 	Bootstrapped bool   `cbor:"2,keyasint"`
@@ -41,8 +43,8 @@
 )
 
 type storedRecord struct {
-	Partition    string `cbor:"1,keyasint"`
-	Record Record `cbor:"2,keyasint"`
+	Partition string `cbor:"1,keyasint"`
+	Record    Record `cbor:"2,keyasint"`
 }
 
 // write asks the driver to make entries durable, and calls then once they are.
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -33,7 +33,7 @@
 
 func (m *Replica) onJoin(from, id string) {
 	if slices.Contains(m.voterSet().newVoters, id) {
-		// The member hasn't learned yet that it is a voter; the next message about the voter set
+		// The member doesn't know yet that it is a voter; the next message about the voter set
 		// tells it.
 		return
 	}
@@ -92,7 +92,7 @@
 
 // allVotersAnswering reports whether all voters have answered recently and no change is wanted.
 // Until then the owner of the voter set doesn't transfer it back: the next owner would have to wait
-// for the answers afresh.
+// for the replies afresh.
 func (m *Replica) allVotersAnswering() bool {
 	s := m.voterSet()
 	for _, voter := range s.newVoters {
@@ -106,8 +106,9 @@
 // survey collects what the members hold, for a change of the voter set or for a member that
 // leaves.
 type survey struct {
-	voterSet Position                     // position of the voter set that the survey is for
-	required map[string]PartitionPosition // by partition: the newest position and promised epoch reported; nil: not known yet
+	voterSet Position // position of the voter set that the survey is for
+	// required is, by partition, the newest position and promised epoch reported; nil: not known yet.
+	required map[string]PartitionPosition
 	replies  map[string]*StateReport
 }
 
--- a/internal/replication/voter_set_change_test.go
+++ b/internal/replication/voter_set_change_test.go
@@ -22,7 +22,7 @@
 		noVoterSet := true
 		sim.drop = func(_ string, e Envelope) bool {
 			m := e.Msg
-			return noVoterSet && e.To == owner.id && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == VoterSetPartition || bodyAs[*AppendAck](m) != nil && bodyAs[*AppendAck](m).Outdated != nil ||
+			return noVoterSet && e.To == owner.address && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == VoterSetPartition || bodyAs[*AppendAck](m) != nil && bodyAs[*AppendAck](m).Outdated != nil ||
 				bodyAs[*HeartbeatAck](m) != nil && bodyAs[*HeartbeatAck](m).Outdated != nil ||
 				bodyAs[*Vote](m) != nil && bodyAs[*Vote](m).Outdated != nil || bodyAs[*StateReport](m) != nil && bodyAs[*StateReport](m).Outdated != nil || bodyAs[*SnapshotChunk](m) != nil && bodyAs[*SnapshotChunk](m).Partition == VoterSetPartition)
 		}
@@ -42,18 +42,18 @@
 		for _, n := range removed {
 			sim.unfreeze(n)
 		}
-		sim.ids = append(sim.ids, removed[0].id, removed[1].id)
+		sim.addresses = append(sim.addresses, removed[0].address, removed[1].address)
 		for end := sim.now + 6*time.Second; sim.now < end; {
 			for _, n := range append(removed, owner) {
 				if err := sim.put(n, "x", 100); err == nil {
-					t.Fatalf("seed %d: %s acknowledged with removed members", seed, n.id)
+					t.Fatalf("seed %d: %s acknowledged with removed members", seed, n.address)
 				}
 			}
 			sim.runUntil(sim.now + 50*time.Millisecond)
 		}
 		for _, n := range append(removed, owner) {
 			if n.replica.partitions[testPartition].role == roleOwner || n.replica.partitions[VoterSetPartition].role == roleOwner {
-				t.Fatalf("seed %d: %s owns a partition among removed members", seed, n.id)
+				t.Fatalf("seed %d: %s owns a partition among removed members", seed, n.address)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 		sim.runUntil(sim.now + 2*time.Second)
 		var removed []*node
 		for i := 0; i < 3; i++ {
-			n := sim.nodes[sim.ids[(int(seed)+i)%(5-i)]]
+			n := sim.nodes[sim.addresses[(int(seed)+i)%(5-i)]]
 			sim.freeze(n, time.Hour)
 			sim.remove(n, time.Second)
 			n.failures++
@@ -84,11 +84,11 @@
 		for sim.now < begin+10*time.Second {
 			for _, n := range removed {
 				if err := sim.put(n, "x", 50); err == nil {
-					t.Fatalf("seed %d: %s acknowledged", seed, n.id)
+					t.Fatalf("seed %d: %s acknowledged", seed, n.address)
 				}
 				for _, partition := range []string{testPartition, VoterSetPartition} {
 					if n.replica.partitions[partition].role == roleOwner && n.replica.partitions[partition].ownerSince >= begin-n.startedAt {
-						t.Fatalf("seed %d: %s owns %s", seed, n.id, partition)
+						t.Fatalf("seed %d: %s owns %s", seed, n.address, partition)
 					}
 				}
 			}
@@ -97,7 +97,7 @@
 		sim.mustPut(t, "x", 60)
 		sim.changeCuts(removed, true, true, -1)
 		for _, n := range removed {
-			sim.ids = append(sim.ids, n.id)
+			sim.addresses = append(sim.addresses, n.address)
 		}
 		sim.runUntil(sim.now + 10*time.Second)
 		sim.mustPut(t, "x", 61)
@@ -130,7 +130,7 @@
 	sim.drop = func(from string, e Envelope) bool {
 		change.joint = change.joint || change.setOwner.replica.voterSet().joint
 		// Both new members are known to hold everything before the change begins.
-		tooEarly := sim.now < joinAfter && bodyAs[*Join](e.Msg) != nil || sim.now < joinAfter+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == change.owner.id || from == change.remaining.id)
+		tooEarly := sim.now < joinAfter && bodyAs[*Join](e.Msg) != nil || sim.now < joinAfter+3*testHeartbeat && bodyAs[*StateReport](e.Msg) != nil && (from == change.owner.address || from == change.remaining.address)
 		return tooEarly || change.drops != nil && change.drops(from, e)
 	}
 	change.replacements = []*node{sim.startReplacement(), sim.startReplacement()}
@@ -171,7 +171,7 @@
 		for end := c.now + 8*time.Second; c.now < end; c.runUntil(c.now + 50*time.Millisecond) {
 			for _, n := range append(c.replacements, c.setOwner) {
 				if n.replica.partitions[testPartition].role == roleOwner || !n.replica.voterSet().joint && len(n.replica.voterSet().newVoters) > 0 && !slices.Contains(n.replica.voterSet().newVoters, c.failed1.replica.self) {
-					t.Fatalf("seed %d: %s decides without the old voters: %v", seed, n.id, *n.replica.voterSet())
+					t.Fatalf("seed %d: %s decides without the old voters: %v", seed, n.address, *n.replica.voterSet())
 				}
 			}
 		}
@@ -196,12 +196,12 @@
 				c.unfreeze(c.failed1)
 			}
 			switch {
-			case crossesCut([]*node{c.owner, c.remaining, c.failed1}, from, e.To) && (from == c.failed1.id || e.To == c.failed1.id):
+			case crossesCut([]*node{c.owner, c.remaining, c.failed1}, from, e.To) && (from == c.failed1.address || e.To == c.failed1.address):
 				return true
 			case c.now < jointSince+time.Second && crossesCut(lacking, from, e.To):
 				return true // the joint voter set is delayed
 			}
-			return slices.ContainsFunc(lacking, func(n *node) bool { return n.id == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == testPartition || bodyAs[*SnapshotChunk](m) != nil)
+			return slices.ContainsFunc(lacking, func(n *node) bool { return n.address == e.To }) && (bodyAs[*Append](m) != nil && bodyAs[*Append](m).Partition == testPartition || bodyAs[*SnapshotChunk](m) != nil)
 		}
 		c.untilJoint()
 		if err := c.put(c.owner, "x", 2); err != nil {
@@ -263,11 +263,11 @@
 					next[voter] = voterLeaving
 				}
 			}
-			m.Handle(sim.clock(candidate), voterSetOwner.id, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Partition: VoterSetPartition, Epoch: voterSet.promised,
+			m.Handle(sim.clock(candidate), voterSetOwner.address, Message{Identity: voterSetOwner.replica.identity, Body: &Append{Partition: VoterSetPartition, Epoch: voterSet.promised,
 				Base: voterSet.position, Seq: voterSet.position.Seq + 1, VoterSet: Position{voterSet.promised, voterSet.position.Seq + 1}, Changes: voterSetRecords(voterSet.Records, next)}})
 		}
-		for _, id := range sim.ids {
-			m.Handle(sim.clock(candidate), id, Message{Identity: sim.nodes[id].replica.identity, Body: &Vote{Partition: testPartition, Epoch: part.ownEpoch, Granted: true, Promised: part.ownEpoch, At: part.position}})
+		for _, address := range sim.addresses {
+			m.Handle(sim.clock(candidate), address, Message{Identity: sim.nodes[address].replica.identity, Body: &Vote{Partition: testPartition, Epoch: part.ownEpoch, Granted: true, Promised: part.ownEpoch, At: part.position}})
 		}
 		if (part.role == roleOwner) == removed {
 			t.Errorf("removed: %v, owns the partition: %v", removed, part.role == roleOwner)
@@ -284,18 +284,18 @@
 		failed := sim.lastMachineExcept(voterSetOwner)
 		var lastMessages []Envelope
 		sim.drop = func(from string, e Envelope) bool {
-			if from == failed.id && e.To == voterSetOwner.id {
+			if from == failed.address && e.To == voterSetOwner.address {
 				lastMessages = append(lastMessages, e)
 			}
 			return false
 		}
 		sim.runUntil(sim.now + time.Second)
 		sim.beginFailure(failed)
-		sim.crash(failed.id, true)
+		sim.crash(failed.address, true)
 		for i := 0; i < 100; i++ {
 			e := lastMessages[i%len(lastMessages)]
 			sim.after(time.Duration(i)*50*time.Millisecond, func() {
-				sim.runOn(voterSetOwner.id, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), failed.id, e.Msg) })
+				sim.runOn(voterSetOwner.address, voterSetOwner.runID, func() { voterSetOwner.replica.Handle(sim.clock(voterSetOwner), failed.address, e.Msg) })
 			})
 		}
 		sim.waitFor("the voter is removed", 2*testElectionTimeout+2*testHeartbeat, func() string {
