--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -26,7 +26,7 @@
 // NameHash is the hash of a name that candidates are chosen for.
 type NameHash uint64
 
-// HashName hashes a name.
+// HashName returns the hash of a name, to be weighted with many candidates.
 func HashName(name string) NameHash { return NameHash(hash(offset64, name) * prime64) }
 
 // Weight returns the weight of a candidate.
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -62,7 +62,7 @@
 		index   []int
 		ok      bool
 	}{
-		{"whole", [][]Record{all[:2], all[2:]}, []int{0, 1}, true},
+		{"complete", [][]Record{all[:2], all[2:]}, []int{0, 1}, true},
 		{"one chunk twice", [][]Record{all[:2], all[:2], all[2:]}, []int{0, 0, 1}, true},
 		{"a record missing", [][]Record{all[:2], nil}, []int{0, 1}, false},
 		{"a different record", [][]Record{all[:2], {{Name: "z", Gen: 1}}}, []int{0, 1}, false},
@@ -106,8 +106,8 @@
 			sim := newClusterWithVoters(t, int64(kind)+1, 4, 1, 4)
 			sim.lossless, sim.skipContents = true, true
 			change := func(name string, version uint64, data string) {
-				if o := sim.ownerOf(testPartition); o != nil {
-					sim.proposeVersion(o.address, testPartition, name, version, data, func(uint64, error) {})
+				if owner := sim.ownerOf(testPartition); owner != nil {
+					sim.proposeVersion(owner.address, testPartition, name, version, data, func(uint64, error) {})
 				}
 			}
 			filler := strings.Repeat("f", size)
@@ -118,8 +118,8 @@
 				}
 			}
 			sim.runUntil(sim.now + 3*time.Second)
-			if member := len(sim.ownersRecords(testPartition)); member < records {
-				t.Fatalf("%d records", member)
+			if count := len(sim.ownersRecords(testPartition)); count < records {
+				t.Fatalf("%d records", count)
 			}
 			sim.linkRate = float64(maxChunkBytes) / (1.2 * testHeartbeat.Seconds())
 			catalogueBytes := float64(records * size)
@@ -133,11 +133,11 @@
 			sim.runUntil(sim.now + 5*time.Second)
 			var member *node
 			for _, address := range sim.addresses {
-				if o := sim.nodes[address]; o.replica.partitions[testPartition].role != roleOwner && o.replica.partitions[VoterSetPartition].role != roleOwner {
-					member = o
+				if n := sim.nodes[address]; n.replica.partitions[testPartition].role != roleOwner && n.replica.partitions[VoterSetPartition].role != roleOwner {
+					member = n
 				}
 			}
-			index := slices.IndexFunc(sim.healthy(), func(o *node) bool { return o == member })
+			index := slices.IndexFunc(sim.healthy(), func(n *node) bool { return n == member })
 			sim.injectFailure(failure{kind: kind, index: index, count: 1, duration: 15 * time.Second, replaceAfter: 5 * time.Second})
 			if kind == replace {
 				sim.runUntil(sim.now + 5100*time.Millisecond)
@@ -151,12 +151,12 @@
 				limit = copyTime*3/2 + 2*testElectionTimeout
 			}
 			sim.waitFor("the member holds everything", limit, func() string {
-				o := sim.ownerOf(testPartition)
-				if o == nil {
+				owner := sim.ownerOf(testPartition)
+				if owner == nil {
 					return "the partition has no owner"
 				}
 				_, at, ok := member.replica.Committed(testPartition)
-				_, newest, _ := o.replica.Committed(testPartition)
+				_, newest, _ := owner.replica.Committed(testPartition)
 				if !ok || at.Epoch != newest.Epoch || at.Seq+25 < newest.Seq || !member.replica.mayOwn() {
 					return fmt.Sprintf("it shows %v of %v, is a voter: %v", at, newest, member.replica.mayOwn())
 				}
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -333,10 +333,10 @@
 
 // lastCalls returns the last calls answered up to the first impossible answer.
 func (h *history) lastCalls(partition string, name int) (out []*operatorCall) {
-	bad := int64(sort.Search(int(h.clock), func(end int) bool {
+	end := int64(sort.Search(int(h.clock), func(end int) bool {
 		return porcupine.CheckOperationsTimeout(partitionModel, h.callsUntil(int64(end), partition, name), explainTime) != porcupine.Ok
 	}))
-	ops := h.callsUntil(bad, partition, name)
+	ops := h.callsUntil(end, partition, name)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 	for _, op := range ops[max(0, len(ops)-8):] {
 		out = append(out, op.Input.(*operatorCall))
@@ -429,8 +429,8 @@
 				answers[r] = h.begin(testPartition, tc.calls[r])
 			}
 		}
-		if why := h.check(); (why == "") != tc.valid {
-			t.Errorf("%s: %q", name, why)
+		if problem := h.check(); (problem == "") != tc.valid {
+			t.Errorf("%s: %q", name, problem)
 		}
 	}
 }
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -187,15 +187,15 @@
 
 func TestQuorums(t *testing.T) {
 	voters := []string{"a", "b", "c", "d", "e", "f", "g"}
-	for _, tc := range []struct{ members, promise, durable int }{
+	for _, tc := range []struct{ members, forVote, forAck int }{
 		{1, 1, 1}, {2, 2, 2}, {3, 2, 3}, {4, 3, 3}, {5, 3, 3}, {6, 4, 4}, {7, 4, 4},
 	} {
 		for n := 0; n <= tc.members; n++ {
 			has := func(address string) bool { return int(address[0]-'a') < n }
-			if got := hasQuorumOf(voters[:tc.members], false, has); got != (n >= tc.promise) {
+			if got := hasQuorumOf(voters[:tc.members], false, has); got != (n >= tc.forVote) {
 				t.Errorf("quorum for a vote by %d of %d: %v", n, tc.members, got)
 			}
-			if got := hasQuorumOf(voters[:tc.members], true, has); got != (n >= tc.durable) {
+			if got := hasQuorumOf(voters[:tc.members], true, has); got != (n >= tc.forAck) {
 				t.Errorf("quorum for an acknowledgement by %d of %d: %v", n, tc.members, got)
 			}
 		}
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -27,8 +27,8 @@
 					schedule.failures = append(schedule.failures, failure{kind: kind, target: failureTarget((int(seed) + i) % int(failureTargetCount)), index: int(seed) + i, count: 1, replaceAfter: time.Duration(seed) * 300 * time.Millisecond})
 				}
 				schedule.lastFailure = &failure{kind: wipeAndPowerLoss, target: tc.target, index: int(seed), count: tc.faults, duration: time.Second, replaceAfter: 12 * time.Second}
-				if broken, _ := runSchedule(schedule); broken != "" {
-					t.Fatalf("%s\n%v", broken, schedule)
+				if violation, _ := runSchedule(schedule); violation != "" {
+					t.Fatalf("%s\n%v", violation, schedule)
 				}
 			}
 		})
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -299,8 +299,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			if broken, _ := runSchedule(tc.schedule); broken != "" {
-				t.Fatalf("%s\n%v", broken, tc.schedule)
+			if violation, _ := runSchedule(tc.schedule); violation != "" {
+				t.Fatalf("%s\n%v", violation, tc.schedule)
 			}
 		})
 	}
