--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -27,16 +27,16 @@
 	// TransferBackDelay is how long everything must be stable before a partition goes back to its first
 	// successor; 0: never.
 	TransferBackDelay   time.Duration
-	Alive               func(id string) bool // whether the process at an address seems alive
-	FreshnessPartitions []string             // partitions whose members must know how fresh their copy is
+	Alive               func(address string) bool // whether the process at an address seems alive
+	FreshnessPartitions []string                  // partitions whose members must know how fresh their copy is
 	// FreshnessPrefix is the prefix of further such partitions, which are created on demand; empty:
 	// there are none.
 	FreshnessPrefix string
 
-	Faults int                    // how many members may be lost at once with all guarantees kept
-	Left   func(id string) bool   // the process at an address has announced that it left; nil: never known
-	Peers  func() []string        // known control nodes, for a member that is not a voter; nil: none
-	Zone   func(id string) string // zone of an address; nil or empty: not known
+	Faults int                         // how many members may be lost at once with all guarantees kept
+	Left   func(address string) bool   // the process at an address has announced that it left; nil: never known
+	Peers  func() []string             // known control nodes, for a member that is not a voter; nil: none
+	Zone   func(address string) string // zone of an address; nil or empty: not known
 }
 
 // Effects is what a member asks its driver to do.
