--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -3,11 +3,11 @@
 // This file holds how a new system is bootstrapped: how its first voter set is chosen.
 //
 // A member that starts with an empty disk and the bootstrap setting stores the seeds of that
-// start along with its identity. Until it has a voter set it may take the lead in the bootstrap,
-// also after restarts. The lowest such seed proposes the initial voter set once all seeds with a
+// start along with its identity. Until it has a voter set it may propose the initial one, also
+// after restarts. The lowest such seed proposes the initial voter set once all seeds with a
 // disk have answered that they are there and have no voter set. A seed without these stored seeds
-// is passive: it was killed before its first write, or has lost its disk. It never proposes but
-// takes part. Nothing is sent before the state that it rests on is durable, so a seed accepts
+// is passive: it was killed before its first write, or has lost its disk. It takes part in the
+// bootstrap but never proposes. Nothing is sent before the state that it depends on is durable, so a seed accepts
 // at most one initial voter set, and one that was proposed before a restart is continued.
 
 import "slices"
@@ -112,36 +112,36 @@
 	return true
 }
 
-func (m *Replica) onBootstrapRequest(from string, f *BootstrapRequest) {
+func (m *Replica) onBootstrapRequest(from string, request *BootstrapRequest) {
 	part := m.partitions[VoterSetPartition]
 	switch {
-	case len(f.Records) == 0:
+	case len(request.Records) == 0:
 		if len(part.Records) == 0 && !m.bootstrapped {
 			m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{MayNotPropose: !m.mayBootstrap()}}) })
 		}
 		return
 	case len(part.Records) == 0:
-		if m.bootstrapped || !slices.ContainsFunc(f.Records, func(r Record) bool { return r.Name == m.self }) {
+		if m.bootstrapped || !slices.ContainsFunc(request.Records, func(r Record) bool { return r.Name == m.self }) {
 			return
 		}
-		entries := m.replace(part, allRanges, f.Records)
-		part.promised, part.position = f.At.Epoch, f.At
+		entries := m.replace(part, allRanges, request.Records)
+		part.promised, part.position = request.At.Epoch, request.At
 		part.lastContact, part.hadContact = m.now, true
 		m.write(append(entries, part.meta()), nil)
-	case part.position.Less(f.At):
+	case part.position.Less(request.At):
 		return
 	}
-	m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{At: f.At}}) })
+	m.whenDurable(func() { m.send(from, Message{Body: &BootstrapReply{At: request.At}}) })
 }
 
-func (m *Replica) onBootstrapReply(from, id string, f *BootstrapReply) {
+func (m *Replica) onBootstrapReply(from, id string, reply *BootstrapReply) {
 	switch {
 	case !m.bootstrapping():
-	case f.Relay:
-		m.relays[from] = f.Appointed
-	case f.At.Seq == 0:
-		m.seedIDs[from], m.passive[from] = id, f.MayNotPropose
-	case f.At == m.partitions[VoterSetPartition].position:
+	case reply.Relay:
+		m.relays[from] = reply.Appointed
+	case reply.At.Seq == 0:
+		m.seedIDs[from], m.passive[from] = id, reply.MayNotPropose
+	case reply.At == m.partitions[VoterSetPartition].position:
 		m.bootstrapAcks[from] = true
 		m.finishBootstrap()
 		return
@@ -155,8 +155,8 @@
 	if m.bootstrapped {
 		return
 	}
-	for _, a := range m.Voters() {
-		if !m.bootstrapAcks[a] {
+	for _, address := range m.Voters() {
+		if !m.bootstrapAcks[address] {
 			return
 		}
 	}
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -1,7 +1,7 @@
 package replication
 
 // This file holds the owner's side of heartbeats: what a member that owns partitions sends to the
-// others at each heartbeat interval. heartbeat_acks.go holds what it does with the answers.
+// others at each heartbeat interval. heartbeat_acks.go holds what it does with the replies.
 //
 // One heartbeat covers all partitions that a process owns. It identifies their epochs and positions
 // by a version and a digest of the whole list, and carries only the entries that differ from the
@@ -164,12 +164,12 @@
 	}
 	full := m.fullHeartbeats(round, owned)
 	partial := m.partialHeartbeat(round, partitions)
-	for _, a := range m.others() {
+	for _, address := range m.others() {
 		switch {
-		case all || to[a]:
-			m.sendFull(a, owned, full)
+		case all || to[address]:
+			m.sendFull(address, owned, full)
 		case len(partitions) > 0:
-			m.sendPartial(a, partitions, partial)
+			m.sendPartial(address, partitions, partial)
 		}
 	}
 }
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -9,7 +9,7 @@
 // their own, which learn of a change at different times. Their safety rests on three rules, none of
 // which depends on time:
 //
-//   - A member that has taken over a voter set rejects every owner and candidate that acts
+//   - A member that has adopted a voter set rejects every owner and candidate that acts
 //     under an older one, whether or not it knows the newer one to be committed.
 //   - The joint voter set ends only after a survey in which a majority of the old voters and
 //     a majority of the new voters, all of them under the joint voter set, reported the positions
@@ -128,7 +128,7 @@
 // olderVersions reports whether some voter runs a version without identities.
 func (m *Replica) olderVersions() bool {
 	for _, voter := range m.voterSet().all() {
-		if a := addressOf(voter); m.lastIdentity[a] == a {
+		if address := addressOf(voter); m.lastIdentity[address] == address {
 			return true
 		}
 	}
@@ -139,8 +139,8 @@
 func (m *Replica) Voters() []string {
 	var out []string
 	for _, id := range m.voterSet().all() {
-		if a := addressOf(id); !slices.Contains(out, a) {
-			out = append(out, a)
+		if address := addressOf(id); !slices.Contains(out, address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -149,9 +149,9 @@
 // otherVoters returns the addresses of the other voters.
 func (m *Replica) otherVoters() []string {
 	var out []string
-	for _, a := range m.Voters() {
-		if a != m.cfg.Self {
-			out = append(out, a)
+	for _, address := range m.Voters() {
+		if address != m.cfg.Self {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -162,8 +162,8 @@
 func (m *Replica) others() []string {
 	out := m.otherVoters()
 	for _, id := range m.activeLearners() {
-		if a := addressOf(id); !slices.Contains(out, a) {
-			out = append(out, a)
+		if address := addressOf(id); !slices.Contains(out, address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -246,18 +246,18 @@
 	return &PartitionCopy{At: part.position, Records: part.Pick(allRanges)}
 }
 
-// adoptVoterSet takes over a newer voter set, sent by a member that rejected a message because this
+// adoptVoterSet adopts a newer voter set, sent by a member that rejected a message because this
 // member's voter set is outdated.
-func (m *Replica) adoptVoterSet(h *PartitionCopy) {
+func (m *Replica) adoptVoterSet(newer *PartitionCopy) {
 	part := m.partitions[VoterSetPartition]
-	if !part.position.Less(h.At) {
+	if !part.position.Less(newer.At) {
 		return
 	}
 	m.becomeFollower(part, ErrNoQuorum)
-	entries := m.replace(part, allRanges, h.Records)
-	part.position = h.At
-	if part.promised.Less(h.At.Epoch) {
-		part.promised = h.At.Epoch
+	entries := m.replace(part, allRanges, newer.Records)
+	part.position = newer.At
+	if part.promised.Less(newer.At.Epoch) {
+		part.promised = newer.At.Epoch
 	}
 	m.write(append(entries, part.meta()), nil)
 	if !m.mayOwn() {
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -101,7 +101,7 @@
 		return f
 	}
 	for n := 5 + r.Intn(6); len(s.failures) < n; {
-		switch kind := failureKind(r.Intn(int(failureKinds))); kind {
+		switch kind := failureKind(r.Intn(int(failureKindCount))); kind {
 		case drain: // a rolling restart
 			for i := 0; i < s.members; i++ {
 				s.failures = append(s.failures, failure{kind: drain, index: i, count: 1, duration: milliseconds(300, 1200)})
@@ -178,11 +178,11 @@
 	for _, partition := range append(sim.partitions, "rollout/c") {
 		for i := 0; i < 10; i++ {
 			sim.after(time.Duration(sim.rng.Intn(2000))*time.Millisecond, func() {
-				for _, id := range sim.ids {
-					if n := sim.nodes[id]; n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
+				for _, address := range sim.addresses {
+					if n := sim.nodes[address]; n.replica.partitions[partition] != nil && n.replica.partitions[partition].role == roleOwner {
 						proposed++
 						sim.changesSent++
-						sim.proposeVersion(id, partition, "s0", sim.minVersions[partition+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
+						sim.proposeVersion(address, partition, "s0", sim.minVersions[partition+"/s0"]+sim.changesSent, fmt.Sprint("calm", sim.changesSent), func(uint64, error) {})
 					}
 				}
 			})
@@ -209,7 +209,7 @@
 
 // shrink removes failures from a schedule as long as it still fails.
 func shrink(s schedule) schedule {
-	fails := func(s schedule) bool { broken, _ := runSchedule(s); return broken != "" }
+	fails := func(s schedule) bool { violation, _ := runSchedule(s); return violation != "" }
 	for changed := true; changed; {
 		changed = false
 		for i := 0; i < len(s.failures); i++ {
@@ -299,8 +299,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			if broken, _ := runSchedule(tc.schedule); broken != "" {
-				t.Fatalf("%s\n%v", broken, tc.schedule)
+			if violation, _ := runSchedule(tc.schedule); violation != "" {
+				t.Fatalf("%s\n%v", violation, tc.schedule)
 			}
 		})
 	}
--- a/internal/replication/voter_set_change.go
+++ b/internal/replication/voter_set_change.go
@@ -21,9 +21,9 @@
 	if m.cfg.Peers != nil {
 		known = append(append([]string(nil), known...), m.cfg.Peers()...)
 	}
-	for _, a := range known {
-		if a != m.cfg.Self && !slices.Contains(targets, a) {
-			targets = append(targets, a)
+	for _, address := range known {
+		if address != m.cfg.Self && !slices.Contains(targets, address) {
+			targets = append(targets, address)
 		}
 	}
 	for _, a := range targets {
@@ -33,13 +33,13 @@
 
 func (m *Replica) onJoin(from, id string) {
 	if slices.Contains(m.voterSet().newVoters, id) {
-		// The member hasn't learned yet that it is a voter; the next message about the voter set
+		// The member doesn't know yet that it is a voter; the next message about the voter set
 		// tells it.
 		return
 	}
-	at, known := m.learners[id]
+	lastRequest, known := m.learners[id]
 	m.learners[id] = m.now
-	if known && m.now-at <= m.cfg.ElectionTimeout {
+	if known && m.now-lastRequest <= m.cfg.ElectionTimeout {
 		return
 	}
 	m.heartbeats.dueTo[from] = true
@@ -92,7 +92,7 @@
 
 // allVotersAnswering reports whether all voters have answered recently and no change is wanted.
 // Until then the owner of the voter set doesn't transfer it back: the next owner would have to wait
-// for the answers afresh.
+// for the replies afresh.
 func (m *Replica) allVotersAnswering() bool {
 	s := m.voterSet()
 	for _, voter := range s.newVoters {
@@ -106,8 +106,9 @@
 // survey collects what the members hold, for a change of the voter set or for a member that
 // leaves.
 type survey struct {
-	voterSet Position                     // position of the voter set that the survey is for
-	required map[string]PartitionPosition // by partition: the newest position and promised epoch reported; nil: not known yet
+	voterSet Position // position of the voter set that the survey is for
+	// required is, by partition, the newest position and promised epoch reported; nil: not known yet.
+	required map[string]PartitionPosition
 	replies  map[string]*StateReport
 }
 
@@ -134,8 +135,8 @@
 
 func (m *Replica) sendSurvey(to []string) {
 	m.surveyRound++
-	for _, a := range to {
-		m.send(a, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[VoterSetPartition].position}})
+	for _, address := range to {
+		m.send(address, Message{Body: &StateQuery{m.surveyRound, m.leaving, m.partitions[VoterSetPartition].position}})
 	}
 	m.reportState(func(s *StateReport) { m.onStateReport(m.self, s) })
 }
@@ -145,7 +146,7 @@
 	report := &StateReport{Round: m.surveyRound, VoterSet: m.partitions[VoterSetPartition].position}
 	for _, name := range m.names {
 		if part := m.partitions[name]; part.promised != (Epoch{}) || part.position.Seq > 0 {
-			report.Keys = append(report.Keys, PartitionPosition{name, part.promised, part.position})
+			report.Positions = append(report.Positions, PartitionPosition{name, part.promised, part.position})
 		}
 	}
 	m.whenDurable(func() { then(report) })
@@ -194,7 +195,7 @@
 	sv.required = map[string]PartitionPosition{}
 	for _, voter := range m.voterSet().all() {
 		if id := m.voterIdentity(voter); reported(id) {
-			for _, reported := range sv.replies[id].Keys {
+			for _, reported := range sv.replies[id].Positions {
 				need := sv.required[reported.Partition]
 				if need.At.Less(reported.At) {
 					need.At = reported.At
@@ -216,7 +217,7 @@
 		return false
 	}
 	have := map[string]PartitionPosition{}
-	for _, s := range report.Keys {
+	for _, s := range report.Positions {
 		have[s.Partition] = s
 	}
 	for partition, need := range sv.required {
@@ -362,8 +363,8 @@
 			likelyFailed = append(likelyFailed, voter)
 		}
 	}
-	pending := slices.ContainsFunc(s.newVoters, m.suspected)
-	certain := len(replaceable)
+	anySuspected := slices.ContainsFunc(s.newVoters, m.suspected)
+	certainCount := len(replaceable)
 	replaceable = append(replaceable, likelyFailed...)
 	drop := func(voter string) {
 		next[voter] = voterLeaving
@@ -371,8 +372,8 @@
 		for i, id := range replaceable {
 			if id == voter {
 				replaceable = append(replaceable[:i:i], replaceable[i+1:]...)
-				if i < certain {
-					certain--
+				if i < certainCount {
+					certainCount--
 				}
 				break
 			}
@@ -392,7 +393,7 @@
 		if replaced == "" && len(replaceable) > 0 {
 			replaced = replaceable[0]
 		}
-		if replaced == "" && (size >= maxVoters || pending) {
+		if replaced == "" && (size >= maxVoters || anySuspected) {
 			continue // or it would be added beside a voter that it should replace
 		}
 		if replaced != "" {
@@ -401,7 +402,7 @@
 		next[id], changed = voterJoining, true
 		size++
 	}
-	for certain > 0 && size > m.minVoters() {
+	for certainCount > 0 && size > m.minVoters() {
 		drop(replaceable[0])
 		changed = true
 	}
