--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -16,13 +16,13 @@
 
 // RevokesAPIKey reports whether changes remove an API key from a tenant that has it in records, or may do so
 // because the tenant can't be parsed.
-func RevokesAPIKey(records map[string]Record, changes []Record, reader *Decoder) bool {
+func RevokesAPIKey(records map[string]Record, changes []Record, decoder *Decoder) bool {
 	for _, change := range changes {
 		old, ok := records[change.Name]
 		if !ok || old.Dropped || !strings.HasPrefix(change.Name, tenantPrefix) {
 			continue
 		}
-		before, err := reader.Tenant(old)
+		before, err := decoder.Tenant(old)
 		if err != nil {
 			return true
 		}
@@ -53,7 +53,7 @@
 // configuration that would result. It runs at the owner of the catalogue. An item whose generation is
 // not above the current one changes nothing; if that generation is known to have had different content,
 // the whole request fails with a Conflict.
-func (c *Change) Apply(records map[string]Record, reader *Decoder) ([]Record, error) {
+func (c *Change) Apply(records map[string]Record, decoder *Decoder) ([]Record, error) {
 	var changes []Record
 	changeIndex := map[string]int{} // name -> index of the request's change in changes
 	purged := purgedGenerations(records)
@@ -97,10 +97,10 @@
 	}
 	numberTombstones(records, changes)
 	changes = append(changes, purgeTombstones(records, changes)...)
-	if err := check(records, changes, reader); err != nil {
+	if err := check(records, changes, decoder); err != nil {
 		return nil, err
 	}
-	reader.prune(records)
+	decoder.prune(records)
 	return changes, nil
 }
 
@@ -113,8 +113,8 @@
 }
 
 // Plan returns the effect that the request would have on each item, without changing anything.
-func (c *Change) Plan(records map[string]Record, reader *Decoder) ([]ItemEffect, error) {
-	changes, err := c.Apply(records, reader)
+func (c *Change) Plan(records map[string]Record, decoder *Decoder) ([]ItemEffect, error) {
+	changes, err := c.Apply(records, decoder)
 	if err != nil {
 		return nil, err
 	}
@@ -122,20 +122,20 @@
 	for _, record := range changes {
 		applied[record.Name] = !record.Erased
 	}
-	steps := []ItemEffect{}
+	effects := []ItemEffect{}
 	for _, record := range append(append([]Record(nil), c.upserts...), c.removals...) {
 		old, ok := records[record.Name]
-		step := ItemEffect{record.Name, "nothing", old.Gen, record.Gen}
+		effect := ItemEffect{record.Name, "nothing", old.Gen, record.Gen}
 		switch {
 		case !applied[record.Name] || record.Dropped && (!ok || old.Dropped):
 		case record.Dropped:
-			step.Effect = "drop"
+			effect.Effect = "drop"
 		case !ok || old.Dropped:
-			step.Effect = "add"
+			effect.Effect = "add"
 		default:
-			step.Effect = "change"
+			effect.Effect = "change"
 		}
-		steps = append(steps, step)
+		effects = append(effects, effect)
 	}
-	return steps, nil
+	return effects, nil
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,7 +16,7 @@
 
 // check validates the configuration that results from changes. Of several errors it returns the first in
 // alphabetical order, so that the answer does not depend on map order.
-func check(records map[string]Record, changes []Record, reader *Decoder) error {
+func check(records map[string]Record, changes []Record, decoder *Decoder) error {
 	changed := make(map[string]Record, len(changes))
 	for _, record := range changes {
 		changed[record.Name] = record
@@ -41,7 +41,7 @@
 	checkRecord := func(record Record) {
 		totalBytes += size(record)
 		if !record.Dropped && strings.HasPrefix(record.Name, tenantPrefix) {
-			tenant, err := reader.Tenant(record)
+			tenant, err := decoder.Tenant(record)
 			if err != nil {
 				report("%s: %v", record.Name, err)
 				return
@@ -56,7 +56,7 @@
 		if record.Dropped || !strings.HasPrefix(record.Name, routePrefix) {
 			return
 		}
-		route, err := reader.Route(record)
+		route, err := decoder.Route(record)
 		if err != nil {
 			report("%s: %v", record.Name, err)
 			return
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -263,14 +263,14 @@
 // small tombstones.
 func TestRemovedNamesLeaveSmallTombstones(t *testing.T) {
 	const names, maxTombstoneData = 2000, 32 // maxTombstoneData in bytes
-	records, reader := newRecords(t), &Decoder{}
+	records, decoder := newRecords(t), &Decoder{}
 	mustApply := func(body string) {
 		t.Helper()
 		change, err := ParseRequest([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes, err := change.Apply(records, reader)
+		changes, err := change.Apply(records, decoder)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 	for i := 0; i < names; i += 7 {
 		mustApply(upsert(i))
 	}
-	if routes := reader.Routes(records); len(routes) != 1 {
+	if routes := decoder.Routes(records); len(routes) != 1 {
 		t.Errorf("%d routes exist, not 1", len(routes))
 	}
 	for name, r := range records {
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -25,7 +25,7 @@
 
 // Builder builds tables. It caches parsed items between builds.
 type Builder struct {
-	reader   Decoder
+	decoder   Decoder
 	services map[string]builtService
 }
 
@@ -58,14 +58,14 @@
 		table.HasItems = true
 		table.RequiresAPIKey = table.RequiresAPIKey || strings.HasPrefix(name, tenantPrefix)
 		if record.Dropped {
-			delete(b.reader.routes, name)
-			delete(b.reader.tenants, name)
+			delete(b.decoder.routes, name)
+			delete(b.decoder.tenants, name)
 			delete(b.services, name)
 			continue
 		}
 		switch {
 		case strings.HasPrefix(name, routePrefix):
-			route, err := b.reader.Route(record)
+			route, err := b.decoder.Route(record)
 			if err != nil {
 				continue
 			}
@@ -82,7 +82,7 @@
 			}
 			table.Services[built.service.Name] = built.service
 		case strings.HasPrefix(name, tenantPrefix):
-			if tenant, err := b.reader.Tenant(record); err == nil {
+			if tenant, err := b.decoder.Tenant(record); err == nil {
 				for _, key := range tenant.APIKeys {
 					table.TenantByKey[key] = tenant
 				}
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	b.reader.prune(records)
+	b.decoder.prune(records)
 	maps.DeleteFunc(b.services, func(name string, _ builtService) bool {
 		_, ok := records[name]
 		return !ok
@@ -153,12 +153,12 @@
 }
 
 // Tenants returns the existing tenants, sorted by name.
-func Tenants(records map[string]Record, reader *Decoder) (tenants []*Tenant) {
+func Tenants(records map[string]Record, decoder *Decoder) (tenants []*Tenant) {
 	for name, record := range records {
 		if record.Dropped || !strings.HasPrefix(name, tenantPrefix) {
 			continue
 		}
-		if tenant, err := reader.Tenant(record); err == nil {
+		if tenant, err := decoder.Tenant(record); err == nil {
 			tenants = append(tenants, tenant)
 		}
 	}
@@ -167,9 +167,9 @@
 }
 
 // Quotas returns the rate limits of all tenants; a rate of 0 means no limit.
-func Quotas(records map[string]Record, reader *Decoder) map[string]quota.Quota {
+func Quotas(records map[string]Record, decoder *Decoder) map[string]quota.Quota {
 	quotas := map[string]quota.Quota{}
-	for _, tenant := range Tenants(records, reader) {
+	for _, tenant := range Tenants(records, decoder) {
 		quotas[tenant.Name] = quota.Quota{Rate: tenant.RatePerS, Burst: tenant.Burst}
 	}
 	return quotas
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestRevokes(t *testing.T) {
+func TestRevokesAPIKey(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		body string
 		want bool
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -14,7 +14,7 @@
 type configOwner struct {
 	t       *testing.T
 	records map[string]Record
-	reader  *Decoder
+	decoder  *Decoder
 }
 
 func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Decoder{}} }
@@ -26,7 +26,7 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	changes, err := change.Apply(o.records, o.reader)
+	changes, err := change.Apply(o.records, o.decoder)
 	o.put(changes)
 	return err
 }
@@ -73,7 +73,7 @@
 // mustApply applies a parsed request.
 func (o *configOwner) mustApply(c *Change) {
 	o.t.Helper()
-	changes, err := c.Apply(o.records, o.reader)
+	changes, err := c.Apply(o.records, o.decoder)
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -109,8 +109,8 @@
 			if live, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes || live > 2000 {
 				t.Fatalf("%s, request %d: %d live bytes, %d bytes of tombstones", scheme, request, live, tombstones)
 			}
-			if len(owner.reader.routes) > 2*perRequest+pruneThreshold {
-				t.Fatalf("%s, request %d: the reader holds %d routes", scheme, request, len(owner.reader.routes))
+			if len(owner.decoder.routes) > 2*perRequest+pruneThreshold {
+				t.Fatalf("%s, request %d: the reader holds %d routes", scheme, request, len(owner.decoder.routes))
 			}
 			removed := (request + 1) * perRequest
 			for range 5 {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -14,7 +14,7 @@
 // beats, after which it has lost contact with the majority. A silent one doesn't answer. The 60 beats
 // are ten times contactS.
 func TestSourcesWithoutMajorityAreReplaced(t *testing.T) {
-	const beat, contactS = time.Second, 6
+	const interval, contactS = time.Second, 6
 	controlNodes := []membership.Node{{Address: "n1", Zone: "n"}, {Address: "n2", Zone: "n"}, {Address: "s1", Zone: "s"}, {Address: "e1", Zone: "e"}}
 	always := func(int) bool { return true }
 	from10 := func(b int) bool { return b >= 10 }
@@ -38,7 +38,7 @@
 		"one node partitioned repeatedly":        {map[string]fault{"n1": {partitioned: func(b int) bool { return b >= 10 && b < 14 || b >= 18 && b < 22 }}, "n2": {partitioned: from10}}, 10 + contactS - 2, 0, 5, "n"},
 		"all partitioned: two are still watched": {map[string]fault{"n1": {partitioned: from10}, "n2": {partitioned: from10}, "s1": {partitioned: from10}, "e1": {partitioned: from10}}, 60, 60, 102, "nse"},
 	} {
-		sources := Sources{Self: "gateway", Zone: "n", Timeout: 3 * beat, Seeds: []string{"seed"}}
+		sources := Sources{Self: "gateway", Zone: "n", Timeout: 3 * interval, Seeds: []string{"seed"}}
 		if chosen := sources.Choose(0, nil); len(chosen) != 1 || chosen[0] != "seed" {
 			t.Fatalf("chose %v before any control node was known", chosen)
 		}
@@ -50,7 +50,7 @@
 		lastFirst, lastBoth, askedFaulty := 0, 0, 0
 		var chosen []string
 		for b := 1; b <= 60; b++ {
-			now := time.Duration(b) * beat
+			now := time.Duration(b) * interval
 			chosen = sources.Choose(now, controlNodes)
 			if len(chosen) != 2 || chosen[0][0] == chosen[1][0] {
 				t.Fatalf("%s, beat %d: chose %v", name, b, chosen)
@@ -77,7 +77,7 @@
 				partitioned, silent := faultsAt(id, b)
 				if !silent {
 					fresh := !partitioned || b > contactS && b < lastContact[id]+2
-					sources.Received(now+beat/20, id, fresh)
+					sources.Received(now+interval/20, id, fresh)
 				}
 			}
 		}
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -38,8 +38,8 @@
 	// which others are asked too, and maxFallbacks how many of them at a time.
 	fallbackFraction = 0.5
 	maxFallbacks     = 4
-	// beatsPerPatience is the number of beats (intervals between watches) in Timeout.
-	beatsPerPatience = 3
+	// watchIntervalsPerTimeout is the number of beats (intervals between watches) in Timeout.
+	watchIntervalsPerTimeout = 3
 
 	staleFraction     = 0.35 // of Timeout, for a source that is stale
 	bothStaleFraction = 0.85 // if the other source is stale too: the configuration's owner may be being replaced
@@ -195,7 +195,7 @@
 // each beat, all in turn. Waiting for one watched control node after the other to time out could take
 // longer than the setting contactS.
 func (s *Sources) Fallbacks(now time.Duration) (out []string) {
-	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Timeout/beatsPerPatience || len(s.candidates) == 0 {
+	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Timeout/watchIntervalsPerTimeout || len(s.candidates) == 0 {
 		return nil
 	}
 	s.fallbackAskedAt = now
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -10,9 +10,9 @@
 	"madderwing/internal/membership"
 )
 
-// world simulates a gateway that asks once per beat, is partitioned from all control nodes for a while,
+// partitionSimulation simulates a gateway that asks once per beat, is partitioned from all control nodes for a while,
 // and then reconnects to control nodes of which some are silent or out of contact with the majority.
-type world struct {
+type partitionSimulation struct {
 	rng        *rand.Rand
 	nodes      []membership.Node
 	nodeStates []int // by node, after the partition: fresh, stale or silent
@@ -26,8 +26,8 @@
 	silent
 )
 
-func newSourceWorld(seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1))}
+func newPartitionSimulation(seed uint64) *partitionSimulation {
+	w := &partitionSimulation{rng: rand.New(rand.NewPCG(seed, 1))}
 	zones := 1 + w.rng.IntN(5)
 	count := 3 + w.rng.IntN(10)
 	for i := range count {
@@ -45,7 +45,7 @@
 
 // alive returns the control nodes that the gateway's membership shows as alive: all before the
 // partition, none when it has lasted a while, and after it those that answer, one by one.
-func (w *world) alive(beat, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
+func (w *partitionSimulation) alive(beat, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
 	switch {
 	case beat < partitionedAt+4:
 		return w.nodes
@@ -61,7 +61,7 @@
 }
 
 // run returns the number of beats after the partition until the gateway gets a fresh update.
-func (w *world) run() int {
+func (w *partitionSimulation) run() int {
 	const beat = time.Second
 	partitionedAt := 2 + w.rng.IntN(8)
 	healedAt := partitionedAt + 5 + w.rng.IntN(30)
@@ -96,7 +96,7 @@
 func TestFreshUpdateSoonAfterPartition(t *testing.T) {
 	worst, late := 0, 0
 	for seed := range uint64(3000) {
-		took := newSourceWorld(seed).run()
+		took := newPartitionSimulation(seed).run()
 		if worst = max(worst, took); took > 3 {
 			late++
 		}
--- a/internal/election/challenge_test.go
+++ b/internal/election/challenge_test.go
@@ -96,8 +96,8 @@
 func (c *roleCluster) work(id string, node *roleNode) {
 	_, holds := node.elector.Holds(c.now, "list")
 	rank, _ := node.elector.StandbyRank(c.now, "list")
-	deputy := c.now-node.knownAsOf > challengeLimit && rank <= c.maxFaulty
-	if node.workEnds == 0 && c.now >= node.nextWork && (holds || deputy) {
+	standby := c.now-node.knownAsOf > challengeLimit && rank <= c.maxFaulty
+	if node.workEnds == 0 && c.now >= node.nextWork && (holds || standby) {
 		node.workBegan, node.workEnds, node.nextWork = c.now, c.now+tick, c.now+workInterval
 		switch node.fault {
 		case slow:
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -70,7 +70,7 @@
 
 	retryAt      time.Duration // earliest next campaign after a lost one
 	preVote      preVote
-	lastTakeover *Transfer // the last takeover that this control node voted for
+	lastTransfer *Transfer // the last takeover that this control node voted for
 }
 
 // Elector takes part in the elections of all roles for one control node. It does no I/O: callers pass
@@ -80,7 +80,7 @@
 	roles        []*role
 	outbox       []Envelope
 	changedRoles []string
-	takeovers    []Transfer
+	transfers    []Transfer
 	leaving      bool
 	startedAt    time.Duration
 	started      bool
@@ -106,9 +106,9 @@
 
 // Take returns the messages to send, and the names of the roles won or lost since the last call.
 func (e *Elector) Take() ([]Envelope, []string) {
-	messages, changedDuties := e.outbox, e.changedRoles
+	messages, changedRoles := e.outbox, e.changedRoles
 	e.outbox, e.changedRoles = nil, nil
-	return messages, changedDuties
+	return messages, changedRoles
 }
 
 // Holds reports whether this control node holds a role, and under which term.
@@ -266,7 +266,7 @@
 		return false
 	}
 	if now < r.voteExpires && r.votedFor != candidate {
-		e.recordTakeover(now, r, candidate)
+		e.recordTransfer(now, r, candidate)
 	}
 	if r.votedFor != candidate {
 		r.votedSince = now
@@ -291,7 +291,7 @@
 			r.voteExpires = now
 		}
 	case m.Answer && (m.PreVote || !r.campaigning && !r.holding):
-		e.handlePreVoteAnswer(now, r, from, m)
+		e.handlePreVoteReply(now, r, from, m)
 	case m.Answer:
 		if m.Granted && (m.Term != r.term || !r.campaigning) {
 			return
@@ -383,8 +383,8 @@
 	for _, r := range e.roles {
 		holder, term, _ := e.Holder(now, r.name)
 		state := State{Role: r.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, r).Seconds()}
-		if takeover := r.lastTakeover; takeover != nil {
-			state.Transfer = &TransferState{takeover.From, takeover.ResultAge.Seconds(), (now - takeover.at).Round(time.Millisecond).Seconds()}
+		if transfer := r.lastTransfer; transfer != nil {
+			state.Transfer = &TransferState{transfer.From, transfer.ResultAge.Seconds(), (now - transfer.at).Round(time.Millisecond).Seconds()}
 		}
 		states = append(states, state)
 	}
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -118,17 +118,17 @@
 	at             time.Duration
 }
 
-// recordTakeover records that the vote moves from the current holder to a candidate.
-func (e *Elector) recordTakeover(now time.Duration, r *role, candidate string) {
-	r.lastTakeover = &Transfer{Role: r.name, From: r.votedFor, To: candidate, ResultAge: e.resultAge(now, r), at: now}
-	e.takeovers = append(e.takeovers, *r.lastTakeover)
+// recordTransfer records that the vote moves from the current holder to a candidate.
+func (e *Elector) recordTransfer(now time.Duration, r *role, candidate string) {
+	r.lastTransfer = &Transfer{Role: r.name, From: r.votedFor, To: candidate, ResultAge: e.resultAge(now, r), at: now}
+	e.transfers = append(e.transfers, *r.lastTransfer)
 }
 
 // DrainTransfers returns the takeovers since the last call.
 func (e *Elector) DrainTransfers() []Transfer {
-	takeovers := e.takeovers
-	e.takeovers = nil
-	return takeovers
+	transfers := e.transfers
+	e.transfers = nil
+	return transfers
 }
 
 // resultAge returns the age of the newest result of a role that this control node knows of.
@@ -147,9 +147,9 @@
 	}
 }
 
-// handlePreVoteAnswer handles an answer to a pre-vote request, and a late answer to a vote request of a
+// handlePreVoteReply handles an answer to a pre-vote request, and a late answer to a vote request of a
 // campaign that is over.
-func (e *Elector) handlePreVoteAnswer(now time.Duration, r *role, from string, answer Message) {
+func (e *Elector) handlePreVoteReply(now time.Duration, r *role, from string, answer Message) {
 	if !r.preVote.active || answer.Term < r.preVote.term || r.campaigning || r.holding {
 		return
 	}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -43,7 +43,7 @@
 
 // nodeState is what the allocator knows of one node.
 type nodeState struct {
-	incarnation, seq uint64
+	runID, seq uint64
 	expiresAt        time.Duration
 	shares           map[string]*nodeShare // by tenant
 }
@@ -139,13 +139,13 @@
 	if now >= alloc.othersExpiredAt {
 		return 0
 	}
-	all, unreported := alloc.cfg.Nodes(), 0
-	for _, id := range all {
+	addresses, unreported := alloc.cfg.Nodes(), 0
+	for _, id := range addresses {
 		if !alloc.reported[id] {
 			unreported++
 		}
 	}
-	return min(1, float64(unreported)*maxNodeFraction(max(1, len(all))))
+	return min(1, float64(unreported)*maxNodeFraction(max(1, len(addresses))))
 }
 
 // limit is the most that may be allocated, besides what nodes that haven't reported may hold.
@@ -225,7 +225,7 @@
 		return Allocation{}, false
 	}
 	node := alloc.nodes[from]
-	if node != nil && node.incarnation != report.RunID {
+	if node != nil && node.runID != report.RunID {
 		alloc.removeNode(now, from) // the process has restarted and holds nothing any more
 		node = nil
 	}
@@ -236,7 +236,7 @@
 		if !report.Complete {
 			return Allocation{}, false
 		}
-		node = &nodeState{incarnation: report.RunID, shares: map[string]*nodeShare{}}
+		node = &nodeState{runID: report.RunID, shares: map[string]*nodeShare{}}
 		alloc.nodes[from] = node
 		alloc.reported[from] = true
 	}
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -86,9 +86,9 @@
 // NewLocalQuota returns the local quota of one incarnation of a node. Its reports are numbered from
 // lastSeq on, which must be random for each incarnation: an allocation names its report by number only,
 // so one for an earlier incarnation could otherwise be taken for this one's.
-func NewLocalQuota(incarnation, lastSeq uint64, patience time.Duration) *LocalQuota {
-	const reportsPerLife = 1 << 32 // room before the number overflows
-	return &LocalQuota{RunID: incarnation, AnswerTimeout: patience, seq: min(lastSeq, math.MaxUint64-reportsPerLife)}
+func NewLocalQuota(runID, lastSeq uint64, answerTimeout time.Duration) *LocalQuota {
+	const maxReportsPerRun = 1 << 32 // room before the number overflows
+	return &LocalQuota{RunID: runID, AnswerTimeout: answerTimeout, seq: min(lastSeq, math.MaxUint64-maxReportsPerRun)}
 }
 
 // SetLimits sets the quotas of all tenants. A rate of 0 means unlimited.
@@ -96,7 +96,7 @@
 	lq.limits = limits
 	for name, b := range lq.buckets {
 		if q, ok := limits[name]; !ok || q.Rate == 0 {
-			b.answerWaiting(grantWithoutLimit(ok))
+			b.completeWaiting(grantWithoutLimit(ok))
 			delete(lq.buckets, name)
 		}
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// answerWaiting gives the same answer to all waiting requests.
-func (b *bucket) answerWaiting(grant Grant) {
+// completeWaiting gives the same answer to all waiting requests.
+func (b *bucket) completeWaiting(grant Grant) {
 	for _, done := range b.waiting {
 		done(grant)
 	}
@@ -164,7 +164,7 @@
 
 // Acquire acquires a token of a tenant's quota for one request. done is called with the result, either
 // immediately or when the allocator has answered. ask says that a report to the allocator is due now.
-func (lq *LocalQuota) Acquire(now time.Duration, tenant string, done func(Grant)) (ask bool) {
+func (lq *LocalQuota) Acquire(now time.Duration, tenant string, done func(Grant)) (reportDue bool) {
 	if q, ok := lq.limits[tenant]; !ok || q.Rate == 0 {
 		done(grantWithoutLimit(ok))
 		return false
@@ -185,9 +185,9 @@
 // ReturnToken returns a token whose request was not sent to any upstream. Tokens of earlier incarnations
 // of this process are ignored. A token may come back at any time, since its request could have been
 // sent at any time: bucket and capacity limit bursts as they do for requests in flight.
-func (lq *LocalQuota) ReturnToken(now time.Duration, incarnation uint64, tenant string) {
+func (lq *LocalQuota) ReturnToken(now time.Duration, runID uint64, tenant string) {
 	b := lq.buckets[tenant]
-	if b == nil || incarnation != lq.RunID {
+	if b == nil || runID != lq.RunID {
 		return
 	}
 	lq.expireShares(now)
@@ -203,7 +203,7 @@
 	}
 	lq.awaiting = false
 	for _, b := range lq.buckets {
-		b.answerWaiting(Unknown)
+		b.completeWaiting(Unknown)
 		b.reportedWaiting = 0
 	}
 }
@@ -288,7 +288,7 @@
 		tenantBucket.tokens = min(available, tenantBucket.cap)
 		if share.Tokens < tenantBucket.reportedWaiting {
 			// The quota is used up, also for requests that arrived after the report.
-			tenantBucket.answerWaiting(OverQuota)
+			tenantBucket.completeWaiting(OverQuota)
 		}
 		tenantBucket.reportedWaiting = 0
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,10 +19,10 @@
 		Nodes: func() []string { return nodes }}
 }
 
-// world simulates nodes, allocators and a network that loses, delays and reorders messages. Nodes
+// simulation simulates nodes, allocators and a network that loses, delays and reorders messages. Nodes
 // freeze and restart, and allocators are replaced or partitioned while they still believe that they are
 // the allocator.
-type world struct {
+type simulation struct {
 	rng       *rand.Rand
 	now       time.Duration
 	nodes     []*testNode
@@ -52,8 +52,8 @@
 	fn func(n *testNode)
 }
 
-func newWorld(seed uint64, count int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), grantedAt: map[string][]time.Duration{}, requested: map[string]int{}}
+func newSimulation(seed uint64, count int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), grantedAt: map[string][]time.Duration{}, requested: map[string]int{}}
 	var ids []string
 	for i := range count {
 		ids = append(ids, fmt.Sprint("a", i))
@@ -66,14 +66,14 @@
 	return w
 }
 
-func (w *world) startProcess(node *testNode) {
+func (w *simulation) startProcess(node *testNode) {
 	node.local = NewLocalQuota(w.rng.Uint64()|1, w.rng.Uint64(), 300*ms)
 	node.local.SetLimits(quotas)
 	node.allocator.Deactivate()
 	node.confirmedAt, node.reportsTo, node.reportComplete = 0, -1, true
 }
 
-func (w *world) send(to int, fn func(*testNode)) {
+func (w *simulation) send(to int, fn func(*testNode)) {
 	if !w.lossless && w.rng.IntN(50) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	w.events = append(w.events, event{w.now + delay, to, fn})
 }
 
-func (w *world) report(i int) {
+func (w *simulation) report(i int) {
 	node := w.nodes[i]
 	if node.reportsTo < 0 || node.local.AwaitsAnswer(w.now) {
 		return
@@ -108,7 +108,7 @@
 
 // elect makes a node the allocator. Others continue to believe that they are the allocator until their
 // confirmation is too old.
-func (w *world) elect(i int, number uint64) {
+func (w *simulation) elect(i int, number uint64) {
 	predecessorUntil := time.Duration(0)
 	for _, node := range w.nodes {
 		predecessorUntil = max(predecessorUntil, node.confirmedAt)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (w *world) run(limit time.Duration, rates map[string]float64, faults bool) {
+func (w *simulation) run(limit time.Duration, rates map[string]float64, faults bool) {
 	term, leader := uint64(1), 0
 	w.now, w.lossless = ms, !faults
 	w.elect(0, 1)
@@ -176,8 +176,8 @@
 						case g != Granted:
 							w.refused++
 						case w.unused > 0 && w.rng.Float64() < w.unused:
-							incarnation := node.local.RunID
-							w.send(i, func(target *testNode) { target.local.ReturnToken(w.now, incarnation, tenant) })
+							runID := node.local.RunID
+							w.send(i, func(target *testNode) { target.local.ReturnToken(w.now, runID, tenant) })
 						default:
 							w.grantedAt[tenant] = append(w.grantedAt[tenant], w.now)
 						}
@@ -201,7 +201,7 @@
 }
 
 // maxInWindow returns the highest number of granted requests in any window.
-func (w *world) maxInWindow(tenant string) (highest int) {
+func (w *simulation) maxInWindow(tenant string) (highest int) {
 	times := w.grantedAt[tenant]
 	for i, j := 0, 0; j < len(times); j++ {
 		for times[j]-times[i] > 5*time.Second {
@@ -217,7 +217,7 @@
 
 func TestQuotasHoldDuringFailures(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		w := newWorld(seed, 3+int(seed%5))
+		w := newSimulation(seed, 3+int(seed%5))
 		if seed > 40 {
 			w.unused = float64(seed-40) / 25
 		}
@@ -232,7 +232,7 @@
 
 func TestRequestsWithinQuotaAreServed(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		w := newWorld(seed, 9)
+		w := newSimulation(seed, 9)
 		w.run(30*time.Second, map[string]float64{"small": 7.5, "large": 190, "open": 50}, false)
 		requested := w.requested["small"] + w.requested["large"] + w.requested["open"]
 		if w.refused*50 > requested {
@@ -247,7 +247,7 @@
 	refusedFraction := func(unused float64) (part float64) {
 		requested, refused := 0, 0
 		for seed := uint64(1); seed <= 5; seed++ {
-			w := newWorld(seed, 3)
+			w := newSimulation(seed, 3)
 			w.unused = unused
 			w.run(30*time.Second, map[string]float64{"large": 390}, false)
 			requested, refused = requested+w.requested["large"], refused+w.refused
@@ -262,7 +262,7 @@
 
 // A token can be returned only to the incarnation that granted it, and only up to the bucket's
 // capacity.
-func TestTokenReturnsToItsIncarnationOnly(t *testing.T) {
+func TestTokenReturnsOnlyToTheRunThatGrantedIt(t *testing.T) {
 	local := NewLocalQuota(7, 0, 300*ms)
 	local.SetLimits(quotas)
 	tenantBucket := local.bucket("small")
@@ -348,7 +348,7 @@
 	}
 }
 
-func TestKey(t *testing.T) {
+func TestAPIKey(t *testing.T) {
 	for line, want := range map[string]string{"Bearer abc": "abc", "bearer abc": "abc", "Basic abc": "", "abc": "", "Bearer ": ""} {
 		if got := APIKey(http.Header{"Authorization": {line}}); got != want {
 			t.Errorf("%q: %q", line, got)
@@ -375,7 +375,7 @@
 	}
 }
 
-func TestHeeds(t *testing.T) {
+func TestObeysRecall(t *testing.T) {
 	local := NewLocalQuota(1, 0, 300*ms)
 	report := local.Report(0, true)
 	local.Apply(ms, Allocation{Term: Term{Number: 2, Owner: "b", RunID: 1}, Seq: report.Seq, Lifetime: time.Second})
@@ -397,7 +397,7 @@
 
 // A delayed allocation answers a report of an earlier incarnation, not the current one's report with
 // the same number.
-func TestAllocationForEarlierIncarnationIsIgnored(t *testing.T) {
+func TestAllocationForEarlierRunIsIgnored(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
 	allocator.Activate(0, Term{Number: 1, Owner: "a", RunID: 1}, 0, false)
 	earlier, current := NewLocalQuota(1, 77, 300*ms), NewLocalQuota(2, 5, 300*ms)
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -15,7 +15,7 @@
 // Directory answers queries for gateway addresses from the last list of gateways that it was given.
 type Directory struct {
 	ttl  time.Duration
-	view atomic.Pointer[view]
+	view atomic.Pointer[snapshot]
 	// InContact, if set, reports whether the list of gateways is recent enough to be served.
 	InContact func() bool
 	Answered  atomic.Uint64
@@ -23,7 +23,7 @@
 	residency func(host string) []string
 }
 
-type view struct {
+type snapshot struct {
 	gateways []Gateway
 	mu       sync.Mutex
 	answers  map[string][]byte // by zone, region and residency
@@ -36,7 +36,7 @@
 // in which a host is served.
 func NewDirectory(ttl time.Duration, residency func(host string) []string) *Directory {
 	d := &Directory{ttl: ttl, residency: residency}
-	d.view.Store(&view{})
+	d.view.Store(&snapshot{})
 	return d
 }
 
@@ -44,7 +44,7 @@
 // answer is better than none while InContact holds.
 func (d *Directory) SetGateways(gateways []Gateway) {
 	if len(gateways) > 0 || len(d.view.Load().gateways) == 0 {
-		d.view.Store(&view{gateways: gateways, answers: map[string][]byte{}})
+		d.view.Store(&snapshot{gateways: gateways, answers: map[string][]byte{}})
 	}
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -25,9 +25,9 @@
 // MaxAddresses is the maximum number of addresses in an answer.
 const MaxAddresses = 64
 
-// minOpenFraction is the fraction of a zone's gateways that must be open for its clients to get
+// minAvailableFraction is the fraction of a zone's gateways that must be open for its clients to get
 // addresses of that zone only.
-const minOpenFraction = 0.5
+const minAvailableFraction = 0.5
 
 // Resolve returns the addresses that a client should use: the open gateways of its zone; if too few
 // of these are open, those of its region; if there are none, those of any region. Only if the regions
@@ -52,20 +52,20 @@
 		}
 		return false
 	}
-	pick := func(matches func(Gateway) bool) (open []string, known int) {
+	pick := func(matches func(Gateway) bool) (available []string, known int) {
 		for _, g := range gateways {
 			if matches(g) {
 				known++
 				if g.Available {
-					open = append(open, g.Address)
+					available = append(available, g.Address)
 				}
 			}
 		}
-		return open, known
+		return available, known
 	}
 	if zoneKnown {
 		open, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
-		if known > 0 && float64(len(open)) >= minOpenFraction*float64(known) {
+		if known > 0 && float64(len(open)) >= minAvailableFraction*float64(known) {
 			return truncate(client, open)
 		}
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -11,12 +11,12 @@
 
 // gateways returns n gateways in each zone. Those whose address starts with a prefix in closed are not
 // open.
-func gateways(n int, closed ...string) (out []Gateway) {
+func gateways(n int, unavailable ...string) (out []Gateway) {
 	for _, z := range []string{"a1/a", "a2/a", "b1/b", "b2/b"} {
 		zone, region, _ := strings.Cut(z, "/")
 		for i := range n {
 			g := Gateway{Address: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Region: region, Available: true}
-			for _, prefix := range closed {
+			for _, prefix := range unavailable {
 				g.Available = g.Available && !strings.HasPrefix(g.Address, prefix)
 			}
 			out = append(out, g)
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -39,24 +39,24 @@
 	return &Splitter{nodeID: nodeID, controllerTimeout: controllerTimeout, clock: clock, splits: map[string]*serviceSplit{}}
 }
 
-func (a *Splitter) splitFor(service string) *serviceSplit {
-	split := a.splits[service]
+func (sp *Splitter) splitFor(service string) *serviceSplit {
+	split := sp.splits[service]
 	if split == nil {
 		split = &serviceSplit{accumulated: map[string]float64{}, sums: Sums{}, baseline: Sums{}, inFlight: map[*Sample]struct{}{}}
-		a.splits[service] = split
+		sp.splits[service] = split
 	}
 	return split
 }
 
 // SetPlans applies the newest plans. A plan that is no newer than the known one is ignored.
-func (a *Splitter) SetPlans(services map[string]Service) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (sp *Splitter) SetPlans(services map[string]Service) {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
 	for name, service := range services {
 		if service.Plan == nil {
 			continue
 		}
-		split := a.splitFor(name)
+		split := sp.splitFor(name)
 		if split.plan != nil && service.Plan.Generation <= split.plan.Generation {
 			continue
 		}
@@ -75,24 +75,24 @@
 }
 
 // ControllerSeen records a notice that every active rollout has a controller.
-func (a *Splitter) ControllerSeen() {
-	a.mu.Lock()
-	a.controllerSeenAt = a.clock()
-	a.mu.Unlock()
+func (sp *Splitter) ControllerSeen() {
+	sp.mu.Lock()
+	sp.controllerSeenAt = sp.clock()
+	sp.mu.Unlock()
 }
 
 // SingleArm reports whether all requests of a service go to one arm, so that a retry cannot
 // use the other: the candidate has full weight, or the service has had no rollout.
-func (a *Splitter) SingleArm(service string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	plan := a.splitFor(service).plan
+func (sp *Splitter) SingleArm(service string) bool {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	plan := sp.splitFor(service).plan
 	return plan == nil || plan.Weight >= 1
 }
 
 // Sample is one attempt to send a request to an upstream.
 type Sample struct {
-	arms          *Splitter
+	splitter          *Splitter
 	split         *serviceSplit
 	order         uint64
 	generation    uint64
@@ -109,18 +109,18 @@
 // requests for the candidate are evenly spaced, not a random sample, so that each stratum
 // sends its share and no more. With preferPrior, which retries set, the request goes to the
 // prior arm unless the candidate has full weight.
-func (a *Splitter) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	split := a.splitFor(service)
-	sample := &Sample{arms: a, split: split, latencyTarget: latencyTarget}
+func (sp *Splitter) Begin(service, stratum string, latencyTarget time.Duration, preferPrior bool) *Sample {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	split := sp.splitFor(service)
+	sample := &Sample{splitter: sp, split: split, latencyTarget: latencyTarget}
 	split.inFlight[sample] = struct{}{}
 	plan := split.plan
 	if plan == nil || plan.Final() {
 		return sample
 	}
 	sample.order, sample.generation, sample.bucket = split.order, plan.Generation, bucketOf(stratum)
-	if a.chooseCandidate(split, stratum, preferPrior) {
+	if sp.chooseCandidate(split, stratum, preferPrior) {
 		sample.arm, sample.version = Candidate, plan.Candidate
 	}
 	pair := split.sums[sample.bucket]
@@ -129,14 +129,14 @@
 	return sample
 }
 
-func (a *Splitter) chooseCandidate(split *serviceSplit, stratum string, preferPrior bool) bool {
+func (sp *Splitter) chooseCandidate(split *serviceSplit, stratum string, preferPrior bool) bool {
 	weight := split.plan.Weight
 	switch {
 	case weight <= 0 || split.stopReason != "":
 		return false
 	case weight >= 1:
 		return true
-	case preferPrior || a.clock()-a.controllerSeenAt > a.controllerTimeout:
+	case preferPrior || sp.clock()-sp.controllerSeenAt > sp.controllerTimeout:
 		return false
 	}
 	accumulated, known := split.accumulated[stratum]
@@ -146,7 +146,7 @@
 			accumulated, known = split.accumulated[stratum]
 		}
 		if !known {
-			accumulated = a.initialAccumulated(stratum) // so that the gateways' first requests do not all go to the same arm
+			accumulated = sp.initialAccumulated(stratum) // so that the gateways' first requests do not all go to the same arm
 		}
 	}
 	accumulated += weight
@@ -163,9 +163,9 @@
 const maxStrata = 4096
 
 // initialAccumulated is a hash of the node and the stratum, as a number from 0 to below 1.
-func (a *Splitter) initialAccumulated(stratum string) float64 {
+func (sp *Splitter) initialAccumulated(stratum string) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(a.nodeID + "\x00" + stratum))
+	_, _ = h.Write([]byte(sp.nodeID + "\x00" + stratum))
 	v := h.Sum64() * 0x9e3779b97f4a7c15
 	return float64(v>>11) / (1 << 53)
 }
@@ -180,30 +180,30 @@
 // Sent records that the request has been assigned to an upstream, and whether that is cold
 // (still warming up).
 func (s *Sample) Sent(cold bool) {
-	s.arms.mu.Lock()
-	s.sentAt, s.cold = max(1, s.arms.clock()), cold
-	s.arms.mu.Unlock()
+	s.splitter.mu.Lock()
+	s.sentAt, s.cold = max(1, s.splitter.clock()), cold
+	s.splitter.mu.Unlock()
 }
 
 // Score records the outcome of an attempt whose answer may still be in transfer. Only the
 // first outcome of an attempt counts.
 func (s *Sample) Score(outcome Outcome) {
-	s.arms.mu.Lock()
-	defer s.arms.mu.Unlock()
+	s.splitter.mu.Lock()
+	defer s.splitter.mu.Unlock()
 	s.score(outcome)
 }
 
 // End records that an attempt is no longer in flight, and its outcome unless Score has
 // recorded one.
 func (s *Sample) End(outcome Outcome) {
-	s.arms.mu.Lock()
-	defer s.arms.mu.Unlock()
+	s.splitter.mu.Lock()
+	defer s.splitter.mu.Unlock()
 	delete(s.split.inFlight, s)
 	s.score(outcome)
 }
 
 func (s *Sample) score(outcome Outcome) {
-	a, split := s.arms, s.split
+	a, split := s.splitter, s.split
 	if s.scored {
 		return
 	}
@@ -263,10 +263,10 @@
 }
 
 // Active reports whether any rollout is active.
-func (a *Splitter) Active() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, split := range a.splits {
+func (sp *Splitter) Active() bool {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	for _, split := range sp.splits {
 		if split.plan != nil && !split.plan.Final() {
 			return true
 		}
@@ -275,12 +275,12 @@
 }
 
 // Reports returns the reports on all active rollouts, by name of service.
-func (a *Splitter) Reports() (out []Report) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.clock()
-	for _, name := range slices.Sorted(maps.Keys(a.splits)) {
-		split := a.splits[name]
+func (sp *Splitter) Reports() (out []Report) {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	now := sp.clock()
+	for _, name := range slices.Sorted(maps.Keys(sp.splits)) {
+		split := sp.splits[name]
 		if split.plan == nil || split.plan.Final() {
 			continue
 		}
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -10,9 +10,9 @@
 // This file holds the operators' calls, orders and reversals, and tells a repeated call from
 // a new one.
 
-// maxTakenCalls is how many of the newest calls a plan records: as many as may be in
+// maxExecutedCalls is how many of the newest calls a plan records: as many as may be in
 // progress at once.
-const maxTakenCalls = 8
+const maxExecutedCalls = 8
 
 // ExecutedCall is an operator's call that was executed.
 type ExecutedCall struct {
@@ -55,8 +55,8 @@
 	Named bool `cbor:"2,keyasint,omitempty"`
 }
 
-// hasTaken reports whether a plan records a call as executed.
-func (p *Plan) hasTaken(id uint64) bool {
+// hasExecuted reports whether a plan records a call as executed.
+func (p *Plan) hasExecuted(id uint64) bool {
 	for _, t := range p.ExecutedCalls {
 		if t.ID == id && id != 0 {
 			return true
@@ -65,9 +65,9 @@
 	return false
 }
 
-// hasRecent reports whether a plan records a call that matches and that its operator may
+// hasRecentCall reports whether a plan records a call that matches and that its operator may
 // still send again.
-func (p *Plan) hasRecent(call Call, matches func(ExecutedCall) bool) bool {
+func (p *Plan) hasRecentCall(call Call, matches func(ExecutedCall) bool) bool {
 	for _, t := range p.ExecutedCalls {
 		if matches(t) && call.MayBeResent != nil && call.MayBeResent(t.ID) {
 			return true
@@ -76,10 +76,10 @@
 	return false
 }
 
-// appendTaken returns the newest executed calls with t as the last.
-func (p *Plan) appendTaken(t ExecutedCall) []ExecutedCall {
+// appendExecuted returns the newest executed calls with t as the last.
+func (p *Plan) appendExecuted(t ExecutedCall) []ExecutedCall {
 	all := append(append([]ExecutedCall(nil), p.ExecutedCalls...), t)
-	return all[max(0, len(all)-maxTakenCalls):]
+	return all[max(0, len(all)-maxExecutedCalls):]
 }
 
 // Begin returns the changes of an order. Repeating the order of the newest rollout changes
@@ -87,24 +87,24 @@
 // name to be rolled out again. A call that was executed before changes nothing either, nor
 // does an order that equals a recent one, whatever was ordered since. standingVersion is the
 // version that serves now; it is the prior version of the new rollout.
-func Begin(records map[string]Record, ask OrderRequest, standingVersion string, call Call) ([]Record, error) {
-	oldRecord, known := records[PartitionOf(ask.Service)]
-	next := &Plan{Service: ask.Service, Prior: standingVersion, Candidate: ask.Version, Order: 1,
-		Within: settings.Seconds(ask.WithinS)}
+func Begin(records map[string]Record, request OrderRequest, standingVersion string, call Call) ([]Record, error) {
+	oldRecord, known := records[PartitionOf(request.Service)]
+	next := &Plan{Service: request.Service, Prior: standingVersion, Candidate: request.Version, Order: 1,
+		Within: settings.Seconds(request.WithinS)}
 	current := &Plan{}
 	if known {
 		var ok bool
 		if current, ok = DecodePlan(oldRecord); !ok {
-			return nil, apierror.New(apierror.Internal, "the record of %s cannot be read", ask.Service)
+			return nil, apierror.New(apierror.Internal, "the record of %s cannot be read", request.Service)
 		}
-		resent := current.hasRecent(call, func(t ExecutedCall) bool {
-			return !t.Reversal && t.Version == ask.Version && t.Within == next.Within
+		resent := current.hasRecentCall(call, func(t ExecutedCall) bool {
+			return !t.Reversal && t.Version == request.Version && t.Within == next.Within
 		})
 		switch {
-		case current.Candidate == ask.Version && (current.Final() || current.Within == next.Within), current.hasTaken(call.ID), resent:
+		case current.Candidate == request.Version && (current.Final() || current.Within == next.Within), current.hasExecuted(call.ID), resent:
 			return nil, nil
 		case !current.Final():
-			return nil, apierror.New(apierror.RolloutInProgress, "%s is on its way to %s", ask.Service, current.Candidate)
+			return nil, apierror.New(apierror.RolloutInProgress, "%s is on its way to %s", request.Service, current.Candidate)
 		}
 		if err := current.checkBasis(call); err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 		next.Order = current.Order + 1
 	}
 	if call.ID != 0 {
-		next.ExecutedCalls = current.appendTaken(ExecutedCall{ID: call.ID, Version: ask.Version, Within: next.Within})
+		next.ExecutedCalls = current.appendExecuted(ExecutedCall{ID: call.ID, Version: request.Version, Within: next.Within})
 	}
 	if next.Prior == next.Candidate {
 		next.Stage, next.Weight = Complete, 1
@@ -132,7 +132,7 @@
 	}
 	earlierReversal := func(t ExecutedCall) bool { return t.Reversal && t.Version != current.Candidate }
 	switch {
-	case current.hasTaken(call.ID):
+	case current.hasExecuted(call.ID):
 		return nil, nil
 	case reversal.Version != "" && reversal.Version != current.Candidate:
 		for _, t := range current.ExecutedCalls {
@@ -145,7 +145,7 @@
 		return nil, nil
 	case current.Final():
 		return nil, apierror.New(apierror.RolloutInProgress, "the rollout of %s is complete", service)
-	case !reversal.Named && current.hasRecent(call, earlierReversal):
+	case !reversal.Named && current.hasRecentCall(call, earlierReversal):
 		return nil, apierror.New(apierror.PossibleDuplicate, "the rollout of %s before this one was reversed a moment ago; name the version that is meant", service)
 	}
 	if err := current.checkBasis(call); err != nil {
@@ -153,7 +153,7 @@
 	}
 	next := current.reverse("ordered by the operator", age)
 	if call.ID != 0 {
-		next.ExecutedCalls = current.appendTaken(ExecutedCall{ID: call.ID, Version: current.Candidate, Reversal: true})
+		next.ExecutedCalls = current.appendExecuted(ExecutedCall{ID: call.ID, Version: current.Candidate, Reversal: true})
 	}
 	return []Record{next.encode(oldRecord.Gen + 1)}, nil
 }
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -170,7 +170,7 @@
 }
 
 // The record and the controller keep only the newest calls, as many as may be in progress.
-func TestTakenCallsAreBounded(t *testing.T) {
+func TestExecutedCallsAreBounded(t *testing.T) {
 	nodes := newControlNodes(t, 1)
 	for i, versions := 0, []string{"v2", "v3"}; i < 40; i++ {
 		nodes.checkOutcome(nodes.begin(0, uint64(i+1), versions[i%2]), acknowledged)
@@ -178,13 +178,13 @@
 		nodes.now += 2 * nodes.resendWindow
 	}
 	p, _ := DecodePlan(nodes.records[PartitionOf("s")])
-	if len(p.ExecutedCalls) != maxTakenCalls || p.ExecutedCalls[maxTakenCalls-1].ID != 40 {
+	if len(p.ExecutedCalls) != maxExecutedCalls || p.ExecutedCalls[maxExecutedCalls-1].ID != 40 {
 		t.Errorf("the plan records %d calls: %v", len(p.ExecutedCalls), p.ExecutedCalls)
 	}
 	if n := len(nodes.records[PartitionOf("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
-	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
+	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxExecutedCalls {
 		t.Errorf("the controller remembers %d calls", n)
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -146,8 +146,8 @@
 
 // Evaluate evaluates the active rollouts. It returns the transitions to commit, and by control
 // node the gathered reports to send to it as the controller of their rollouts.
-func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (moves []Transition, tell map[string][]Gathered) {
-	c.allControlled, tell = true, map[string][]Gathered{}
+func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (transitions []Transition, forwards map[string][]Gathered) {
+	c.allControlled, forwards = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		service := services[name]
 		plan := service.Active()
@@ -163,7 +163,7 @@
 			continue
 		default:
 			if len(gathered.OtherInFlightByGateway) > 0 {
-				tell[owner] = append(tell[owner], gathered)
+				forwards[owner] = append(forwards[owner], gathered)
 			}
 			continue
 		}
@@ -181,14 +181,14 @@
 		state.lastView = view
 		if next := Next(plan, view); next != nil {
 			state.pendingFrom = plan.Generation
-			moves = append(moves, Transition{plan, next})
+			transitions = append(transitions, Transition{plan, next})
 		}
 	}
-	return moves, tell
+	return transitions, forwards
 }
 
 // TransitionEnded records that the commit of a transition has ended, with success or without.
-func (c *Controller) TransitionEnded(m Transition) { c.stateOf(m.From.Service).pendingFrom = 0 }
+func (c *Controller) TransitionEnded(transition Transition) { c.stateOf(transition.From.Service).pendingFrom = 0 }
 
 // pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -37,7 +37,7 @@
 	stage            Stage
 	weight           float64
 	minDurationShare float64 // of the order's time that the step lasts at least
-	minAnswers       uint64  // scored answers of the candidate
+	minResponses       uint64  // scored answers of the candidate
 }
 
 var steps = []step{
@@ -86,7 +86,7 @@
 	}
 	candidate := view.Sums.All()[Candidate]
 	if current.weight > 0 && view.SinceRecord < maxWaitFactor*minDuration {
-		if candidate.Ended < current.minAnswers || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
+		if candidate.Ended < current.minResponses || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
 			return nil
 		}
 	}
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -73,7 +73,7 @@
 // zeroScoreFactor times the latency target is the latency from which on the score is 0.
 const zeroScoreFactor = 4
 
-func (c *Cell) record(outcome Outcome, elapsed, latencyTarget time.Duration, cold bool) {
+func (c *Cell) record(outcome Outcome, latency, latencyTarget time.Duration, cold bool) {
 	if outcome == Unscored {
 		return
 	}
@@ -82,16 +82,16 @@
 		c.Fails[outcome-Errored]++
 	}
 	if !cold && (outcome == Passed || outcome == TooLate) {
-		c.recordLatency(elapsed, latencyTarget)
+		c.recordLatency(latency, latencyTarget)
 	}
 }
 
-func (c *Cell) recordLatency(elapsed, latencyTarget time.Duration) {
-	latencyScore := max(0, 1-elapsed.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
+func (c *Cell) recordLatency(latency, latencyTarget time.Duration) {
+	latencyScore := max(0, 1-latency.Seconds()/max(0.001, zeroScoreFactor*latencyTarget.Seconds()))
 	c.LatencyCount++
 	c.ScoreSum += latencyScore
 	c.ScoreSquareSum += latencyScore * latencyScore
-	bin := latencyBin(elapsed)
+	bin := latencyBin(latency)
 	for len(c.LatencyHistogram) <= bin {
 		c.LatencyHistogram = append(c.LatencyHistogram, 0)
 	}
@@ -147,16 +147,16 @@
 
 // Add adds other sums.
 func (s Sums) Add(other Sums) {
-	for bucket, p := range other {
-		have := s[bucket]
-		for arm := range have {
+	for bucket, otherPair := range other {
+		pair := s[bucket]
+		for arm := range pair {
 			// A new cell is made, so that the sums share no histogram with their addends.
 			sum := Cell{}
-			sum.Add(have[arm])
-			sum.Add(p[arm])
-			have[arm] = sum
+			sum.Add(pair[arm])
+			sum.Add(otherPair[arm])
+			pair[arm] = sum
 		}
-		s[bucket] = have
+		s[bucket] = pair
 	}
 }
 
@@ -210,8 +210,8 @@
 // answers than the candidate, as at full weight, its answers in baseline, the sums of an
 // earlier stage, are added.
 func (c Criterion) Judge(sums, baseline Sums) string {
-	all := sums.All()
-	if reason := c.judgePair(all, baseline.All()); reason != "" {
+	allStrata := sums.All()
+	if reason := c.judgePair(allStrata, baseline.All()); reason != "" {
 		return reason
 	}
 	for bucket, pair := range sums {
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestReadAsk(t *testing.T) {
+func TestParseOrderRequest(t *testing.T) {
 	for body, why := range map[string]string{
 		`{"target":"a","targetVersion":"v2","withinS":12}`:        "",
 		`{"target":"a","targetVersion":"v2","withinS":0.5,"x":1}`: "",
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -27,7 +27,7 @@
 	commonErrorShare   float64 // of the requests of both versions
 	events             map[time.Duration][]func()
 	requestsByVersion  map[string]int
-	badAnswersAt       []time.Duration
+	badResponsesAt       []time.Duration
 	candidateRequests  []candidateRequest
 	plans              []Plan
 	freezeInTransition bool
@@ -41,7 +41,7 @@
 
 type simGateway struct {
 	id           string
-	arms         *Splitter
+	splitter         *Splitter
 	disconnected bool
 	generation   uint64
 	requestsDue  float64
@@ -67,7 +67,7 @@
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
 		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
-		gateway.arms = NewSplitter(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
+		gateway.splitter = NewSplitter(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
 		s.gateways = append(s.gateways, gateway)
 	}
 	for i := 0; i < 3; i++ {
@@ -117,7 +117,7 @@
 		return
 	}
 	gateway.generation = record.Gen
-	gateway.arms.SetPlans(DecodeServices(map[string]Record{record.Name: record}))
+	gateway.splitter.SetPlans(DecodeServices(map[string]Record{record.Name: record}))
 }
 
 func (s *simulation) order(version string) {
@@ -137,7 +137,7 @@
 func (s *simulation) serveRequest(index int) {
 	gateway := s.gateways[index]
 	stratum := testStrata[s.rng.IntN(len(testStrata))]
-	sample := gateway.arms.Begin("s", stratum, 800*time.Millisecond, false)
+	sample := gateway.splitter.Begin("s", stratum, 800*time.Millisecond, false)
 	elapsed := time.Duration(80+s.rng.IntN(240)) * time.Millisecond
 	if s.rng.IntN(100) == 0 {
 		elapsed *= 3
@@ -176,7 +176,7 @@
 			outcome = Errored
 		}
 		if outcome == Errored || s.candidateKind == "slow" {
-			s.schedule(s.now+elapsed, func() { s.badAnswersAt = append(s.badAnswersAt, s.now) })
+			s.schedule(s.now+elapsed, func() { s.badResponsesAt = append(s.badResponsesAt, s.now) })
 		}
 	} else if p := s.plan(); p != nil && p.Stage == Complete && !gateway.disconnected && s.now > s.completeAt()+200*time.Millisecond {
 		version = "v2" // the version that serves now
@@ -216,17 +216,17 @@
 			records[r.Name] = r
 		}
 	}
-	moves, gatheredFor := s.controllers[index].Evaluate(s.now, DecodeServices(records), Environment{Self: fmt.Sprint(index), Owner: owner, MaxReportAge: 1600 * time.Millisecond,
-		Fill: func(v *View, _ *Plan, told map[string]int) {
+	transitions, gatheredFor := s.controllers[index].Evaluate(s.now, DecodeServices(records), Environment{Self: fmt.Sprint(index), Owner: owner, MaxReportAge: 1600 * time.Millisecond,
+		Fill: func(v *View, _ *Plan, otherInFlight map[string]int) {
 			v.Slots, v.WarmSlots, v.StandingSlots, v.Load = s.capacity.Slots, s.capacity.WarmSlots, s.capacity.StandingSlots, s.capacity.Load
 			for _, gateway := range s.gateways {
 				if gateway.disconnected {
 					continue
 				}
 				v.LiveGateways++
-				if busy, ok := told[gateway.id]; ok {
+				if inFlight, ok := otherInFlight[gateway.id]; ok {
 					v.ReportingGateways++
-					v.OtherInFlight += busy
+					v.OtherInFlight += inFlight
 				}
 			}
 		}})
@@ -239,17 +239,17 @@
 			}
 		})
 	}
-	for _, move := range moves {
+	for _, transition := range transitions {
 		if s.freezeInTransition {
-			s.heldTransition, s.freezeInTransition = &move, false // the owner freezes between deciding on a transition and committing it
+			s.heldTransition, s.freezeInTransition = &transition, false // the owner freezes between deciding on a transition and committing it
 			s.loseOwner(index, false)
 			continue
 		}
-		changes, err := Advance(s.records, move.From.Generation, move.To)
+		changes, err := Advance(s.records, transition.From.Generation, transition.To)
 		if err == nil {
 			s.commit(changes)
 		}
-		s.controllers[index].TransitionEnded(move)
+		s.controllers[index].TransitionEnded(transition)
 	}
 }
 
@@ -260,9 +260,9 @@
 	s.schedule(s.now+vacancyTimeout+400*time.Millisecond, func() { s.owner = (index + 1) % 3 })
 	s.schedule(s.now+3*vacancyTimeout, func() {
 		s.frozen = -1
-		if move := s.heldTransition; move != nil {
+		if transition := s.heldTransition; transition != nil {
 			s.heldTransition = nil
-			if changes, err := Advance(s.records, move.From.Generation, move.To); err == nil {
+			if changes, err := Advance(s.records, transition.From.Generation, transition.To); err == nil {
 				s.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
@@ -302,11 +302,11 @@
 				if to == s.frozen {
 					to = (to + 1) % 3
 				}
-				if reports := gateway.arms.Reports(); len(reports) > 0 {
+				if reports := gateway.splitter.Reports(); len(reports) > 0 {
 					s.controllers[to].ReceiveReports(s.now, gateway.id, reports)
 				}
 				if s.owner >= 0 {
-					gateway.arms.ControllerSeen()
+					gateway.splitter.ControllerSeen()
 				}
 			}
 		}
@@ -346,11 +346,11 @@
 	if allowed := testExposureShare*float64(total) + testExposureSlack; limitExposure && float64(candidateTotal) > allowed {
 		t.Errorf("%s: the bad version got %d of %d requests, %.0f allowed", s.candidateKind, candidateTotal, total, allowed)
 	}
-	if len(s.badAnswersAt) >= 50 {
-		sort.Slice(s.badAnswersAt, func(i, j int) bool { return s.badAnswersAt[i] < s.badAnswersAt[j] })
+	if len(s.badResponsesAt) >= 50 {
+		sort.Slice(s.badResponsesAt, func(i, j int) bool { return s.badResponsesAt[i] < s.badResponsesAt[j] })
 		for _, request := range s.candidateRequests {
-			if !s.gateways[request.gateway].disconnected && request.at > s.badAnswersAt[49]+rollbackTime {
-				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", s.candidateKind, request.gateway, request.at, s.badAnswersAt[49])
+			if !s.gateways[request.gateway].disconnected && request.at > s.badResponsesAt[49]+rollbackTime {
+				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", s.candidateKind, request.gateway, request.at, s.badResponsesAt[49])
 				break
 			}
 		}
