--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -14,8 +14,8 @@
 	removals []Record
 }
 
-// RevokesAPIKey reports whether changes remove an API key from a tenant that has it in records, or may do so
-// because the tenant can't be parsed.
+// RevokesAPIKey reports whether changes remove an API key from a tenant that has it in records. If a tenant
+// can't be parsed, it returns true.
 func RevokesAPIKey(records map[string]Record, changes []Record, decoder *Decoder) bool {
 	for _, change := range changes {
 		old, ok := records[change.Name]
@@ -79,7 +79,7 @@
 			record = withHistory(old, record)
 		}
 		if ok && !old.Dropped && !record.Dropped && strings.HasPrefix(record.Name, routePrefix) {
-			// A route keeps its shard when the operator changes it.
+			// A route keeps its shard when an operator changes the route.
 			item := decodeItem(record)
 			item.Status = decodeItem(old).Status
 			record.Data, record.Rev = encode(item), old.Rev
--- a/internal/config/reader.go
+++ b/internal/config/decoder.go
@@ -19,8 +19,8 @@
 	return route, nil
 }
 
-// Decoder parses routes and tenants and caches the result for the latest version of each. It is not safe for
-// concurrent use.
+// Decoder parses routes and tenants and caches the results for the latest version of each. It is not safe
+// for concurrent use.
 type Decoder struct {
 	routes  map[string]cachedRoute
 	tenants map[string]cachedTenant
@@ -55,7 +55,7 @@
 
 // Route returns the route of a record.
 func (decoder *Decoder) Route(record Record) (*Route, error) {
-	// Comparing generations is not enough: a refused version may have had the same one.
+	// Comparing generations is not enough: a refused version may have had the same generation.
 	if cached, ok := decoder.routes[record.Name]; ok && bytes.Equal(cached.data, record.Data) && cached.route.Rev == record.Rev {
 		return cached.route, nil
 	}
@@ -70,8 +70,8 @@
 	return route, nil
 }
 
-// prune evicts items that don't exist, each time that the number of cached items has doubled and grown by
-// pruneThreshold.
+// prune evicts items that don't exist, each time that the number of cached items has more than doubled, by
+// at least pruneThreshold.
 func (decoder *Decoder) prune(records map[string]Record) {
 	if len(decoder.routes)+len(decoder.tenants) < decoder.pruneAt {
 		return
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -10,8 +10,8 @@
 
 // This file handles the records of zone evacuations.
 
-// EvacuationPrefix begins the keys of the replicated state that hold evacuation records, and the names of
-// these records; the zone follows.
+// EvacuationPrefix begins the names of the partitions of the replicated state that hold evacuation records, and
+// the names of these records; the zone follows.
 const EvacuationPrefix = "evacuation/"
 
 // maxKeptOrders is the number of newest orders that an evacuation record keeps: twice as many as may be in
@@ -60,10 +60,10 @@
 	orders    []uint64 // IDs of the newest executed orders, the newest last
 }
 
-// ApplyEvacuationOrder returns the change that an order makes to a zone's evacuation record. The zone is evacuated
-// as long as an evacuation may be active. An order whose ID the record has was already executed and changes
-// nothing. An order based on another generation than the record's is older than one that was executed,
-// and is refused. Every other order makes a new generation.
+// ApplyEvacuationOrder returns the change that an order makes to a zone's evacuation record. The zone is
+// evacuated as long as an evacuation may be active. An order whose ID is in the record was already executed
+// and changes nothing. An order based on another generation than the record's is older than one that was
+// executed, and is refused. Every other order makes a new generation.
 func ApplyEvacuationOrder(records map[string]Record, order EvacuationOrder) ([]Record, error) {
 	name := EvacuationPrefix + order.Zone
 	old := records[name]
@@ -97,7 +97,7 @@
 }
 
 // ResolveDoubt returns the change that ends the evacuation of a zone whose record is in doubt (see InDoubt). It
-// returns nil if the record is not in doubt or has another generation.
+// returns nil if the record is not in doubt or its generation is another.
 func ResolveDoubt(records map[string]Record, name string, generation uint64) []Record {
 	old := records[name]
 	if old.Gen != generation || !InDoubt(old) {
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// Of thousands of routes that are added and removed, none comes back by an old change, and each leaves only
+// Of thousands of routes that are added and removed, none is created again by an old change, and each leaves only
 // small tombstones.
 func TestRemovedNamesLeaveSmallTombstones(t *testing.T) {
 	const names, maxTombstoneData = 2000, 32 // maxTombstoneData in bytes
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -1,7 +1,7 @@
 // Package config implements the configuration that operators send: routes, services, tenants and limits,
 // called items, and zone evacuations. It validates configuration requests, keeps the items with their
-// generations as records, and builds the tables in which gateways look up client requests. The operator
-// numbers the versions of each item with rising generations.
+// generations as records, and builds the tables in which gateways look up client requests. Operators
+// number the versions of each item with rising generations.
 package config
 
 import (
@@ -10,8 +10,8 @@
 	"madderwing/internal/antientropy"
 )
 
-// Partition is the key under which the control nodes' replicated state keeps the catalogue: the records of all
-// items and route bindings, and the horizon.
+// Partition is the partition of the control nodes' replicated state that holds the catalogue: the records of
+// all items and route bindings, and the horizon.
 const Partition = "catalogue"
 
 // Record is the form in which items are stored and replicated.
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -85,8 +85,8 @@
 	return apierror.New(apierror.InvalidConfig, format, args...)
 }
 
-// ParseRequest parses and validates a configuration request by itself. Change.Apply checks what depends on the
-// existing items.
+// ParseRequest parses a configuration request and validates it on its own. Change.Apply checks what depends
+// on the existing items.
 func ParseRequest(body []byte) (*Change, error) {
 	if err := settings.ValidateSchema(schema(), body); err != nil {
 		return nil, invalid("%s", nameItems(body, err.Error()))
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -11,7 +11,7 @@
 	"madderwing/internal/rollout"
 )
 
-// Table is what client requests are looked up in. It is immutable; each change builds a new one.
+// Table is the lookup table for client requests. It is immutable; each change builds a new one.
 type Table struct {
 	routesByHost   map[string][]*Route // longest prefix first
 	Services       map[string]*Service
@@ -25,7 +25,7 @@
 
 // Builder builds tables. It caches parsed items between builds.
 type Builder struct {
-	decoder   Decoder
+	decoder  Decoder
 	services map[string]builtService
 }
 
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// ServiceShards maps each service to the shard whose gateways hold its retry slack and send to its instances
-// during warm-up: the shard of its first scheduled route by name.
+// ServiceShards returns, by service, the shard whose gateways hold its retry slack and send requests to its
+// instances during warm-up: the shard of its first scheduled route by name.
 func (t *Table) ServiceShards() map[string]int {
 	firstRoute := map[string]*Route{}
 	for _, routes := range t.routesByHost {
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -41,7 +41,7 @@
 	}
 	table := (&Builder{}).Build(records)
 	if !table.RequiresAPIKey || table.TenantByKey["k1"].Name != "two" || table.TenantByKey["k2"].Name != "one" || table.TenantByKey["q"] != nil {
-		t.Errorf("readers: %v", table.TenantByKey)
+		t.Errorf("tenants by key: %v", table.TenantByKey)
 	}
 	if got := string(Render(records)); !strings.Contains(got, `"tenants":[{"name":"one"`) {
 		t.Errorf("rendered: %s", got)
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -13,7 +13,7 @@
 )
 
 // This file bounds the space that removed items take. The record of a removed item stays as a tombstone
-// (Record.Dropped), so that an older change can't bring the item back. When tombstones take too much space,
+// (Record.Dropped), so that an older change can't create the item again. When tombstones take too much space,
 // the oldest are erased, and the horizon record tells up to which generations. See
 // docs/notes/hardening-numbers.md.
 
@@ -27,7 +27,7 @@
 	tombstoneKeepRatio = 0.75
 	// typicalQuantile is the part of the newer tombstones whose generations count as typical;
 	// maxSparedRatio is the largest part of all tombstones that a purge skips because their generations
-	// are above that. See typicalGenerations.
+	// are above the typical ones. See typicalGenerations.
 	typicalQuantile, maxSparedRatio = 0.9, 1.0 / 16
 )
 
@@ -102,8 +102,9 @@
 
 // mayPredatePurge reports whether a change of an unknown name is at or below the generation up to which
 // tombstones of its kind were erased, and so may be older than the item's removal. Such a removal is
-// acknowledged, since the item does not exist and no change as old can bring it back. Such an item is
-// refused with a Conflict: it may be new, and acknowledging it without effect could lose it.
+// acknowledged, since the item does not exist and no change that old can create it again. An
+// upsert is refused with a Conflict: the item may be new, and would be lost if the upsert were acknowledged
+// without effect.
 func mayPredatePurge(purged map[string]uint64, sent Record) (older bool, err error) {
 	highest := purged[kindPrefix(sent.Name)]
 	if sent.Gen > highest {
@@ -216,7 +217,7 @@
 		}
 		if kind == tenantPrefix {
 			if used.tenantRecords == 1 {
-				continue // keep the last tenant record: it makes client requests need a key
+				continue // keep the last tenant record: it makes client requests require an API key
 			}
 			used.tenantRecords--
 		}
@@ -229,8 +230,8 @@
 	return erased
 }
 
-// typicalGenerations returns, by kind, generations that few of the given tombstones exceed. Tombstones above
-// are kept longer if they are few, because erasing one forces all new items of its kind to a generation
+// typicalGenerations returns, by kind, a generation that few of the given tombstones exceed. These few are
+// kept longer, because erasing one forces all new items of its kind to a generation
 // that is higher still.
 func typicalGenerations(tombstones []Record) map[string]uint64 {
 	byKind := map[string][]uint64{}
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -14,7 +14,7 @@
 type configOwner struct {
 	t       *testing.T
 	records map[string]Record
-	decoder  *Decoder
+	decoder *Decoder
 }
 
 func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Decoder{}} }
@@ -92,7 +92,7 @@
 }
 
 // While new items are added and removed without end, all requests succeed, the size of tombstones stays
-// bounded, the newest tombstones are kept, and no old change brings an item back. The generations come
+// bounded, the newest tombstones are kept, and no old change creates an item again. The generations come
 // from one counter for all items, or start at the same value for each item.
 func TestTombstonesStayBounded(t *testing.T) {
 	const names, perRequest, recent, looks = 300_000, 5000, 25_000, 20
@@ -110,7 +110,7 @@
 				t.Fatalf("%s, request %d: %d live bytes, %d bytes of tombstones", scheme, request, live, tombstones)
 			}
 			if len(owner.decoder.routes) > 2*perRequest+pruneThreshold {
-				t.Fatalf("%s, request %d: the reader holds %d routes", scheme, request, len(owner.decoder.routes))
+				t.Fatalf("%s, request %d: the decoder caches %d routes", scheme, request, len(owner.decoder.routes))
 			}
 			removed := (request + 1) * perRequest
 			for range 5 {
@@ -123,7 +123,7 @@
 				name = fmt.Sprintf("n%d", i)
 				_ = owner.call(patch("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
 				if record, ok := owner.records["route/"+name]; ok && !record.Dropped {
-					t.Fatalf("%s, request %d: %s is back", scheme, request, name)
+					t.Fatalf("%s, request %d: %s exists again", scheme, request, name)
 				}
 			}
 			if scheme != "one counter for all" && Horizon(owner.records) > 0 {
--- a/internal/controlplane/list_test.go
+++ b/internal/controlplane/list_test.go
@@ -144,8 +144,8 @@
 	for now := 5 * time.Second; now < 6*time.Hour; now += time.Minute {
 		elector.Tick(now)
 		elector.Take()
-		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Answer: true, Granted: true, PreVote: true})
-		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Answer: true, Granted: true})
+		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Reply: true, Granted: true, PreVote: true})
+		elector.Handle(now, "c", election.Message{Role: roleList, Term: 2, Reply: true, Granted: true})
 		if _, holds := elector.Holds(now, roleList); holds {
 			list.roleAcquired(now)
 			break
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,7 +1,7 @@
 // Package delivery replicates the configuration records and the list of upstreams from the control
-// nodes to the gateways. A gateway periodically tells a control node what it holds (it watches that
-// control node). The control node sends what is missing, and sends changes as soon as they happen.
-// Neither has to remember anything for the two to converge.
+// nodes to the gateways. A gateway watches a control node by periodically
+// reporting what it holds. The control node sends what is missing, and sends changes as soon as they
+// happen. The two converge without keeping any state about each other.
 package delivery
 
 import (
@@ -23,10 +23,10 @@
 	UpdateKind = "issue"
 
 	AcquireKind      = "draw"   // gateway to a control node: a request for a quota token
-	AcquireReplyKind = "drawn"  // answer to "draw"
+	AcquireReplyKind = "drawn"  // reply to "draw"
 	ReturnKind       = "return" // gateway to a control node: a token that was not used
 	ReportKind       = "report" // control node to the quota allocator: its shares and its demand
-	AllocationKind   = "loan"   // answer to "report"
+	AllocationKind   = "loan"   // reply to "report"
 	RecallKind       = "recall" // new quota allocator to the control nodes: a request for a report
 )
 
@@ -38,11 +38,11 @@
 	// gateway sends them to one control node only.
 	Zone string             `cbor:"3,keyasint,omitempty"`
 	Load map[string]float64 `cbor:"4,keyasint,omitempty"`
-	// AskedAt is the sender's clock. The answer repeats it, so that the sender can bound the age
-	// of its records.
+	// AskedAt is the time by the sender's clock. The reply repeats it, so that the sender can bound the
+	// age of its records.
 	AskedAt time.Duration `cbor:"5,keyasint,omitempty"`
 	// Secondary says that another control node sends changes to the sender. The receiver only
-	// answers this message and sends nothing unasked.
+	// replies to this message and sends no further updates.
 	Secondary bool `cbor:"6,keyasint,omitempty"`
 	// AcceptsPacks says that the sender accepts packs, see Pack.
 	AcceptsPacks bool `cbor:"7,keyasint,omitempty"`
@@ -65,19 +65,19 @@
 	Fresh bool `cbor:"3,keyasint,omitempty"`
 	// Loads are the loads of all zones that the control node knows of.
 	Loads upstream.Loads `cbor:"4,keyasint,omitempty"`
-	// Freshness answers Watch.AskedAt. It is set if the watcher, given this update, holds all records of
+	// Freshness refers to Watch.AskedAt. It is set if the watcher, given this update, holds all records of
 	// the control node, and the control node knows how old these are.
 	Freshness *Freshness `cbor:"5,keyasint,omitempty"`
-	// RolloutsControlled says that every active rollout has a controller that the control node hears from. It
-	// is set only together with Fresh.
+	// RolloutsControlled says that every active rollout has a controller known to the control node. It is
+	// set only together with Fresh.
 	RolloutsControlled bool `cbor:"6,keyasint,omitempty"`
 	// Packs are compressed records, see Pack. More says that further ranges differ; the
 	// watcher gets these by asking again.
 	Packs [][]byte `cbor:"7,keyasint,omitempty"`
 	More  bool     `cbor:"8,keyasint,omitempty"`
 	// Horizon is the horizon of the control node's records (see config.Horizon). Of the ranges in
-	// Ranges, the update contains all forgettable records (see config.CoveredByHorizon). Ranges is
-	// empty while the horizon is 0. Control nodes of versions before horizons send neither.
+	// Ranges, the update contains all records that config.CoveredByHorizon names. Ranges is empty
+	// while the horizon is 0. Control nodes of versions before horizons send neither.
 	Horizon *uint64 `cbor:"9,keyasint,omitempty"`
 	Ranges  []int   `cbor:"10,keyasint,omitempty"`
 	// ListFreshness says how recent the list of upstreams is. It is sent to control nodes only.
@@ -107,15 +107,15 @@
 	return len(u.Records)+len(u.Packs)+len(u.Ranges) == 0 && u.List == nil
 }
 
-// Watchers keeps the state of the nodes that watch a control node.
+// Watchers tracks the nodes that watch a control node.
 type Watchers struct {
 	ExpireAfter time.Duration
 	byID        map[string]*watcher
 }
 
 type watcher struct {
-	assumed  Watch  // what it is assumed to hold
-	reported Watch  // what it last reported itself
+	assumed  Watch  // what it is assumed to hold, updates in flight included
+	reported Watch  // what it last reported
 	digest   uint64 // of the records that it reported, see antientropy.Sums.Fold
 	lastSeen time.Duration
 	lastSent time.Duration // when an update was last sent to it; see everSent
@@ -143,7 +143,7 @@
 
 // Assume returns what a watcher can be assumed to hold. If it reports the same as last time and an
 // update was sent to it within the given time, the update is taken to be in flight and needn't be
-// sent again. guessed says that the result differs from what the watcher reported.
+// sent again. guessed says that the result differs from the report.
 func (w *Watchers) Assume(now time.Duration, from string, reported Watch, within time.Duration) (assumed Watch, guessed bool) {
 	entry := w.byID[from]
 	assumed = reported
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -9,22 +9,22 @@
 	"madderwing/internal/membership"
 )
 
-// TestSourcesWithoutMajorityAreReplaced simulates a gateway that asks once per beat and gets the
-// answers shortly after. A partitioned control node still answers, but is fresh only for the first two
-// beats, after which it has lost contact with the majority. A silent one doesn't answer. The 60 beats
-// are ten times contactS.
+// TestSourcesWithoutMajorityAreReplaced simulates a gateway that watches once per interval and gets the
+// replies shortly after. A partitioned control node still replies, but is fresh only for the first two
+// intervals, after which it has lost contact with the majority. A silent one doesn't reply. The 60
+// intervals are ten times contactS.
 func TestSourcesWithoutMajorityAreReplaced(t *testing.T) {
 	const interval, contactS = time.Second, 6
 	controlNodes := []membership.Node{{Address: "n1", Zone: "n"}, {Address: "n2", Zone: "n"}, {Address: "s1", Zone: "s"}, {Address: "e1", Zone: "e"}}
 	always := func(int) bool { return true }
 	from10 := func(b int) bool { return b >= 10 }
 	type fault struct {
-		partitioned, silent func(beat int) bool
+		partitioned, silent func(index int) bool
 	}
 	for name, c := range map[string]struct {
 		faults      map[string]fault
-		lastFirst   int    // last beat at which a faulty control node may be the first source
-		lastBoth    int    // last beat at which both sources may be faulty
+		lastFirst   int    // last interval in which a faulty control node may be the first source
+		lastBoth    int    // last interval in which both sources may be faulty
 		askedFaulty int    // how often faulty control nodes may be asked
 		endZones    string // zones, one of which the first source is in at the end
 	}{
@@ -53,7 +53,7 @@
 			now := time.Duration(b) * interval
 			chosen = sources.Choose(now, controlNodes)
 			if len(chosen) != 2 || chosen[0][0] == chosen[1][0] {
-				t.Fatalf("%s, beat %d: chose %v", name, b, chosen)
+				t.Fatalf("%s, interval %d: chose %v", name, b, chosen)
 			}
 			faulty := 0
 			for i, id := range chosen {
@@ -82,7 +82,7 @@
 			}
 		}
 		if lastFirst > c.lastFirst || lastBoth > c.lastBoth || askedFaulty > c.askedFaulty {
-			t.Errorf("%s: first source faulty until beat %d, both until %d, faulty ones asked %d times; want at most %d, %d, %d", name, lastFirst, lastBoth, askedFaulty, c.lastFirst, c.lastBoth, c.askedFaulty)
+			t.Errorf("%s: first source faulty until interval %d, both until %d, faulty ones asked %d times; want at most %d, %d, %d", name, lastFirst, lastBoth, askedFaulty, c.lastFirst, c.lastBoth, c.askedFaulty)
 		}
 		if first := chosen[0][:1]; !strings.Contains(c.endZones, first) {
 			t.Errorf("%s: chose %v at the end", name, chosen)
--- a/internal/delivery/horizon.go
+++ b/internal/delivery/horizon.go
@@ -5,8 +5,8 @@
 	"madderwing/internal/config"
 )
 
-// This file implements how a copy of the records follows the purging of dropped items (see
-// config.Horizon). A copy takes a range from a sender as follows: with a higher horizon the sender's
+// This file keeps copies of the records consistent when the tombstones of removed items are purged (see
+// config.Horizon). A copy applies a range from a sender as follows: with a higher horizon the sender's
 // range replaces the copy's, with the same horizon newer records are merged, and with a lower one
 // only records that are never purged are merged.
 
--- a/internal/delivery/horizon_test.go
+++ b/internal/delivery/horizon_test.go
@@ -11,13 +11,13 @@
 	"madderwing/internal/config"
 )
 
-// history is what an owner has committed: configurations in which names are added, dropped and purged,
-// and evacuations, which have a history of their own.
+// history is what an owner has committed: configurations in which items are added, removed and
+// purged, and evacuations, which are committed independently.
 type history struct {
 	random      *rand.Rand
 	configs     []map[string]antientropy.Record
 	evacuations []antientropy.Record
-	toPurge     []string             // dropped names that are not purged yet, in order
+	toPurge     []string             // names of tombstones that are not purged yet, in order of removal
 	purged      map[string][2]uint64 // by name: generation and horizon when it was last purged
 	gen         uint64
 }
@@ -61,7 +61,7 @@
 	h.configs = append(h.configs, records)
 }
 
-// controlNode serves some point of both histories, and logs its changes.
+// controlNode serves one version of the configuration and of the evacuations, and logs its changes.
 type controlNode struct {
 	config, evacuation int
 	sender             Sender
@@ -184,8 +184,8 @@
 	}
 }
 
-// A control node whose configuration lags sends records that are never purged at once, and nothing
-// else, however many other records it holds.
+// A control node whose configuration lags immediately sends records that are never purged, and
+// nothing else, however many other records it holds.
 func TestLaggingSenderSendsEvacuations(t *testing.T) {
 	ahead, lagging, copied := antientropy.NewSet(), antientropy.NewSet(), NewCopy()
 	for i := range 100 {
--- a/internal/delivery/pack.go
+++ b/internal/delivery/pack.go
@@ -47,7 +47,7 @@
 	pack []byte // nil: sent uncompressed
 }
 
-// AddRange adds range i of a set to an update, as a pack if the watcher accepts packs and the range is
+// AddRange adds a range of a set to an update, as a pack if the watcher accepts packs and the range is
 // large enough. It returns the approximate size in bytes.
 func (p *PackCache) AddRange(set *antientropy.Set, rangeIndex int, acceptsPacks bool, out *Update) (size int) {
 	if acceptsPacks {
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -12,20 +12,20 @@
 
 // Sources selects the two control nodes (sources) that a gateway watches. They are in different
 // zones, the gateway's own zone comes first, and a control node that recently timed out is avoided
-// while there are others. Such a node is tried in second place before it becomes the first again.
+// while there are others. After that it is the second source before it may be the first again.
 // A source is fresh while it sends updates with Update.Fresh set, and stale while it sends others.
 type Sources struct {
 	Self   string
 	Zone   string
 	Region func(zone string) string // nil: there is only one region
 	Seeds  []string
-	// Timeout is how long a source may send nothing fresh before it is replaced. A source that
-	// answers but is stale is replaced sooner: see staleFraction.
+	// Timeout is how long a source may send no fresh update before it is replaced. A source that
+	// replies but is stale is replaced sooner: see staleFraction.
 	Timeout         time.Duration
 	lastFresh       map[string]time.Duration // time of the last fresh update
 	stale           map[string]bool          // whether the last update was not fresh
 	chosenAt        map[string]time.Duration // when a chosen source was chosen
-	avoidUntil      map[string]time.Duration // after that time only as second source, until it sends a fresh update
+	avoidUntil      map[string]time.Duration // a source is avoided until this time, and then is only a second source until it sends a fresh update
 	chosen          []string
 	candidates      []string      // control nodes that were last seen alive, and the seeds
 	anyFreshAt      time.Duration // time of the last fresh update from any control node
@@ -38,11 +38,11 @@
 	// which others are asked too, and maxFallbacks how many of them at a time.
 	fallbackFraction = 0.5
 	maxFallbacks     = 4
-	// watchIntervalsPerTimeout is the number of beats (intervals between watches) in Timeout.
+	// watchIntervalsPerTimeout is the number of intervals between watch messages in Timeout.
 	watchIntervalsPerTimeout = 3
 
 	staleFraction     = 0.35 // of Timeout, for a source that is stale
-	bothStaleFraction = 0.85 // if the other source is stale too: the configuration's owner may be being replaced
+	bothStaleFraction = 0.85 // if the other source is stale too: the owner of the configuration may just be changing
 	avoidTimeouts     = 4    // multiples of Timeout for which a replaced source is avoided
 )
 
@@ -125,7 +125,7 @@
 		}
 		return best
 	}
-	const avoidPenalty, trialPenalty = 8, 4 // higher than any distance
+	const avoidPenalty, trialPenalty = 8, 4 // added to the distance; higher than any distance
 	var selected []string
 	first := pickBest(func(id string) int {
 		rank := s.distance(zones[id])
@@ -179,7 +179,7 @@
 
 // updateCandidates remembers the control nodes that are alive, and the seeds. If none is alive, the
 // previous candidates stay: a gateway that was partitioned asks them when the partition ends, although
-// they still seem dead then.
+// they are still shown as failed then.
 func (s *Sources) updateCandidates(alive []string) {
 	if len(alive) > 0 {
 		s.candidates = alive
@@ -192,8 +192,8 @@
 }
 
 // Fallbacks returns further control nodes to ask while none has sent a fresh update recently: a few in
-// each beat, all in turn. Waiting for one watched control node after the other to time out could take
-// longer than the setting contactS.
+// each watch interval, all in turn. Waiting for one watched control node after the other to time out could
+// take longer than the setting contactS.
 func (s *Sources) Fallbacks(now time.Duration) (out []string) {
 	if now-s.anyFreshAt < s.freshDuration() || now-s.fallbackAskedAt < s.Timeout/watchIntervalsPerTimeout || len(s.candidates) == 0 {
 		return nil
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -10,8 +10,9 @@
 	"madderwing/internal/membership"
 )
 
-// partitionSimulation simulates a gateway that asks once per beat, is partitioned from all control nodes for a while,
-// and then reconnects to control nodes of which some are silent or out of contact with the majority.
+// partitionSimulation simulates a gateway that watches once per interval, is partitioned from all control nodes
+// for a while, and then reconnects to control nodes of which some are silent or out of contact with the
+// majority.
 type partitionSimulation struct {
 	rng        *rand.Rand
 	nodes      []membership.Node
@@ -44,7 +45,7 @@
 }
 
 // alive returns the control nodes that the gateway's membership shows as alive: all before the
-// partition, none when it has lasted a while, and after it those that answer, one by one.
+// partition, none when it has lasted a while, and after it those that reply, one by one.
 func (w *partitionSimulation) alive(beat, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
 	switch {
 	case beat < partitionedAt+4:
@@ -60,7 +61,7 @@
 	return out
 }
 
-// run returns the number of beats after the partition until the gateway gets a fresh update.
+// run returns the number of intervals after the partition until the gateway gets a fresh update.
 func (w *partitionSimulation) run() int {
 	const beat = time.Second
 	partitionedAt := 2 + w.rng.IntN(8)
@@ -90,8 +91,8 @@
 	}
 }
 
-// Whichever control nodes a gateway tried during a partition, it gets a fresh update within three beats
-// (half of contactS) after it reconnects to control nodes most of which are in contact with the
+// Whichever control nodes a gateway tried during a partition, it gets a fresh update within three
+// intervals // (half of contactS) after it reconnects to control nodes most of which are in contact with the
 // majority.
 func TestFreshUpdateSoonAfterPartition(t *testing.T) {
 	worst, late := 0, 0
@@ -102,6 +103,6 @@
 		}
 	}
 	if worst > 3 {
-		t.Errorf("first fresh update after %d beats, want at most 3; later in %d of 3000 worlds", worst, late)
+		t.Errorf("first fresh update after %d intervals, want at most 3; later in %d of 3000 simulations", worst, late)
 	}
 }
--- a/internal/election/challenge_test.go
+++ b/internal/election/challenge_test.go
@@ -36,7 +36,8 @@
 	return [...]string{"none", "failing", "hanging", "slow", "results dropped", "no inbound", "no outbound", "isolated", "paused"}[f]
 }
 
-// roleNode is a node that does the work of the role if it holds it, or as a deputy if the holder's results are too old.
+// roleNode is a node that does the work of the role if it holds the role, or as a
+// standby if the holder's results are too old.
 type roleNode struct {
 	elector                       *Elector
 	fault                         fault
@@ -44,7 +45,7 @@
 	workBegan, workEnds, nextWork time.Duration // workEnds is 0 while the node does not work
 }
 
-// roleCluster is a number of nodes, one of which holds a role for all. Messages between them take no time.
+// roleCluster is a simulated cluster of nodes, one of which holds a role for all. Messages between them take no time.
 type roleCluster struct {
 	t          *testing.T
 	now        time.Duration
@@ -185,8 +186,8 @@
 	return out
 }
 
-// Whatever fault the holder of a role has, and then its successor, all other nodes keep getting results that are
-// new enough: a holder keeps the role by the results that a majority receives, not by being alive.
+// Whatever fault the holder of a role has, and then its successor, all other nodes keep receiving results that
+// are new enough: a holder keeps the role only while a majority receives its results.
 func TestRoleMovesFromHolderWithoutResults(t *testing.T) {
 	for kind := failing; kind < faultCount; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -243,7 +244,7 @@
 	c.maxWorking = 0
 	c.run(40 * maxResultAge)
 	if newTerm, _ := c.nodes[holder].elector.Holds(c.now, "list"); c.holder() != holder || newTerm != term {
-		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
+		t.Errorf("%s held the role under term %d, then it changed: %s", holder, term, c)
 	}
 	if c.maxWorking > 1 {
 		t.Errorf("%d nodes worked at the same time", c.maxWorking)
@@ -261,7 +262,7 @@
 	}
 	c.run(20 * maxResultAge)
 	if newTerm, holds := c.nodes[holder].elector.Holds(c.now, "list"); !holds || newTerm != term {
-		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
+		t.Errorf("%s held the role under term %d, then it changed: %s", holder, term, c)
 	}
 }
 
@@ -289,6 +290,6 @@
 		c.deliver()
 	}
 	if newTerm, holds := c.nodes[holder].elector.Holds(c.now, "list"); !holds || newTerm != term {
-		t.Errorf("%s held the duty under term %d, then it changed: %s", holder, term, c)
+		t.Errorf("%s held the role under term %d, then it changed: %s", holder, term, c)
 	}
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,17 +13,17 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Message is a request for a vote or pre-vote, an answer to one, or a resignation.
+// Message is a request for a vote or pre-vote, a reply to one, or a resignation.
 type Message struct {
 	Role     string `cbor:"1,keyasint"`
 	Term     uint64 `cbor:"2,keyasint"`           // in a refusal: the sender's role.minTerm, if that is higher
-	Answer   bool   `cbor:"3,keyasint,omitempty"` // this is an answer to a request
-	Granted  bool   `cbor:"4,keyasint,omitempty"` // in an answer: the vote is granted
+	Reply    bool   `cbor:"3,keyasint,omitempty"` // this is a reply to a request
+	Granted  bool   `cbor:"4,keyasint,omitempty"` // in a reply: the vote is granted
 	Resign   bool   `cbor:"5,keyasint,omitempty"` // the sender releases the receiver's vote for it
-	UsedTerm uint64 `cbor:"6,keyasint,omitempty"` // in an answer: the sender's role.usedTerm
+	UsedTerm uint64 `cbor:"6,keyasint,omitempty"` // in a reply: the sender's role.usedTerm
 	RunID    uint64 `cbor:"7,keyasint,omitempty"` // identifies the run of the candidate's process
 
-	PreVote bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or an answer to one
+	PreVote bool    `cbor:"8,keyasint,omitempty"` // a pre-vote request, or a reply to one
 	Result  *Result `cbor:"9,keyasint,omitempty"` // set if the candidate challenges a holder
 }
 
@@ -40,7 +40,7 @@
 	Roles  []string
 	Lease  time.Duration     // how long a vote is valid
 	Voters func() []string   // the control nodes that vote
-	Alive  func(string) bool // whether a control node is presumed to work
+	Alive  func(string) bool // whether a control node is not known to have failed
 	// Progress tells how recent the results of a role are; if nil, holders are never challenged.
 	Progress func(now time.Duration, role string) Progress
 }
@@ -51,7 +51,7 @@
 	minTerm  uint64 // lower terms get no vote and are not campaigned under
 	usedTerm uint64 // terms up to this one were held by others; a holder under one must take a higher one
 
-	// The vote that this control node has given.
+	// The vote that this control node has granted.
 	votedFor    string
 	votedTerm   uint64
 	votedRunID  uint64
@@ -70,7 +70,7 @@
 
 	retryAt      time.Duration // earliest next campaign after a lost one
 	preVote      preVote
-	lastTransfer *Transfer // the last takeover that this control node voted for
+	lastTransfer *Transfer // the last transfer that this control node voted for
 }
 
 // Elector takes part in the elections of all roles for one control node. It does no I/O: callers pass
@@ -189,8 +189,8 @@
 	e.releaseVotes(now, r, voters)
 }
 
-// releaseVotes gives back the votes for this control node. Nodes that have not answered yet are told
-// too: their votes may be in transit and would otherwise bind them for a whole lease.
+// releaseVotes releases the votes for this control node. Nodes that have not replied yet are notified too:
+// their votes may be in transit and would otherwise bind them for a whole lease.
 func (e *Elector) releaseVotes(now time.Duration, r *role, voters []string) {
 	r.campaigning = false
 	if r.votedFor == e.cfg.Self {
@@ -206,8 +206,8 @@
 // nextTerm returns a term above all that this control node knows of.
 func (r *role) nextTerm() uint64 { return max(r.minTerm, r.usedTerm, r.votedTerm, r.term) + 1 }
 
-// rank returns how many live nodes come before this one in the rendezvous order of a role; for a node that
-// is not a voter it is one more than the number of live nodes.
+// rank returns how many live voters come before this control node in the rendezvous order of a role; for a
+// node that is not a voter it is one more than the number of live voters.
 func (e *Elector) rank(r *role, voters []string) int {
 	rank := 0
 	for _, id := range rendezvous.Order(r.name, voters) {
@@ -290,9 +290,9 @@
 		if r.votedFor == from {
 			r.voteExpires = now
 		}
-	case m.Answer && (m.PreVote || !r.campaigning && !r.holding):
+	case m.Reply && (m.PreVote || !r.campaigning && !r.holding):
 		e.handlePreVoteReply(now, r, from, m)
-	case m.Answer:
+	case m.Reply:
 		if m.Granted && (m.Term != r.term || !r.campaigning) {
 			return
 		}
@@ -312,7 +312,7 @@
 		if !ok && r.minTerm > m.Term {
 			term = r.minTerm
 		}
-		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Answer: true, Granted: ok, PreVote: m.PreVote, UsedTerm: r.usedTerm}})
+		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Reply: true, Granted: ok, PreVote: m.PreVote, UsedTerm: r.usedTerm}})
 	}
 }
 
@@ -353,7 +353,7 @@
 	}
 }
 
-// resign gives up a role and releases the votes for this control node.
+// resign resigns from a role and releases the votes for this control node.
 func (e *Elector) resign(now time.Duration, r *role) {
 	if r.holding {
 		e.loseRole(r)
@@ -371,11 +371,11 @@
 	Transfer   *TransferState `json:"handedOn,omitempty"`
 }
 
-// TransferState is the last takeover of a role in status output.
+// TransferState is the last transfer of a role in status output.
 type TransferState struct {
 	From       string  `json:"from"`
-	ResultAgeS float64 `json:"resultAgeS"` // age of the old holder's result at the takeover
-	AgoS       float64 `json:"agoS"`       // time since the takeover
+	ResultAgeS float64 `json:"resultAgeS"` // age of the old holder's result at the transfer
+	AgoS       float64 `json:"agoS"`       // time since the transfer
 }
 
 // States returns the states of all roles, sorted by name.
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -8,7 +8,7 @@
 
 const lease = 1200 * time.Millisecond
 
-// voteCluster is a number of electors; messages between those that are up take no time.
+// voteCluster is a simulated cluster of electors; messages between those that are up take no time.
 type voteCluster struct {
 	now      time.Duration
 	electors map[string]*Elector
@@ -156,7 +156,7 @@
 	if len(toDistant) == 0 {
 		t.Fatal("no vote was requested")
 	}
-	candidate.Handle(lease, "near", Message{Role: "list", Term: toDistant[0].Term, Answer: true}) // refused
+	candidate.Handle(lease, "near", Message{Role: "list", Term: toDistant[0].Term, Reply: true}) // refused
 	collect()
 	for _, m := range toDistant {
 		distant.Handle(lease, "a", m)
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -29,9 +29,9 @@
 	Age time.Duration `cbor:"1,keyasint"`
 }
 
-// preVote is the state of a control node's inquiry whether the others would vote for it. Answers to it
-// are not binding, so a node that is alone in missing the holder's messages or results does not disrupt
-// the holder.
+// preVote is the state of a control node's pre-vote, which asks whether the others would vote for it. The
+// replies are not binding, so a single node that misses the holder's messages or results does not
+// disrupt the holder.
 type preVote struct {
 	ahead       bool          // this node's result is newer than the holder's, see Progress.ownAhead
 	aheadSince  time.Duration // when ahead last became true
@@ -63,7 +63,7 @@
 }
 
 // mayCampaign reports whether the role is vacant, or this control node's result is newer than the
-// holder's. Nodes further down the order wait longer, so that few campaign at the same time.
+// holder's. Nodes of higher rank wait longer, so that few campaign at the same time.
 func (e *Elector) mayCampaign(now time.Duration, r *role, voters []string) bool {
 	if now >= max(r.voteExpires, e.startedAt)+time.Duration(e.rank(r, voters))*e.cfg.Lease/8 {
 		return true
@@ -86,8 +86,8 @@
 	}
 }
 
-// challengeResult returns what this control node tells voters of its result, or nil if that result is
-// not far enough ahead of the holder's for a challenge.
+// challengeResult returns this control node's result as described to voters, or nil if it is not far
+// enough ahead of the holder's for a challenge.
 func (e *Elector) challengeResult(now time.Duration, r *role) *Result {
 	if e.cfg.Progress == nil || r.holding {
 		return nil
@@ -101,7 +101,7 @@
 
 // acceptsChallenge reports whether this control node may move its vote from the holder to a candidate:
 // the candidate's result must be newer, by more than the limit, than the one known here, and the vote
-// must have stood for a quarter of a lease.
+// must not have moved for a quarter of a lease.
 func (e *Elector) acceptsChallenge(now time.Duration, r *role, request Message) bool {
 	if request.Result == nil || e.cfg.Progress == nil || now < r.votedSince+e.cfg.Lease/4 {
 		return false
@@ -110,7 +110,7 @@
 	return Progress{Known: progress.Known, Own: now - request.Result.Age, Limit: progress.Limit}.ownAhead()
 }
 
-// Transfer is a takeover: this control node moved its vote for a role from a holder with outdated results
+// Transfer records that this control node moved its vote for a role from a holder with outdated results
 // to a challenger.
 type Transfer struct {
 	Role, From, To string
@@ -124,7 +124,7 @@
 	e.transfers = append(e.transfers, *r.lastTransfer)
 }
 
-// DrainTransfers returns the takeovers since the last call.
+// DrainTransfers returns the transfers since the last call.
 func (e *Elector) DrainTransfers() []Transfer {
 	transfers := e.transfers
 	e.transfers = nil
@@ -149,14 +149,14 @@
 
 // handlePreVoteReply handles an answer to a pre-vote request, and a late answer to a vote request of a
 // campaign that is over.
-func (e *Elector) handlePreVoteReply(now time.Duration, r *role, from string, answer Message) {
-	if !r.preVote.active || answer.Term < r.preVote.term || r.campaigning || r.holding {
+func (e *Elector) handlePreVoteReply(now time.Duration, r *role, from string, reply Message) {
+	if !r.preVote.active || reply.Term < r.preVote.term || r.campaigning || r.holding {
 		return
 	}
-	if !answer.Granted {
-		r.usedTerm = max(r.usedTerm, answer.UsedTerm)
-		if answer.Term > r.preVote.term {
-			r.minTerm = max(r.minTerm, answer.Term)
+	if !reply.Granted {
+		r.usedTerm = max(r.usedTerm, reply.UsedTerm)
+		if reply.Term > r.preVote.term {
+			r.minTerm = max(r.minTerm, reply.Term)
 		}
 		return
 	}
@@ -174,9 +174,8 @@
 	return len(voters)-len(r.refusedBy) > len(voters)/2
 }
 
-// StandbyRank returns this control node's rank among the deputies of a role's holder: the number of live
-// voters that take over before it, not counting the holder. ok is false if this node is not
-// among the voters.
+// StandbyRank returns this control node's rank among the standbys of a role: the number of live voters
+// that take over before it, not counting the holder. ok is false if this node is not a voter.
 func (e *Elector) StandbyRank(now time.Duration, name string) (rank int, ok bool) {
 	voters := e.cfg.Voters()
 	holder, _, _ := e.Holder(now, name)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -11,22 +11,22 @@
 	Slack              float64       // setting quotaSlack: requests by which a quota may be exceeded beyond that
 	Window             time.Duration // setting quotaWindowS: time over which quotas are checked
 	ShareLifetime      time.Duration // lifetime of a share, counted from when the allocator's ownership was last confirmed
-	MaxConfirmationAge time.Duration // age of that confirmation up to which the caller lets an allocator answer reports
+	MaxConfirmationAge time.Duration // age of that confirmation up to which the caller lets an allocator reply to reports
 	// Nodes returns the addresses of all nodes that may hold shares.
 	Nodes func() []string
 }
 
 const (
 	usableFraction  = 0.25 // of Overshoot and Slack that may be allocated at any time
-	initialFraction = 0.4  // of Overshoot and Slack that an allocator with a predecessor may grant once
+	initialFraction = 0.4  // of Overshoot and Slack that an allocator with a predecessor may grant once per tenant
 	// The rest of Overshoot and Slack allows for requests in flight.
 
-	minSteadyRate       = 0.4 // requests per second from which on a node gets a share
-	maxAllocatedRate    = 0.9 // a tenant's shares are at most this fraction of its rate ...
-	maxAllocatedCap     = 0.8 // ... and of its capacity; the rest serves nodes that ask for single tokens
-	maxDemandFactor     = 3.0 // a share is at most this multiple of a node's demand
-	capSeconds          = 1.5 // a share's capacity is its rate times this
-	directDemandSeconds = 2.0 // time over which the demand for single tokens is averaged
+	minSteadyRate        = 0.4 // requests per second from which on a node gets a share
+	maxAllocatedRate     = 0.9 // a tenant's shares are at most this fraction of its rate ...
+	maxAllocatedCapacity = 0.8 // ... and of its capacity; the rest serves nodes that ask for single tokens
+	maxDemandFactor      = 3.0 // a share is at most this multiple of a node's demand
+	capacitySeconds      = 1.5 // a share's capacity is its rate times this
+	directDemandSeconds  = 2.0 // time over which the demand for single tokens is averaged
 )
 
 // maxNodeFraction is the fraction of a quota that one node of several may hold.
@@ -34,28 +34,28 @@
 
 // nodeShare is one node's share of one tenant's quota.
 type nodeShare struct {
-	inUse, offered Share // what the node last reported that it holds, and what it was last given
+	inUse, offered Share // as last reported by the node, and as last allocated to it
 }
 
-// rate and cap count the higher of the two, since an allocation may get lost.
-func (s *nodeShare) rate() float64 { return max(s.inUse.Rate, s.offered.Rate) }
-func (s *nodeShare) cap() float64  { return max(s.inUse.Capacity, s.offered.Capacity) }
+// rate and capacity return the higher of the two values, since an allocation may get lost.
+func (s *nodeShare) rate() float64     { return max(s.inUse.Rate, s.offered.Rate) }
+func (s *nodeShare) capacity() float64 { return max(s.inUse.Capacity, s.offered.Capacity) }
 
 // nodeState is what the allocator knows of one node.
 type nodeState struct {
 	runID, seq uint64
-	expiresAt        time.Duration
-	shares           map[string]*nodeShare // by tenant
+	expiresAt  time.Duration
+	shares     map[string]*nodeShare // by tenant
 }
 
 // account is the state of one tenant's quota.
 type account struct {
-	quota             Quota
-	rate, cap, demand float64 // sums over all shares of the quota
-	tokens            float64 // available to requests of nodes without a sufficient share
-	initialTokens     float64 // may be granted once, while grants of a previous allocator still count
-	directDemand      float64 // demand for single tokens, per second
-	refilledAt        time.Duration
+	quota                  Quota
+	rate, capacity, demand float64 // sums over all shares of the quota
+	tokens                 float64 // available to requests of nodes without a sufficient share
+	initialTokens          float64 // may be granted once, while grants of the previous allocator are still within the window
+	directDemand           float64 // demand for single tokens, per second
+	refilledAt             time.Duration
 }
 
 // Allocator allocates shares of all tenants' quotas to the nodes. It does so only while its node owns
@@ -66,10 +66,10 @@
 	cfg             AllocatorConfig
 	term            Term
 	active          bool
-	reported        map[string]bool // nodes that have told this allocator what they hold
+	reported        map[string]bool // nodes that have reported their shares to this allocator
 	beganAt         time.Duration
-	soleFrom        time.Duration         // from then on no previous allocator can allocate anything
-	othersExpiredAt time.Duration         // from then on no share of a previous allocator is in use
+	soleFrom        time.Duration         // time from which on no previous allocator can allocate anything
+	othersExpiredAt time.Duration         // time from which on no share of a previous allocator is in use
 	nodes           map[string]*nodeState // by address, those with unexpired shares
 	accounts        map[string]*account   // by tenant
 	TokensGranted   uint64
@@ -80,7 +80,7 @@
 func NewAllocator(cfg AllocatorConfig) *Allocator { return &Allocator{cfg: cfg} }
 
 // Activate activates the allocator under a term. inherited says that there may have been another
-// allocator; its ownership was confirmed no later than predecessorUntil.
+// allocator, whose ownership was confirmed no later than predecessorUntil.
 func (alloc *Allocator) Activate(now time.Duration, term Term, predecessorUntil time.Duration, inherited bool) {
 	if alloc.term == term && alloc.nodes != nil {
 		alloc.active = true // its ownership was unconfirmed for a while; no other node can have allocated anything since
@@ -93,11 +93,10 @@
 	alloc.nodes, alloc.accounts, alloc.reported = map[string]*nodeState{}, map[string]*account{}, map[string]bool{}
 }
 
-// Deactivate deactivates the allocator.
 func (alloc *Allocator) Deactivate() { alloc.active = false }
 
-// UnreportedNodes returns the nodes that haven't told this allocator what they hold, if there may have been
-// another allocator.
+// UnreportedNodes returns the nodes that haven't reported their shares to this allocator, if there may have
+// been another allocator.
 func (alloc *Allocator) UnreportedNodes() (out []string) {
 	if !alloc.active || alloc.othersExpiredAt == alloc.beganAt {
 		return nil
@@ -119,8 +118,8 @@
 	return Share{Rate: q.Rate * (1 + usableFraction*alloc.cfg.Overshoot), Capacity: q.Burst*(1+usableFraction*alloc.cfg.Overshoot) + usableFraction*alloc.cfg.Slack}
 }
 
-// isSole reports whether no other allocator can be allocating: either all nodes, each of which may have
-// been the allocator, have reported to this one, or the confirmation of any previous one is too old.
+// isSole reports whether no other allocator can be active: either all nodes, each of which may have been
+// the allocator, have reported to this one, or the confirmation of any previous allocator is too old.
 func (alloc *Allocator) isSole(now time.Duration) bool {
 	if now >= alloc.soleFrom {
 		return true
@@ -148,7 +147,8 @@
 	return min(1, float64(unreported)*maxNodeFraction(max(1, len(addresses))))
 }
 
-// limit is the most that may be allocated, besides what nodes that haven't reported may hold.
+// limit returns the most that may be allocated of a quota: its budget less what nodes that haven't
+// reported may hold.
 func (alloc *Allocator) limit(now time.Duration, acct *account) Share {
 	budget := alloc.budget(acct.quota)
 	fraction := 1 - alloc.unreportedFraction(now)
@@ -181,18 +181,18 @@
 		acct.directDemand *= math.Exp(-(now - acct.refilledAt).Seconds() / directDemandSeconds)
 		acct.refilledAt = now
 	}
-	acct.tokens = max(0, min(acct.tokens, limit.Capacity-acct.cap))
+	acct.tokens = max(0, min(acct.tokens, limit.Capacity-acct.capacity))
 }
 
 func (acct *account) subtract(share *nodeShare) {
 	acct.rate -= share.rate()
-	acct.cap -= share.cap()
+	acct.capacity -= share.capacity()
 	acct.demand -= share.inUse.Demand
 }
 
 func (acct *account) add(share *nodeShare) {
 	acct.rate += share.rate()
-	acct.cap += share.cap()
+	acct.capacity += share.capacity()
 	acct.demand += share.inUse.Demand
 }
 
@@ -216,7 +216,7 @@
 	}
 }
 
-// Report handles a node's report and returns the answer, if there is one. confirmedAt is when the
+// Report handles a node's report and returns the allocation to reply with, if there is one. confirmedAt is when the
 // allocator's ownership of the configuration was last confirmed. quotas holds the tenants' quotas.
 func (alloc *Allocator) Report(now, confirmedAt time.Duration, from string, report Report, quotas map[string]Quota) (Allocation, bool) {
 	alloc.Tick(now)
@@ -307,7 +307,7 @@
 	budget, fraction := alloc.budget(acct.quota), maxNodeFraction(max(1, len(alloc.cfg.Nodes())))
 	factor := min(maxDemandFactor, maxAllocatedRate*limit.Rate/demand)
 	rate := max(0, min(request.Demand*factor, maxAllocatedRate*limit.Rate-acct.rate, fraction*budget.Rate))
-	capacity := max(0, min(rate*capSeconds, maxAllocatedCap*limit.Capacity-acct.cap, fraction*budget.Capacity))
+	capacity := max(0, min(rate*capacitySeconds, maxAllocatedCapacity*limit.Capacity-acct.capacity, fraction*budget.Capacity))
 	if alloc.unreportedFraction(now) > 0 {
 		// The limit is too low while some nodes haven't reported. The node keeps at least what
 		// it holds.
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -4,7 +4,7 @@
 //
 // A share is a rate and a capacity of a token bucket at the node. The shares of a tenant together never
 // exceed its quota by more than a part of the permitted overshoot. Each share expires by itself, so
-// that no node has to be reached to take its share back. Allocator and LocalQuota are plain state
+// that no node has to be reached to revoke its share. Allocator and LocalQuota are plain state
 // machines that do no I/O and read no clock: the caller passes the time in.
 package quota
 
@@ -31,13 +31,13 @@
 
 // Report tells the allocator what a node holds and needs.
 type Report struct {
-	RunID    uint64  `cbor:"1,keyasint"` // incarnation of the node: changes with each start of its process
+	RunID    uint64  `cbor:"1,keyasint"` // identifies one run of the node's process
 	Seq      uint64  `cbor:"2,keyasint"`
-	Complete bool    `cbor:"3,keyasint,omitempty"` // it lists everything that the node holds
+	Complete bool    `cbor:"3,keyasint,omitempty"` // it lists all shares of the node
 	Shares   []Share `cbor:"4,keyasint,omitempty"`
 }
 
-// Allocation is the answer to a report.
+// Allocation is the reply to a report.
 type Allocation struct {
 	Term     Term          `cbor:"1,keyasint"`
 	Seq      uint64        `cbor:"2,keyasint"`
@@ -49,46 +49,46 @@
 // unlimited.
 type Quota struct{ Rate, Burst float64 }
 
-// Grant is a node's answer to a request for a token.
+// Grant is a node's reply to a request for a token.
 type Grant int
 
 const (
-	Unknown Grant = iota // the limit is unknown here or the allocator didn't answer; another node may know
+	Unknown Grant = iota // the limit is unknown here or the allocator did not reply; another node may know
 	Granted
 	OverQuota // the quota is used up
 )
 
 // bucket is the token bucket of a node's share of one tenant's quota.
 type bucket struct {
-	rate, cap, tokens float64
-	refilledAt        time.Duration
-	arrived           float64       // requests since the last report
-	demand            float64       // smoothed, in requests per second
-	waiting           []func(Grant) // callbacks of requests that wait for the allocator's answer
-	reportedWaiting   int           // length of waiting at the last report
-	idleReports       int           // complete reports in a row without requests
+	rate, capacity, tokens float64
+	refilledAt             time.Duration
+	arrived                float64       // requests since the last report
+	demand                 float64       // smoothed, in requests per second
+	waiting                []func(Grant) // callbacks of requests that wait for the allocator's reply
+	reportedWaiting        int           // length of waiting at the last report
+	idleReports            int           // complete reports in a row without requests
 }
 
 // LocalQuota holds a node's shares of all tenants' quotas. NewLocalQuota returns one.
 type LocalQuota struct {
 	RunID            uint64
-	AnswerTimeout    time.Duration // how long a request waits for the allocator's answer
+	ReplyTimeout     time.Duration // how long a request waits for the allocator's reply
 	term             Term
 	sharesExpireAt   time.Duration // 0: there are none, or they have expired
 	seq              uint64        // of the last report
 	reportedAt       time.Duration // time of the last report
-	awaiting         bool          // the answer to the last report is awaited
+	awaitingReply    bool          // for the last report
 	demandReportedAt time.Duration // time of the last complete report
 	buckets          map[string]*bucket
 	limits           map[string]Quota
 }
 
-// NewLocalQuota returns the local quota of one incarnation of a node. Its reports are numbered from
-// lastSeq on, which must be random for each incarnation: an allocation names its report by number only,
-// so one for an earlier incarnation could otherwise be taken for this one's.
-func NewLocalQuota(runID, lastSeq uint64, answerTimeout time.Duration) *LocalQuota {
-	const maxReportsPerRun = 1 << 32 // room before the number overflows
-	return &LocalQuota{RunID: runID, AnswerTimeout: answerTimeout, seq: min(lastSeq, math.MaxUint64-maxReportsPerRun)}
+// NewLocalQuota returns the local quota of one run of a node's process. Its reports are numbered from lastSeq
+// on, which must be random for each run: an allocation names its report by number only, so one for an
+// earlier run could otherwise be taken for one of this run.
+func NewLocalQuota(runID, lastSeq uint64, replyTimeout time.Duration) *LocalQuota {
+	const maxReportsPerRun = 1 << 32 // kept free so that report numbers don't overflow
+	return &LocalQuota{RunID: runID, ReplyTimeout: replyTimeout, seq: min(lastSeq, math.MaxUint64-maxReportsPerRun)}
 }
 
 // SetLimits sets the quotas of all tenants. A rate of 0 means unlimited.
@@ -102,8 +102,8 @@
 	}
 }
 
-// grantWithoutLimit is the answer for a tenant without a limit: a known tenant is unlimited; of an
-// unknown one the limit isn't known here.
+// grantWithoutLimit returns the grant for a tenant without a limit at this node: a known tenant is unlimited,
+// while the limit of an unknown tenant may be known at other nodes.
 func grantWithoutLimit(tenantKnown bool) Grant {
 	if tenantKnown {
 		return Granted
@@ -125,8 +125,8 @@
 
 func (b *bucket) refill(now time.Duration) {
 	if now > b.refilledAt {
-		if b.tokens < b.cap {
-			b.tokens = min(b.cap, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+		if b.tokens < b.capacity {
+			b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 		}
 		b.refilledAt = now
 	}
@@ -144,7 +144,7 @@
 	if lq.sharesExpireAt > 0 && now >= lq.sharesExpireAt {
 		lq.sharesExpireAt = 0
 		for _, b := range lq.buckets {
-			b.rate, b.cap, b.tokens = 0, 0, 0
+			b.rate, b.capacity, b.tokens = 0, 0, 0
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	return ok && q.Rate == 0
 }
 
-// ObeysRecall reports whether the node self obeys an allocator's recall, that is, answers it with a complete
+// ObeysRecall reports whether the node self obeys an allocator's recall, that is, replies with a complete
 // report. A recall from the node itself is ignored: the caller ends its own allocator on a recall, and
 // would lose its record of all allocated shares.
 func (lq *LocalQuota) ObeysRecall(self, from string, term Term) bool {
@@ -163,7 +163,7 @@
 }
 
 // Acquire acquires a token of a tenant's quota for one request. done is called with the result, either
-// immediately or when the allocator has answered. ask says that a report to the allocator is due now.
+// immediately or when the allocator has replied. reportDue says that a report to the allocator is due now.
 func (lq *LocalQuota) Acquire(now time.Duration, tenant string, done func(Grant)) (reportDue bool) {
 	if q, ok := lq.limits[tenant]; !ok || q.Rate == 0 {
 		done(grantWithoutLimit(ok))
@@ -182,9 +182,9 @@
 	return !lq.AwaitsAnswer(now)
 }
 
-// ReturnToken returns a token whose request was not sent to any upstream. Tokens of earlier incarnations
-// of this process are ignored. A token may come back at any time, since its request could have been
-// sent at any time: bucket and capacity limit bursts as they do for requests in flight.
+// ReturnToken returns a token whose request was not sent to any upstream. Tokens granted by
+// earlier runs of this process are ignored. A token may be returned at any time, since its request could
+// have been sent at any time: the bucket's capacity limits bursts as it does for requests in flight.
 func (lq *LocalQuota) ReturnToken(now time.Duration, runID uint64, tenant string) {
 	b := lq.buckets[tenant]
 	if b == nil || runID != lq.RunID {
@@ -192,16 +192,16 @@
 	}
 	lq.expireShares(now)
 	b.refill(now)
-	b.tokens = min(b.cap, b.tokens+1)
+	b.tokens = min(b.capacity, b.tokens+1)
 }
 
-// TimeOut ends the wait of all requests if the allocator hasn't answered in time. They get Unknown,
-// since that says nothing about the quota.
+// TimeOut ends the wait of all requests if the allocator hasn't replied in time. They get Unknown, since a
+// missing reply says nothing about the quota.
 func (lq *LocalQuota) TimeOut(now time.Duration) {
-	if now-lq.reportedAt <= lq.AnswerTimeout {
+	if now-lq.reportedAt <= lq.ReplyTimeout {
 		return
 	}
-	lq.awaiting = false
+	lq.awaitingReply = false
 	for _, b := range lq.buckets {
 		b.completeWaiting(Unknown)
 		b.reportedWaiting = 0
@@ -211,12 +211,12 @@
 // maxIdleReports is the number of complete reports in a row that still list a tenant without requests.
 const maxIdleReports = 3
 
-// Report makes the next report. A complete one lists all tenants, otherwise only those for which
+// Report returns the next report. A complete one lists all tenants, any other only those for which
 // requests wait.
 func (lq *LocalQuota) Report(now time.Duration, complete bool) Report {
 	lq.expireShares(now)
 	lq.seq++
-	lq.reportedAt, lq.awaiting = now, true
+	lq.reportedAt, lq.awaitingReply = now, true
 	report := Report{RunID: lq.RunID, Seq: lq.seq, Complete: complete}
 	seconds := (now - lq.demandReportedAt).Seconds()
 	names := make([]string, 0, len(lq.buckets))
@@ -239,17 +239,17 @@
 			}
 			tenantBucket.arrived = 0
 			if tenantBucket.idleReports > maxIdleReports {
-				delete(lq.buckets, name) // not listed, so the share goes back to the allocator
+				delete(lq.buckets, name) // not listed in the report, so the allocator removes the share
 				continue
 			}
-			if tenantBucket.cap == 0 && tenantBucket.demand < minSteadyRate/2 && len(tenantBucket.waiting) == 0 {
+			if tenantBucket.capacity == 0 && tenantBucket.demand < minSteadyRate/2 && len(tenantBucket.waiting) == 0 {
 				continue // holds no share, and its demand is far from getting one
 			}
 		} else if len(tenantBucket.waiting) == 0 {
 			continue
 		}
 		tenantBucket.reportedWaiting = len(tenantBucket.waiting)
-		report.Shares = append(report.Shares, Share{name, tenantBucket.rate, tenantBucket.cap, math.Round(tenantBucket.demand*100) / 100, len(tenantBucket.waiting)})
+		report.Shares = append(report.Shares, Share{name, tenantBucket.rate, tenantBucket.capacity, math.Round(tenantBucket.demand*100) / 100, len(tenantBucket.waiting)})
 	}
 	if complete {
 		lq.demandReportedAt = now
@@ -257,13 +257,13 @@
 	return report
 }
 
-// Apply applies an allocation. Only the answer to the last report counts, and none from an allocator
-// that has been replaced.
+// Apply applies an allocation. Only the reply to the last report counts, and none from an allocator that
+// has been replaced.
 func (lq *LocalQuota) Apply(now time.Duration, allocation Allocation) {
-	if allocation.Seq != lq.seq || !lq.awaiting || allocation.Term.Less(lq.term) {
+	if allocation.Seq != lq.seq || !lq.awaitingReply || allocation.Term.Less(lq.term) {
 		return
 	}
-	lq.awaiting, lq.term = false, allocation.Term
+	lq.awaitingReply, lq.term = false, allocation.Term
 	expiresAt := lq.reportedAt + allocation.Lifetime
 	if now >= expiresAt {
 		return
@@ -276,16 +276,16 @@
 			continue
 		}
 		tenantBucket.refill(now)
-		tenantBucket.rate, tenantBucket.cap = share.Rate, share.Capacity
+		tenantBucket.rate, tenantBucket.capacity = share.Rate, share.Capacity
 		// Granted tokens serve the waiting requests first; the rest goes into the bucket.
-		available := min(tenantBucket.tokens, tenantBucket.cap) + float64(share.Tokens)
+		available := min(tenantBucket.tokens, tenantBucket.capacity) + float64(share.Tokens)
 		for len(tenantBucket.waiting) > 0 && available >= 1 {
 			available--
 			done := tenantBucket.waiting[0]
 			tenantBucket.waiting = tenantBucket.waiting[1:]
 			done(Granted)
 		}
-		tenantBucket.tokens = min(available, tenantBucket.cap)
+		tenantBucket.tokens = min(available, tenantBucket.capacity)
 		if share.Tokens < tenantBucket.reportedWaiting {
 			// The quota is used up, also for requests that arrived after the report.
 			tenantBucket.completeWaiting(OverQuota)
@@ -294,12 +294,12 @@
 	}
 }
 
-// AwaitsAnswer reports whether the allocator's answer is still awaited.
+// AwaitsAnswer reports whether the allocator's reply is still awaited.
 func (lq *LocalQuota) AwaitsAnswer(now time.Duration) bool {
-	return lq.awaiting && now-lq.reportedAt <= lq.AnswerTimeout
+	return lq.awaitingReply && now-lq.reportedAt <= lq.ReplyTimeout
 }
 
-// HasWaiting reports whether any request waits for the allocator's answer.
+// HasWaiting reports whether any request waits for the allocator's reply.
 func (lq *LocalQuota) HasWaiting() bool {
 	for _, b := range lq.buckets {
 		if len(b.waiting) > 0 {
@@ -309,20 +309,20 @@
 	return false
 }
 
-// AcquireRequest asks a node for one token of a tenant's quota. The answer is an AcquireReply.
+// AcquireRequest asks a node for one token of a tenant's quota. The reply is an AcquireReply.
 type AcquireRequest struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Tenant string `cbor:"2,keyasint"`
 }
 
-// AcquireReply answers the AcquireRequest with the same Seq. Granted: the token is granted. Unknown: the node
-// can't tell, another one may. Neither: the quota is used up.
+// AcquireReply is the reply to the AcquireRequest with the same Seq. Granted: the token is granted. Unknown:
+// the node doesn't know the limit, another one may. Neither: the quota is used up.
 type AcquireReply struct {
 	Seq     uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint,omitempty"`
 	Unknown bool   `cbor:"3,keyasint,omitempty"`
-	// RunID is the node's incarnation, to which the token can be returned (see Return). Nodes of
-	// versions that take no tokens back send 0.
+	// RunID identifies the run of the node's process to which the token can be returned (see Return).
+	// Nodes of versions that take no tokens back send 0.
 	RunID uint64 `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,7 +19,7 @@
 		Nodes: func() []string { return nodes }}
 }
 
-// simulation simulates nodes, allocators and a network that loses, delays and reorders messages. Nodes
+// simulation runs nodes, allocators and a network that loses, delays and reorders messages. Nodes
 // freeze and restart, and allocators are replaced or partitioned while they still believe that they are
 // the allocator.
 type simulation struct {
@@ -30,7 +30,7 @@
 	grantedAt map[string][]time.Duration // by tenant
 	requested map[string]int             // by tenant
 	refused   int
-	lossless  bool // messages are neither lost nor much delayed
+	lossless  bool // messages are not lost, and delayed only briefly
 	// unused is the fraction of tokens that are returned.
 	unused float64
 }
@@ -157,7 +157,7 @@
 			if w.now >= node.nextReportAt {
 				node.nextReportAt, node.reportComplete = w.now+time.Second, true
 				w.report(i)
-				for j := range w.nodes { // nodes that missed the recall learn of the allocator eventually
+				for j := range w.nodes { // nodes that missed the recall eventually learn of the allocator
 					if allocatorIndex := leader; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
 						allocatorTerm := Term{Number: term, Owner: "a", RunID: 1}
 						w.send(j, func(receiver *testNode) {
@@ -260,19 +260,19 @@
 	}
 }
 
-// A token can be returned only to the incarnation that granted it, and only up to the bucket's
+// A token can be returned only to the run of the process that granted it, and only up to the bucket's
 // capacity.
 func TestTokenReturnsOnlyToTheRunThatGrantedIt(t *testing.T) {
 	local := NewLocalQuota(7, 0, 300*ms)
 	local.SetLimits(quotas)
 	tenantBucket := local.bucket("small")
-	tenantBucket.cap, local.sharesExpireAt = 2, time.Hour
+	tenantBucket.capacity, local.sharesExpireAt = 2, time.Hour
 	for _, c := range []struct {
-		incarnation uint64
-		tenant      string
-		want        float64
+		runID  uint64
+		tenant string
+		want   float64
 	}{{6, "small", 0}, {0, "small", 0}, {7, "ghost", 0}, {7, "small", 1}, {7, "small", 2}, {7, "small", 2}} {
-		if local.ReturnToken(ms, c.incarnation, c.tenant); tenantBucket.tokens != c.want {
+		if local.ReturnToken(ms, c.runID, c.tenant); tenantBucket.tokens != c.want {
 			t.Errorf("%+v: %g tokens", c, tenantBucket.tokens)
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	allocation, ok := allocator.Report(20*ms, 20*ms, "a", local.Report(10*ms, true), quotas)
 	if !ok {
-		t.Fatal("allocator did not answer the report")
+		t.Fatal("allocator did not reply to the report")
 	}
 	local.Apply(30*ms, allocation)
 	if len(got) != 1 || got[0] != Granted {
@@ -301,7 +301,7 @@
 	if local.Acquire(31*ms, "ghost", func(g Grant) { got = append(got, g) }) || len(got) != 2 || got[1] != Unknown {
 		t.Errorf("tenant with unknown limit: %v, want Unknown", got)
 	}
-	// Without answers from the allocator the share serves until it is used up. After that the node
+	// Without replies from the allocator the share serves requests until it is used up. After that the node
 	// doesn't know whether the tenant is over its quota.
 	drain := func(now time.Duration) {
 		for len(got) < 100 && !local.HasWaiting() {
@@ -310,15 +310,15 @@
 	}
 	drain(40 * ms)
 	local.Report(50*ms, false)
-	if local.TimeOut(50*ms + local.AnswerTimeout + 1); got[len(got)-1] != Unknown {
-		t.Errorf("allocator did not answer: %v, want Unknown", got)
+	if local.TimeOut(50*ms + local.ReplyTimeout + 1); got[len(got)-1] != Unknown {
+		t.Errorf("allocator did not reply: %v, want Unknown", got)
 	}
-	// The allocator answers that the quota is used up.
+	// The allocator replies that the quota is used up.
 	drain(500 * ms)
 	report := local.Report(510*ms, false)
 	local.Apply(520*ms, Allocation{Term: Term{Number: 1, Owner: "a", RunID: 1}, Seq: report.Seq, Lifetime: time.Second, Shares: []Share{{Tenant: "small"}}})
 	if got[len(got)-1] != OverQuota {
-		t.Errorf("quota used up: %v, want Over", got)
+		t.Errorf("quota used up: %v, want OverQuota", got)
 	}
 }
 
@@ -331,20 +331,20 @@
 	second, _ := allocator.Report(2*ms, 2*ms, "a", local.Report(ms, true), quotas)
 	local.Apply(3*ms, first)
 	if !local.AwaitsAnswer(3 * ms) {
-		t.Error("answer to an older report was applied")
+		t.Error("reply to an older report was applied")
 	}
 	local.Apply(3*ms, second)
 	if local.AwaitsAnswer(3 * ms) {
-		t.Error("answer to the last report was not applied")
+		t.Error("reply to the last report was not applied")
 	}
 	if _, ok := allocator.Report(4*ms, 4*ms, "a", Report{RunID: 1, Seq: 1, Complete: true}, quotas); ok {
-		t.Error("old report was answered")
+		t.Error("old report got a reply")
 	}
 	if _, ok := allocator.Report(4*ms, 4*ms, "b", Report{RunID: 5, Seq: 1}, quotas); ok {
-		t.Error("first report of a node was answered although it is not complete")
+		t.Error("first report of a node got a reply although it is not complete")
 	}
 	if _, ok := allocator.Report(10*time.Second, ms, "c", Report{RunID: 7, Seq: 1, Complete: true}, quotas); ok {
-		t.Error("allocator answered although its confirmation is too old")
+		t.Error("allocator replied although its confirmation is too old")
 	}
 }
 
@@ -395,19 +395,19 @@
 	}
 }
 
-// A delayed allocation answers a report of an earlier incarnation, not the current one's report with
-// the same number.
+// A delayed allocation replies to a report of an earlier run of the process, not to the current run's report
+// with the same number.
 func TestAllocationForEarlierRunIsIgnored(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
 	allocator.Activate(0, Term{Number: 1, Owner: "a", RunID: 1}, 0, false)
 	earlier, current := NewLocalQuota(1, 77, 300*ms), NewLocalQuota(2, 5, 300*ms)
 	allocation, ok := allocator.Report(ms, ms, "b", earlier.Report(0, true), quotas)
 	if !ok {
-		t.Fatal("allocator did not answer the report")
+		t.Fatal("allocator did not reply to the report")
 	}
 	current.Report(2*ms, true)
 	if current.Apply(3*ms, allocation); !current.AwaitsAnswer(3 * ms) {
-		t.Error("allocation for the earlier incarnation was applied")
+		t.Error("allocation for the earlier run was applied")
 	}
 	highest := NewLocalQuota(3, math.MaxUint64, 300*ms)
 	first, second := highest.Report(0, true), highest.Report(ms, true)
@@ -430,7 +430,7 @@
 		s.Tenant, s.Demand, s.Tokens = "large", demand, 0
 		allocation, ok := allocator.Report(now, now, id, Report{RunID: 1, Seq: seq[id], Complete: true, Shares: []Share{s}}, quotas)
 		if !ok || len(allocation.Shares) != 1 {
-			t.Fatalf("at %v: node %s got no answer: %+v", now, id, allocation)
+			t.Fatalf("at %v: node %s got no reply: %+v", now, id, allocation)
 		}
 		held[id] = allocation.Shares[0]
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -25,14 +25,14 @@
 // MaxAddresses is the maximum number of addresses in an answer.
 const MaxAddresses = 64
 
-// minAvailableFraction is the fraction of a zone's gateways that must be open for its clients to get
+// minAvailableFraction is the fraction of a zone's gateways that must be available for its clients to get
 // addresses of that zone only.
 const minAvailableFraction = 0.5
 
-// Resolve returns the addresses that a client should use: the open gateways of its zone; if too few
-// of these are open, those of its region; if there are none, those of any region. Only if the regions
-// in which the host is served have no open gateway are gateways of other regions returned. If no
-// gateway is known to be open, all are returned, so the answer is empty only without gateways.
+// Resolve returns the addresses that a client should use: the available gateways of its zone; if
+// too few of these are available, those of its region; if there are none, those of any region. Only if the
+// regions in which the host is served have no available gateway are gateways of other regions returned. If
+// no gateway is available, all are returned, so the answer is empty only if no gateway is known.
 func Resolve(gateways []Gateway, client Query) []string {
 	region := client.Region
 	zoneKnown := false
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// gateways returns n gateways in each zone. Those whose address starts with a prefix in closed are not
-// open.
+// gateways returns n gateways in each zone. Those whose address starts with a prefix in unavailable are not
+// available.
 func gateways(n int, unavailable ...string) (out []Gateway) {
 	for _, z := range []string{"a1/a", "a2/a", "b1/b", "b2/b"} {
 		zone, region, _ := strings.Cut(z, "/")
@@ -34,15 +34,15 @@
 	}{
 		{"own zone", gateways(4), Query{Zone: "a1", Region: "a"}, "a1:4"},
 		{"own zone with some gateways down", gateways(4, "a1-0"), Query{Zone: "a1", Region: "a"}, "a1:3"},
-		{"too few open in the own zone: its region", gateways(4, "a1-0", "a1-1", "a1-2"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:4"},
+		{"too few available in the own zone: its region", gateways(4, "a1-0", "a1-1", "a1-2"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:4"},
 		{"own region down: other regions", gateways(2, "a"), Query{Zone: "a1", Region: "a"}, "b1:2 b2:2"},
 		{"unknown zone of a known region", gateways(2), Query{Zone: "x", Region: "b"}, "b1:2 b2:2"},
 		{"the zone's region overrides the one in the query", gateways(2, "a1"), Query{Zone: "a1", Region: "b"}, "a2:2"},
 		{"unknown zone and region", gateways(1), Query{Zone: "x", Region: "y"}, "a1:1 a2:1 b1:1 b2:1"},
 		{"host served in another region only", gateways(2), Query{Zone: "a1", Region: "a", Residency: []string{"b"}}, "b1:2 b2:2"},
 		{"the host's region down: any region", gateways(2, "b"), Query{Zone: "a1", Region: "a", Residency: []string{"b"}}, "a1:2 a2:2"},
-		{"no open gateway known: all", gateways(1, "a", "b"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:1 b1:1 b2:1"},
-		{"at most MaxAnswer addresses", gateways(200), Query{Zone: "a1", Region: "a"}, "a1:64"},
+		{"no gateway available: all", gateways(1, "a", "b"), Query{Zone: "a1", Region: "a"}, "a1:1 a2:1 b1:1 b2:1"},
+		{"at most MaxAddresses addresses", gateways(200), Query{Zone: "a1", Region: "a"}, "a1:64"},
 	}
 	for _, c := range cases {
 		count := map[string]int{}
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -10,7 +10,7 @@
 )
 
 // Splitter is a gateway's part in rollouts. It chooses the arm of each request, scores the
-// answers, and stops sending requests to a candidate that is bad as this gateway sees it.
+// responses, and stops sending requests to a candidate that is bad as this gateway sees it.
 type Splitter struct {
 	nodeID string
 	// controllerTimeout is how long a candidate keeps getting requests after the last
@@ -30,7 +30,7 @@
 	accumulated map[string]float64 // by stratum: weight since the candidate's last request; at 1 it gets the next
 	sums        Sums               // of the plan's current generation
 	baseline    Sums               // of an earlier generation, for comparison where the prior arm gets no requests
-	stopReason  string             // why this gateway sends the candidate nothing; empty: it does
+	stopReason  string             // why this gateway sends the candidate no requests; empty: it does send them
 	inFlight    map[*Sample]struct{}
 }
 
@@ -64,8 +64,8 @@
 			split.order, split.baseline, split.sums, split.stopReason = service.Plan.Order, Sums{}, Sums{}, ""
 			split.accumulated = map[string]float64{}
 		}
-		// Each stage is judged by the candidate's answers of that stage alone. The sums
-		// of the prior arm may be older where it gets no requests any more.
+		// Each stage is judged by the candidate's responses in that stage alone. The sums
+		// of the prior arm may be older if it no longer gets requests.
 		if all := split.sums.All(); all[Prior].Ended > 0 {
 			split.baseline = split.sums
 		}
@@ -92,7 +92,7 @@
 
 // Sample is one attempt to send a request to an upstream.
 type Sample struct {
-	splitter          *Splitter
+	splitter      *Splitter
 	split         *serviceSplit
 	order         uint64
 	generation    uint64
@@ -185,7 +185,7 @@
 	s.splitter.mu.Unlock()
 }
 
-// Score records the outcome of an attempt whose answer may still be in transfer. Only the
+// Score records the outcome of an attempt whose response may still be in progress. Only the
 // first outcome of an attempt counts.
 func (s *Sample) Score(outcome Outcome) {
 	s.splitter.mu.Lock()
@@ -228,8 +228,8 @@
 	}
 }
 
-// sumsWithInFlight is the sums with the latencies of requests that have been in flight for
-// half their latency target or longer, as if they ended now. A version that never answers
+// sumsWithInFlight returns the sums, including the latencies of requests that have been in flight
+// for half their latency target or longer, as if they ended now. A version that never responds
 // would otherwise not be judged by these requests.
 func (s *serviceSplit) sumsWithInFlight(now time.Duration) Sums {
 	sums := Sums{}
@@ -245,7 +245,7 @@
 	return sums
 }
 
-// judgeCandidate stops the candidate on this gateway if its answers here are bad.
+// judgeCandidate stops the candidate on this gateway if its responses here are bad.
 func (s *serviceSplit) judgeCandidate(now time.Duration) {
 	if s.stopReason == "" {
 		s.stopReason = Local.Judge(s.sumsWithInFlight(now), s.baseline)
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -7,7 +7,7 @@
 	"madderwing/internal/apierror"
 )
 
-// controlNodes is a set of control nodes that may own a service's key. They share the records,
+// controlNodes is a set of control nodes that may own a service's partition. They share the records,
 // and each has a clock of its own.
 type controlNodes struct {
 	t            *testing.T
@@ -119,7 +119,7 @@
 }
 
 // A repeated reversal without a version cannot be told from a reversal of the next rollout. It
-// is answered with PossibleDuplicate for as long as the operator may send it again.
+// is refused with PossibleDuplicate for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	nodes := newControlNodes(t, 2)
 	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -25,7 +25,7 @@
 	gatewayReports map[string]received[Report]   // by gateway that reports to this control node
 	peerReports    map[string]received[Gathered] // by control node: what it has gathered
 	gathered       Gathered                      // of the current record, as last computed
-	baseline       Sums                          // of an earlier record in which the prior arm had answers
+	baseline       Sums                          // of an earlier record under which the prior arm had responses
 	lastView       View                          // of the last evaluation by the controller
 	pendingFrom    uint64                        // the generation whose transition is being committed; 0: none
 }
@@ -66,7 +66,7 @@
 	case plan.Order != state.order:
 		state.baseline = nil
 	default:
-		age = max(age, state.age(now)) // an order never gets younger
+		age = max(age, state.age(now)) // the age of an order never falls
 		if state.gathered.Gen == state.generation && state.gathered.Sums.All()[Prior].Ended > 0 {
 			state.baseline = state.gathered.Sums
 		}
@@ -101,7 +101,7 @@
 	return s.ageWhenSeen + now - s.recordSeenAt
 }
 
-// Age is the age of a service's newest order.
+// Age returns the age of a service's newest order.
 func (c *Controller) Age(now time.Duration, service string) time.Duration {
 	return c.stateOf(service).age(now)
 }
@@ -137,15 +137,15 @@
 // Environment is what a controller needs to know from its node.
 type Environment struct {
 	Self         string
-	Owner        func(key string) string // the node that owns a partition; empty: none known
-	MaxReportAge time.Duration           // age up to which a report counts
-	// Fill adds to a view the figures on the gateways and on the service's upstreams. told
-	// has the requests in flight to other versions, by gateway that has reported.
-	Fill func(v *View, p *Plan, told map[string]int)
+	Owner        func(partition string) string // the node that owns a partition; empty: none known
+	MaxReportAge time.Duration                 // age up to which a report counts
+	// Fill adds to a view the figures on the gateways and on the service's upstreams.
+	// otherInFlight holds the requests in flight to other versions, by gateway that has reported.
+	Fill func(view *View, plan *Plan, otherInFlight map[string]int)
 }
 
-// Evaluate evaluates the active rollouts. It returns the transitions to commit, and by control
-// node the gathered reports to send to it as the controller of their rollouts.
+// Evaluate evaluates the active rollouts. It returns the transitions to commit, and the gathered
+// reports to forward, by the control node that is the controller of their rollouts.
 func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (transitions []Transition, forwards map[string][]Gathered) {
 	c.allControlled, forwards = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
@@ -188,7 +188,9 @@
 }
 
 // TransitionEnded records that the commit of a transition has ended, with success or without.
-func (c *Controller) TransitionEnded(transition Transition) { c.stateOf(transition.From.Service).pendingFrom = 0 }
+func (c *Controller) TransitionEnded(transition Transition) {
+	c.stateOf(transition.From.Service).pendingFrom = 0
+}
 
 // pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -37,7 +37,7 @@
 	stage            Stage
 	weight           float64
 	minDurationShare float64 // of the order's time that the step lasts at least
-	minResponses       uint64  // scored answers of the candidate
+	minResponses     uint64  // scored responses of the candidate
 }
 
 var steps = []step{
@@ -54,7 +54,7 @@
 	minWarmShare       = 0.8              // of the other version's slots, times the weight, that must be warm where the load is 0
 	minEndedShare      = 0.5              // of the candidate's requests must have ended before the next step
 	minReportingShare  = 0.8              // of the gateways must have reported
-	maxWaitFactor      = 4                // a step waits for answers no longer than so many times its minimum duration
+	maxWaitFactor      = 4                // multiple of its minimum duration that a step waits at most for responses
 	maxMinDuration     = 60 * time.Second // upper bound of the minimum duration of a step
 )
 
@@ -79,7 +79,7 @@
 	}
 	current := steps[plan.stepIndex()]
 	// The minimum has an upper bound, since an order may allow days. The published design
-	// has hours, in which people look at the candidate; here they look at the status.
+	// has steps of hours, in which people inspect the candidate; here they inspect the status.
 	minDuration := min(time.Duration(current.minDurationShare*float64(plan.Within)), maxMinDuration)
 	if view.SinceRecord < minDuration || view.LiveGateways == 0 || float64(view.ReportingGateways) < minReportingShare*float64(view.LiveGateways) {
 		return nil
@@ -93,7 +93,7 @@
 	next := *plan
 	next.Age = view.Age
 	if current.stage == Full {
-		// The prior version stops at once on completion, so no request to it may be in flight.
+		// The prior version may shut down at once on completion, so no request to it may be in flight.
 		if view.ReportingGateways < view.LiveGateways || view.OtherInFlight > 0 {
 			if view.StoppedGateways > 0 && view.SinceRecord > 2*minDuration {
 				return &next // a new generation of the same step clears a stop by one gateway that the sums do not confirm
@@ -129,7 +129,7 @@
 	if reason := Overall.Judge(view.Sums, view.Baseline); reason != "" {
 		return reason
 	}
-	// A single gateway may misjudge a candidate. Two are believed, or one if it is the only one.
+	// A single gateway may misjudge a candidate, so two must have stopped it, or one if it is the only one.
 	if view.StoppedGateways >= min(2, view.LiveGateways) && view.StoppedGateways > 0 {
 		return fmt.Sprintf("%d nodes have stopped it: %s", view.StoppedGateways, view.StopReason)
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,7 +2,7 @@
 // version, to another, the candidate, through four stages: shadow, canary, percentage, full.
 // The control node that owns the partition of a service is the controller of its rollout and
 // decides on each stage (Controller, Next). Every gateway splits the requests of the service
-// between the two arms, scores the answers of both, and by itself stops sending requests to
+// between the two arms, scores the responses of both, and by itself stops sending requests to
 // a candidate that turns bad (Splitter).
 //
 // The package does no I/O and reads no clock; callers pass the time in.
@@ -26,8 +26,8 @@
 // Record is the form in which plans are stored and replicated.
 type Record = antientropy.Record
 
-// Prefix begins the names of the partitions of rollouts, one for each service. Each has one record, whose
-// name is that of the partition.
+// Prefix begins the names of the partitions of rollouts, one for each service. Each has one record, with the
+// name of the partition.
 const Prefix = "rollout/"
 
 // StandingPrefix begins the names of the records of type Standing. They are in the partition
@@ -64,7 +64,7 @@
 	Stage     Stage         `cbor:"6,keyasint,omitempty"`
 	Weight    float64       `cbor:"7,keyasint,omitempty"` // share of requests for the candidate
 	// Age of the order when the record was written. A new controller adds the time since it
-	// first saw the record, so a takeover never makes an order younger.
+	// first saw the record, so the age never falls when the controller changes.
 	Age    time.Duration `cbor:"8,keyasint,omitempty"`
 	Reason string        `cbor:"9,keyasint,omitempty"` // of a reversal
 	// ExecutedCalls has the newest executed calls for the service, including those for earlier
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -16,9 +16,9 @@
 // rejected without being executed, or its client closed the connection.
 const (
 	Passed         Outcome = iota
-	Errored                // the upstream itself answered with an error
-	BrokenResponse         // the connection broke, or the answer was malformed
-	TooLate                // no answer by the deadline
+	Errored                // the upstream itself responded with an error
+	BrokenResponse         // the connection broke, or the response was malformed
+	TooLate                // no response by the deadline
 	Unscored
 	failureKinds = 3 // Errored, BrokenResponse, TooLate
 )
@@ -47,13 +47,13 @@
 	return min(latencyBins-1, 1+int(2*math.Log2(elapsed.Seconds()/0.01)))
 }
 
-// Cell has the counts of the answers of one arm in one bucket of strata. The sum of several
+// Cell has the counts of the responses of one arm in one bucket of strata. The sum of several
 // cells does not depend on their order.
 type Cell struct {
 	Begun uint64               `cbor:"1,keyasint,omitempty"`
 	Ended uint64               `cbor:"2,keyasint,omitempty"` // with an outcome other than Unscored
 	Fails [failureKinds]uint64 `cbor:"3,keyasint"`           // by outcome, from Errored on
-	// Of the answers of upstreams that are not cold: their number, the sums of their latency
+	// Of the responses of upstreams that are not cold: their number, the sums of their latency
 	// scores and of the squares of these, and their number in each bin of the latency
 	// histogram. The score falls from 1 at no latency to 0 at four times the latency target.
 	LatencyCount     uint64   `cbor:"4,keyasint,omitempty"`
@@ -62,7 +62,7 @@
 	LatencyHistogram []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Failed is the number of failures of all kinds.
+// Failed returns the number of failures of all kinds.
 func (c *Cell) Failed() (n uint64) {
 	for _, f := range c.Fails {
 		n += f
@@ -98,7 +98,7 @@
 	c.LatencyHistogram[bin]++
 }
 
-// LatencyP99 is an upper bound of the 99th percentile of the latencies: the end of its bin.
+// LatencyP99 returns an upper bound of the 99th percentile of the latencies: the end of its bin.
 func (c *Cell) LatencyP99() time.Duration {
 	return time.Duration(float64(10*time.Millisecond) * math.Pow(2, float64(c.tailBin())/2))
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-// countBeyond is the number of answers in the bins after bin.
+// countBeyond returns the number of responses in the bins after bin.
 func (c *Cell) countBeyond(bin int) (n uint64) {
 	for i := bin + 1; i < len(c.LatencyHistogram); i++ {
 		n += c.LatencyHistogram[i]
@@ -129,7 +129,7 @@
 	return n
 }
 
-// tailBin is the first bin beyond which no more than a hundredth of the answers lie.
+// tailBin returns the first bin beyond which no more than a hundredth of the responses lie.
 func (c *Cell) tailBin() int {
 	for bin := range c.LatencyHistogram {
 		if c.countBeyond(bin)*100 <= c.LatencyCount {
@@ -139,10 +139,10 @@
 	return latencyBins - 1
 }
 
-// Pair is the cells of the two arms, by Arm.
+// Pair holds the cells of the two arms, by Arm.
 type Pair [2]Cell
 
-// Sums is the cells of a rollout, by bucket of strata.
+// Sums holds the cells of a rollout, by bucket of strata.
 type Sums map[uint8]Pair
 
 // Add adds other sums.
@@ -160,7 +160,7 @@
 	}
 }
 
-// All is the sum over all strata.
+// All returns the sums over all strata.
 func (s Sums) All() (all Pair) {
 	for _, p := range s {
 		all[Prior].Add(p[Prior])
@@ -169,7 +169,6 @@
 	return all
 }
 
-// bucketOf is the bucket of a stratum.
 func bucketOf(stratum string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(stratum))
@@ -181,15 +180,15 @@
 // moves.
 type Criterion struct {
 	Alpha       float64 // significance level of one test of one bucket of strata
-	MinFailures uint64  // failures, or answers where latencies are compared, below which nothing is tested
+	MinFailures uint64  // failures, or responses where latencies are compared, below which nothing is tested
 	// FailureShareAlone is the share of failures at which a candidate is bad where the prior arm has
-	// too few answers for a comparison.
+	// too few responses for a comparison.
 	FailureShareAlone float64
 }
 
 const (
 	minEffect     = 0.05 // differences below this are ignored (the minimum of the published design)
-	minTailExcess = 0.05 // excess share of the candidate's answers in the prior's tail at which the candidate is bad
+	minTailExcess = 0.05 // excess share of the candidate's responses in the prior's tail at which the candidate is bad
 	// tailMarginBins is how many bins beyond the bin of the prior's p99 the tail begins. One bin is
 	// a factor of 1.41, the smallest that is not below the 1.3 of the published design.
 	tailMarginBins = 1
@@ -205,9 +204,9 @@
 	Local = Criterion{Alpha: 0.05 / 5000, MinFailures: 5, FailureShareAlone: 0.4}
 )
 
-// Judge compares the arms, in all strata together and in each bucket, and returns what is
-// wrong with the candidate; empty: nothing significant. Where the prior arm has far fewer
-// answers than the candidate, as at full weight, its answers in baseline, the sums of an
+// Judge compares the arms, in all strata together and in each bucket, and returns the reason why
+// the candidate is bad; empty: no significant difference. Where the prior arm has far fewer
+// responses than the candidate, as at full weight, its responses in baseline, the sums of an
 // earlier stage, are added.
 func (c Criterion) Judge(sums, baseline Sums) string {
 	allStrata := sums.All()
@@ -283,7 +282,7 @@
 
 var failureNames = [failureKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
 
-// proportionsPValue is the p-value of the one-sided two-proportion z-test. The null hypothesis is
+// proportionsPValue returns the p-value of the one-sided two-proportion z-test. The null hypothesis is
 // that the proportion a/n is not above b/m.
 func proportionsPValue(a, n, b, m uint64) float64 {
 	if n == 0 || m == 0 {
@@ -298,7 +297,7 @@
 	return distuv.UnitNormal.Survival((pa - pb) / se)
 }
 
-// welchPValue is the p-value of the one-sided Welch's t-test. The null hypothesis is that the
+// welchPValue returns the p-value of the one-sided Welch's t-test. The null hypothesis is that the
 // mean score of a is not below that of b.
 func welchPValue(a, b Cell) float64 {
 	if a.LatencyCount < 2 || b.LatencyCount < 2 {
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -10,7 +10,7 @@
 )
 
 // simulation runs a rollout with the real state machines: the Splitters of many gateways, and the
-// controllers of three control nodes, of which one at a time owns the key.
+// controllers of three control nodes, of which one at a time owns the partition.
 type simulation struct {
 	t                  *testing.T
 	rng                *rand.Rand
@@ -18,7 +18,7 @@
 	gateways           []*simGateway
 	controllers        []*Controller
 	shownRecords       [][]Record // by controller: the records that its control node has seen
-	owner              int        // index of the controller that owns the key; -1: none
+	owner              int        // index of the controller that owns the partition; -1: none
 	frozen             int        // index of the controller whose process is frozen; -1: none
 	records            map[string]Record
 	capacity           View // slots and load of the upstreams
@@ -27,7 +27,7 @@
 	commonErrorShare   float64 // of the requests of both versions
 	events             map[time.Duration][]func()
 	requestsByVersion  map[string]int
-	badResponsesAt       []time.Duration
+	badResponsesAt     []time.Duration
 	candidateRequests  []candidateRequest
 	plans              []Plan
 	freezeInTransition bool
@@ -41,7 +41,7 @@
 
 type simGateway struct {
 	id           string
-	splitter         *Splitter
+	splitter     *Splitter
 	disconnected bool
 	generation   uint64
 	requestsDue  float64
@@ -253,7 +253,7 @@
 	}
 }
 
-// loseOwner freezes the key's owner. Another node owns the key after the vacancy timeout. The
+// loseOwner freezes the partition's owner. Another node owns the partition after the vacancy timeout. The
 // old owner runs again later; if wiped, it starts without its state.
 func (s *simulation) loseOwner(index int, wiped bool) {
 	s.owner, s.frozen = -1, index
@@ -316,7 +316,7 @@
 // checkRules checks the plans and requests of a run: stages only advance; a good version is
 // complete in time; a bad one is reversed, gets no more than its share of the requests if
 // limitExposure is set, and none from a connected gateway later than rollbackTime after its
-// 50th bad answer.
+// 50th bad response.
 func (s *simulation) checkRules(good bool, limitExposure bool) {
 	t := s.t
 	t.Helper()
@@ -350,7 +350,7 @@
 		sort.Slice(s.badResponsesAt, func(i, j int) bool { return s.badResponsesAt[i] < s.badResponsesAt[j] })
 		for _, request := range s.candidateRequests {
 			if !s.gateways[request.gateway].disconnected && request.at > s.badResponsesAt[49]+rollbackTime {
-				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", s.candidateKind, request.gateway, request.at, s.badResponsesAt[49])
+				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad response was at %v", s.candidateKind, request.gateway, request.at, s.badResponsesAt[49])
 				break
 			}
 		}
@@ -497,7 +497,7 @@
 	}
 }
 
-// A large answer is scored when it begins, and its request is in flight until it ends.
+// A large response is scored when it begins, and its request is in flight until it ends.
 func TestScoredRequestIsInFlightUntilItEnds(t *testing.T) {
 	splitter := NewSplitter("n", time.Hour, func() time.Duration { return time.Second })
 	splitter.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary}}})
