--- a/internal/config/binding.go
+++ b/internal/config/binding.go
@@ -15,18 +15,18 @@
 // Bind creates a RouteBinding and returns the records to change. It is the only writer of a route's
 // status. It fails with a Conflict unless the route is at the revision that the caller saw, so that two
 // schedulers cannot both bind a route. A repeated call for the current binding succeeds without changes.
-func Bind(records map[string]Record, binding RouteBinding, seenRev uint64) ([]Record, error) {
+func Bind(records map[string]Record, binding RouteBinding, expectedRev uint64) ([]Record, error) {
 	routeRecord, ok := records[routePrefix+binding.Route]
 	if !ok || routeRecord.Dropped {
 		return nil, apierror.New(apierror.Conflict, "route %s is gone", binding.Route)
 	}
 	item := decodeItem(routeRecord)
 	scheduled := Status{PhaseScheduled, binding.Shard}
-	if routeRecord.Rev == seenRev+1 && item.Status == scheduled {
+	if routeRecord.Rev == expectedRev+1 && item.Status == scheduled {
 		return nil, nil
 	}
-	if routeRecord.Rev != seenRev {
-		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", binding.Route, routeRecord.Rev, seenRev)
+	if routeRecord.Rev != expectedRev {
+		return nil, apierror.New(apierror.Conflict, "route %s is at revision %d, not %d", binding.Route, routeRecord.Rev, expectedRev)
 	}
 	item.Status = scheduled
 	routeRecord.Rev++
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -15,7 +15,7 @@
 const recordBytes = 64
 
 // check validates the configuration that results from changes. Of several errors it returns the first in
-// alphabetical order, so that the answer does not depend on map order.
+// alphabetical order, so that the error does not depend on map order.
 func check(records map[string]Record, changes []Record, decoder *Decoder) error {
 	changed := make(map[string]Record, len(changes))
 	for _, record := range changes {
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -11,8 +11,8 @@
 	"madderwing/internal/apierror"
 )
 
-// This file tells whether a generation that is sent again has the same content as before. For this, items
-// keep digests of the contents of a few earlier generations.
+// This file checks whether a generation that is sent again has the same content as before. For this, an item
+// keeps the digests of a few earlier generations.
 
 // maxHistory is the number of generations before the current one whose digests an item keeps.
 const maxHistory = 4
@@ -100,7 +100,7 @@
 	return decodeItem(r).digest()
 }
 
-// tombstoneData is the data of a dropped record. History is encoded as in Item.
+// tombstoneData is the data of a tombstone. History is encoded as in Item.
 type tombstoneData struct {
 	History []byte `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/config/decoder.go
+++ b/internal/config/decoder.go
@@ -70,8 +70,8 @@
 	return route, nil
 }
 
-// prune evicts items that don't exist, each time that the number of cached items has more than doubled, by
-// at least pruneThreshold.
+// prune evicts items that don't exist, each time that the number of cached items reaches twice the number
+// after the last eviction plus pruneThreshold.
 func (decoder *Decoder) prune(records map[string]Record) {
 	if len(decoder.routes)+len(decoder.tenants) < decoder.pruneAt {
 		return
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -14,7 +14,7 @@
 
 // This file bounds the space that removed items take. The record of a removed item stays as a tombstone
 // (Record.Dropped), so that an older change can't create the item again. When tombstones take too much space,
-// the oldest are erased, and the horizon record tells up to which generations. See
+// the oldest are erased (purged), and the horizon record holds their highest generations. See
 // docs/notes/hardening-numbers.md.
 
 const (
@@ -31,8 +31,8 @@
 	typicalQuantile, maxSparedRatio = 0.9, 1.0 / 16
 )
 
-// horizonName is the name of the horizon record, which tells up to which generations tombstones were
-// erased. It exists from the first purge on. Earlier releases replicate it without reading it.
+// horizonName is the name of the horizon record, which holds the highest generations of erased tombstones.
+// It exists from the first purge on. Earlier releases replicate it without reading it.
 const horizonName = "horizon"
 
 // horizonData is the content of the horizon record: the highest generation of an erased tombstone, by kind
@@ -42,8 +42,8 @@
 }
 
 // Horizon returns the number of purges in the history of a set of records. It only rises: of two copies of
-// the configuration, the one with the higher horizon is newer as a whole, and an item that it lacks does
-// not exist.
+// the configuration, the one with the higher horizon is the newer one, and an item that it lacks does not
+// exist.
 func Horizon(records map[string]Record) uint64 { return records[horizonName].Gen }
 
 // ContainsHigherHorizon reports whether changes contain a higher horizon than a set of records.
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -163,7 +163,7 @@
 		owner := newConfigOwner(t)
 		owner.records[horizonName] = horizonAt(highestPurged)
 		before := maps.Clone(owner.records)
-		for range 2 { // a change that is sent again gets the same answer
+		for range 2 { // a change that is sent again gets the same result
 			err := owner.call(testCase.body)
 			if testCase.refused && (apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), "route n: ") || !strings.Contains(err.Error(), fmt.Sprint(highestPurged))) {
 				t.Errorf("%s: got %v", name, err)
@@ -248,7 +248,7 @@
 	}
 }
 
-// Client requests still need a key after all tenants are removed and tombstones purged.
+// Client requests still require an API key after all tenants are removed and tombstones purged.
 func TestLastTenantTombstoneIsKept(t *testing.T) {
 	owner := newConfigOwner(t)
 	for _, name := range []string{"tenant/x", "tenant/y"} {
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,7 +1,7 @@
 // Package delivery replicates the configuration records and the list of upstreams from the control
 // nodes to the gateways. A gateway watches a control node by periodically
 // reporting what it holds. The control node sends what is missing, and sends changes as soon as they
-// happen. The two converge without keeping any state about each other.
+// happen. Convergence does not depend on what either remembers of the other.
 package delivery
 
 import (
--- a/internal/delivery/sources.go
+++ b/internal/delivery/sources.go
@@ -12,7 +12,7 @@
 
 // Sources selects the two control nodes (sources) that a gateway watches. They are in different
 // zones, the gateway's own zone comes first, and a control node that recently timed out is avoided
-// while there are others. After that it is the second source before it may be the first again.
+// while there are others; afterwards it has to be the second source before it may be the first again.
 // A source is fresh while it sends updates with Update.Fresh set, and stale while it sends others.
 type Sources struct {
 	Self   string
@@ -25,7 +25,7 @@
 	lastFresh       map[string]time.Duration // time of the last fresh update
 	stale           map[string]bool          // whether the last update was not fresh
 	chosenAt        map[string]time.Duration // when a chosen source was chosen
-	avoidUntil      map[string]time.Duration // a source is avoided until this time, and then is only a second source until it sends a fresh update
+	avoidUntil      map[string]time.Duration // avoided until then; later only second source until it sends a fresh update
 	chosen          []string
 	candidates      []string      // control nodes that were last seen alive, and the seeds
 	anyFreshAt      time.Duration // time of the last fresh update from any control node
@@ -42,7 +42,7 @@
 	watchIntervalsPerTimeout = 3
 
 	staleFraction     = 0.35 // of Timeout, for a source that is stale
-	bothStaleFraction = 0.85 // if the other source is stale too: the owner of the configuration may just be changing
+	bothStaleFraction = 0.85 // if the other source is stale too: the ownership of the configuration may be moving
 	avoidTimeouts     = 4    // multiples of Timeout for which a replaced source is avoided
 )
 
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -46,15 +46,15 @@
 
 // alive returns the control nodes that the gateway's membership shows as alive: all before the
 // partition, none when it has lasted a while, and after it those that reply, one by one.
-func (w *partitionSimulation) alive(beat, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
+func (w *partitionSimulation) alive(index, partitionedAt, healedAt, rejoinDelay int) (out []membership.Node) {
 	switch {
-	case beat < partitionedAt+4:
+	case index < partitionedAt+4:
 		return w.nodes
-	case beat < healedAt+rejoinDelay:
+	case index < healedAt+rejoinDelay:
 		return nil
 	}
 	for i, n := range w.nodes {
-		if w.nodeStates[i] != silent && (i+beat)%2 == 0 {
+		if w.nodeStates[i] != silent && (i+index)%2 == 0 {
 			out = append(out, n)
 		}
 	}
@@ -63,30 +63,30 @@
 
 // run returns the number of intervals after the partition until the gateway gets a fresh update.
 func (w *partitionSimulation) run() int {
-	const beat = time.Second
+	const interval = time.Second
 	partitionedAt := 2 + w.rng.IntN(8)
 	healedAt := partitionedAt + 5 + w.rng.IntN(30)
 	rejoinDelay := w.rng.IntN(8)
-	sources := Sources{Self: "gateway", Zone: "z0", Timeout: 3 * beat, Seeds: w.seeds}
-	for b := 1; ; b++ {
-		now := time.Duration(b) * beat
-		alive := w.alive(b, partitionedAt, healedAt, rejoinDelay)
+	sources := Sources{Self: "gateway", Zone: "z0", Timeout: 3 * interval, Seeds: w.seeds}
+	for index := 1; ; index++ {
+		now := time.Duration(index) * interval
+		alive := w.alive(index, partitionedAt, healedAt, rejoinDelay)
 		gotFresh := false
 		for _, id := range slices.Concat(sources.Choose(now, alive), sources.Fallbacks(now)) {
 			i := slices.IndexFunc(w.nodes, func(n membership.Node) bool { return n.Address == id })
 			state := w.nodeStates[i]
-			if b < partitionedAt {
+			if index < partitionedAt {
 				state = fresh
-			} else if b < healedAt {
+			} else if index < healedAt {
 				state = silent
 			}
 			if state != silent {
-				sources.Received(now+beat/20, id, state == fresh)
+				sources.Received(now+interval/20, id, state == fresh)
 				gotFresh = gotFresh || state == fresh
 			}
 		}
-		if b >= healedAt && gotFresh || b > healedAt+100 {
-			return b - healedAt + 1
+		if index >= healedAt && gotFresh || index > healedAt+100 {
+			return index - healedAt + 1
 		}
 	}
 }
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// handlePreVoteReply handles an answer to a pre-vote request, and a late answer to a vote request of a
+// handlePreVoteReply handles a reply to a pre-vote request, and a late reply to a vote request of a
 // campaign that is over.
 func (e *Elector) handlePreVoteReply(now time.Duration, r *role, from string, reply Message) {
 	if !r.preVote.active || reply.Term < r.preVote.term || r.campaigning || r.holding {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// Report handles a node's report and returns the allocation to reply with, if there is one. confirmedAt is when the
-// allocator's ownership of the configuration was last confirmed. quotas holds the tenants' quotas.
+// Report handles a node's report and returns the allocation to reply with, if there is one. confirmedAt is
+// when the allocator's ownership of the configuration was last confirmed. quotas holds the tenants' quotas.
 func (alloc *Allocator) Report(now, confirmedAt time.Duration, from string, report Report, quotas map[string]Quota) (Allocation, bool) {
 	alloc.Tick(now)
 	lifetime := alloc.cfg.ShareLifetime - (now - confirmedAt)
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// completeWaiting gives the same answer to all waiting requests.
+// completeWaiting ends the wait of all waiting requests with the same result.
 func (b *bucket) completeWaiting(grant Grant) {
 	for _, done := range b.waiting {
 		done(grant)
@@ -182,8 +182,8 @@
 	return !lq.AwaitsAnswer(now)
 }
 
-// ReturnToken returns a token whose request was not sent to any upstream. Tokens granted by
-// earlier runs of this process are ignored. A token may be returned at any time, since its request could
+// ReturnToken returns a token whose request was not sent to any upstream. Tokens granted by earlier
+// runs of this process are ignored. A token may be returned at any time, since its request could
 // have been sent at any time: the bucket's capacity limits bursts as it does for requests in flight.
 func (lq *LocalQuota) ReturnToken(now time.Duration, runID uint64, tenant string) {
 	b := lq.buckets[tenant]
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -20,7 +20,7 @@
 }
 
 // simulation runs nodes, allocators and a network that loses, delays and reorders messages. Nodes
-// freeze and restart, and allocators are replaced or partitioned while they still believe that they are
+// pause and restart, and allocators are replaced or partitioned while they still believe that they are
 // the allocator.
 type simulation struct {
 	rng       *rand.Rand
@@ -41,7 +41,7 @@
 	allocator      *Allocator
 	reportsTo      int           // index of the allocator; negative: none known
 	confirmedAt    time.Duration // as an allocator; 0: it is none
-	frozenUntil    time.Duration
+	pausedUntil    time.Duration
 	reportComplete bool // the next report is a complete one
 	nextReportAt   time.Duration
 }
@@ -131,26 +131,26 @@
 }
 
 func (w *simulation) run(limit time.Duration, rates map[string]float64, faults bool) {
-	term, leader := uint64(1), 0
+	term, activeAllocator := uint64(1), 0
 	w.now, w.lossless = ms, !faults
 	w.elect(0, 1)
 	for ; w.now < limit; w.now += 5 * ms {
 		if faults && w.rng.IntN(600) == 0 {
 			term++
-			leader = w.rng.IntN(len(w.nodes))
-			w.elect(leader, term)
+			activeAllocator = w.rng.IntN(len(w.nodes))
+			w.elect(activeAllocator, term)
 		}
 		for i, node := range w.nodes {
 			if faults && w.rng.IntN(2500) == 0 {
-				node.frozenUntil = w.now + time.Duration(w.rng.IntN(5000))*ms
+				node.pausedUntil = w.now + time.Duration(w.rng.IntN(5000))*ms
 			}
-			if w.now < node.frozenUntil {
+			if w.now < node.pausedUntil {
 				continue
 			}
 			if faults && w.rng.IntN(2500) == 0 {
 				w.startProcess(node)
 			}
-			if i == leader && node.confirmedAt > 0 {
+			if i == activeAllocator && node.confirmedAt > 0 {
 				node.confirmedAt = w.now // confirmed by its majority
 			}
 			node.local.TimeOut(w.now)
@@ -158,7 +158,7 @@
 				node.nextReportAt, node.reportComplete = w.now+time.Second, true
 				w.report(i)
 				for j := range w.nodes { // nodes that missed the recall eventually learn of the allocator
-					if allocatorIndex := leader; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
+					if allocatorIndex := activeAllocator; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
 						allocatorTerm := Term{Number: term, Owner: "a", RunID: 1}
 						w.send(j, func(receiver *testNode) {
 							if receiver.local.ObeysRecall(receiver.id, "", allocatorTerm) || receiver.reportsTo < 0 {
@@ -191,10 +191,10 @@
 		for len(w.events) > 0 && w.events[0].at <= w.now {
 			next := w.events[0]
 			w.events = w.events[1:]
-			if target := w.nodes[next.to]; w.now >= target.frozenUntil {
+			if target := w.nodes[next.to]; w.now >= target.pausedUntil {
 				next.fn(target)
 			} else if w.rng.IntN(2) == 0 {
-				w.events = append(w.events, event{target.frozenUntil, next.to, next.fn}) // delivered when the node resumes
+				w.events = append(w.events, event{target.pausedUntil, next.to, next.fn}) // delivered when the node resumes
 			}
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -64,9 +64,9 @@
 		return available, known
 	}
 	if zoneKnown {
-		open, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
-		if known > 0 && float64(len(open)) >= minAvailableFraction*float64(known) {
-			return truncate(client, open)
+		available, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
+		if known > 0 && float64(len(available)) >= minAvailableFraction*float64(known) {
+			return truncate(client, available)
 		}
 	}
 	for _, matches := range []func(Gateway) bool{
@@ -74,8 +74,8 @@
 		allowed,
 		func(Gateway) bool { return true },
 	} {
-		if open, _ := pick(matches); len(open) > 0 {
-			return truncate(client, open)
+		if available, _ := pick(matches); len(available) > 0 {
+			return truncate(client, available)
 		}
 	}
 	all := make([]string, 0, len(gateways))
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -162,7 +162,7 @@
 // together.
 const maxStrata = 4096
 
-// initialAccumulated is a hash of the node and the stratum, as a number from 0 to below 1.
+// initialAccumulated returns a hash of the node and the stratum, as a number from 0 to below 1.
 func (sp *Splitter) initialAccumulated(stratum string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(sp.nodeID + "\x00" + stratum))
@@ -170,7 +170,7 @@
 	return float64(v>>11) / (1 << 53)
 }
 
-// Version is the version to which the request must be sent; empty: the one that serves
+// Version returns the version to which the request must be sent; empty: the one that serves
 // without a weight.
 func (s *Sample) Version() string { return s.version }
 
@@ -296,5 +296,5 @@
 	return out
 }
 
-// Percent is a share as a percentage with one decimal.
+// Percent returns a share as a percentage with one decimal.
 func Percent(share float64) float64 { return math.Round(share*1000) / 10 }
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -7,8 +7,8 @@
 	"madderwing/internal/settings"
 )
 
-// This file holds the operators' calls, orders and reversals, and tells a repeated call from
-// a new one.
+// This file executes the operators' calls, which are orders and reversals, and distinguishes a repeated
+// call from a new one.
 
 // maxExecutedCalls is how many of the newest calls a plan records: as many as may be in
 // progress at once.
@@ -22,8 +22,8 @@
 	Reversal bool          `cbor:"4,keyasint,omitempty"`
 }
 
-// Call is an operator's call that is about to be executed. The zero value is one that is
-// never repeated.
+// Call identifies an operator's call that is about to be executed. The zero value is for a call
+// that is never repeated.
 type Call struct {
 	// ID is a random number that the control node that receives the call gives it. It stays
 	// the same however often that node forwards the call.
@@ -48,7 +48,7 @@
 // Reversal is an order to reverse a rollout.
 type Reversal struct {
 	// Version is the candidate of the rollout to reverse. If it is empty, as from control
-	// nodes of earlier releases, whichever rollout is active is reversed.
+	// nodes of earlier releases, the active rollout is reversed, whatever its candidate.
 	Version string `cbor:"1,keyasint,omitempty"`
 	// Named says that the operator named the version. Otherwise it is that of the rollout
 	// that was active when a control node received the call.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -58,7 +58,7 @@
 	maxMinDuration     = 60 * time.Second // upper bound of the minimum duration of a step
 )
 
-// stepIndex is the index in steps of a plan's stage and weight.
+// stepIndex returns the index in steps of a plan's stage and weight.
 func (p *Plan) stepIndex() int {
 	for i, s := range steps {
 		if s.stage == p.Stage && s.weight == p.Weight {
@@ -68,8 +68,8 @@
 	return 0
 }
 
-// Next is the gate: it returns the next state of a plan, or nil while the current one
-// remains.
+// Next returns the next state of a plan, or nil while the conditions for leaving the current
+// one are not met.
 func Next(plan *Plan, view View) *Plan {
 	if plan.Final() {
 		return nil
@@ -93,7 +93,7 @@
 	next := *plan
 	next.Age = view.Age
 	if current.stage == Full {
-		// The prior version may shut down at once on completion, so no request to it may be in flight.
+		// The prior version may be stopped once the rollout is complete, so no request to it may be in flight.
 		if view.ReportingGateways < view.LiveGateways || view.OtherInFlight > 0 {
 			if view.StoppedGateways > 0 && view.SinceRecord > 2*minDuration {
 				return &next // a new generation of the same step clears a stop by one gateway that the sums do not confirm
@@ -124,7 +124,7 @@
 	return view.Load > 0 || view.WarmSlots >= minWarmShare*target.weight*view.StandingSlots
 }
 
-// reversalReason is the reason to reverse a rollout; empty: there is none.
+// reversalReason returns the reason to reverse a rollout; empty: there is none.
 func reversalReason(view View) string {
 	if reason := Overall.Judge(view.Sums, view.Baseline); reason != "" {
 		return reason
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -77,7 +77,7 @@
 // Final reports whether the rollout was completed or reversed.
 func (p *Plan) Final() bool { return p.Stage >= Complete }
 
-// StandingVersion is the version that gets all requests that no weight assigns to a candidate: the
+// StandingVersion returns the version that gets all requests that no weight assigns to a candidate: the
 // prior version, or the candidate once the rollout is complete.
 func (p *Plan) StandingVersion() string {
 	if p.Stage == Complete {
@@ -86,7 +86,7 @@
 	return p.Prior
 }
 
-// State is the state as the administration API shows it.
+// State returns the state as the administration API shows it.
 func (p *Plan) State() string {
 	if p.Final() {
 		return p.Stage.String()
@@ -185,10 +185,10 @@
 // Service holds the records on the versions of a service.
 type Service struct {
 	Plan     *Plan    // nil: no order yet
-	Standing Standing // Version is empty until one was seen
+	Standing Standing // its Version is empty until a version of the service was seen
 }
 
-// StandingVersion is the version that serves without a weight; empty: unknown.
+// StandingVersion returns the version that serves without a weight; empty: unknown.
 func (s Service) StandingVersion() string {
 	if !s.Ordered() {
 		return s.Standing.Version
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -12,26 +12,26 @@
 // simulation runs a rollout with the real state machines: the Splitters of many gateways, and the
 // controllers of three control nodes, of which one at a time owns the partition.
 type simulation struct {
-	t                  *testing.T
-	rng                *rand.Rand
-	now                time.Duration
-	gateways           []*simGateway
-	controllers        []*Controller
-	shownRecords       [][]Record // by controller: the records that its control node has seen
-	owner              int        // index of the controller that owns the partition; -1: none
-	frozen             int        // index of the controller whose process is frozen; -1: none
-	records            map[string]Record
-	capacity           View // slots and load of the upstreams
-	candidateKind      string
-	errorShare         float64 // of the candidate's requests
-	commonErrorShare   float64 // of the requests of both versions
-	events             map[time.Duration][]func()
-	requestsByVersion  map[string]int
-	badResponsesAt     []time.Duration
-	candidateRequests  []candidateRequest
-	plans              []Plan
-	freezeInTransition bool
-	heldTransition     *Transition // decided on by the frozen owner, not committed yet
+	t                 *testing.T
+	rng               *rand.Rand
+	now               time.Duration
+	gateways          []*simGateway
+	controllers       []*Controller
+	seenRecords       [][]Record // by controller: the records that its control node has seen
+	owner             int        // index of the controller that owns the partition; -1: none
+	paused            int        // index of the controller whose process is paused; -1: none
+	records           map[string]Record
+	capacity          View // slots and load of the upstreams
+	candidateKind     string
+	errorShare        float64 // of the candidate's requests
+	commonErrorShare  float64 // of the requests of both versions
+	events            map[time.Duration][]func()
+	requestsByVersion map[string]int
+	badResponsesAt    []time.Duration
+	candidateRequests []candidateRequest
+	plans             []Plan
+	pauseInTransition bool
+	heldTransition    *Transition // decided on by the paused owner, not committed yet
 }
 
 type candidateRequest struct {
@@ -63,7 +63,7 @@
 var testStrata = []string{"lookup idempotent", "confirm mutating", "summary idempotent"}
 
 func newSimulation(t *testing.T, seed uint64, kind string, share float64) *simulation {
-	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, frozen: -1,
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, paused: -1,
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
 		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
@@ -72,7 +72,7 @@
 	}
 	for i := 0; i < 3; i++ {
 		s.controllers = append(s.controllers, NewController())
-		s.shownRecords = append(s.shownRecords, nil)
+		s.seenRecords = append(s.seenRecords, nil)
 	}
 	s.capacity = View{Slots: 300, WarmSlots: 0, StandingSlots: 300, Load: 120}
 	s.schedule(4*time.Second, func() { s.capacity.WarmSlots = 300 })
@@ -104,11 +104,11 @@
 }
 
 func (s *simulation) showRecord(controller int, record Record) {
-	if controller == s.frozen {
+	if controller == s.paused {
 		s.schedule(s.now+tickInterval, func() { s.showRecord(controller, record) })
 		return
 	}
-	s.shownRecords[controller] = append(s.shownRecords[controller], record)
+	s.seenRecords[controller] = append(s.seenRecords[controller], record)
 	s.controllers[controller].RecordCommitted(s.now, record)
 }
 
@@ -211,7 +211,7 @@
 		return fmt.Sprint(s.owner)
 	}
 	records := map[string]Record{}
-	for _, r := range s.shownRecords[index] {
+	for _, r := range s.seenRecords[index] {
 		if r.Gen > records[r.Name].Gen {
 			records[r.Name] = r
 		}
@@ -234,14 +234,14 @@
 		var j int
 		fmt.Sscan(to, &j)
 		s.schedule(s.now+2*time.Millisecond, func() {
-			if j != s.frozen {
+			if j != s.paused {
 				s.controllers[j].ReceiveGathered(s.now, fmt.Sprint(index), all)
 			}
 		})
 	}
 	for _, transition := range transitions {
-		if s.freezeInTransition {
-			s.heldTransition, s.freezeInTransition = &transition, false // the owner freezes between deciding on a transition and committing it
+		if s.pauseInTransition {
+			s.heldTransition, s.pauseInTransition = &transition, false // the owner pauses between deciding on a transition and committing it
 			s.loseOwner(index, false)
 			continue
 		}
@@ -253,21 +253,21 @@
 	}
 }
 
-// loseOwner freezes the partition's owner. Another node owns the partition after the vacancy timeout. The
-// old owner runs again later; if wiped, it starts without its state.
-func (s *simulation) loseOwner(index int, wiped bool) {
-	s.owner, s.frozen = -1, index
+// loseOwner pauses the process of the partition's owner. Another node owns the partition after the
+// vacancy timeout. The old owner runs again later, without its state if losesState is set.
+func (s *simulation) loseOwner(index int, losesState bool) {
+	s.owner, s.paused = -1, index
 	s.schedule(s.now+vacancyTimeout+400*time.Millisecond, func() { s.owner = (index + 1) % 3 })
 	s.schedule(s.now+3*vacancyTimeout, func() {
-		s.frozen = -1
+		s.paused = -1
 		if transition := s.heldTransition; transition != nil {
 			s.heldTransition = nil
 			if changes, err := Advance(s.records, transition.From.Generation, transition.To); err == nil {
 				s.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
-		if wiped {
-			s.controllers[index], s.shownRecords[index] = NewController(), nil
+		if losesState {
+			s.controllers[index], s.seenRecords[index] = NewController(), nil
 			if r, ok := s.records[PartitionOf("s")]; ok {
 				s.showRecord(index, r)
 			}
@@ -288,7 +288,7 @@
 		}
 		if s.now%(160*time.Millisecond) == 0 {
 			for i := range s.controllers {
-				if i != s.frozen {
+				if i != s.paused {
 					s.runController(i)
 				}
 			}
@@ -299,7 +299,7 @@
 					continue
 				}
 				to := i % 3
-				if to == s.frozen {
+				if to == s.paused {
 					to = (to + 1) % 3
 				}
 				if reports := gateway.splitter.Reports(); len(reports) > 0 {
@@ -397,26 +397,26 @@
 	})
 }
 
-// The controller is lost at different times of a rollout: killed, restarted without state, or
-// frozen before it commits a transition.
+// The controller fails at different times of a rollout: it is killed, restarted without state, or
+// paused before it commits a transition.
 func TestControllerLost(t *testing.T) {
 	forEachKind(t, 11, func(t *testing.T, n uint64, kind string, share float64) {
 		at := time.Duration(n) * 1100 * time.Millisecond
-		for _, how := range []string{"killed", "wiped", "frozen in a transition"} {
+		for _, how := range []string{"killed", "restarted without state", "paused in a transition"} {
 			s := newSimulation(t, n, kind, share)
 			s.order("v2")
 			s.schedule(at, func() {
-				if how == "frozen in a transition" {
-					s.freezeInTransition = true
+				if how == "paused in a transition" {
+					s.pauseInTransition = true
 				} else {
-					s.loseOwner(0, how == "wiped")
+					s.loseOwner(0, how == "restarted without state")
 				}
 			})
 			s.run(testOrderTime + 12*time.Second)
 			if kind != "good" {
 				s.checkRules(false, true)
 			} else if p := s.plan(); p.Stage != Complete {
-				// A takeover may delay the rollout beyond its time, but not prevent it.
+				// A change of the controller may delay the rollout beyond its time, but not prevent it.
 				t.Errorf("%s at %v: a good version is %v %.2f (%s)", how, at, p.Stage, p.Weight, p.Reason)
 			}
 		}
