--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -39,7 +39,7 @@
 		}
 	}
 	checkRecord := func(record Record) {
-		totalBytes += size(record)
+		totalBytes += approxSize(record)
 		if !record.Dropped && strings.HasPrefix(record.Name, tenantPrefix) {
 			tenant, err := decoder.Tenant(record)
 			if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,8 +17,8 @@
 	return fmt.Sprintf(`{"name":%q,"pathPrefix":%q,"routeKind":"idempotent","deadlineS":1,"target":%q,"maxTries":2,"generation":%d}`, name, prefix, target, generation)
 }
 
-// patch returns the body of a request with lists of services, routes, and routes to remove.
-func patch(services, routes, remove string) string {
+// requestBody returns the body of a request with lists of services, routes, and routes to remove.
+func requestBody(services, routes, remove string) string {
 	return fmt.Sprintf(`{"upsert":{"services":[%s],"domains":[{"authority":"h.example","hostRoutes":[%s]}]},"remove":{"routes":[%s]}}`, services, routes, remove)
 }
 
@@ -40,32 +40,32 @@
 func newRecords(t *testing.T) map[string]Record {
 	t.Helper()
 	records := map[string]Record{}
-	if err := apply(t, records, patch(fmt.Sprintf(serviceJSON, 7), routeJSON("r", "/p/", "a", 7), "")); err != nil {
+	if err := apply(t, records, requestBody(fmt.Sprintf(serviceJSON, 7), routeJSON("r", "/p/", "a", 7), "")); err != nil {
 		t.Fatal(err)
 	}
 	return records
 }
 
 func TestInvalidRequestsChangeNothing(t *testing.T) {
-	valid := patch("", routeJSON("n", "/n/", "a", 9), "")
+	valid := requestBody("", routeJSON("n", "/n/", "a", 9), "")
 	cases := map[string]string{
 		"truncated":         valid[:len(valid)-7],
 		"trailing text":     valid + "x",
 		"two documents":     valid + valid,
 		"not an object":     `[1]`,
-		"unknown service":   patch("", routeJSON("n", "/n/", "nowhere", 9), ""),
-		"relative prefix":   patch("", routeJSON("n", "n/", "a", 9), ""),
-		"prefix in use":     patch("", routeJSON("n", "/p/", "a", 9), ""),
-		"unknown kind":      patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"odd","deadlineS":1,"target":"a","generation":9}`, ""),
-		"shares sum to 0":   patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"split":[{"target":"a","share":0}],"generation":9}`, ""),
-		"deadline of 0":     patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":0,"target":"a","generation":9}`, ""),
-		"wrong type":        patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":"1","target":"a","generation":9}`, ""),
-		"no target":         patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"generation":9}`, ""),
-		"phase in request":  patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"target":"a","generation":9,"phase":"scheduled"}`, ""),
-		"listed twice":      patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/m/", "a", 9), ""),
-		"set and removed":   patch("", routeJSON("n", "/n/", "a", 9), `{"name":"n","generation":9}`),
+		"unknown service":   requestBody("", routeJSON("n", "/n/", "nowhere", 9), ""),
+		"relative prefix":   requestBody("", routeJSON("n", "n/", "a", 9), ""),
+		"prefix in use":     requestBody("", routeJSON("n", "/p/", "a", 9), ""),
+		"unknown kind":      requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"odd","deadlineS":1,"target":"a","generation":9}`, ""),
+		"shares sum to 0":   requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"split":[{"target":"a","share":0}],"generation":9}`, ""),
+		"deadline of 0":     requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":0,"target":"a","generation":9}`, ""),
+		"wrong type":        requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":"1","target":"a","generation":9}`, ""),
+		"no target":         requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"generation":9}`, ""),
+		"phase in request":  requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"mutating","deadlineS":1,"target":"a","generation":9,"phase":"scheduled"}`, ""),
+		"listed twice":      requestBody("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/m/", "a", 9), ""),
+		"set and removed":   requestBody("", routeJSON("n", "/n/", "a", 9), `{"name":"n","generation":9}`),
 		"service in use":    `{"remove":{"services":[{"name":"a","generation":9}]}}`,
-		"valid and invalid": patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("m", "/m/", "nowhere", 9), ""),
+		"valid and invalid": requestBody("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("m", "/m/", "nowhere", 9), ""),
 	}
 	wantInDetail := map[string]string{"unknown service": "route n: target", "relative prefix": "route n.pathPrefix", "unknown kind": "route n.routeKind",
 		"prefix in use": "routes n and r: pathPrefix", "shares sum to 0": "route n: split", "deadline of 0": "route n.deadlineS", "listed twice": "route/n"}
@@ -94,14 +94,14 @@
 		wantPrefix string // of route r afterwards, "" if it does not exist
 		wantErr    string // of a refusal
 	}{
-		{patch("", routeJSON("r", "/old/", "a", 6), ""), "/p/", ""},
-		{patch("", routeJSON("r", "/same/", "a", 7), ""), "/p/", "route r: generation 7 "},
-		{patch("", routeJSON("r", "/p/", "a", 7), ""), "/p/", ""},
-		{patch("", routeJSON("r", "/new/", "a", 9), ""), "/new/", ""},
-		{patch("", "", `{"name":"r","generation":8}`), "/new/", ""},
-		{patch("", "", `{"name":"r","generation":12},{"name":"r","generation":12}`), "", ""},
-		{patch("", routeJSON("r", "/late/", "a", 11), ""), "", ""},
-		{patch("", routeJSON("r", "/back/", "a", 13), ""), "/back/", ""},
+		{requestBody("", routeJSON("r", "/old/", "a", 6), ""), "/p/", ""},
+		{requestBody("", routeJSON("r", "/same/", "a", 7), ""), "/p/", "route r: generation 7 "},
+		{requestBody("", routeJSON("r", "/p/", "a", 7), ""), "/p/", ""},
+		{requestBody("", routeJSON("r", "/new/", "a", 9), ""), "/new/", ""},
+		{requestBody("", "", `{"name":"r","generation":8}`), "/new/", ""},
+		{requestBody("", "", `{"name":"r","generation":12},{"name":"r","generation":12}`), "", ""},
+		{requestBody("", routeJSON("r", "/late/", "a", 11), ""), "", ""},
+		{requestBody("", routeJSON("r", "/back/", "a", 13), ""), "/back/", ""},
 	}
 	records := newRecords(t)
 	for i, step := range steps {
@@ -160,7 +160,7 @@
 		if again, err := Bind(records, RouteBinding{"r", 1}, 0); err != nil || len(again) != 0 {
 			t.Fatalf("the current binding, sent again: %v, %v", again, err)
 		}
-		if err := apply(t, records, patch("", routeJSON("r", "/q/", "a", 19+i), "")); err != nil {
+		if err := apply(t, records, requestBody("", routeJSON("r", "/q/", "a", 19+i), "")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -170,7 +170,7 @@
 	if s := (&Decoder{}).Routes(records)[0].Status; s != (Status{PhaseScheduled, 1}) {
 		t.Fatalf("a change of the route changed its status: %+v", s)
 	}
-	if err := apply(t, records, patch("", "", `{"name":"r","generation":21}`)); err != nil {
+	if err := apply(t, records, requestBody("", "", `{"name":"r","generation":21}`)); err != nil {
 		t.Fatal(err)
 	}
 	if !records["binding/r"].Dropped {
@@ -179,7 +179,7 @@
 	if _, err := Bind(records, RouteBinding{"r", 1}, 0); apierror.KindOf(err) != apierror.Conflict {
 		t.Fatalf("a binding of a removed route, sent again: %v", err)
 	}
-	if err := apply(t, records, patch("", routeJSON("r", "/q/", "a", 22), "")); err != nil {
+	if err := apply(t, records, requestBody("", routeJSON("r", "/q/", "a", 22), "")); err != nil {
 		t.Fatal(err)
 	}
 	if s := (&Decoder{}).Routes(records)[0].Status; s.Phase != PhaseNew {
@@ -189,7 +189,7 @@
 
 func TestLookupTakesLongestPrefix(t *testing.T) {
 	records := newRecords(t)
-	if err := apply(t, records, patch("", routeJSON("long", "/p/q/", "a", 9)+","+routeJSON("s", "/s/", "a", 9), "")); err != nil {
+	if err := apply(t, records, requestBody("", routeJSON("long", "/p/q/", "a", 9)+","+routeJSON("s", "/s/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
 	table := (&Builder{}).Build(records)
@@ -222,10 +222,10 @@
 		}
 		return err
 	}
-	if err := apply(patch("", routeJSON("n", "/p/", "a", 9), "")); err == nil {
+	if err := apply(requestBody("", routeJSON("n", "/p/", "a", 9), "")); err == nil {
 		t.Fatal("a second route with the same host and prefix was accepted")
 	}
-	if err := apply(patch("", routeJSON("n", "/n/", "a", 9), "")); err != nil {
+	if err := apply(requestBody("", routeJSON("n", "/n/", "a", 9), "")); err != nil {
 		t.Fatal(err)
 	}
 	if routes := decoder.Routes(records); len(routes) != 2 || routes[0].PathPrefix != "/n/" {
@@ -236,7 +236,7 @@
 func TestPlanReportsEffectsWithoutApplying(t *testing.T) {
 	records := newRecords(t)
 	before := fmt.Sprint(records)
-	body := patch(fmt.Sprintf(serviceJSON, 7), routeJSON("r", "/new/", "a", 9)+","+routeJSON("n", "/n/", "a", 1), `{"name":"gone","generation":3}`)
+	body := requestBody(fmt.Sprintf(serviceJSON, 7), routeJSON("r", "/new/", "a", 9)+","+routeJSON("n", "/n/", "a", 1), `{"name":"gone","generation":3}`)
 	change, err := ParseRequest([]byte(body))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -52,7 +52,7 @@
 }
 
 // evacuation is the content of a zone's record. Each requested evacuation is active until it is withdrawn.
-// An order that is sent again can't be told from an order of another operator, so only bounds on the
+// An order that is sent again can't be distinguished from an order of another operator, so only bounds on the
 // number of active evacuations are known.
 type evacuation struct {
 	minActive uint64   // at least this many are active
--- a/internal/config/generations_test.go
+++ b/internal/config/generations_test.go
@@ -13,7 +13,7 @@
 // itemKinds has requests that set and remove an item of each kind, with a placeholder for the generation
 // and one for a number that makes contents differ, and the item's name in error messages.
 var itemKinds = map[string]struct{ set, remove, errorName string }{
-	"route":   {patch("", `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":%[2]d,"target":"a","generation":%[1]d}`, ""), `{"remove":{"routes":[{"name":"n","generation":%d}]}}`, "route n"},
+	"route":   {requestBody("", `{"name":"n","pathPrefix":"/n/","routeKind":"idempotent","deadlineS":%[2]d,"target":"a","generation":%[1]d}`, ""), `{"remove":{"routes":[{"name":"n","generation":%d}]}}`, "route n"},
 	"service": {`{"upsert":{"services":[{"name":"n","maxConns":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"services":[{"name":"n","generation":%d}]}}`, "service n"},
 	"tenant":  {`{"upsert":{"tenants":[{"name":"n","apiKeys":["k"],"ratePerS":%[2]d,"generation":%[1]d}]}}`, `{"remove":{"tenants":[{"name":"n","generation":%d}]}}`, "tenant n"},
 	"limits":  {`{"upsert":{"limits":{"maxHeaderBytes":%[2]d,"generation":%[1]d}}}`, "", "limits"},
@@ -139,12 +139,12 @@
 		}
 	}
 	bind()
-	put(patch("", routeJSON("r", "/p/", "a", 7), ""), false)
-	put(patch("", routeJSON("r", "/q/", "a", 7), ""), true)
-	put(patch("", routeJSON("r", "/q/", "a", 9), ""), false)
+	put(requestBody("", routeJSON("r", "/p/", "a", 7), ""), false)
+	put(requestBody("", routeJSON("r", "/q/", "a", 7), ""), true)
+	put(requestBody("", routeJSON("r", "/q/", "a", 9), ""), false)
 	bind()
-	put(patch("", routeJSON("r", "/p/", "a", 7), ""), false)
-	put(patch("", routeJSON("r", "/q/", "a", 7), ""), true)
+	put(requestBody("", routeJSON("r", "/p/", "a", 7), ""), false)
+	put(requestBody("", routeJSON("r", "/q/", "a", 7), ""), true)
 	if s := (&Decoder{}).Routes(records)[0].Status; s.Shard != 1 {
 		t.Errorf("the route changed its shard: %+v", s)
 	}
@@ -157,11 +157,11 @@
 	}
 	records["route/r"] = Record{Name: "route/r", Gen: 9, Data: encode(oldItem{"h.example", []byte(routeJSON("r", "/q/", "a", 9)), Status{PhaseNew, -1}})}
 	records["route/gone"] = Record{Name: "route/gone", Gen: 9, Dropped: true}
-	put(patch("", routeJSON("r", "/q/", "a", 9), ""), false)
-	put(patch("", routeJSON("r", "/z/", "a", 9), ""), true)
-	put(patch("", routeJSON("r", "/z/", "a", 7), ""), false) // not in the history
-	put(patch("", routeJSON("gone", "/g/", "a", 9), ""), true)
-	put(patch("", "", `{"name":"gone","generation":9}`), false)
+	put(requestBody("", routeJSON("r", "/q/", "a", 9), ""), false)
+	put(requestBody("", routeJSON("r", "/z/", "a", 9), ""), true)
+	put(requestBody("", routeJSON("r", "/z/", "a", 7), ""), false) // not in the history
+	put(requestBody("", routeJSON("gone", "/g/", "a", 9), ""), true)
+	put(requestBody("", "", `{"name":"gone","generation":9}`), false)
 }
 
 // Within one request a removal may be listed twice, also with two generations; any other item that is
@@ -172,15 +172,15 @@
 		kind  apierror.Kind
 		valid bool
 	}{
-		"one removal twice":            {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":9}`), 0, true},
-		"one removal, two generations": {patch("", "", `{"name":"r","generation":9},{"name":"r","generation":12}`), 0, true},
-		"the higher generation first":  {patch("", "", `{"name":"r","generation":12},{"name":"r","generation":9}`), 0, true},
-		"set twice, same content":      {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.InvalidConfig, false},
-		"set twice, two contents":      {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/m/", "a", 9), ""), apierror.InvalidConfig, false},
-		"set and removed":              {patch("", routeJSON("n", "/n/", "a", 9), `{"name":"n","generation":9}`), apierror.InvalidConfig, false},
-		"the first of two conflicts":   {patch("", routeJSON("r", "/x/", "a", 7)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.Conflict, false},
-		"the last of two conflicts":    {patch("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("r", "/x/", "a", 7), ""), apierror.Conflict, false},
-		"a removal conflicts":          {patch("", routeJSON("n", "/n/", "a", 9), `{"name":"r","generation":7}`), apierror.Conflict, false},
+		"one removal twice":            {requestBody("", "", `{"name":"r","generation":9},{"name":"r","generation":9}`), 0, true},
+		"one removal, two generations": {requestBody("", "", `{"name":"r","generation":9},{"name":"r","generation":12}`), 0, true},
+		"the higher generation first":  {requestBody("", "", `{"name":"r","generation":12},{"name":"r","generation":9}`), 0, true},
+		"set twice, same content":      {requestBody("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.InvalidConfig, false},
+		"set twice, two contents":      {requestBody("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("n", "/m/", "a", 9), ""), apierror.InvalidConfig, false},
+		"set and removed":              {requestBody("", routeJSON("n", "/n/", "a", 9), `{"name":"n","generation":9}`), apierror.InvalidConfig, false},
+		"the first of two conflicts":   {requestBody("", routeJSON("r", "/x/", "a", 7)+","+routeJSON("n", "/n/", "a", 9), ""), apierror.Conflict, false},
+		"the last of two conflicts":    {requestBody("", routeJSON("n", "/n/", "a", 9)+","+routeJSON("r", "/x/", "a", 7), ""), apierror.Conflict, false},
+		"a removal conflicts":          {requestBody("", routeJSON("n", "/n/", "a", 9), `{"name":"r","generation":7}`), apierror.Conflict, false},
 	} {
 		records := newRecords(t)
 		bound, err := Bind(records, RouteBinding{"r", 1}, 0)
@@ -222,9 +222,9 @@
 	}
 	maxBytes := 0
 	for generation := 100; generation < 3100; generation++ {
-		body := patch("", routeJSON("n", fmt.Sprintf("/n%d/", generation%10), "a", generation), "")
+		body := requestBody("", routeJSON("n", fmt.Sprintf("/n%d/", generation%10), "a", generation), "")
 		if generation%3 == 2 {
-			body = patch("", "", fmt.Sprintf(`{"name":"n","generation":%d}`, generation))
+			body = requestBody("", "", fmt.Sprintf(`{"name":"n","generation":%d}`, generation))
 		}
 		if err := apply(t, records, body); err != nil {
 			t.Fatal(err)
@@ -278,7 +278,7 @@
 			records[r.Name] = r
 		}
 	}
-	upsert := func(i int) string { return patch("", routeJSON(fmt.Sprintf("n%d", i), "/n/", "a", 100), "") }
+	upsert := func(i int) string { return requestBody("", routeJSON(fmt.Sprintf("n%d", i), "/n/", "a", 100), "") }
 	for i := range names {
 		mustApply(upsert(i))
 		changes, err := Bind(records, RouteBinding{fmt.Sprintf("n%d", i), 0}, 0)
@@ -288,7 +288,7 @@
 		for _, r := range changes {
 			records[r.Name] = r
 		}
-		mustApply(patch("", "", fmt.Sprintf(`{"name":"n%d","generation":200}`, i)))
+		mustApply(requestBody("", "", fmt.Sprintf(`{"name":"n%d","generation":200}`, i)))
 	}
 	for i := 0; i < names; i += 7 {
 		mustApply(upsert(i))
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -42,7 +42,7 @@
 		name := fmt.Sprintf("service/s%d", i)
 		records[name] = Record{Name: name, Gen: 1, Data: make([]byte, 200)}
 	}
-	change, err := ParseRequest([]byte(patch(fmt.Sprintf(serviceJSON, 2), "", "")))
+	change, err := ParseRequest([]byte(requestBody(fmt.Sprintf(serviceJSON, 2), "", "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, routes := range []int{100, 1000, 5900, 10000} {
 		records := manyRoutes(b, routes)
-		change, err := ParseRequest([]byte(patch("", routeJSON("r1", "/p1/", "s1", 2), "")))
+		change, err := ParseRequest([]byte(requestBody("", routeJSON("r1", "/p1/", "s1", 2), "")))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// size returns the approximate size of a record in a message.
-func size(r Record) int { return len(r.Data) + len(r.Name) + recordBytes }
+// approxSize returns the approximate size of a record in a message.
+func approxSize(r Record) int { return len(r.Data) + len(r.Name) + recordBytes }
 
 // usage is the space that the records resulting from a change take.
 type usage struct {
@@ -149,9 +149,9 @@
 		u.tenantRecords++
 	}
 	if r.Dropped {
-		u.tombstoneBytes += size(r)
+		u.tombstoneBytes += approxSize(r)
 	} else {
-		u.liveBytes += size(r)
+		u.liveBytes += approxSize(r)
 	}
 }
 
@@ -224,7 +224,7 @@
 		if kind != "" {
 			purged[kind] = max(purged[kind], r.Gen)
 		}
-		used.tombstoneBytes -= size(r)
+		used.tombstoneBytes -= approxSize(r)
 		erased = append(erased, Record{Name: r.Name, Dropped: true, Erased: true})
 	}
 	return erased
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -83,9 +83,9 @@
 func (o *configOwner) liveAndTombstoneBytes() (live, tombstones int) {
 	for _, r := range o.records {
 		if r.Dropped {
-			tombstones += size(r)
+			tombstones += approxSize(r)
 		} else {
-			live += size(r)
+			live += approxSize(r)
 		}
 	}
 	return live, tombstones
@@ -121,7 +121,7 @@
 				}
 				i = random.IntN(removed)
 				name = fmt.Sprintf("n%d", i)
-				_ = owner.call(patch("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
+				_ = owner.call(requestBody("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
 				if record, ok := owner.records["route/"+name]; ok && !record.Dropped {
 					t.Fatalf("%s, request %d: %s exists again", scheme, request, name)
 				}
@@ -149,16 +149,16 @@
 		refused bool
 		changes bool
 	}{
-		"an unknown route":              {patch("", routeJSON("n", "/n/", "a", highestPurged), ""), true, false},
-		"an unknown route, above":       {patch("", routeJSON("n", "/n/", "a", highestPurged+1), ""), false, true},
-		"its removal":                   {patch("", "", `{"name":"n","generation":100}`), false, false},
-		"its removal, above":            {patch("", "", `{"name":"n","generation":101}`), false, true},
-		"an existing route":             {patch("", routeJSON("r", "/q/", "a", 9), ""), false, true},
-		"an existing route, sent again": {patch("", routeJSON("r", "/p/", "a", 7), ""), false, false},
-		"removal of an existing route":  {patch("", "", `{"name":"r","generation":9}`), false, true},
+		"an unknown route":              {requestBody("", routeJSON("n", "/n/", "a", highestPurged), ""), true, false},
+		"an unknown route, above":       {requestBody("", routeJSON("n", "/n/", "a", highestPurged+1), ""), false, true},
+		"its removal":                   {requestBody("", "", `{"name":"n","generation":100}`), false, false},
+		"its removal, above":            {requestBody("", "", `{"name":"n","generation":101}`), false, true},
+		"an existing route":             {requestBody("", routeJSON("r", "/q/", "a", 9), ""), false, true},
+		"an existing route, sent again": {requestBody("", routeJSON("r", "/p/", "a", 7), ""), false, false},
+		"removal of an existing route":  {requestBody("", "", `{"name":"r","generation":9}`), false, true},
 		"another kind":                  {`{"upsert":{"services":[{"name":"n","generation":1}]}}`, false, true},
 		"the limits":                    {`{"upsert":{"limits":{"maxHeaderBytes":1,"generation":1}}}`, false, true},
-		"unknown and existing routes":   {patch("", routeJSON("r", "/q/", "a", 9)+","+routeJSON("n", "/n/", "a", 3), ""), true, false},
+		"unknown and existing routes":   {requestBody("", routeJSON("r", "/q/", "a", 9)+","+routeJSON("n", "/n/", "a", 3), ""), true, false},
 	} {
 		owner := newConfigOwner(t)
 		owner.records[horizonName] = horizonAt(highestPurged)
@@ -195,7 +195,7 @@
 		owner := newConfigOwner(t)
 		owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
 		owner.records["service/large"] = Record{Name: "service/large", Gen: 1, Data: make([]byte, testCase.liveBytes)}
-		err := owner.call(patch("", routeJSON("new", "/new/", "a", 1_000_000), ""))
+		err := owner.call(requestBody("", routeJSON("new", "/new/", "a", 1_000_000), ""))
 		if testCase.refused != (apierror.KindOf(err) == apierror.BodyTooLarge) || !testCase.refused && err != nil {
 			t.Errorf("%d live bytes: %v", testCase.liveBytes, err)
 		}
@@ -230,19 +230,19 @@
 		}
 		return uint64(i)
 	})
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 200_000), ""))
 	if Horizon(owner.records) != 1 {
 		t.Fatal("nothing was purged")
 	}
 	if record := owner.records["route/n7"]; record.Gen != outlier {
 		t.Error("the tombstone with the high generation is erased")
 	}
-	owner.mustCall(patch("", routeJSON("newer", "/newer/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("newer", "/newer/", "a", 200_000), ""))
 
 	// If all older generations are above the newer ones, the oldest tombstones are erased all the same.
 	owner = newConfigOwner(t)
 	owner.addTombstones(100_000, func(i int) uint64 { return uint64(200_000 - i) })
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 300_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 300_000), ""))
 	if _, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes {
 		t.Errorf("%d bytes of tombstones are kept", tombstones)
 	}
@@ -255,7 +255,7 @@
 		owner.records[name] = Record{Name: name, Gen: 1, Dropped: true}
 	}
 	owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 200_000), ""))
 	_, x := owner.records["tenant/x"]
 	_, y := owner.records["tenant/y"]
 	if x || !y {
@@ -271,8 +271,8 @@
 	owner := newConfigOwner(t)
 	lastNumber := uint64(0)
 	for i, name := range []string{"z", "b", "a", "c"} {
-		owner.mustCall(patch("", routeJSON(name, "/"+name+"/", "a", 50-10*i), ""))
-		owner.mustCall(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
+		owner.mustCall(requestBody("", routeJSON(name, "/"+name+"/", "a", 50-10*i), ""))
+		owner.mustCall(requestBody("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
 		if record := owner.records["route/"+name]; record.Rev <= lastNumber {
 			t.Errorf("%s has number %d after %d", name, record.Rev, lastNumber)
 		}
--- a/internal/delivery/changelog.go
+++ b/internal/delivery/changelog.go
@@ -19,7 +19,7 @@
 // rangeChange is a change of one record. The digest of its range was digestBefore until then.
 type rangeChange struct {
 	digestBefore uint64
-	name         string
+	recordName   string
 }
 
 // Put puts a record into a set and logs the change.
@@ -45,12 +45,12 @@
 	seen := map[string]bool{}
 	for n := len(log.changes) - 1; n >= 0; n-- {
 		change := log.changes[n]
-		if !seen[change.name] {
-			r, exists := set.Records[change.name]
+		if !seen[change.recordName] {
+			r, exists := set.Records[change.recordName]
 			if !exists {
 				return nil, false
 			}
-			seen[change.name] = true
+			seen[change.recordName] = true
 			records = append(records, r)
 		}
 		if change.digestBefore == digest {
--- a/internal/delivery/horizon_test.go
+++ b/internal/delivery/horizon_test.go
@@ -168,14 +168,14 @@
 		for g := range copies {
 			rounds := 0
 			for ; ; rounds++ {
-				i := request(g, h.random.IntN(controlNodes))
-				if i.Empty() {
+				update := request(g, h.random.IntN(controlNodes))
+				if update.Empty() {
 					break
 				}
 				if rounds > 2*antientropy.Ranges {
 					t.Fatalf("seed %d: gateway %d still lacks records", seed, g)
 				}
-				apply(g, i)
+				apply(g, update)
 			}
 			if copies[g].Sums != want.Sums || len(copies[g].Records) != len(want.Records) {
 				t.Errorf("seed %d: gateway %d differs: it holds %d records, want %d", seed, g, len(copies[g].Records), len(want.Records))
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// Tick does what is due at a time: expires and renews leases, and starts, continues or abandons campaigns.
+// Tick expires and renews leases, and starts, continues or abandons campaigns, as due at the given time.
 func (e *Elector) Tick(now time.Duration) {
 	if !e.started {
 		e.started, e.startedAt = true, now
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -158,8 +158,8 @@
 	}
 	candidate.Handle(lease, "near", Message{Role: "list", Term: toDistant[0].Term, Reply: true}) // refused
 	collect()
-	for _, m := range toDistant {
-		distant.Handle(lease, "a", m)
+	for _, message := range toDistant {
+		distant.Handle(lease, "a", message)
 	}
 	if votedFor, _, _ := distant.Holder(lease, "list"); votedFor != "" {
 		t.Errorf("the distant voter's vote is still bound to %s", votedFor)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -41,7 +41,7 @@
 func (s *nodeShare) rate() float64     { return max(s.inUse.Rate, s.offered.Rate) }
 func (s *nodeShare) capacity() float64 { return max(s.inUse.Capacity, s.offered.Capacity) }
 
-// nodeState is what the allocator knows of one node.
+// nodeState is the allocator's state of one node.
 type nodeState struct {
 	runID, seq uint64
 	expiresAt  time.Duration
@@ -296,22 +296,22 @@
 
 // computeShare returns the share to offer to a node, given what the others hold. The caller has
 // subtracted the node's present share from the account.
-func (alloc *Allocator) computeShare(now time.Duration, acct *account, request Share) Share {
+func (alloc *Allocator) computeShare(now time.Duration, acct *account, reported Share) Share {
 	limit := alloc.limit(now, acct)
-	demand := acct.demand + request.Demand + acct.directDemand
-	if request.Demand < minSteadyRate || limit.Rate <= 0 {
+	demand := acct.demand + reported.Demand + acct.directDemand
+	if reported.Demand < minSteadyRate || limit.Rate <= 0 {
 		// A share would lie idle at this node and be missing at others. The node asks for each
 		// token instead.
 		return Share{}
 	}
 	budget, fraction := alloc.budget(acct.quota), maxNodeFraction(max(1, len(alloc.cfg.Nodes())))
 	factor := min(maxDemandFactor, maxAllocatedRate*limit.Rate/demand)
-	rate := max(0, min(request.Demand*factor, maxAllocatedRate*limit.Rate-acct.rate, fraction*budget.Rate))
+	rate := max(0, min(reported.Demand*factor, maxAllocatedRate*limit.Rate-acct.rate, fraction*budget.Rate))
 	capacity := max(0, min(rate*capacitySeconds, maxAllocatedCapacity*limit.Capacity-acct.capacity, fraction*budget.Capacity))
 	if alloc.unreportedFraction(now) > 0 {
 		// The limit is too low while some nodes haven't reported. The node keeps at least what
 		// it holds.
-		rate, capacity = max(rate, request.Rate), max(capacity, request.Capacity)
+		rate, capacity = max(rate, reported.Rate), max(capacity, reported.Capacity)
 	}
 	if capacity < 1 {
 		return Share{} // it would never hold a whole token
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -14,8 +14,8 @@
 
 // Directory answers queries for gateway addresses from the last list of gateways that it was given.
 type Directory struct {
-	ttl  time.Duration
-	view atomic.Pointer[snapshot]
+	ttl    time.Duration
+	latest atomic.Pointer[snapshot]
 	// InContact, if set, reports whether the list of gateways is recent enough to be served.
 	InContact func() bool
 	Answered  atomic.Uint64
@@ -36,15 +36,15 @@
 // in which a host is served.
 func NewDirectory(ttl time.Duration, residency func(host string) []string) *Directory {
 	d := &Directory{ttl: ttl, residency: residency}
-	d.view.Store(&snapshot{})
+	d.latest.Store(&snapshot{})
 	return d
 }
 
 // SetGateways replaces the list of gateways. An empty list doesn't replace one with gateways: an old
 // answer is better than none while InContact holds.
 func (d *Directory) SetGateways(gateways []Gateway) {
-	if len(gateways) > 0 || len(d.view.Load().gateways) == 0 {
-		d.view.Store(&snapshot{gateways: gateways, answers: map[string][]byte{}})
+	if len(gateways) > 0 || len(d.latest.Load().gateways) == 0 {
+		d.latest.Store(&snapshot{gateways: gateways, answers: map[string][]byte{}})
 	}
 }
 
@@ -56,7 +56,7 @@
 	if region == "" && zone == "" {
 		return nil, apierror.New(apierror.BadQuery, "region and zone: missing")
 	}
-	current := d.view.Load()
+	current := d.latest.Load()
 	if len(current.gateways) == 0 {
 		return nil, apierror.NewRetryAfter(apierror.NoQuorum, d.ttl, "no node known yet")
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -8,7 +8,7 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Gateway is what the registry knows of one gateway.
+// Gateway describes one gateway.
 type Gateway struct {
 	Address   string // on which it serves clients
 	Zone      string
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -64,13 +64,13 @@
 
 func TestDirectory(t *testing.T) {
 	directory := NewDirectory(2400*time.Millisecond, func(string) []string { return nil })
-	ask := func(url string) (int, string) {
+	get := func(url string) (int, string) {
 		w := httptest.NewRecorder()
 		directory.ServeHTTP(w, httptest.NewRequest("GET", url, nil))
 		return w.Code, w.Body.String()
 	}
 	const validQuery = "/v1/resolve?name=h.example&region=a&zone=a1"
-	if code, _ := ask(validQuery); code != 503 {
+	if code, _ := get(validQuery); code != 503 {
 		t.Errorf("status %d before any gateway is known", code)
 	}
 	directory.SetGateways(gateways(2))
@@ -88,7 +88,7 @@
 		validQuery: 200, "/v1/resolve?name=h.example&zone=nowhere": 200, "/v1/resolve?name=h.example&region=a": 200,
 		"/v1/resolve?region=a&zone=a1": 400, "/v1/resolve?name=h.example": 400, "/v1/other": 404,
 	} {
-		if code, text := ask(url); code != want {
+		if code, text := get(url); code != want {
 			t.Errorf("%s: %d %s", url, code, text)
 		}
 	}
@@ -96,7 +96,7 @@
 		Addresses []string
 		TTLS      float64
 	}
-	_, text := ask(validQuery)
+	_, text := get(validQuery)
 	if json.Unmarshal([]byte(text), &answer) != nil || len(answer.Addresses) != 2 || answer.TTLS != 2.4 {
 		t.Errorf("answer: %s", text)
 	}
--- a/internal/rollout/arms.go
+++ b/internal/rollout/arms.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Splitter is a gateway's part in rollouts. It chooses the arm of each request, scores the
-// responses, and stops sending requests to a candidate that is bad as this gateway sees it.
+// Splitter divides a gateway's requests between the arms of rollouts. It chooses the arm of each
+// request, scores the responses, and stops sending requests to a candidate whose responses at this
+// gateway are bad.
 type Splitter struct {
 	nodeID string
 	// controllerTimeout is how long a candidate keeps getting requests after the last
@@ -150,12 +151,12 @@
 		}
 	}
 	accumulated += weight
-	candidate := accumulated >= 1
-	if candidate {
+	toCandidate := accumulated >= 1
+	if toCandidate {
 		accumulated--
 	}
 	split.accumulated[stratum] = accumulated
-	return candidate
+	return toCandidate
 }
 
 // maxStrata bounds the strata of a service that are split separately; all others are split
@@ -170,8 +171,7 @@
 	return float64(v>>11) / (1 << 53)
 }
 
-// Version returns the version to which the request must be sent; empty: the one that serves
-// without a weight.
+// Version returns the version to which the request must be sent; empty: the standing version.
 func (s *Sample) Version() string { return s.version }
 
 // Candidate reports whether the request goes to the candidate of an active rollout.
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// A repeated reversal without a version cannot be told from a reversal of the next rollout. It
+// A repeated reversal without a version cannot be distinguished from a reversal of the next rollout. It
 // is refused with PossibleDuplicate for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	nodes := newControlNodes(t, 2)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Controller is what a control node knows of rollouts apart from their records. It decides
+// Controller holds a control node's state of rollouts, apart from their records. It decides
 // on the transitions of the rollouts whose partition the node owns, and collects the gateways'
 // reports on the others for their owners.
 type Controller struct {
@@ -14,7 +14,7 @@
 	allControlled bool
 }
 
-// rolloutState is what a control node knows of the rollout of one service.
+// rolloutState is a control node's state of the rollout of one service.
 type rolloutState struct {
 	generation   uint64        // of the newest record seen here
 	recordSeenAt time.Duration // when that record was first seen
@@ -106,7 +106,7 @@
 	return c.stateOf(service).age(now)
 }
 
-// Gathered returns the reports on a service's rollout as last added up here.
+// Gathered returns the sum of the reports on a service's rollout as last computed here.
 func (c *Controller) Gathered(service string) Gathered { return c.stateOf(service).gathered }
 
 // View returns the view of the last evaluation of a service's rollout.
@@ -134,7 +134,7 @@
 	From, To *Plan
 }
 
-// Environment is what a controller needs to know from its node.
+// Environment gives a controller access to the state of its node.
 type Environment struct {
 	Self         string
 	Owner        func(partition string) string // the node that owns a partition; empty: none known
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -20,8 +20,8 @@
 	LiveGateways, ReportingGateways, OtherInFlight, StoppedGateways int
 	StopReason                                                      string
 	// WarmSlots is the number of slots of the candidate's warm upstreams, Slots that of all its
-	// upstreams, and StandingSlots that of the version that serves without a weight. Load is the
-	// number of requests that the service has in flight.
+	// upstreams, and StandingSlots that of the standing version's upstreams. Load is
+	// the number of requests that the service has in flight.
 	WarmSlots, Slots, StandingSlots float64
 	Load                            float64
 	// ExposureShare is the share of the requests during the order's time that a bad version
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -77,8 +77,8 @@
 // Final reports whether the rollout was completed or reversed.
 func (p *Plan) Final() bool { return p.Stage >= Complete }
 
-// StandingVersion returns the version that gets all requests that no weight assigns to a candidate: the
-// prior version, or the candidate once the rollout is complete.
+// StandingVersion returns the standing version, which gets all requests that no weight assigns to a
+// candidate: the prior version, or the candidate once the rollout is complete.
 func (p *Plan) StandingVersion() string {
 	if p.Stage == Complete {
 		return p.Candidate
@@ -188,7 +188,7 @@
 	Standing Standing // its Version is empty until a version of the service was seen
 }
 
-// StandingVersion returns the version that serves without a weight; empty: unknown.
+// StandingVersion returns the standing version of the service; empty: unknown.
 func (s Service) StandingVersion() string {
 	if !s.Ordered() {
 		return s.Standing.Version
--- a/internal/rollout/score.go
+++ b/internal/rollout/score.go
@@ -20,7 +20,7 @@
 	BrokenResponse         // the connection broke, or the response was malformed
 	TooLate                // no response by the deadline
 	Unscored
-	failureKinds = 3 // Errored, BrokenResponse, TooLate
+	failureKindCount = 3 // Errored, BrokenResponse, TooLate
 )
 
 // Arm is one side of a rollout.
@@ -50,9 +50,9 @@
 // Cell has the counts of the responses of one arm in one bucket of strata. The sum of several
 // cells does not depend on their order.
 type Cell struct {
-	Begun uint64               `cbor:"1,keyasint,omitempty"`
-	Ended uint64               `cbor:"2,keyasint,omitempty"` // with an outcome other than Unscored
-	Fails [failureKinds]uint64 `cbor:"3,keyasint"`           // by outcome, from Errored on
+	Begun uint64                   `cbor:"1,keyasint,omitempty"`
+	Ended uint64                   `cbor:"2,keyasint,omitempty"` // with an outcome other than Unscored
+	Fails [failureKindCount]uint64 `cbor:"3,keyasint"`           // by outcome, from Errored on
 	// Of the responses of upstreams that are not cold: their number, the sums of their latency
 	// scores and of the squares of these, and their number in each bin of the latency
 	// histogram. The score falls from 1 at no latency to 0 at four times the latency target.
@@ -280,7 +280,7 @@
 	return ""
 }
 
-var failureNames = [failureKinds + 1]string{"failed", "were errors", "broke off", "came too late"}
+var failureNames = [failureKindCount + 1]string{"failed", "were errors", "broke off", "came too late"}
 
 // proportionsPValue returns the p-value of the one-sided two-proportion z-test. The null hypothesis is
 // that the proportion a/n is not above b/m.
--- a/internal/rollout/score_test.go
+++ b/internal/rollout/score_test.go
@@ -63,9 +63,9 @@
 		{"full weight, slow", Cell{}, makeCell(100, 0, 900*ms), makeCell(500, 2, 100*ms), "p99"},
 	} {
 		sums, baseline := Sums{3: {c.prior, c.candidate}}, Sums{3: {c.baseline, Cell{}}}
-		why := Overall.Judge(sums, baseline)
-		if (why == "") != (c.want == "") || !strings.Contains(why, c.want) {
-			t.Errorf("%s: %q, want %q", c.name, why, c.want)
+		reason := Overall.Judge(sums, baseline)
+		if (reason == "") != (c.want == "") || !strings.Contains(reason, c.want) {
+			t.Errorf("%s: %q, want %q", c.name, reason, c.want)
 		}
 	}
 	// Only one of many strata is bad.
@@ -74,8 +74,8 @@
 		s[b] = Pair{makeCell(1000, 5, 100*ms), makeCell(40, 0, 100*ms)}
 	}
 	s[15] = Pair{makeCell(1000, 5, 100*ms), makeCell(8, 10, 100*ms)}
-	if why := Overall.Judge(s, Sums{}); !strings.Contains(why, "failed") {
-		t.Errorf("with one bad stratum: %q", why)
+	if reason := Overall.Judge(s, Sums{}); !strings.Contains(reason, "failed") {
+		t.Errorf("with one bad stratum: %q", reason)
 	}
 }
 
@@ -111,7 +111,7 @@
 			records[r.Name] = r
 		}
 	}
-	stage := func(s Stage) {
+	setStage := func(s Stage) {
 		p, _ := DecodePlan(records[PartitionOf("s")])
 		next := *p
 		next.Stage = s
@@ -123,7 +123,7 @@
 	}
 	for i, c := range []struct {
 		before  func()
-		ask     OrderRequest
+		request OrderRequest
 		kind    apierror.Kind
 		changes bool
 	}{
@@ -131,15 +131,15 @@
 		{nil, OrderRequest{"s", "v2", 12}, -1, false},
 		{nil, OrderRequest{"s", "v3", 12}, apierror.RolloutInProgress, false},
 		{nil, OrderRequest{"s", "v2", 13}, apierror.RolloutInProgress, false},
-		{func() { stage(Reverted) }, OrderRequest{"s", "v2", 12}, -1, false},
+		{func() { setStage(Reverted) }, OrderRequest{"s", "v2", 12}, -1, false},
 		{nil, OrderRequest{"s", "v3", 12}, -1, true},
-		{func() { stage(Complete) }, OrderRequest{"s", "v3", 12}, -1, false},
+		{func() { setStage(Complete) }, OrderRequest{"s", "v3", 12}, -1, false},
 		{nil, OrderRequest{"s", "v1", 12}, -1, true},
 	} {
 		if c.before != nil {
 			c.before()
 		}
-		changes, err := Begin(records, c.ask, DecodeServices(records)["s"].StandingVersion(), Call{})
+		changes, err := Begin(records, c.request, DecodeServices(records)["s"].StandingVersion(), Call{})
 		if kind(err) != c.kind || (len(changes) > 0) != c.changes {
 			t.Errorf("%d: %v, %d changes", i, err, len(changes))
 		}
@@ -186,7 +186,7 @@
 }
 
 func TestParseOrderRequest(t *testing.T) {
-	for body, why := range map[string]string{
+	for body, wantInError := range map[string]string{
 		`{"target":"a","targetVersion":"v2","withinS":12}`:        "",
 		`{"target":"a","targetVersion":"v2","withinS":0.5,"x":1}`: "",
 		`{"target":"a","withinS":12}`:                             "targetVersion",
@@ -199,7 +199,7 @@
 		`[]`:             "top",
 	} {
 		_, err := ParseOrderRequest([]byte(body))
-		if why == "" && err != nil || why != "" && (apierror.KindOf(err) != apierror.BadRolloutOrder || !strings.Contains(err.Error(), why)) {
+		if wantInError == "" && err != nil || wantInError != "" && (apierror.KindOf(err) != apierror.BadRolloutOrder || !strings.Contains(err.Error(), wantInError)) {
 			t.Errorf("%s: %v", body, err)
 		}
 	}
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -62,8 +62,8 @@
 
 var testStrata = []string{"lookup idempotent", "confirm mutating", "summary idempotent"}
 
-func newSimulation(t *testing.T, seed uint64, kind string, share float64) *simulation {
-	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, paused: -1,
+func newSimulation(t *testing.T, seed uint64, candidateKind string, errorShare float64) *simulation {
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: candidateKind, errorShare: errorShare, owner: 0, paused: -1,
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
 		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
