--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -101,18 +101,18 @@
 		shareSum += share.Share
 	}
 	point *= shareSum
-	last := ""
+	lastTarget := ""
 	for _, share := range r.Split {
 		if share.Share <= 0 {
 			continue
 		}
-		last = share.Target
+		lastTarget = share.Target
 		if point < share.Share {
 			break
 		}
 		point -= share.Share
 	}
-	return last
+	return lastTarget
 }
 
 // Tenant is a parsed tenant.
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -25,7 +25,7 @@
 		faults      map[string]fault
 		lastFirst   int    // last interval in which a faulty control node may be the first source
 		lastBoth    int    // last interval in which both sources may be faulty
-		askedFaulty int    // how often faulty control nodes may be asked
+		askedFaulty int    // how often faulty control nodes may be watched
 		endZones    string // zones, one of which the first source is in at the end
 	}{
 		"no faults":                              {nil, 0, 0, 0, "n"},
--- a/internal/delivery/horizon.go
+++ b/internal/delivery/horizon.go
@@ -13,11 +13,11 @@
 // Horizons holds, for each range of a copy, the horizon at which the range was last replaced.
 type Horizons [antientropy.Ranges]uint64
 
-func (w Watch) sameHorizons(o Watch) bool {
-	if w.Horizons == nil || o.Horizons == nil {
-		return w.Horizons == o.Horizons
+func (w Watch) sameHorizons(other Watch) bool {
+	if w.Horizons == nil || other.Horizons == nil {
+		return w.Horizons == other.Horizons
 	}
-	return *w.Horizons == *o.Horizons
+	return *w.Horizons == *other.Horizons
 }
 
 // Sender adds the ranges that a watcher lacks, from the records that a control node serves, to
--- a/internal/delivery/sources_test.go
+++ b/internal/delivery/sources_test.go
@@ -92,7 +92,7 @@
 }
 
 // Whichever control nodes a gateway tried during a partition, it gets a fresh update within three
-// intervals // (half of contactS) after it reconnects to control nodes most of which are in contact with the
+// intervals (half of contactS) after it reconnects to control nodes most of which are in contact with the
 // majority.
 func TestFreshUpdateSoonAfterPartition(t *testing.T) {
 	worst, late := 0, 0
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -113,28 +113,28 @@
 
 // Holds reports whether this control node holds a role, and under which term.
 func (e *Elector) Holds(now time.Duration, name string) (uint64, bool) {
-	r := e.role(name)
-	if r == nil {
+	role := e.role(name)
+	if role == nil {
 		return 0, false
 	}
-	return r.term, r.holding && now < r.heldUntil
+	return role.term, role.holding && now < role.heldUntil
 }
 
 // Holder returns the control node that has this node's vote, the term of the vote, and the identifier
 // of the holder's process run; zero values if there is no valid vote.
 func (e *Elector) Holder(now time.Duration, name string) (id string, term, runID uint64) {
-	r := e.role(name)
-	if r == nil || now >= r.voteExpires {
+	role := e.role(name)
+	if role == nil || now >= role.voteExpires {
 		return "", 0, 0
 	}
-	return r.votedFor, r.votedTerm, r.votedRunID
+	return role.votedFor, role.votedTerm, role.votedRunID
 }
 
 // RaiseUsedTerm reports that terms up to usedTerm were held by another node before the control nodes lost
 // their in-memory state. A node that holds the role under one of these terms has to take a higher one.
 func (e *Elector) RaiseUsedTerm(name string, usedTerm uint64) {
-	if r := e.role(name); r != nil {
-		r.usedTerm = max(r.usedTerm, usedTerm)
+	if role := e.role(name); role != nil {
+		role.usedTerm = max(role.usedTerm, usedTerm)
 	}
 }
 
@@ -147,58 +147,58 @@
 	if len(voters) == 0 || e.leaving {
 		return
 	}
-	for _, r := range e.roles {
-		if r.holding && now >= r.heldUntil {
-			e.loseRole(r)
+	for _, role := range e.roles {
+		if role.holding && now >= role.heldUntil {
+			e.loseRole(role)
 		}
-		if r.holding && (r.term < r.minTerm || r.term <= r.usedTerm) {
-			e.campaign(now, r, max(r.minTerm, r.usedTerm)+1, nil, voters)
+		if role.holding && (role.term < role.minTerm || role.term <= role.usedTerm) {
+			e.campaign(now, role, max(role.minTerm, role.usedTerm)+1, nil, voters)
 			continue
 		}
 		switch {
-		case r.holding:
-			if now-r.requestedAt >= e.cfg.Lease/3 {
-				e.campaign(now, r, r.term, nil, voters)
+		case role.holding:
+			if now-role.requestedAt >= e.cfg.Lease/3 {
+				e.campaign(now, role, role.term, nil, voters)
 			}
-		case r.campaigning && now-r.requestedAt < e.cfg.Lease/2:
+		case role.campaigning && now-role.requestedAt < e.cfg.Lease/2:
 			// Repeat the request: some voters may have started only now.
-			request := Message{Role: r.name, Term: r.term, RunID: e.cfg.RunID}
-			if r.challenging {
-				request.Result = e.challengeResult(now, r)
+			request := Message{Role: role.name, Term: role.term, RunID: e.cfg.RunID}
+			if role.challenging {
+				request.Result = e.challengeResult(now, role)
 			}
 			for _, id := range voters {
-				if !r.votes[id] {
+				if !role.votes[id] {
 					e.outbox = append(e.outbox, Envelope{id, request})
 				}
 			}
-		case r.campaigning:
-			e.abandonCampaign(now, r, voters)
-		case now >= r.retryAt:
-			e.preVoteIfDue(now, r, voters)
+		case role.campaigning:
+			e.abandonCampaign(now, role, voters)
+		case now >= role.retryAt:
+			e.preVoteIfDue(now, role, voters)
 		}
 	}
 }
 
 // abandonCampaign ends a campaign that was not won and releases its votes, so that two candidates do
 // not block each other.
-func (e *Elector) abandonCampaign(now time.Duration, r *role, voters []string) {
-	if !r.campaigning {
+func (e *Elector) abandonCampaign(now time.Duration, role *role, voters []string) {
+	if !role.campaigning {
 		return
 	}
-	r.retryAt = now + e.cfg.Lease/8*time.Duration(1+e.rank(r, voters))
-	e.releaseVotes(now, r, voters)
+	role.retryAt = now + e.cfg.Lease/8*time.Duration(1+e.rank(role, voters))
+	e.releaseVotes(now, role, voters)
 }
 
 // releaseVotes releases the votes for this control node. Nodes that have not replied yet are notified too:
 // their votes may be in transit and would otherwise bind them for a whole lease.
-func (e *Elector) releaseVotes(now time.Duration, r *role, voters []string) {
-	r.campaigning = false
-	if r.votedFor == e.cfg.Self {
-		r.voteExpires = now
+func (e *Elector) releaseVotes(now time.Duration, role *role, voters []string) {
+	role.campaigning = false
+	if role.votedFor == e.cfg.Self {
+		role.voteExpires = now
 	}
 	for _, id := range voters {
 		if id != e.cfg.Self {
-			e.outbox = append(e.outbox, Envelope{id, Message{Role: r.name, Resign: true}})
+			e.outbox = append(e.outbox, Envelope{id, Message{Role: role.name, Resign: true}})
 		}
 	}
 }
@@ -208,9 +208,9 @@
 
 // rank returns how many live voters come before this control node in the rendezvous order of a role; for a
 // node that is not a voter it is one more than the number of live voters.
-func (e *Elector) rank(r *role, voters []string) int {
+func (e *Elector) rank(role *role, voters []string) int {
 	rank := 0
-	for _, id := range rendezvous.Order(r.name, voters) {
+	for _, id := range rendezvous.Order(role.name, voters) {
 		if id == e.cfg.Self {
 			return rank
 		}
@@ -223,109 +223,109 @@
 
 // campaign requests votes under a term, to win a role or to renew the lease on it. With a result, it
 // challenges the current holder.
-func (e *Elector) campaign(now time.Duration, r *role, term uint64, result *Result, voters []string) {
-	r.requestedAt, r.campaigning = now, true
-	r.challenging, r.refusedBy = result != nil, map[string]bool{}
-	if term != r.term && r.holding {
-		e.loseRole(r)
+func (e *Elector) campaign(now time.Duration, role *role, term uint64, result *Result, voters []string) {
+	role.requestedAt, role.campaigning = now, true
+	role.challenging, role.refusedBy = result != nil, map[string]bool{}
+	if term != role.term && role.holding {
+		e.loseRole(role)
 	}
-	r.term = term
-	r.votes = map[string]bool{}
-	request := Message{Role: r.name, Term: term, RunID: e.cfg.RunID, Result: result}
-	if !e.grantVote(now, r, e.cfg.Self, request) {
-		r.campaigning = false
+	role.term = term
+	role.votes = map[string]bool{}
+	request := Message{Role: role.name, Term: term, RunID: e.cfg.RunID, Result: result}
+	if !e.grantVote(now, role, e.cfg.Self, request) {
+		role.campaigning = false
 		return
 	}
-	r.votes[e.cfg.Self] = true
+	role.votes[e.cfg.Self] = true
 	for _, id := range voters {
 		if id != e.cfg.Self {
 			e.outbox = append(e.outbox, Envelope{id, request})
 		}
 	}
-	e.countVotes(r, voters)
+	e.countVotes(role, voters)
 }
 
 // mayGrantVote reports whether this control node may vote for a candidate: its vote is free or already
 // the candidate's, or the candidate's challenge is accepted.
-func (e *Elector) mayGrantVote(now time.Duration, r *role, candidate string, request Message) bool {
-	if request.Term < r.minTerm || request.Term <= r.usedTerm {
+func (e *Elector) mayGrantVote(now time.Duration, role *role, candidate string, request Message) bool {
+	if request.Term < role.minTerm || request.Term <= role.usedTerm {
 		return false
 	}
-	if now >= r.voteExpires {
+	if now >= role.voteExpires {
 		return true
 	}
-	if r.votedFor != candidate {
-		return e.acceptsChallenge(now, r, request)
+	if role.votedFor != candidate {
+		return e.acceptsChallenge(now, role, request)
 	}
-	return request.Term >= r.votedTerm
+	return request.Term >= role.votedTerm
 }
 
 // grantVote votes for a candidate if mayGrantVote allows it, and reports whether it did.
-func (e *Elector) grantVote(now time.Duration, r *role, candidate string, request Message) bool {
-	if !e.mayGrantVote(now, r, candidate, request) {
+func (e *Elector) grantVote(now time.Duration, role *role, candidate string, request Message) bool {
+	if !e.mayGrantVote(now, role, candidate, request) {
 		return false
 	}
-	if now < r.voteExpires && r.votedFor != candidate {
-		e.recordTransfer(now, r, candidate)
+	if now < role.voteExpires && role.votedFor != candidate {
+		e.recordTransfer(now, role, candidate)
 	}
-	if r.votedFor != candidate {
-		r.votedSince = now
+	if role.votedFor != candidate {
+		role.votedSince = now
 	}
-	r.votedFor, r.votedTerm, r.votedRunID, r.voteExpires = candidate, request.Term, request.RunID, now+e.cfg.Lease
-	r.minTerm = max(r.minTerm, request.Term)
-	if r.holding && candidate != e.cfg.Self {
-		e.loseRole(r)
+	role.votedFor, role.votedTerm, role.votedRunID, role.voteExpires = candidate, request.Term, request.RunID, now+e.cfg.Lease
+	role.minTerm = max(role.minTerm, request.Term)
+	if role.holding && candidate != e.cfg.Self {
+		e.loseRole(role)
 	}
 	return true
 }
 
 // Handle processes a message from another control node.
-func (e *Elector) Handle(now time.Duration, from string, m Message) {
-	r := e.role(m.Role)
-	if r == nil {
+func (e *Elector) Handle(now time.Duration, from string, message Message) {
+	role := e.role(message.Role)
+	if role == nil {
 		return
 	}
 	switch {
-	case m.Resign:
-		if r.votedFor == from {
-			r.voteExpires = now
+	case message.Resign:
+		if role.votedFor == from {
+			role.voteExpires = now
 		}
-	case m.Reply && (m.PreVote || !r.campaigning && !r.holding):
-		e.handlePreVoteReply(now, r, from, m)
-	case m.Reply:
-		if m.Granted && (m.Term != r.term || !r.campaigning) {
+	case message.Reply && (message.PreVote || !role.campaigning && !role.holding):
+		e.handlePreVoteReply(now, role, from, message)
+	case message.Reply:
+		if message.Granted && (message.Term != role.term || !role.campaigning) {
 			return
 		}
-		if m.Granted {
-			r.votes[from] = true
-			e.countVotes(r, e.cfg.Voters())
+		if message.Granted {
+			role.votes[from] = true
+			e.countVotes(role, e.cfg.Voters())
 			return
 		}
-		r.minTerm, r.usedTerm = max(r.minTerm, m.Term), max(r.usedTerm, m.UsedTerm)
+		role.minTerm, role.usedTerm = max(role.minTerm, message.Term), max(role.usedTerm, message.UsedTerm)
 		voters := e.cfg.Voters()
-		if !r.holding && !r.stillWinnable(from, m, voters) {
-			e.abandonCampaign(now, r, voters)
+		if !role.holding && !role.stillWinnable(from, message, voters) {
+			e.abandonCampaign(now, role, voters)
 		}
 	default:
-		ok := m.PreVote && e.mayGrantVote(now, r, from, m) || !m.PreVote && e.grantVote(now, r, from, m)
-		term := m.Term
-		if !ok && r.minTerm > m.Term {
-			term = r.minTerm
+		ok := message.PreVote && e.mayGrantVote(now, role, from, message) || !message.PreVote && e.grantVote(now, role, from, message)
+		term := message.Term
+		if !ok && role.minTerm > message.Term {
+			term = role.minTerm
 		}
-		e.outbox = append(e.outbox, Envelope{from, Message{Role: m.Role, Term: term, Reply: true, Granted: ok, PreVote: m.PreVote, UsedTerm: r.usedTerm}})
+		e.outbox = append(e.outbox, Envelope{from, Message{Role: message.Role, Term: term, Reply: true, Granted: ok, PreVote: message.PreVote, UsedTerm: role.usedTerm}})
 	}
 }
 
 // countVotes takes or renews the lease on a role once a majority has voted for this control node.
-func (e *Elector) countVotes(r *role, voters []string) {
-	if !majority(r.votes, voters) {
+func (e *Elector) countVotes(role *role, voters []string) {
+	if !majority(role.votes, voters) {
 		return
 	}
 	// The lease counts from the request, so it ends before the votes expire.
-	r.heldUntil = r.requestedAt + e.cfg.Lease
-	if !r.holding {
-		r.holding = true
-		e.changedRoles = append(e.changedRoles, r.name)
+	role.heldUntil = role.requestedAt + e.cfg.Lease
+	if !role.holding {
+		role.holding = true
+		e.changedRoles = append(e.changedRoles, role.name)
 	}
 }
 
@@ -340,25 +340,25 @@
 	return count > len(voters)/2
 }
 
-func (e *Elector) loseRole(r *role) {
-	r.holding = false
-	e.changedRoles = append(e.changedRoles, r.name)
+func (e *Elector) loseRole(role *role) {
+	role.holding = false
+	e.changedRoles = append(e.changedRoles, role.name)
 }
 
 // Leave resigns from all roles and ends campaigning for good.
 func (e *Elector) Leave(now time.Duration) {
 	e.leaving = true
-	for _, r := range e.roles {
-		e.resign(now, r)
+	for _, role := range e.roles {
+		e.resign(now, role)
 	}
 }
 
 // resign resigns from a role and releases the votes for this control node.
-func (e *Elector) resign(now time.Duration, r *role) {
-	if r.holding {
-		e.loseRole(r)
+func (e *Elector) resign(now time.Duration, role *role) {
+	if role.holding {
+		e.loseRole(role)
 	}
-	e.releaseVotes(now, r, e.cfg.Voters())
+	e.releaseVotes(now, role, e.cfg.Voters())
 }
 
 // State is the state of one role in status output.
@@ -380,10 +380,10 @@
 
 // States returns the states of all roles, sorted by name.
 func (e *Elector) States(now time.Duration) (states []State) {
-	for _, r := range e.roles {
-		holder, term, _ := e.Holder(now, r.name)
-		state := State{Role: r.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, r).Seconds()}
-		if transfer := r.lastTransfer; transfer != nil {
+	for _, role := range e.roles {
+		holder, term, _ := e.Holder(now, role.name)
+		state := State{Role: role.name, Holder: holder, Term: term, ResultAgeS: e.resultAge(now, role).Seconds()}
+		if transfer := role.lastTransfer; transfer != nil {
 			state.Transfer = &TransferState{transfer.From, transfer.ResultAge.Seconds(), (now - transfer.at).Round(time.Millisecond).Seconds()}
 		}
 		states = append(states, state)
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -43,56 +43,56 @@
 
 // preVoteIfDue asks the others for pre-votes if this control node may campaign, and repeats the
 // request every eighth of a lease.
-func (e *Elector) preVoteIfDue(now time.Duration, r *role, voters []string) {
-	if !e.mayCampaign(now, r, voters) {
-		r.preVote.active = false
+func (e *Elector) preVoteIfDue(now time.Duration, role *role, voters []string) {
+	if !e.mayCampaign(now, role, voters) {
+		role.preVote.active = false
 		return
 	}
-	preVote := &r.preVote
+	preVote := &role.preVote
 	if preVote.active && now-preVote.requestedAt < e.cfg.Lease/8 {
 		return
 	}
-	preVote.active, preVote.requestedAt, preVote.term, preVote.votes = true, now, r.nextTerm(), map[string]bool{e.cfg.Self: true}
-	request := Message{Role: r.name, Term: preVote.term, RunID: e.cfg.RunID, PreVote: true, Result: e.challengeResult(now, r)}
+	preVote.active, preVote.requestedAt, preVote.term, preVote.votes = true, now, role.nextTerm(), map[string]bool{e.cfg.Self: true}
+	request := Message{Role: role.name, Term: preVote.term, RunID: e.cfg.RunID, PreVote: true, Result: e.challengeResult(now, role)}
 	for _, id := range voters {
 		if id != e.cfg.Self {
 			e.outbox = append(e.outbox, Envelope{id, request})
 		}
 	}
-	e.countPreVotes(now, r, voters)
+	e.countPreVotes(now, role, voters)
 }
 
 // mayCampaign reports whether the role is vacant, or this control node's result is newer than the
 // holder's. Nodes of higher rank wait longer, so that few campaign at the same time.
-func (e *Elector) mayCampaign(now time.Duration, r *role, voters []string) bool {
-	if now >= max(r.voteExpires, e.startedAt)+time.Duration(e.rank(r, voters))*e.cfg.Lease/8 {
+func (e *Elector) mayCampaign(now time.Duration, role *role, voters []string) bool {
+	if now >= max(role.voteExpires, e.startedAt)+time.Duration(e.rank(role, voters))*e.cfg.Lease/8 {
 		return true
 	}
-	rank, ok := e.StandbyRank(now, r.name)
-	ahead := ok && e.challengeResult(now, r) != nil
-	if ahead && !r.preVote.ahead {
-		r.preVote.aheadSince = now
+	rank, ok := e.StandbyRank(now, role.name)
+	ahead := ok && e.challengeResult(now, role) != nil
+	if ahead && !role.preVote.ahead {
+		role.preVote.aheadSince = now
 	}
-	r.preVote.ahead = ahead
-	voteSettled := r.votedSince + e.cfg.Lease/4
-	return ahead && now >= max(r.preVote.aheadSince, voteSettled)+time.Duration(rank)*e.cfg.Lease/16
+	role.preVote.ahead = ahead
+	voteSettled := role.votedSince + e.cfg.Lease/4
+	return ahead && now >= max(role.preVote.aheadSince, voteSettled)+time.Duration(rank)*e.cfg.Lease/16
 }
 
 // ResultUpdated is called when this control node has produced a newer result of a role. It asks for
 // pre-votes at once if they are due, without waiting for the next Tick.
 func (e *Elector) ResultUpdated(now time.Duration, name string) {
-	if r := e.role(name); r != nil && !r.holding && !r.campaigning && !e.leaving && now >= r.retryAt {
-		e.preVoteIfDue(now, r, e.cfg.Voters())
+	if role := e.role(name); role != nil && !role.holding && !role.campaigning && !e.leaving && now >= role.retryAt {
+		e.preVoteIfDue(now, role, e.cfg.Voters())
 	}
 }
 
 // challengeResult returns this control node's result as described to voters, or nil if it is not far
 // enough ahead of the holder's for a challenge.
-func (e *Elector) challengeResult(now time.Duration, r *role) *Result {
-	if e.cfg.Progress == nil || r.holding {
+func (e *Elector) challengeResult(now time.Duration, role *role) *Result {
+	if e.cfg.Progress == nil || role.holding {
 		return nil
 	}
-	progress := e.cfg.Progress(now, r.name)
+	progress := e.cfg.Progress(now, role.name)
 	if !progress.ownAhead() {
 		return nil
 	}
@@ -102,11 +102,11 @@
 // acceptsChallenge reports whether this control node may move its vote from the holder to a candidate:
 // the candidate's result must be newer, by more than the limit, than the one known here, and the vote
 // must not have moved for a quarter of a lease.
-func (e *Elector) acceptsChallenge(now time.Duration, r *role, request Message) bool {
-	if request.Result == nil || e.cfg.Progress == nil || now < r.votedSince+e.cfg.Lease/4 {
+func (e *Elector) acceptsChallenge(now time.Duration, role *role, request Message) bool {
+	if request.Result == nil || e.cfg.Progress == nil || now < role.votedSince+e.cfg.Lease/4 {
 		return false
 	}
-	progress := e.cfg.Progress(now, r.name)
+	progress := e.cfg.Progress(now, role.name)
 	return Progress{Known: progress.Known, Own: now - request.Result.Age, Limit: progress.Limit}.ownAhead()
 }
 
@@ -119,9 +119,9 @@
 }
 
 // recordTransfer records that the vote moves from the current holder to a candidate.
-func (e *Elector) recordTransfer(now time.Duration, r *role, candidate string) {
-	r.lastTransfer = &Transfer{Role: r.name, From: r.votedFor, To: candidate, ResultAge: e.resultAge(now, r), at: now}
-	e.transfers = append(e.transfers, *r.lastTransfer)
+func (e *Elector) recordTransfer(now time.Duration, role *role, candidate string) {
+	role.lastTransfer = &Transfer{Role: role.name, From: role.votedFor, To: candidate, ResultAge: e.resultAge(now, role), at: now}
+	e.transfers = append(e.transfers, *role.lastTransfer)
 }
 
 // DrainTransfers returns the transfers since the last call.
@@ -132,36 +132,36 @@
 }
 
 // resultAge returns the age of the newest result of a role that this control node knows of.
-func (e *Elector) resultAge(now time.Duration, r *role) time.Duration {
+func (e *Elector) resultAge(now time.Duration, role *role) time.Duration {
 	if e.cfg.Progress == nil {
 		return 0
 	}
-	return (now - e.cfg.Progress(now, r.name).Known).Round(time.Millisecond)
+	return (now - e.cfg.Progress(now, role.name).Known).Round(time.Millisecond)
 }
 
 // countPreVotes starts the campaign once a majority would vote for this control node.
-func (e *Elector) countPreVotes(now time.Duration, r *role, voters []string) {
-	if majority(r.preVote.votes, voters) {
-		r.preVote.active = false
-		e.campaign(now, r, r.preVote.term, e.challengeResult(now, r), voters)
+func (e *Elector) countPreVotes(now time.Duration, role *role, voters []string) {
+	if majority(role.preVote.votes, voters) {
+		role.preVote.active = false
+		e.campaign(now, role, role.preVote.term, e.challengeResult(now, role), voters)
 	}
 }
 
 // handlePreVoteReply handles a reply to a pre-vote request, and a late reply to a vote request of a
 // campaign that is over.
-func (e *Elector) handlePreVoteReply(now time.Duration, r *role, from string, reply Message) {
-	if !r.preVote.active || reply.Term < r.preVote.term || r.campaigning || r.holding {
+func (e *Elector) handlePreVoteReply(now time.Duration, role *role, from string, reply Message) {
+	if !role.preVote.active || reply.Term < role.preVote.term || role.campaigning || role.holding {
 		return
 	}
 	if !reply.Granted {
-		r.usedTerm = max(r.usedTerm, reply.UsedTerm)
-		if reply.Term > r.preVote.term {
-			r.minTerm = max(r.minTerm, reply.Term)
+		role.usedTerm = max(role.usedTerm, reply.UsedTerm)
+		if reply.Term > role.preVote.term {
+			role.minTerm = max(role.minTerm, reply.Term)
 		}
 		return
 	}
-	r.preVote.votes[from] = true
-	e.countPreVotes(now, r, e.cfg.Voters())
+	role.preVote.votes[from] = true
+	e.countPreVotes(now, role, e.cfg.Voters())
 }
 
 // stillWinnable records a refusal and reports whether a challenge can still win a majority. A campaign
