--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -300,7 +300,7 @@
 	limit := alloc.limit(now, acct)
 	demand := acct.demand + reported.Demand + acct.directDemand
 	if reported.Demand < minSteadyRate || limit.Rate <= 0 {
-		// A share would lie idle at this node and be missing at others. The node asks for each
+		// A share would go unused at this node and be missing at others. The node asks for each
 		// token instead.
 		return Share{}
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -31,7 +31,7 @@
 
 // A step is a weight with the conditions for leaving it. The weights are those of the
 // published design. The sum of weight times duration has to stay well below the setting
-// exposureShare until the weight is full, so that a candidate that turns bad at any step has
+// exposureShare until the weight is full, so that a candidate that becomes bad at any step has
 // had less than that share of the requests when it is stopped.
 type step struct {
 	stage            Stage
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -3,7 +3,7 @@
 // The control node that owns the partition of a service is the controller of its rollout and
 // decides on each stage (Controller, Next). Every gateway splits the requests of the service
 // between the two arms, scores the responses of both, and by itself stops sending requests to
-// a candidate that turns bad (Splitter).
+// a candidate that becomes bad (Splitter).
 //
 // The package does no I/O and reads no clock; callers pass the time in.
 package rollout
