--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -11,7 +11,7 @@
 	"madderwing/internal/rollout"
 )
 
-// Table is what client requests are looked up in. It is immutable; each change builds a new one.
+// Table is the lookup table for client requests. It is immutable; each change builds a new one.
 type Table struct {
 	routesByHost   map[string][]*Route // longest prefix first
 	Services       map[string]*Service
@@ -25,7 +25,7 @@
 
 // Builder builds tables. It caches parsed items between builds.
 type Builder struct {
-	reader   Decoder
+	decoder  Decoder
 	services map[string]builtService
 }
 
@@ -58,14 +58,14 @@
 		table.HasItems = true
 		table.RequiresAPIKey = table.RequiresAPIKey || strings.HasPrefix(name, tenantPrefix)
 		if record.Dropped {
-			delete(b.reader.routes, name)
-			delete(b.reader.tenants, name)
+			delete(b.decoder.routes, name)
+			delete(b.decoder.tenants, name)
 			delete(b.services, name)
 			continue
 		}
 		switch {
 		case strings.HasPrefix(name, routePrefix):
-			route, err := b.reader.Route(record)
+			route, err := b.decoder.Route(record)
 			if err != nil {
 				continue
 			}
@@ -82,7 +82,7 @@
 			}
 			table.Services[built.service.Name] = built.service
 		case strings.HasPrefix(name, tenantPrefix):
-			if tenant, err := b.reader.Tenant(record); err == nil {
+			if tenant, err := b.decoder.Tenant(record); err == nil {
 				for _, key := range tenant.APIKeys {
 					table.TenantByKey[key] = tenant
 				}
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	b.reader.prune(records)
+	b.decoder.prune(records)
 	maps.DeleteFunc(b.services, func(name string, _ builtService) bool {
 		_, ok := records[name]
 		return !ok
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// ServiceShards maps each service to the shard whose gateways hold its retry slack and send to its instances
-// during warm-up: the shard of its first scheduled route by name.
+// ServiceShards returns, by service, the shard whose gateways hold its retry slack and send requests to its
+// instances during warm-up: the shard of its first scheduled route by name.
 func (t *Table) ServiceShards() map[string]int {
 	firstRoute := map[string]*Route{}
 	for _, routes := range t.routesByHost {
@@ -153,12 +153,12 @@
 }
 
 // Tenants returns the existing tenants, sorted by name.
-func Tenants(records map[string]Record, reader *Decoder) (tenants []*Tenant) {
+func Tenants(records map[string]Record, decoder *Decoder) (tenants []*Tenant) {
 	for name, record := range records {
 		if record.Dropped || !strings.HasPrefix(name, tenantPrefix) {
 			continue
 		}
-		if tenant, err := reader.Tenant(record); err == nil {
+		if tenant, err := decoder.Tenant(record); err == nil {
 			tenants = append(tenants, tenant)
 		}
 	}
@@ -167,9 +167,9 @@
 }
 
 // Quotas returns the rate limits of all tenants; a rate of 0 means no limit.
-func Quotas(records map[string]Record, reader *Decoder) map[string]quota.Quota {
+func Quotas(records map[string]Record, decoder *Decoder) map[string]quota.Quota {
 	quotas := map[string]quota.Quota{}
-	for _, tenant := range Tenants(records, reader) {
+	for _, tenant := range Tenants(records, decoder) {
 		quotas[tenant.Name] = quota.Quota{Rate: tenant.RatePerS, Burst: tenant.Burst}
 	}
 	return quotas
--- a/internal/config/tombstones.go
+++ b/internal/config/tombstones.go
@@ -13,8 +13,8 @@
 )
 
 // This file bounds the space that removed items take. The record of a removed item stays as a tombstone
-// (Record.Dropped), so that an older change can't bring the item back. When tombstones take too much space,
-// the oldest are erased, and the horizon record tells up to which generations. See
+// (Record.Dropped), so that an older change can't create the item again. When tombstones take too much space,
+// the oldest are erased (purged), and the horizon record holds their highest generations. See
 // docs/notes/hardening-numbers.md.
 
 const (
@@ -27,12 +27,12 @@
 	tombstoneKeepRatio = 0.75
 	// typicalQuantile is the part of the newer tombstones whose generations count as typical;
 	// maxSparedRatio is the largest part of all tombstones that a purge skips because their generations
-	// are above that. See typicalGenerations.
+	// are above the typical ones. See typicalGenerations.
 	typicalQuantile, maxSparedRatio = 0.9, 1.0 / 16
 )
 
-// horizonName is the name of the horizon record, which tells up to which generations tombstones were
-// erased. It exists from the first purge on. Earlier releases replicate it without reading it.
+// horizonName is the name of the horizon record, which holds the highest generations of erased tombstones.
+// It exists from the first purge on. Earlier releases replicate it without reading it.
 const horizonName = "horizon"
 
 // horizonData is the content of the horizon record: the highest generation of an erased tombstone, by kind
@@ -42,8 +42,8 @@
 }
 
 // Horizon returns the number of purges in the history of a set of records. It only rises: of two copies of
-// the configuration, the one with the higher horizon is newer as a whole, and an item that it lacks does
-// not exist.
+// the configuration, the one with the higher horizon is the newer one, and an item that it lacks does not
+// exist.
 func Horizon(records map[string]Record) uint64 { return records[horizonName].Gen }
 
 // ContainsHigherHorizon reports whether changes contain a higher horizon than a set of records.
@@ -102,8 +102,9 @@
 
 // mayPredatePurge reports whether a change of an unknown name is at or below the generation up to which
 // tombstones of its kind were erased, and so may be older than the item's removal. Such a removal is
-// acknowledged, since the item does not exist and no change as old can bring it back. Such an item is
-// refused with a Conflict: it may be new, and acknowledging it without effect could lose it.
+// acknowledged, since the item does not exist and no change that old can create it again. An
+// upsert is refused with a Conflict: the item may be new, and would be lost if the upsert were acknowledged
+// without effect.
 func mayPredatePurge(purged map[string]uint64, sent Record) (older bool, err error) {
 	highest := purged[kindPrefix(sent.Name)]
 	if sent.Gen > highest {
@@ -134,8 +135,8 @@
 	}
 }
 
-// size returns the approximate size of a record in a message.
-func size(r Record) int { return len(r.Data) + len(r.Name) + recordBytes }
+// approxSize returns the approximate size of a record in a message.
+func approxSize(r Record) int { return len(r.Data) + len(r.Name) + recordBytes }
 
 // usage is the space that the records resulting from a change take.
 type usage struct {
@@ -148,9 +149,9 @@
 		u.tenantRecords++
 	}
 	if r.Dropped {
-		u.tombstoneBytes += size(r)
+		u.tombstoneBytes += approxSize(r)
 	} else {
-		u.liveBytes += size(r)
+		u.liveBytes += approxSize(r)
 	}
 }
 
@@ -216,21 +217,21 @@
 		}
 		if kind == tenantPrefix {
 			if used.tenantRecords == 1 {
-				continue // keep the last tenant record: it makes client requests need a key
+				continue // keep the last tenant record: it makes client requests require an API key
 			}
 			used.tenantRecords--
 		}
 		if kind != "" {
 			purged[kind] = max(purged[kind], r.Gen)
 		}
-		used.tombstoneBytes -= size(r)
+		used.tombstoneBytes -= approxSize(r)
 		erased = append(erased, Record{Name: r.Name, Dropped: true, Erased: true})
 	}
 	return erased
 }
 
-// typicalGenerations returns, by kind, generations that few of the given tombstones exceed. Tombstones above
-// are kept longer if they are few, because erasing one forces all new items of its kind to a generation
+// typicalGenerations returns, by kind, a generation that few of the given tombstones exceed. These few are
+// kept longer, because erasing one forces all new items of its kind to a generation
 // that is higher still.
 func typicalGenerations(tombstones []Record) map[string]uint64 {
 	byKind := map[string][]uint64{}
--- a/internal/config/tombstones_test.go
+++ b/internal/config/tombstones_test.go
@@ -14,7 +14,7 @@
 type configOwner struct {
 	t       *testing.T
 	records map[string]Record
-	reader  *Decoder
+	decoder *Decoder
 }
 
 func newConfigOwner(t *testing.T) *configOwner { return &configOwner{t, newRecords(t), &Decoder{}} }
@@ -26,7 +26,7 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	changes, err := change.Apply(o.records, o.reader)
+	changes, err := change.Apply(o.records, o.decoder)
 	o.put(changes)
 	return err
 }
@@ -73,7 +73,7 @@
 // mustApply applies a parsed request.
 func (o *configOwner) mustApply(c *Change) {
 	o.t.Helper()
-	changes, err := c.Apply(o.records, o.reader)
+	changes, err := c.Apply(o.records, o.decoder)
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -83,16 +83,16 @@
 func (o *configOwner) liveAndTombstoneBytes() (live, tombstones int) {
 	for _, r := range o.records {
 		if r.Dropped {
-			tombstones += size(r)
+			tombstones += approxSize(r)
 		} else {
-			live += size(r)
+			live += approxSize(r)
 		}
 	}
 	return live, tombstones
 }
 
 // While new items are added and removed without end, all requests succeed, the size of tombstones stays
-// bounded, the newest tombstones are kept, and no old change brings an item back. The generations come
+// bounded, the newest tombstones are kept, and no old change creates an item again. The generations come
 // from one counter for all items, or start at the same value for each item.
 func TestTombstonesStayBounded(t *testing.T) {
 	const names, perRequest, recent, looks = 300_000, 5000, 25_000, 20
@@ -109,8 +109,8 @@
 			if live, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes || live > 2000 {
 				t.Fatalf("%s, request %d: %d live bytes, %d bytes of tombstones", scheme, request, live, tombstones)
 			}
-			if len(owner.reader.routes) > 2*perRequest+pruneThreshold {
-				t.Fatalf("%s, request %d: the reader holds %d routes", scheme, request, len(owner.reader.routes))
+			if len(owner.decoder.routes) > 2*perRequest+pruneThreshold {
+				t.Fatalf("%s, request %d: the decoder caches %d routes", scheme, request, len(owner.decoder.routes))
 			}
 			removed := (request + 1) * perRequest
 			for range 5 {
@@ -121,9 +121,9 @@
 				}
 				i = random.IntN(removed)
 				name = fmt.Sprintf("n%d", i)
-				_ = owner.call(patch("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
+				_ = owner.call(requestBody("", routeJSON(name, "/back/", "a", generation(i/perRequest)), ""))
 				if record, ok := owner.records["route/"+name]; ok && !record.Dropped {
-					t.Fatalf("%s, request %d: %s is back", scheme, request, name)
+					t.Fatalf("%s, request %d: %s exists again", scheme, request, name)
 				}
 			}
 			if scheme != "one counter for all" && Horizon(owner.records) > 0 {
@@ -149,21 +149,21 @@
 		refused bool
 		changes bool
 	}{
-		"an unknown route":              {patch("", routeJSON("n", "/n/", "a", highestPurged), ""), true, false},
-		"an unknown route, above":       {patch("", routeJSON("n", "/n/", "a", highestPurged+1), ""), false, true},
-		"its removal":                   {patch("", "", `{"name":"n","generation":100}`), false, false},
-		"its removal, above":            {patch("", "", `{"name":"n","generation":101}`), false, true},
-		"an existing route":             {patch("", routeJSON("r", "/q/", "a", 9), ""), false, true},
-		"an existing route, sent again": {patch("", routeJSON("r", "/p/", "a", 7), ""), false, false},
-		"removal of an existing route":  {patch("", "", `{"name":"r","generation":9}`), false, true},
+		"an unknown route":              {requestBody("", routeJSON("n", "/n/", "a", highestPurged), ""), true, false},
+		"an unknown route, above":       {requestBody("", routeJSON("n", "/n/", "a", highestPurged+1), ""), false, true},
+		"its removal":                   {requestBody("", "", `{"name":"n","generation":100}`), false, false},
+		"its removal, above":            {requestBody("", "", `{"name":"n","generation":101}`), false, true},
+		"an existing route":             {requestBody("", routeJSON("r", "/q/", "a", 9), ""), false, true},
+		"an existing route, sent again": {requestBody("", routeJSON("r", "/p/", "a", 7), ""), false, false},
+		"removal of an existing route":  {requestBody("", "", `{"name":"r","generation":9}`), false, true},
 		"another kind":                  {`{"upsert":{"services":[{"name":"n","generation":1}]}}`, false, true},
 		"the limits":                    {`{"upsert":{"limits":{"maxHeaderBytes":1,"generation":1}}}`, false, true},
-		"unknown and existing routes":   {patch("", routeJSON("r", "/q/", "a", 9)+","+routeJSON("n", "/n/", "a", 3), ""), true, false},
+		"unknown and existing routes":   {requestBody("", routeJSON("r", "/q/", "a", 9)+","+routeJSON("n", "/n/", "a", 3), ""), true, false},
 	} {
 		owner := newConfigOwner(t)
 		owner.records[horizonName] = horizonAt(highestPurged)
 		before := maps.Clone(owner.records)
-		for range 2 { // a change that is sent again gets the same answer
+		for range 2 { // a change that is sent again gets the same result
 			err := owner.call(testCase.body)
 			if testCase.refused && (apierror.KindOf(err) != apierror.Conflict || !strings.Contains(err.Error(), "route n: ") || !strings.Contains(err.Error(), fmt.Sprint(highestPurged))) {
 				t.Errorf("%s: got %v", name, err)
@@ -195,7 +195,7 @@
 		owner := newConfigOwner(t)
 		owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
 		owner.records["service/large"] = Record{Name: "service/large", Gen: 1, Data: make([]byte, testCase.liveBytes)}
-		err := owner.call(patch("", routeJSON("new", "/new/", "a", 1_000_000), ""))
+		err := owner.call(requestBody("", routeJSON("new", "/new/", "a", 1_000_000), ""))
 		if testCase.refused != (apierror.KindOf(err) == apierror.BodyTooLarge) || !testCase.refused && err != nil {
 			t.Errorf("%d live bytes: %v", testCase.liveBytes, err)
 		}
@@ -230,32 +230,32 @@
 		}
 		return uint64(i)
 	})
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 200_000), ""))
 	if Horizon(owner.records) != 1 {
 		t.Fatal("nothing was purged")
 	}
 	if record := owner.records["route/n7"]; record.Gen != outlier {
 		t.Error("the tombstone with the high generation is erased")
 	}
-	owner.mustCall(patch("", routeJSON("newer", "/newer/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("newer", "/newer/", "a", 200_000), ""))
 
 	// If all older generations are above the newer ones, the oldest tombstones are erased all the same.
 	owner = newConfigOwner(t)
 	owner.addTombstones(100_000, func(i int) uint64 { return uint64(200_000 - i) })
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 300_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 300_000), ""))
 	if _, tombstones := owner.liveAndTombstoneBytes(); tombstones > maxTombstoneBytes {
 		t.Errorf("%d bytes of tombstones are kept", tombstones)
 	}
 }
 
-// Client requests still need a key after all tenants are removed and tombstones purged.
+// Client requests still require an API key after all tenants are removed and tombstones purged.
 func TestLastTenantTombstoneIsKept(t *testing.T) {
 	owner := newConfigOwner(t)
 	for _, name := range []string{"tenant/x", "tenant/y"} {
 		owner.records[name] = Record{Name: name, Gen: 1, Dropped: true}
 	}
 	owner.addTombstones(100_000, func(i int) uint64 { return uint64(i) })
-	owner.mustCall(patch("", routeJSON("new", "/new/", "a", 200_000), ""))
+	owner.mustCall(requestBody("", routeJSON("new", "/new/", "a", 200_000), ""))
 	_, x := owner.records["tenant/x"]
 	_, y := owner.records["tenant/y"]
 	if x || !y {
@@ -271,8 +271,8 @@
 	owner := newConfigOwner(t)
 	lastNumber := uint64(0)
 	for i, name := range []string{"z", "b", "a", "c"} {
-		owner.mustCall(patch("", routeJSON(name, "/"+name+"/", "a", 50-10*i), ""))
-		owner.mustCall(patch("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
+		owner.mustCall(requestBody("", routeJSON(name, "/"+name+"/", "a", 50-10*i), ""))
+		owner.mustCall(requestBody("", "", fmt.Sprintf(`{"name":%q,"generation":%d}`, name, 51-10*i)))
 		if record := owner.records["route/"+name]; record.Rev <= lastNumber {
 			t.Errorf("%s has number %d after %d", name, record.Rev, lastNumber)
 		}
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -9,23 +9,23 @@
 	"madderwing/internal/membership"
 )
 
-// TestSourcesWithoutMajorityAreReplaced simulates a gateway that asks once per beat and gets the
-// answers shortly after. A partitioned control node still answers, but is fresh only for the first two
-// beats, after which it has lost contact with the majority. A silent one doesn't answer. The 60 beats
-// are ten times contactS.
+// TestSourcesWithoutMajorityAreReplaced simulates a gateway that watches once per interval and gets the
+// replies shortly after. A partitioned control node still replies, but is fresh only for the first two
+// intervals, after which it has lost contact with the majority. A silent one doesn't reply. The 60
+// intervals are ten times contactS.
 func TestSourcesWithoutMajorityAreReplaced(t *testing.T) {
-	const beat, contactS = time.Second, 6
+	const interval, contactS = time.Second, 6
 	controlNodes := []membership.Node{{Address: "n1", Zone: "n"}, {Address: "n2", Zone: "n"}, {Address: "s1", Zone: "s"}, {Address: "e1", Zone: "e"}}
 	always := func(int) bool { return true }
 	from10 := func(b int) bool { return b >= 10 }
 	type fault struct {
-		partitioned, silent func(beat int) bool
+		partitioned, silent func(index int) bool
 	}
 	for name, c := range map[string]struct {
 		faults      map[string]fault
-		lastFirst   int    // last beat at which a faulty control node may be the first source
-		lastBoth    int    // last beat at which both sources may be faulty
-		askedFaulty int    // how often faulty control nodes may be asked
+		lastFirst   int    // last interval in which a faulty control node may be the first source
+		lastBoth    int    // last interval in which both sources may be faulty
+		askedFaulty int    // how often faulty control nodes may be watched
 		endZones    string // zones, one of which the first source is in at the end
 	}{
 		"no faults":                              {nil, 0, 0, 0, "n"},
@@ -38,7 +38,7 @@
 		"one node partitioned repeatedly":        {map[string]fault{"n1": {partitioned: func(b int) bool { return b >= 10 && b < 14 || b >= 18 && b < 22 }}, "n2": {partitioned: from10}}, 10 + contactS - 2, 0, 5, "n"},
 		"all partitioned: two are still watched": {map[string]fault{"n1": {partitioned: from10}, "n2": {partitioned: from10}, "s1": {partitioned: from10}, "e1": {partitioned: from10}}, 60, 60, 102, "nse"},
 	} {
-		sources := Sources{Self: "gateway", Zone: "n", Timeout: 3 * beat, Seeds: []string{"seed"}}
+		sources := Sources{Self: "gateway", Zone: "n", Timeout: 3 * interval, Seeds: []string{"seed"}}
 		if chosen := sources.Choose(0, nil); len(chosen) != 1 || chosen[0] != "seed" {
 			t.Fatalf("chose %v before any control node was known", chosen)
 		}
@@ -50,10 +50,10 @@
 		lastFirst, lastBoth, askedFaulty := 0, 0, 0
 		var chosen []string
 		for b := 1; b <= 60; b++ {
-			now := time.Duration(b) * beat
+			now := time.Duration(b) * interval
 			chosen = sources.Choose(now, controlNodes)
 			if len(chosen) != 2 || chosen[0][0] == chosen[1][0] {
-				t.Fatalf("%s, beat %d: chose %v", name, b, chosen)
+				t.Fatalf("%s, interval %d: chose %v", name, b, chosen)
 			}
 			faulty := 0
 			for i, id := range chosen {
@@ -77,12 +77,12 @@
 				partitioned, silent := faultsAt(id, b)
 				if !silent {
 					fresh := !partitioned || b > contactS && b < lastContact[id]+2
-					sources.Received(now+beat/20, id, fresh)
+					sources.Received(now+interval/20, id, fresh)
 				}
 			}
 		}
 		if lastFirst > c.lastFirst || lastBoth > c.lastBoth || askedFaulty > c.askedFaulty {
-			t.Errorf("%s: first source faulty until beat %d, both until %d, faulty ones asked %d times; want at most %d, %d, %d", name, lastFirst, lastBoth, askedFaulty, c.lastFirst, c.lastBoth, c.askedFaulty)
+			t.Errorf("%s: first source faulty until interval %d, both until %d, faulty ones asked %d times; want at most %d, %d, %d", name, lastFirst, lastBoth, askedFaulty, c.lastFirst, c.lastBoth, c.askedFaulty)
 		}
 		if first := chosen[0][:1]; !strings.Contains(c.endZones, first) {
 			t.Errorf("%s: chose %v at the end", name, chosen)
--- a/internal/delivery/horizon.go
+++ b/internal/delivery/horizon.go
@@ -5,19 +5,19 @@
 	"madderwing/internal/config"
 )
 
-// This file implements how a copy of the records follows the purging of dropped items (see
-// config.Horizon). A copy takes a range from a sender as follows: with a higher horizon the sender's
+// This file keeps copies of the records consistent when the tombstones of removed items are purged (see
+// config.Horizon). A copy applies a range from a sender as follows: with a higher horizon the sender's
 // range replaces the copy's, with the same horizon newer records are merged, and with a lower one
 // only records that are never purged are merged.
 
 // Horizons holds, for each range of a copy, the horizon at which the range was last replaced.
 type Horizons [antientropy.Ranges]uint64
 
-func (w Watch) sameHorizons(o Watch) bool {
-	if w.Horizons == nil || o.Horizons == nil {
-		return w.Horizons == o.Horizons
+func (w Watch) sameHorizons(other Watch) bool {
+	if w.Horizons == nil || other.Horizons == nil {
+		return w.Horizons == other.Horizons
 	}
-	return *w.Horizons == *o.Horizons
+	return *w.Horizons == *other.Horizons
 }
 
 // Sender adds the ranges that a watcher lacks, from the records that a control node serves, to
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,10 +19,10 @@
 		Nodes: func() []string { return nodes }}
 }
 
-// world simulates nodes, allocators and a network that loses, delays and reorders messages. Nodes
-// freeze and restart, and allocators are replaced or partitioned while they still believe that they are
+// simulation runs nodes, allocators and a network that loses, delays and reorders messages. Nodes
+// pause and restart, and allocators are replaced or partitioned while they still believe that they are
 // the allocator.
-type world struct {
+type simulation struct {
 	rng       *rand.Rand
 	now       time.Duration
 	nodes     []*testNode
@@ -30,7 +30,7 @@
 	grantedAt map[string][]time.Duration // by tenant
 	requested map[string]int             // by tenant
 	refused   int
-	lossless  bool // messages are neither lost nor much delayed
+	lossless  bool // messages are not lost, and delayed only briefly
 	// unused is the fraction of tokens that are returned.
 	unused float64
 }
@@ -41,7 +41,7 @@
 	allocator      *Allocator
 	reportsTo      int           // index of the allocator; negative: none known
 	confirmedAt    time.Duration // as an allocator; 0: it is none
-	frozenUntil    time.Duration
+	pausedUntil    time.Duration
 	reportComplete bool // the next report is a complete one
 	nextReportAt   time.Duration
 }
@@ -52,8 +52,8 @@
 	fn func(n *testNode)
 }
 
-func newWorld(seed uint64, count int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), grantedAt: map[string][]time.Duration{}, requested: map[string]int{}}
+func newSimulation(seed uint64, count int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), grantedAt: map[string][]time.Duration{}, requested: map[string]int{}}
 	var ids []string
 	for i := range count {
 		ids = append(ids, fmt.Sprint("a", i))
@@ -66,14 +66,14 @@
 	return w
 }
 
-func (w *world) startProcess(node *testNode) {
+func (w *simulation) startProcess(node *testNode) {
 	node.local = NewLocalQuota(w.rng.Uint64()|1, w.rng.Uint64(), 300*ms)
 	node.local.SetLimits(quotas)
 	node.allocator.Deactivate()
 	node.confirmedAt, node.reportsTo, node.reportComplete = 0, -1, true
 }
 
-func (w *world) send(to int, fn func(*testNode)) {
+func (w *simulation) send(to int, fn func(*testNode)) {
 	if !w.lossless && w.rng.IntN(50) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	w.events = append(w.events, event{w.now + delay, to, fn})
 }
 
-func (w *world) report(i int) {
+func (w *simulation) report(i int) {
 	node := w.nodes[i]
 	if node.reportsTo < 0 || node.local.AwaitsAnswer(w.now) {
 		return
@@ -108,7 +108,7 @@
 
 // elect makes a node the allocator. Others continue to believe that they are the allocator until their
 // confirmation is too old.
-func (w *world) elect(i int, number uint64) {
+func (w *simulation) elect(i int, number uint64) {
 	predecessorUntil := time.Duration(0)
 	for _, node := range w.nodes {
 		predecessorUntil = max(predecessorUntil, node.confirmedAt)
@@ -130,35 +130,35 @@
 	}
 }
 
-func (w *world) run(limit time.Duration, rates map[string]float64, faults bool) {
-	term, leader := uint64(1), 0
+func (w *simulation) run(limit time.Duration, rates map[string]float64, faults bool) {
+	term, activeAllocator := uint64(1), 0
 	w.now, w.lossless = ms, !faults
 	w.elect(0, 1)
 	for ; w.now < limit; w.now += 5 * ms {
 		if faults && w.rng.IntN(600) == 0 {
 			term++
-			leader = w.rng.IntN(len(w.nodes))
-			w.elect(leader, term)
+			activeAllocator = w.rng.IntN(len(w.nodes))
+			w.elect(activeAllocator, term)
 		}
 		for i, node := range w.nodes {
 			if faults && w.rng.IntN(2500) == 0 {
-				node.frozenUntil = w.now + time.Duration(w.rng.IntN(5000))*ms
+				node.pausedUntil = w.now + time.Duration(w.rng.IntN(5000))*ms
 			}
-			if w.now < node.frozenUntil {
+			if w.now < node.pausedUntil {
 				continue
 			}
 			if faults && w.rng.IntN(2500) == 0 {
 				w.startProcess(node)
 			}
-			if i == leader && node.confirmedAt > 0 {
+			if i == activeAllocator && node.confirmedAt > 0 {
 				node.confirmedAt = w.now // confirmed by its majority
 			}
 			node.local.TimeOut(w.now)
 			if w.now >= node.nextReportAt {
 				node.nextReportAt, node.reportComplete = w.now+time.Second, true
 				w.report(i)
-				for j := range w.nodes { // nodes that missed the recall learn of the allocator eventually
-					if allocatorIndex := leader; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
+				for j := range w.nodes { // nodes that missed the recall eventually learn of the allocator
+					if allocatorIndex := activeAllocator; w.nodes[j].reportsTo != allocatorIndex && w.nodes[allocatorIndex].confirmedAt > 0 {
 						allocatorTerm := Term{Number: term, Owner: "a", RunID: 1}
 						w.send(j, func(receiver *testNode) {
 							if receiver.local.ObeysRecall(receiver.id, "", allocatorTerm) || receiver.reportsTo < 0 {
@@ -176,8 +176,8 @@
 						case g != Granted:
 							w.refused++
 						case w.unused > 0 && w.rng.Float64() < w.unused:
-							incarnation := node.local.RunID
-							w.send(i, func(target *testNode) { target.local.ReturnToken(w.now, incarnation, tenant) })
+							runID := node.local.RunID
+							w.send(i, func(target *testNode) { target.local.ReturnToken(w.now, runID, tenant) })
 						default:
 							w.grantedAt[tenant] = append(w.grantedAt[tenant], w.now)
 						}
@@ -191,17 +191,17 @@
 		for len(w.events) > 0 && w.events[0].at <= w.now {
 			next := w.events[0]
 			w.events = w.events[1:]
-			if target := w.nodes[next.to]; w.now >= target.frozenUntil {
+			if target := w.nodes[next.to]; w.now >= target.pausedUntil {
 				next.fn(target)
 			} else if w.rng.IntN(2) == 0 {
-				w.events = append(w.events, event{target.frozenUntil, next.to, next.fn}) // delivered when the node resumes
+				w.events = append(w.events, event{target.pausedUntil, next.to, next.fn}) // delivered when the node resumes
 			}
 		}
 	}
 }
 
 // maxInWindow returns the highest number of granted requests in any window.
-func (w *world) maxInWindow(tenant string) (highest int) {
+func (w *simulation) maxInWindow(tenant string) (highest int) {
 	times := w.grantedAt[tenant]
 	for i, j := 0, 0; j < len(times); j++ {
 		for times[j]-times[i] > 5*time.Second {
@@ -217,7 +217,7 @@
 
 func TestQuotasHoldDuringFailures(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		w := newWorld(seed, 3+int(seed%5))
+		w := newSimulation(seed, 3+int(seed%5))
 		if seed > 40 {
 			w.unused = float64(seed-40) / 25
 		}
@@ -232,7 +232,7 @@
 
 func TestRequestsWithinQuotaAreServed(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		w := newWorld(seed, 9)
+		w := newSimulation(seed, 9)
 		w.run(30*time.Second, map[string]float64{"small": 7.5, "large": 190, "open": 50}, false)
 		requested := w.requested["small"] + w.requested["large"] + w.requested["open"]
 		if w.refused*50 > requested {
@@ -247,7 +247,7 @@
 	refusedFraction := func(unused float64) (part float64) {
 		requested, refused := 0, 0
 		for seed := uint64(1); seed <= 5; seed++ {
-			w := newWorld(seed, 3)
+			w := newSimulation(seed, 3)
 			w.unused = unused
 			w.run(30*time.Second, map[string]float64{"large": 390}, false)
 			requested, refused = requested+w.requested["large"], refused+w.refused
@@ -260,19 +260,19 @@
 	}
 }
 
-// A token can be returned only to the incarnation that granted it, and only up to the bucket's
+// A token can be returned only to the run of the process that granted it, and only up to the bucket's
 // capacity.
-func TestTokenReturnsToItsIncarnationOnly(t *testing.T) {
+func TestTokenReturnsOnlyToTheRunThatGrantedIt(t *testing.T) {
 	local := NewLocalQuota(7, 0, 300*ms)
 	local.SetLimits(quotas)
 	tenantBucket := local.bucket("small")
-	tenantBucket.cap, local.sharesExpireAt = 2, time.Hour
+	tenantBucket.capacity, local.sharesExpireAt = 2, time.Hour
 	for _, c := range []struct {
-		incarnation uint64
-		tenant      string
-		want        float64
+		runID  uint64
+		tenant string
+		want   float64
 	}{{6, "small", 0}, {0, "small", 0}, {7, "ghost", 0}, {7, "small", 1}, {7, "small", 2}, {7, "small", 2}} {
-		if local.ReturnToken(ms, c.incarnation, c.tenant); tenantBucket.tokens != c.want {
+		if local.ReturnToken(ms, c.runID, c.tenant); tenantBucket.tokens != c.want {
 			t.Errorf("%+v: %g tokens", c, tenantBucket.tokens)
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	allocation, ok := allocator.Report(20*ms, 20*ms, "a", local.Report(10*ms, true), quotas)
 	if !ok {
-		t.Fatal("allocator did not answer the report")
+		t.Fatal("allocator did not reply to the report")
 	}
 	local.Apply(30*ms, allocation)
 	if len(got) != 1 || got[0] != Granted {
@@ -301,7 +301,7 @@
 	if local.Acquire(31*ms, "ghost", func(g Grant) { got = append(got, g) }) || len(got) != 2 || got[1] != Unknown {
 		t.Errorf("tenant with unknown limit: %v, want Unknown", got)
 	}
-	// Without answers from the allocator the share serves until it is used up. After that the node
+	// Without replies from the allocator the share serves requests until it is used up. After that the node
 	// doesn't know whether the tenant is over its quota.
 	drain := func(now time.Duration) {
 		for len(got) < 100 && !local.HasWaiting() {
@@ -310,15 +310,15 @@
 	}
 	drain(40 * ms)
 	local.Report(50*ms, false)
-	if local.TimeOut(50*ms + local.AnswerTimeout + 1); got[len(got)-1] != Unknown {
-		t.Errorf("allocator did not answer: %v, want Unknown", got)
+	if local.TimeOut(50*ms + local.ReplyTimeout + 1); got[len(got)-1] != Unknown {
+		t.Errorf("allocator did not reply: %v, want Unknown", got)
 	}
-	// The allocator answers that the quota is used up.
+	// The allocator replies that the quota is used up.
 	drain(500 * ms)
 	report := local.Report(510*ms, false)
 	local.Apply(520*ms, Allocation{Term: Term{Number: 1, Owner: "a", RunID: 1}, Seq: report.Seq, Lifetime: time.Second, Shares: []Share{{Tenant: "small"}}})
 	if got[len(got)-1] != OverQuota {
-		t.Errorf("quota used up: %v, want Over", got)
+		t.Errorf("quota used up: %v, want OverQuota", got)
 	}
 }
 
@@ -331,24 +331,24 @@
 	second, _ := allocator.Report(2*ms, 2*ms, "a", local.Report(ms, true), quotas)
 	local.Apply(3*ms, first)
 	if !local.AwaitsAnswer(3 * ms) {
-		t.Error("answer to an older report was applied")
+		t.Error("reply to an older report was applied")
 	}
 	local.Apply(3*ms, second)
 	if local.AwaitsAnswer(3 * ms) {
-		t.Error("answer to the last report was not applied")
+		t.Error("reply to the last report was not applied")
 	}
 	if _, ok := allocator.Report(4*ms, 4*ms, "a", Report{RunID: 1, Seq: 1, Complete: true}, quotas); ok {
-		t.Error("old report was answered")
+		t.Error("old report got a reply")
 	}
 	if _, ok := allocator.Report(4*ms, 4*ms, "b", Report{RunID: 5, Seq: 1}, quotas); ok {
-		t.Error("first report of a node was answered although it is not complete")
+		t.Error("first report of a node got a reply although it is not complete")
 	}
 	if _, ok := allocator.Report(10*time.Second, ms, "c", Report{RunID: 7, Seq: 1, Complete: true}, quotas); ok {
-		t.Error("allocator answered although its confirmation is too old")
+		t.Error("allocator replied although its confirmation is too old")
 	}
 }
 
-func TestKey(t *testing.T) {
+func TestAPIKey(t *testing.T) {
 	for line, want := range map[string]string{"Bearer abc": "abc", "bearer abc": "abc", "Basic abc": "", "abc": "", "Bearer ": ""} {
 		if got := APIKey(http.Header{"Authorization": {line}}); got != want {
 			t.Errorf("%q: %q", line, got)
@@ -375,7 +375,7 @@
 	}
 }
 
-func TestHeeds(t *testing.T) {
+func TestObeysRecall(t *testing.T) {
 	local := NewLocalQuota(1, 0, 300*ms)
 	report := local.Report(0, true)
 	local.Apply(ms, Allocation{Term: Term{Number: 2, Owner: "b", RunID: 1}, Seq: report.Seq, Lifetime: time.Second})
@@ -395,19 +395,19 @@
 	}
 }
 
-// A delayed allocation answers a report of an earlier incarnation, not the current one's report with
-// the same number.
-func TestAllocationForEarlierIncarnationIsIgnored(t *testing.T) {
+// A delayed allocation replies to a report of an earlier run of the process, not to the current run's report
+// with the same number.
+func TestAllocationForEarlierRunIsIgnored(t *testing.T) {
 	allocator := NewAllocator(allocatorConfig("a", "b"))
 	allocator.Activate(0, Term{Number: 1, Owner: "a", RunID: 1}, 0, false)
 	earlier, current := NewLocalQuota(1, 77, 300*ms), NewLocalQuota(2, 5, 300*ms)
 	allocation, ok := allocator.Report(ms, ms, "b", earlier.Report(0, true), quotas)
 	if !ok {
-		t.Fatal("allocator did not answer the report")
+		t.Fatal("allocator did not reply to the report")
 	}
 	current.Report(2*ms, true)
 	if current.Apply(3*ms, allocation); !current.AwaitsAnswer(3 * ms) {
-		t.Error("allocation for the earlier incarnation was applied")
+		t.Error("allocation for the earlier run was applied")
 	}
 	highest := NewLocalQuota(3, math.MaxUint64, 300*ms)
 	first, second := highest.Report(0, true), highest.Report(ms, true)
@@ -430,7 +430,7 @@
 		s.Tenant, s.Demand, s.Tokens = "large", demand, 0
 		allocation, ok := allocator.Report(now, now, id, Report{RunID: 1, Seq: seq[id], Complete: true, Shares: []Share{s}}, quotas)
 		if !ok || len(allocation.Shares) != 1 {
-			t.Fatalf("at %v: node %s got no answer: %+v", now, id, allocation)
+			t.Fatalf("at %v: node %s got no reply: %+v", now, id, allocation)
 		}
 		held[id] = allocation.Shares[0]
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -8,7 +8,7 @@
 	"madderwing/internal/rendezvous"
 )
 
-// Gateway is what the registry knows of one gateway.
+// Gateway describes one gateway.
 type Gateway struct {
 	Address   string // on which it serves clients
 	Zone      string
@@ -25,14 +25,14 @@
 // MaxAddresses is the maximum number of addresses in an answer.
 const MaxAddresses = 64
 
-// minOpenFraction is the fraction of a zone's gateways that must be open for its clients to get
+// minAvailableFraction is the fraction of a zone's gateways that must be available for its clients to get
 // addresses of that zone only.
-const minOpenFraction = 0.5
+const minAvailableFraction = 0.5
 
-// Resolve returns the addresses that a client should use: the open gateways of its zone; if too few
-// of these are open, those of its region; if there are none, those of any region. Only if the regions
-// in which the host is served have no open gateway are gateways of other regions returned. If no
-// gateway is known to be open, all are returned, so the answer is empty only without gateways.
+// Resolve returns the addresses that a client should use: the available gateways of its zone; if
+// too few of these are available, those of its region; if there are none, those of any region. Only if the
+// regions in which the host is served have no available gateway are gateways of other regions returned. If
+// no gateway is available, all are returned, so the answer is empty only if no gateway is known.
 func Resolve(gateways []Gateway, client Query) []string {
 	region := client.Region
 	zoneKnown := false
@@ -52,21 +52,21 @@
 		}
 		return false
 	}
-	pick := func(matches func(Gateway) bool) (open []string, known int) {
+	pick := func(matches func(Gateway) bool) (available []string, known int) {
 		for _, g := range gateways {
 			if matches(g) {
 				known++
 				if g.Available {
-					open = append(open, g.Address)
+					available = append(available, g.Address)
 				}
 			}
 		}
-		return open, known
+		return available, known
 	}
 	if zoneKnown {
-		open, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
-		if known > 0 && float64(len(open)) >= minOpenFraction*float64(known) {
-			return truncate(client, open)
+		available, known := pick(func(g Gateway) bool { return g.Zone == client.Zone && allowed(g) })
+		if known > 0 && float64(len(available)) >= minAvailableFraction*float64(known) {
+			return truncate(client, available)
 		}
 	}
 	for _, matches := range []func(Gateway) bool{
@@ -74,8 +74,8 @@
 		allowed,
 		func(Gateway) bool { return true },
 	} {
-		if open, _ := pick(matches); len(open) > 0 {
-			return truncate(client, open)
+		if available, _ := pick(matches); len(available) > 0 {
+			return truncate(client, available)
 		}
 	}
 	all := make([]string, 0, len(gateways))
--- a/internal/rollout/calls_test.go
+++ b/internal/rollout/calls_test.go
@@ -7,7 +7,7 @@
 	"madderwing/internal/apierror"
 )
 
-// controlNodes is a set of control nodes that may own a service's key. They share the records,
+// controlNodes is a set of control nodes that may own a service's partition. They share the records,
 // and each has a clock of its own.
 type controlNodes struct {
 	t            *testing.T
@@ -118,8 +118,8 @@
 	}
 }
 
-// A repeated reversal without a version cannot be told from a reversal of the next rollout. It
-// is answered with PossibleDuplicate for as long as the operator may send it again.
+// A repeated reversal without a version cannot be distinguished from a reversal of the next rollout. It
+// is refused with PossibleDuplicate for as long as the operator may send it again.
 func TestPossiblyRepeatedReversalIsNotExecuted(t *testing.T) {
 	nodes := newControlNodes(t, 2)
 	nodes.checkOutcome(nodes.begin(0, 1, "v2"), acknowledged)
@@ -170,7 +170,7 @@
 }
 
 // The record and the controller keep only the newest calls, as many as may be in progress.
-func TestTakenCallsAreBounded(t *testing.T) {
+func TestExecutedCallsAreBounded(t *testing.T) {
 	nodes := newControlNodes(t, 1)
 	for i, versions := 0, []string{"v2", "v3"}; i < 40; i++ {
 		nodes.checkOutcome(nodes.begin(0, uint64(i+1), versions[i%2]), acknowledged)
@@ -178,13 +178,13 @@
 		nodes.now += 2 * nodes.resendWindow
 	}
 	p, _ := DecodePlan(nodes.records[PartitionOf("s")])
-	if len(p.ExecutedCalls) != maxTakenCalls || p.ExecutedCalls[maxTakenCalls-1].ID != 40 {
+	if len(p.ExecutedCalls) != maxExecutedCalls || p.ExecutedCalls[maxExecutedCalls-1].ID != 40 {
 		t.Errorf("the plan records %d calls: %v", len(p.ExecutedCalls), p.ExecutedCalls)
 	}
 	if n := len(nodes.records[PartitionOf("s")].Data); n > 512 {
 		t.Errorf("the record takes %d bytes", n)
 	}
-	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxTakenCalls {
+	if n := len(nodes.controllers[0].stateOf("s").callsSeenAt); n != maxExecutedCalls {
 		t.Errorf("the controller remembers %d calls", n)
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Controller is what a control node knows of rollouts apart from their records. It decides
+// Controller holds a control node's state of rollouts, apart from their records. It decides
 // on the transitions of the rollouts whose partition the node owns, and collects the gateways'
 // reports on the others for their owners.
 type Controller struct {
@@ -14,7 +14,7 @@
 	allControlled bool
 }
 
-// rolloutState is what a control node knows of the rollout of one service.
+// rolloutState is a control node's state of the rollout of one service.
 type rolloutState struct {
 	generation   uint64        // of the newest record seen here
 	recordSeenAt time.Duration // when that record was first seen
@@ -25,7 +25,7 @@
 	gatewayReports map[string]received[Report]   // by gateway that reports to this control node
 	peerReports    map[string]received[Gathered] // by control node: what it has gathered
 	gathered       Gathered                      // of the current record, as last computed
-	baseline       Sums                          // of an earlier record in which the prior arm had answers
+	baseline       Sums                          // of an earlier record under which the prior arm had responses
 	lastView       View                          // of the last evaluation by the controller
 	pendingFrom    uint64                        // the generation whose transition is being committed; 0: none
 }
@@ -66,7 +66,7 @@
 	case plan.Order != state.order:
 		state.baseline = nil
 	default:
-		age = max(age, state.age(now)) // an order never gets younger
+		age = max(age, state.age(now)) // the age of an order never falls
 		if state.gathered.Gen == state.generation && state.gathered.Sums.All()[Prior].Ended > 0 {
 			state.baseline = state.gathered.Sums
 		}
@@ -101,12 +101,12 @@
 	return s.ageWhenSeen + now - s.recordSeenAt
 }
 
-// Age is the age of a service's newest order.
+// Age returns the age of a service's newest order.
 func (c *Controller) Age(now time.Duration, service string) time.Duration {
 	return c.stateOf(service).age(now)
 }
 
-// Gathered returns the reports on a service's rollout as last added up here.
+// Gathered returns the sum of the reports on a service's rollout as last computed here.
 func (c *Controller) Gathered(service string) Gathered { return c.stateOf(service).gathered }
 
 // View returns the view of the last evaluation of a service's rollout.
@@ -134,20 +134,20 @@
 	From, To *Plan
 }
 
-// Environment is what a controller needs to know from its node.
+// Environment gives a controller access to the state of its node.
 type Environment struct {
 	Self         string
-	Owner        func(key string) string // the node that owns a partition; empty: none known
-	MaxReportAge time.Duration           // age up to which a report counts
-	// Fill adds to a view the figures on the gateways and on the service's upstreams. told
-	// has the requests in flight to other versions, by gateway that has reported.
-	Fill func(v *View, p *Plan, told map[string]int)
+	Owner        func(partition string) string // the node that owns a partition; empty: none known
+	MaxReportAge time.Duration                 // age up to which a report counts
+	// Fill adds to a view the figures on the gateways and on the service's upstreams.
+	// otherInFlight holds the requests in flight to other versions, by gateway that has reported.
+	Fill func(view *View, plan *Plan, otherInFlight map[string]int)
 }
 
-// Evaluate evaluates the active rollouts. It returns the transitions to commit, and by control
-// node the gathered reports to send to it as the controller of their rollouts.
-func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (moves []Transition, tell map[string][]Gathered) {
-	c.allControlled, tell = true, map[string][]Gathered{}
+// Evaluate evaluates the active rollouts. It returns the transitions to commit, and the gathered
+// reports to forward, by the control node that is the controller of their rollouts.
+func (c *Controller) Evaluate(now time.Duration, services map[string]Service, environment Environment) (transitions []Transition, forwards map[string][]Gathered) {
+	c.allControlled, forwards = true, map[string][]Gathered{}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		service := services[name]
 		plan := service.Active()
@@ -163,7 +163,7 @@
 			continue
 		default:
 			if len(gathered.OtherInFlightByGateway) > 0 {
-				tell[owner] = append(tell[owner], gathered)
+				forwards[owner] = append(forwards[owner], gathered)
 			}
 			continue
 		}
@@ -181,14 +181,16 @@
 		state.lastView = view
 		if next := Next(plan, view); next != nil {
 			state.pendingFrom = plan.Generation
-			moves = append(moves, Transition{plan, next})
+			transitions = append(transitions, Transition{plan, next})
 		}
 	}
-	return moves, tell
+	return transitions, forwards
 }
 
 // TransitionEnded records that the commit of a transition has ended, with success or without.
-func (c *Controller) TransitionEnded(m Transition) { c.stateOf(m.From.Service).pendingFrom = 0 }
+func (c *Controller) TransitionEnded(transition Transition) {
+	c.stateOf(transition.From.Service).pendingFrom = 0
+}
 
 // pruneExpired deletes the entries that are older than within and returns the others.
 func pruneExpired[T any](entries map[string]received[T], now, within time.Duration) map[string]T {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -20,8 +20,8 @@
 	LiveGateways, ReportingGateways, OtherInFlight, StoppedGateways int
 	StopReason                                                      string
 	// WarmSlots is the number of slots of the candidate's warm upstreams, Slots that of all its
-	// upstreams, and StandingSlots that of the version that serves without a weight. Load is the
-	// number of requests that the service has in flight.
+	// upstreams, and StandingSlots that of the standing version's upstreams. Load is
+	// the number of requests that the service has in flight.
 	WarmSlots, Slots, StandingSlots float64
 	Load                            float64
 	// ExposureShare is the share of the requests during the order's time that a bad version
@@ -31,13 +31,13 @@
 
 // A step is a weight with the conditions for leaving it. The weights are those of the
 // published design. The sum of weight times duration has to stay well below the setting
-// exposureShare until the weight is full, so that a candidate that turns bad at any step has
+// exposureShare until the weight is full, so that a candidate that becomes bad at any step has
 // had less than that share of the requests when it is stopped.
 type step struct {
 	stage            Stage
 	weight           float64
 	minDurationShare float64 // of the order's time that the step lasts at least
-	minAnswers       uint64  // scored answers of the candidate
+	minResponses     uint64  // scored responses of the candidate
 }
 
 var steps = []step{
@@ -54,11 +54,11 @@
 	minWarmShare       = 0.8              // of the other version's slots, times the weight, that must be warm where the load is 0
 	minEndedShare      = 0.5              // of the candidate's requests must have ended before the next step
 	minReportingShare  = 0.8              // of the gateways must have reported
-	maxWaitFactor      = 4                // a step waits for answers no longer than so many times its minimum duration
+	maxWaitFactor      = 4                // multiple of its minimum duration that a step waits at most for responses
 	maxMinDuration     = 60 * time.Second // upper bound of the minimum duration of a step
 )
 
-// stepIndex is the index in steps of a plan's stage and weight.
+// stepIndex returns the index in steps of a plan's stage and weight.
 func (p *Plan) stepIndex() int {
 	for i, s := range steps {
 		if s.stage == p.Stage && s.weight == p.Weight {
@@ -68,8 +68,8 @@
 	return 0
 }
 
-// Next is the gate: it returns the next state of a plan, or nil while the current one
-// remains.
+// Next returns the next state of a plan, or nil while the conditions for leaving the current
+// one are not met.
 func Next(plan *Plan, view View) *Plan {
 	if plan.Final() {
 		return nil
@@ -79,21 +79,21 @@
 	}
 	current := steps[plan.stepIndex()]
 	// The minimum has an upper bound, since an order may allow days. The published design
-	// has hours, in which people look at the candidate; here they look at the status.
+	// has steps of hours, in which people inspect the candidate; here they inspect the status.
 	minDuration := min(time.Duration(current.minDurationShare*float64(plan.Within)), maxMinDuration)
 	if view.SinceRecord < minDuration || view.LiveGateways == 0 || float64(view.ReportingGateways) < minReportingShare*float64(view.LiveGateways) {
 		return nil
 	}
 	candidate := view.Sums.All()[Candidate]
 	if current.weight > 0 && view.SinceRecord < maxWaitFactor*minDuration {
-		if candidate.Ended < current.minAnswers || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
+		if candidate.Ended < current.minResponses || float64(candidate.Ended) < minEndedShare*float64(candidate.Begun) {
 			return nil
 		}
 	}
 	next := *plan
 	next.Age = view.Age
 	if current.stage == Full {
-		// The prior version stops at once on completion, so no request to it may be in flight.
+		// The prior version may be stopped once the rollout is complete, so no request to it may be in flight.
 		if view.ReportingGateways < view.LiveGateways || view.OtherInFlight > 0 {
 			if view.StoppedGateways > 0 && view.SinceRecord > 2*minDuration {
 				return &next // a new generation of the same step clears a stop by one gateway that the sums do not confirm
@@ -124,12 +124,12 @@
 	return view.Load > 0 || view.WarmSlots >= minWarmShare*target.weight*view.StandingSlots
 }
 
-// reversalReason is the reason to reverse a rollout; empty: there is none.
+// reversalReason returns the reason to reverse a rollout; empty: there is none.
 func reversalReason(view View) string {
 	if reason := Overall.Judge(view.Sums, view.Baseline); reason != "" {
 		return reason
 	}
-	// A single gateway may misjudge a candidate. Two are believed, or one if it is the only one.
+	// A single gateway may misjudge a candidate, so two must have stopped it, or one if it is the only one.
 	if view.StoppedGateways >= min(2, view.LiveGateways) && view.StoppedGateways > 0 {
 		return fmt.Sprintf("%d nodes have stopped it: %s", view.StoppedGateways, view.StopReason)
 	}
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -10,28 +10,28 @@
 )
 
 // simulation runs a rollout with the real state machines: the Splitters of many gateways, and the
-// controllers of three control nodes, of which one at a time owns the key.
+// controllers of three control nodes, of which one at a time owns the partition.
 type simulation struct {
-	t                  *testing.T
-	rng                *rand.Rand
-	now                time.Duration
-	gateways           []*simGateway
-	controllers        []*Controller
-	shownRecords       [][]Record // by controller: the records that its control node has seen
-	owner              int        // index of the controller that owns the key; -1: none
-	frozen             int        // index of the controller whose process is frozen; -1: none
-	records            map[string]Record
-	capacity           View // slots and load of the upstreams
-	candidateKind      string
-	errorShare         float64 // of the candidate's requests
-	commonErrorShare   float64 // of the requests of both versions
-	events             map[time.Duration][]func()
-	requestsByVersion  map[string]int
-	badAnswersAt       []time.Duration
-	candidateRequests  []candidateRequest
-	plans              []Plan
-	freezeInTransition bool
-	heldTransition     *Transition // decided on by the frozen owner, not committed yet
+	t                 *testing.T
+	rng               *rand.Rand
+	now               time.Duration
+	gateways          []*simGateway
+	controllers       []*Controller
+	seenRecords       [][]Record // by controller: the records that its control node has seen
+	owner             int        // index of the controller that owns the partition; -1: none
+	paused            int        // index of the controller whose process is paused; -1: none
+	records           map[string]Record
+	capacity          View // slots and load of the upstreams
+	candidateKind     string
+	errorShare        float64 // of the candidate's requests
+	commonErrorShare  float64 // of the requests of both versions
+	events            map[time.Duration][]func()
+	requestsByVersion map[string]int
+	badResponsesAt    []time.Duration
+	candidateRequests []candidateRequest
+	plans             []Plan
+	pauseInTransition bool
+	heldTransition    *Transition // decided on by the paused owner, not committed yet
 }
 
 type candidateRequest struct {
@@ -41,7 +41,7 @@
 
 type simGateway struct {
 	id           string
-	arms         *Splitter
+	splitter     *Splitter
 	disconnected bool
 	generation   uint64
 	requestsDue  float64
@@ -62,17 +62,17 @@
 
 var testStrata = []string{"lookup idempotent", "confirm mutating", "summary idempotent"}
 
-func newSimulation(t *testing.T, seed uint64, kind string, share float64) *simulation {
-	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: kind, errorShare: share, owner: 0, frozen: -1,
+func newSimulation(t *testing.T, seed uint64, candidateKind string, errorShare float64) *simulation {
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), candidateKind: candidateKind, errorShare: errorShare, owner: 0, paused: -1,
 		records: map[string]Record{}, requestsByVersion: map[string]int{}, events: map[time.Duration][]func(){}}
 	for i := 0; i < testGateways; i++ {
 		gateway := &simGateway{id: fmt.Sprintf("n%02d", i)}
-		gateway.arms = NewSplitter(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
+		gateway.splitter = NewSplitter(gateway.id, rollbackTime/2, func() time.Duration { return s.now })
 		s.gateways = append(s.gateways, gateway)
 	}
 	for i := 0; i < 3; i++ {
 		s.controllers = append(s.controllers, NewController())
-		s.shownRecords = append(s.shownRecords, nil)
+		s.seenRecords = append(s.seenRecords, nil)
 	}
 	s.capacity = View{Slots: 300, WarmSlots: 0, StandingSlots: 300, Load: 120}
 	s.schedule(4*time.Second, func() { s.capacity.WarmSlots = 300 })
@@ -104,11 +104,11 @@
 }
 
 func (s *simulation) showRecord(controller int, record Record) {
-	if controller == s.frozen {
+	if controller == s.paused {
 		s.schedule(s.now+tickInterval, func() { s.showRecord(controller, record) })
 		return
 	}
-	s.shownRecords[controller] = append(s.shownRecords[controller], record)
+	s.seenRecords[controller] = append(s.seenRecords[controller], record)
 	s.controllers[controller].RecordCommitted(s.now, record)
 }
 
@@ -117,7 +117,7 @@
 		return
 	}
 	gateway.generation = record.Gen
-	gateway.arms.SetPlans(DecodeServices(map[string]Record{record.Name: record}))
+	gateway.splitter.SetPlans(DecodeServices(map[string]Record{record.Name: record}))
 }
 
 func (s *simulation) order(version string) {
@@ -137,7 +137,7 @@
 func (s *simulation) serveRequest(index int) {
 	gateway := s.gateways[index]
 	stratum := testStrata[s.rng.IntN(len(testStrata))]
-	sample := gateway.arms.Begin("s", stratum, 800*time.Millisecond, false)
+	sample := gateway.splitter.Begin("s", stratum, 800*time.Millisecond, false)
 	elapsed := time.Duration(80+s.rng.IntN(240)) * time.Millisecond
 	if s.rng.IntN(100) == 0 {
 		elapsed *= 3
@@ -176,7 +176,7 @@
 			outcome = Errored
 		}
 		if outcome == Errored || s.candidateKind == "slow" {
-			s.schedule(s.now+elapsed, func() { s.badAnswersAt = append(s.badAnswersAt, s.now) })
+			s.schedule(s.now+elapsed, func() { s.badResponsesAt = append(s.badResponsesAt, s.now) })
 		}
 	} else if p := s.plan(); p != nil && p.Stage == Complete && !gateway.disconnected && s.now > s.completeAt()+200*time.Millisecond {
 		version = "v2" // the version that serves now
@@ -211,22 +211,22 @@
 		return fmt.Sprint(s.owner)
 	}
 	records := map[string]Record{}
-	for _, r := range s.shownRecords[index] {
+	for _, r := range s.seenRecords[index] {
 		if r.Gen > records[r.Name].Gen {
 			records[r.Name] = r
 		}
 	}
-	moves, gatheredFor := s.controllers[index].Evaluate(s.now, DecodeServices(records), Environment{Self: fmt.Sprint(index), Owner: owner, MaxReportAge: 1600 * time.Millisecond,
-		Fill: func(v *View, _ *Plan, told map[string]int) {
+	transitions, gatheredFor := s.controllers[index].Evaluate(s.now, DecodeServices(records), Environment{Self: fmt.Sprint(index), Owner: owner, MaxReportAge: 1600 * time.Millisecond,
+		Fill: func(v *View, _ *Plan, otherInFlight map[string]int) {
 			v.Slots, v.WarmSlots, v.StandingSlots, v.Load = s.capacity.Slots, s.capacity.WarmSlots, s.capacity.StandingSlots, s.capacity.Load
 			for _, gateway := range s.gateways {
 				if gateway.disconnected {
 					continue
 				}
 				v.LiveGateways++
-				if busy, ok := told[gateway.id]; ok {
+				if inFlight, ok := otherInFlight[gateway.id]; ok {
 					v.ReportingGateways++
-					v.OtherInFlight += busy
+					v.OtherInFlight += inFlight
 				}
 			}
 		}})
@@ -234,40 +234,40 @@
 		var j int
 		fmt.Sscan(to, &j)
 		s.schedule(s.now+2*time.Millisecond, func() {
-			if j != s.frozen {
+			if j != s.paused {
 				s.controllers[j].ReceiveGathered(s.now, fmt.Sprint(index), all)
 			}
 		})
 	}
-	for _, move := range moves {
-		if s.freezeInTransition {
-			s.heldTransition, s.freezeInTransition = &move, false // the owner freezes between deciding on a transition and committing it
+	for _, transition := range transitions {
+		if s.pauseInTransition {
+			s.heldTransition, s.pauseInTransition = &transition, false // the owner pauses between deciding on a transition and committing it
 			s.loseOwner(index, false)
 			continue
 		}
-		changes, err := Advance(s.records, move.From.Generation, move.To)
+		changes, err := Advance(s.records, transition.From.Generation, transition.To)
 		if err == nil {
 			s.commit(changes)
 		}
-		s.controllers[index].TransitionEnded(move)
+		s.controllers[index].TransitionEnded(transition)
 	}
 }
 
-// loseOwner freezes the key's owner. Another node owns the key after the vacancy timeout. The
-// old owner runs again later; if wiped, it starts without its state.
-func (s *simulation) loseOwner(index int, wiped bool) {
-	s.owner, s.frozen = -1, index
+// loseOwner pauses the process of the partition's owner. Another node owns the partition after the
+// vacancy timeout. The old owner runs again later, without its state if losesState is set.
+func (s *simulation) loseOwner(index int, losesState bool) {
+	s.owner, s.paused = -1, index
 	s.schedule(s.now+vacancyTimeout+400*time.Millisecond, func() { s.owner = (index + 1) % 3 })
 	s.schedule(s.now+3*vacancyTimeout, func() {
-		s.frozen = -1
-		if move := s.heldTransition; move != nil {
+		s.paused = -1
+		if transition := s.heldTransition; transition != nil {
 			s.heldTransition = nil
-			if changes, err := Advance(s.records, move.From.Generation, move.To); err == nil {
+			if changes, err := Advance(s.records, transition.From.Generation, transition.To); err == nil {
 				s.commit(changes) // valid: the record has not changed in the meantime
 			}
 		}
-		if wiped {
-			s.controllers[index], s.shownRecords[index] = NewController(), nil
+		if losesState {
+			s.controllers[index], s.seenRecords[index] = NewController(), nil
 			if r, ok := s.records[PartitionOf("s")]; ok {
 				s.showRecord(index, r)
 			}
@@ -288,7 +288,7 @@
 		}
 		if s.now%(160*time.Millisecond) == 0 {
 			for i := range s.controllers {
-				if i != s.frozen {
+				if i != s.paused {
 					s.runController(i)
 				}
 			}
@@ -299,14 +299,14 @@
 					continue
 				}
 				to := i % 3
-				if to == s.frozen {
+				if to == s.paused {
 					to = (to + 1) % 3
 				}
-				if reports := gateway.arms.Reports(); len(reports) > 0 {
+				if reports := gateway.splitter.Reports(); len(reports) > 0 {
 					s.controllers[to].ReceiveReports(s.now, gateway.id, reports)
 				}
 				if s.owner >= 0 {
-					gateway.arms.ControllerSeen()
+					gateway.splitter.ControllerSeen()
 				}
 			}
 		}
@@ -316,7 +316,7 @@
 // checkRules checks the plans and requests of a run: stages only advance; a good version is
 // complete in time; a bad one is reversed, gets no more than its share of the requests if
 // limitExposure is set, and none from a connected gateway later than rollbackTime after its
-// 50th bad answer.
+// 50th bad response.
 func (s *simulation) checkRules(good bool, limitExposure bool) {
 	t := s.t
 	t.Helper()
@@ -346,11 +346,11 @@
 	if allowed := testExposureShare*float64(total) + testExposureSlack; limitExposure && float64(candidateTotal) > allowed {
 		t.Errorf("%s: the bad version got %d of %d requests, %.0f allowed", s.candidateKind, candidateTotal, total, allowed)
 	}
-	if len(s.badAnswersAt) >= 50 {
-		sort.Slice(s.badAnswersAt, func(i, j int) bool { return s.badAnswersAt[i] < s.badAnswersAt[j] })
+	if len(s.badResponsesAt) >= 50 {
+		sort.Slice(s.badResponsesAt, func(i, j int) bool { return s.badResponsesAt[i] < s.badResponsesAt[j] })
 		for _, request := range s.candidateRequests {
-			if !s.gateways[request.gateway].disconnected && request.at > s.badAnswersAt[49]+rollbackTime {
-				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad answer was at %v", s.candidateKind, request.gateway, request.at, s.badAnswersAt[49])
+			if !s.gateways[request.gateway].disconnected && request.at > s.badResponsesAt[49]+rollbackTime {
+				t.Errorf("%s: gateway %d still sends requests to the bad version at %v, its 50th bad response was at %v", s.candidateKind, request.gateway, request.at, s.badResponsesAt[49])
 				break
 			}
 		}
@@ -397,26 +397,26 @@
 	})
 }
 
-// The controller is lost at different times of a rollout: killed, restarted without state, or
-// frozen before it commits a transition.
+// The controller fails at different times of a rollout: it is killed, restarted without state, or
+// paused before it commits a transition.
 func TestControllerLost(t *testing.T) {
 	forEachKind(t, 11, func(t *testing.T, n uint64, kind string, share float64) {
 		at := time.Duration(n) * 1100 * time.Millisecond
-		for _, how := range []string{"killed", "wiped", "frozen in a transition"} {
+		for _, how := range []string{"killed", "restarted without state", "paused in a transition"} {
 			s := newSimulation(t, n, kind, share)
 			s.order("v2")
 			s.schedule(at, func() {
-				if how == "frozen in a transition" {
-					s.freezeInTransition = true
+				if how == "paused in a transition" {
+					s.pauseInTransition = true
 				} else {
-					s.loseOwner(0, how == "wiped")
+					s.loseOwner(0, how == "restarted without state")
 				}
 			})
 			s.run(testOrderTime + 12*time.Second)
 			if kind != "good" {
 				s.checkRules(false, true)
 			} else if p := s.plan(); p.Stage != Complete {
-				// A takeover may delay the rollout beyond its time, but not prevent it.
+				// A change of the controller may delay the rollout beyond its time, but not prevent it.
 				t.Errorf("%s at %v: a good version is %v %.2f (%s)", how, at, p.Stage, p.Weight, p.Reason)
 			}
 		}
@@ -497,7 +497,7 @@
 	}
 }
 
-// A large answer is scored when it begins, and its request is in flight until it ends.
+// A large response is scored when it begins, and its request is in flight until it ends.
 func TestScoredRequestIsInFlightUntilItEnds(t *testing.T) {
 	splitter := NewSplitter("n", time.Hour, func() time.Duration { return time.Second })
 	splitter.SetPlans(map[string]Service{"s": {Plan: &Plan{Service: "s", Prior: "v1", Candidate: "v2", Order: 1, Generation: 1, Stage: Canary}}})
