--- a/cmd/madderwing/rollout.go
+++ b/cmd/madderwing/rollout.go
@@ -173,7 +173,7 @@
 	if state.Reason != "" {
 		fmt.Fprintf(out, "reason: %s\n", state.Reason)
 	}
-	fmt.Fprintf(out, "controller %s; in force on %d nodes, %d have stopped it by themselves\n", cmp.Or(state.Controller, "-"), state.Heard, state.Braked)
+	fmt.Fprintf(out, "controller %s; in force on %d nodes, %d have stopped it by themselves\n", cmp.Or(state.Controller, "-"), state.ReportingGateways, state.StoppedGateways)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "\nARM\tVERSION\tANSWERS\tFAILED\tP99 UP TO\tMEAN TIME SCORE\n")
 	for i, name := range []string{"prior", "candidate"} {
--- a/internal/config/decoder.go
+++ b/internal/config/decoder.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// ReadRoute parses the route of a record.
-func ReadRoute(record Record) (*Route, error) {
+// DecodeRoute parses the route of a record.
+func DecodeRoute(record Record) (*Route, error) {
 	item := decodeItem(record)
 	route := &Route{}
 	if err := json.Unmarshal(item.Raw, route); err != nil {
@@ -59,7 +59,7 @@
 	if cached, ok := decoder.routes[record.Name]; ok && bytes.Equal(cached.data, record.Data) && cached.route.Rev == record.Rev {
 		return cached.route, nil
 	}
-	route, err := ReadRoute(record)
+	route, err := DecodeRoute(record)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/coordination_admin.go
+++ b/internal/controlplane/coordination_admin.go
@@ -123,7 +123,7 @@
 func lockStates(locks []coordination.Lock) []LockState {
 	out := make([]LockState, 0, len(locks))
 	for _, l := range locks {
-		out = append(out, LockState{l.Name, l.Owner, l.Fence, l.Hold.Seconds(), l.Remaining.Round(time.Millisecond).Seconds()})
+		out = append(out, LockState{l.Name, l.Owner, l.FencingToken, l.Lease.Seconds(), l.Remaining.Round(time.Millisecond).Seconds()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -161,7 +161,7 @@
 
 // sendReport reports to the allocator, unless its last answer is still awaited.
 func (c *quotaController) sendReport(now time.Duration) {
-	if c.allocatorID == "" || c.local.AwaitsAnswer(now) {
+	if c.allocatorID == "" || c.local.AwaitsReply(now) {
 		return
 	}
 	r := c.local.Report(now, c.fullReport)
--- a/internal/controlplane/rollout_state.go
+++ b/internal/controlplane/rollout_state.go
@@ -21,17 +21,17 @@
 
 // RolloutState is a rollout as the administration API shows it.
 type RolloutState struct {
-	Service    string     `json:"service"`
-	State      string     `json:"state"`
-	Stage      string     `json:"stage"`
-	Weight     float64    `json:"weight"`
-	Controller string     `json:"controller"`
-	AgeS       float64    `json:"ageS"`
-	WithinS    float64    `json:"withinS"`
-	Reason     string     `json:"reason,omitempty"`
-	Heard      int        `json:"heard"`  // gateways that have reported that this weight is in effect
-	Braked     int        `json:"braked"` // gateways that have stopped the candidate by themselves
-	Arms       []ArmState `json:"arms"`
+	Service           string     `json:"service"`
+	State             string     `json:"state"`
+	Stage             string     `json:"stage"`
+	Weight            float64    `json:"weight"`
+	Controller        string     `json:"controller"`
+	AgeS              float64    `json:"ageS"`
+	WithinS           float64    `json:"withinS"`
+	Reason            string     `json:"reason,omitempty"`
+	ReportingGateways int        `json:"heard"`  // gateways that have reported that this weight is in effect
+	StoppedGateways   int        `json:"braked"` // gateways that have stopped the candidate by themselves
+	Arms              []ArmState `json:"arms"`
 }
 
 // states describes all rollouts. Only the controller of a rollout knows the figures of its arms.
@@ -45,7 +45,7 @@
 		gathered := c.controller.Gathered(service)
 		state := RolloutState{Service: service, State: plan.State(), Stage: plan.Stage.String(), Weight: plan.Weight, AgeS: plan.Age.Seconds(),
 			Controller: c.replica.Owner(now, rollout.PartitionOf(service)), WithinS: plan.Within.Seconds(), Reason: plan.Reason,
-			Heard: len(gathered.OtherInFlightByGateway), Braked: gathered.StoppedGateways}
+			ReportingGateways: len(gathered.OtherInFlightByGateway), StoppedGateways: gathered.StoppedGateways}
 		if !plan.Final() {
 			state.AgeS = c.controller.Age(now, service).Seconds()
 		}
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -71,17 +71,17 @@
 
 // Lock is a lock as the administration API shows it.
 type Lock struct {
-	Name      string
-	Owner     string
-	Fence     uint64
-	Hold      time.Duration
-	Remaining time.Duration // until the lease ends; zero or negative: it has ended
+	Name         string
+	Owner        string
+	FencingToken uint64
+	Lease        time.Duration
+	Remaining    time.Duration // until the lease ends; zero or negative: it has ended
 }
 
 // Locks lists the locks that are held, and those whose lease has ended but that are not swept yet.
 func (p *Partition) Locks(now time.Duration) (out []Lock) {
 	for name, l := range p.locks {
-		out = append(out, Lock{Name: name, Owner: l.Owner, Fence: l.FencingToken, Hold: l.Lease, Remaining: l.leaseEnd - now})
+		out = append(out, Lock{Name: name, Owner: l.Owner, FencingToken: l.FencingToken, Lease: l.Lease, Remaining: l.leaseEnd - now})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -384,8 +384,8 @@
 			}
 		case "/v1/counters":
 			w.Header().Set("Content-Type", "application/json")
-			states := make(chan []upstream.UpstreamStatus, 1)
-			g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.States(now) })
+			states := make(chan []upstream.Status, 1)
+			g.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.Statuses(now) })
 			response := map[string]any{"node": g.settings.Node, "counters": g.handler.Counters(),
 				"connections": g.listener.OpenConnections(), "upstreams": <-states}
 			if g.settings.RevocationBounded() {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -138,7 +138,7 @@
 	got := make(chan int)
 	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) {
 		busy := 0
-		for _, u := range balancer.States(now) {
+		for _, u := range balancer.Statuses(now) {
 			busy += u.Busy
 		}
 		got <- busy
@@ -369,8 +369,8 @@
 		client.Close()
 		waitFor(t, "its slot is free", func() bool { return blocking.aborted.Load() == int64(n+1) && h.busySlots() == 0 })
 	}
-	states := make(chan []upstream.UpstreamStatus, 1)
-	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.States(now) })
+	states := make(chan []upstream.Status, 1)
+	h.dispatcher.Do(func(now time.Duration, balancer *upstream.Balancer) { states <- balancer.Statuses(now) })
 	for _, s := range <-states {
 		if s.Failed != 0 || s.Ejected {
 			t.Errorf("%+v", s)
--- a/internal/quota/local_quota.go
+++ b/internal/quota/local_quota.go
@@ -179,7 +179,7 @@
 		return false
 	}
 	tenantBucket.waiting = append(tenantBucket.waiting, done)
-	return !lq.AwaitsAnswer(now)
+	return !lq.AwaitsReply(now)
 }
 
 // ReturnToken returns a token whose request was not sent to any upstream. Tokens granted by earlier
@@ -294,8 +294,8 @@
 	}
 }
 
-// AwaitsAnswer reports whether the allocator's reply is still awaited.
-func (lq *LocalQuota) AwaitsAnswer(now time.Duration) bool {
+// AwaitsReply reports whether the allocator's reply is still awaited.
+func (lq *LocalQuota) AwaitsReply(now time.Duration) bool {
 	return lq.awaitingReply && now-lq.reportedAt <= lq.ReplyTimeout
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -86,7 +86,7 @@
 
 func (w *simulation) report(i int) {
 	node := w.nodes[i]
-	if node.reportsTo < 0 || node.local.AwaitsAnswer(w.now) {
+	if node.reportsTo < 0 || node.local.AwaitsReply(w.now) {
 		return
 	}
 	report := node.local.Report(w.now, node.reportComplete)
@@ -330,11 +330,11 @@
 	first, _ := allocator.Report(ms, ms, "a", local.Report(0, true), quotas)
 	second, _ := allocator.Report(2*ms, 2*ms, "a", local.Report(ms, true), quotas)
 	local.Apply(3*ms, first)
-	if !local.AwaitsAnswer(3 * ms) {
+	if !local.AwaitsReply(3 * ms) {
 		t.Error("reply to an older report was applied")
 	}
 	local.Apply(3*ms, second)
-	if local.AwaitsAnswer(3 * ms) {
+	if local.AwaitsReply(3 * ms) {
 		t.Error("reply to the last report was not applied")
 	}
 	if _, ok := allocator.Report(4*ms, 4*ms, "a", Report{RunID: 1, Seq: 1, Complete: true}, quotas); ok {
@@ -369,7 +369,7 @@
 		now := time.Duration(i) * time.Second
 		report := local.Report(now, true)
 		local.Apply(now+ms, Allocation{Term: term, Seq: report.Seq, Lifetime: time.Second})
-		if applied := !local.AwaitsAnswer(now + ms); applied != (i < 2) {
+		if applied := !local.AwaitsReply(now + ms); applied != (i < 2) {
 			t.Errorf("allocation %d of %v: applied is %v", i, term, applied)
 		}
 	}
@@ -406,7 +406,7 @@
 		t.Fatal("allocator did not reply to the report")
 	}
 	current.Report(2*ms, true)
-	if current.Apply(3*ms, allocation); !current.AwaitsAnswer(3 * ms) {
+	if current.Apply(3*ms, allocation); !current.AwaitsReply(3 * ms) {
 		t.Error("allocation for the earlier run was applied")
 	}
 	highest := NewLocalQuota(3, math.MaxUint64, 300*ms)
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// UpstreamStatus is the state of an upstream as shown in the gateway's status.
-type UpstreamStatus struct {
+// Status is the state of an upstream as shown in the gateway's status.
+type Status struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
@@ -23,10 +23,10 @@
 	Failed  uint64 `json:"failed"`
 }
 
-// States returns the state of all upstreams, by ID.
-func (b *Balancer) States(now time.Duration) (out []UpstreamStatus) {
+// Statuses returns the state of all upstreams, by ID.
+func (b *Balancer) Statuses(now time.Duration) (out []Status) {
 	for _, u := range b.upstreams {
-		out = append(out, UpstreamStatus{u.ID, u.Service, u.Address, u.Zone, u.Version, u.primary, u.Cold(now), now < u.ejectedUntil || u.trialPending,
+		out = append(out, Status{u.ID, u.Service, u.Address, u.Zone, u.Version, u.primary, u.Cold(now), now < u.ejectedUntil || u.trialPending,
 			u.InFlight, len(u.idle), u.Served, u.Failed})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -73,7 +73,7 @@
 	nodes, shards := makeGateways("z", "y")
 	balancer := newReadyBalancer("z-gateway-0", "z", append(makeInstances(6, "z", 0), makeInstances(6, "y", 0)...), nodes, shards, nil)
 	primaries := 0
-	for _, state := range balancer.States(0) {
+	for _, state := range balancer.Statuses(0) {
 		if state.Primary {
 			primaries++
 			if state.Zone != "z" {
@@ -156,7 +156,7 @@
 	owners := map[string]int{}
 	for _, node := range nodes {
 		balancer := newReadyBalancer(node.Address, "z", makeInstances(7, "z", 0), nodes, shards, nil)
-		for _, state := range balancer.States(0) {
+		for _, state := range balancer.Statuses(0) {
 			if state.Primary {
 				owners[state.ID]++
 			}
@@ -301,12 +301,12 @@
 	balancer := newReadyBalancer("z-gateway-0", "z", makeInstances(2, "z", 0), nodes, shards, nil)
 	balancer.SetEvacuated(ms, map[string]bool{"z": true})
 	balancer.SetEvacuated(time.Second, map[string]bool{})
-	for _, state := range balancer.States(time.Second + ms) {
+	for _, state := range balancer.Statuses(time.Second + ms) {
 		if !state.Cold {
 			t.Errorf("%s is not cold", state.ID)
 		}
 	}
-	for _, state := range balancer.States(6 * time.Second) {
+	for _, state := range balancer.Statuses(6 * time.Second) {
 		if state.Cold {
 			t.Errorf("%s is still cold", state.ID)
 		}
