--- a/cmd/madderwing/client.go
+++ b/cmd/madderwing/client.go
@@ -29,6 +29,8 @@
 	timeout   time.Duration
 }
 
+// addClientFlags adds --control, --settings and --timeout. The returned function makes the client
+// that they describe.
 func addClientFlags(command *cobra.Command) func() (*client, error) {
 	control := command.Flags().StringSlice("control", nil, "control addresses, host:port (default: the seeds in the settings)")
 	path := command.Flags().String("settings", os.Getenv(settings.PathVariable), "path of the settings file")
@@ -36,16 +38,18 @@
 	return func() (*client, error) {
 		endpoints := *control
 		if len(endpoints) == 0 {
-			s, err := settings.Load(*path)
+			loaded, err := settings.Load(*path)
 			if err != nil {
 				return nil, usageError(fmt.Errorf("no --control given, and settings: %w", err))
 			}
-			endpoints = s.SeedNodes
+			endpoints = loaded.SeedNodes
 		}
 		return &client{endpoints, *timeout}, nil
 	}
 }
 
+// call sends a request until it gets a response that is final. Network errors and responses with
+// status 408, 429 or 5xx are retried at the next endpoint, with a pause after each round.
 func (c *client) call(method, path string, body []byte) ([]byte, error) {
 	deadline := time.Now().Add(c.timeout)
 	lastErr := errors.New("no control node answered")
@@ -110,16 +114,16 @@
 }
 
 // readFile reads a file named on the command line; - stands for standard input.
-func readFile(cmd *cobra.Command, name string) (text []byte, err error) {
+func readFile(cmd *cobra.Command, name string) (content []byte, err error) {
 	if name == "-" {
-		text, err = io.ReadAll(cmd.InOrStdin())
+		content, err = io.ReadAll(cmd.InOrStdin())
 	} else {
-		text, err = os.ReadFile(name)
+		content, err = os.ReadFile(name)
 	}
 	if err != nil {
 		return nil, usageError(err)
 	}
-	return text, nil
+	return content, nil
 }
 
 func configCommand() *cobra.Command {
@@ -323,9 +327,9 @@
 	return fmt.Sprintf("items confirmed by a majority %.1f s ago", contact.AgeS)
 }
 
-// printStatus prints the status of the system. Where there are more than maxListed nodes or
-// upstreams it prints counts instead of the list, but still lists each node with a seat and each
-// node that is not in state alive.
+// printStatus prints the status of the system. Of more than maxListed nodes it prints counts, and
+// lists only the nodes with a seat and those that are not alive. Of more than maxListed upstreams
+// it prints counts alone. With all set it lists everything.
 func printStatus(out io.Writer, overview *controlplane.Overview, all bool) {
 	summary := overview.Summary()
 	names := map[string]string{}
--- a/cmd/madderwing/commands.go
+++ b/cmd/madderwing/commands.go
@@ -27,7 +27,7 @@
 	exitFailed      = 1 // the command failed
 	exitUsage       = 2 // invalid arguments or settings
 	exitRefused     = 3 // the system rejected the request
-	exitUnavailable = 4 // no control node answered
+	exitUnavailable = 4 // no clear answer from a control node
 )
 
 // exitError is an error that sets the exit code of the process.
@@ -90,7 +90,7 @@
 	return command
 }
 
-// addSettingsFlag adds the flag --settings, which defaults to the environment variable.
+// addSettingsFlag adds --settings. Its default comes from the environment.
 func addSettingsFlag(command *cobra.Command) *string {
 	return command.Flags().String("settings", os.Getenv(settings.PathVariable), "path of the settings file")
 }
--- a/cmd/madderwing/rollout.go
+++ b/cmd/madderwing/rollout.go
@@ -134,7 +134,7 @@
 	return all, err
 }
 
-// getRollout requests the state of a service's rollout.
+// getRollout requests the state of a service's rollout as its controller sees it.
 func (c *client) getRollout(service string) (*controlplane.RolloutState, error) {
 	text, err := c.call(http.MethodGet, "/v1/admin/rollouts/"+url.PathEscape(service), nil)
 	if err != nil {
--- a/cmd/madderwing/runner.go
+++ b/cmd/madderwing/runner.go
@@ -42,9 +42,9 @@
 }
 
 func addRunnerFlags(command *cobra.Command) *runner {
-	added := &runner{}
-	command.Flags().DurationVar(&added.killAfter, "kill-after", 2*time.Second, "time between SIGTERM and SIGKILL when the lock is lost")
-	return added
+	runner := &runner{}
+	command.Flags().DurationVar(&runner.killAfter, "kill-after", 2*time.Second, "time between SIGTERM and SIGKILL when the lock is lost")
+	return runner
 }
 
 // runWhileHeld sets up a command with the arguments "NAME -- COMMAND [ARG...]". It acquires the
--- a/examples/leader/main.go
+++ b/examples/leader/main.go
@@ -91,12 +91,12 @@
 
 // runWorker campaigns in the election and writes to the store while it leads, until ctx ends.
 func runWorker(ctx context.Context, name, election string, control []string, storeAddress string) error {
-	coordination, err := client.New(control, client.Options{Name: name})
+	coordinationClient, err := client.New(control, client.Options{Name: name})
 	if err != nil {
 		return err
 	}
 	for ctx.Err() == nil {
-		leadership, err := coordination.Election(election, holdTime).Campaign(ctx, name)
+		leadership, err := coordinationClient.Election(election, holdTime).Campaign(ctx, name)
 		if err != nil {
 			return err
 		}
@@ -127,8 +127,8 @@
 	}
 }
 
-// write sends one line with the fencing token. The request is cancelled when the leadership ends.
-// It may have reached the store's machine by then, so the store must check the token itself.
+// write sends one line with the fencing token. The request is cancelled when the leadership ends,
+// but the store may have received it by then. That is why the store checks the token.
 func write(leadership *client.Leadership, storeAddress, line string) error {
 	ctx, cancel := context.WithTimeout(leadership.Context(), writeTimeout)
 	defer cancel()
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -50,8 +50,8 @@
 // event is one line of the output of go test -json.
 type event struct{ Action, Package, Test, Output string }
 
-// evaluate prints the output of packages and of failing tests, and returns the reasons why the
-// run counts as failed. Without any it has passed.
+// evaluate prints the output of packages and of failing tests. It returns the reasons why the run
+// counts as failed; none if it has passed.
 func evaluate(module string, list []knownFailure, events io.Reader, out io.Writer) (problems []string, err error) {
 	results := map[string]string{}      // by top-level test
 	failedInTest := map[string]bool{}   // packages with a failing test
@@ -59,25 +59,25 @@
 	output := map[string][]string{}
 	decoder := json.NewDecoder(events)
 	for {
-		var e event
-		if err := decoder.Decode(&e); err == io.EOF {
+		var parsed event
+		if err := decoder.Decode(&parsed); err == io.EOF {
 			break
 		} else if err != nil {
 			return nil, fmt.Errorf("events of go test: %w", err)
 		}
-		pkg := strings.TrimPrefix(e.Package, module+"/")
-		topLevel, subtest, _ := strings.Cut(e.Test, "/")
+		pkg := strings.TrimPrefix(parsed.Package, module+"/")
+		topLevel, subtest, _ := strings.Cut(parsed.Test, "/")
 		name := pkg + "." + topLevel
 		switch {
-		case e.Action == "output" && e.Test == "":
-			fmt.Fprint(out, e.Output)
-		case e.Action == "output":
-			output[name] = append(output[name], e.Output)
-		case e.Test == "" && e.Action == "fail":
+		case parsed.Action == "output" && parsed.Test == "":
+			fmt.Fprint(out, parsed.Output)
+		case parsed.Action == "output":
+			output[name] = append(output[name], parsed.Output)
+		case parsed.Test == "" && parsed.Action == "fail":
 			failedPackages[pkg] = true
-		case e.Test != "" && subtest == "" && (e.Action == "pass" || e.Action == "fail" || e.Action == "skip"):
-			results[name] = e.Action
-			failedInTest[pkg] = failedInTest[pkg] || e.Action == "fail"
+		case parsed.Test != "" && subtest == "" && (parsed.Action == "pass" || parsed.Action == "fail" || parsed.Action == "skip"):
+			results[name] = parsed.Action
+			failedInTest[pkg] = failedInTest[pkg] || parsed.Action == "fail"
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
@@ -85,19 +85,19 @@
 			continue
 		}
 		fmt.Fprint(out, strings.Join(output[name], ""))
-		if i := slices.IndexFunc(list, func(e knownFailure) bool { return e.test == name }); i >= 0 {
+		if i := slices.IndexFunc(list, func(failure knownFailure) bool { return failure.test == name }); i >= 0 {
 			fmt.Fprintf(out, "known red: %s, %s, %s\n", list[i].test, list[i].cause, list[i].issue)
 		} else {
 			problems = append(problems, name+" fails")
 		}
 	}
-	for _, e := range list {
-		switch results[e.test] {
+	for _, failure := range list {
+		switch results[failure.test] {
 		case "fail":
 		case "":
-			problems = append(problems, e.test+" is listed as red but did not run")
+			problems = append(problems, failure.test+" is listed as red but did not run")
 		default:
-			problems = append(problems, e.test+" is listed as red but does not fail ("+results[e.test]+")")
+			problems = append(problems, failure.test+" is listed as red but does not fail ("+results[failure.test]+")")
 		}
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(failedPackages)) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -54,7 +54,7 @@
 }
 
 // Bind holds the listen addresses of a process: for clients (front), readiness probes, the
-// control interface, and the registry's clients (directory).
+// control interface, and the registry (directory).
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
@@ -112,7 +112,8 @@
 	TTLMaxS          float64 `toml:"ttl_max_s"`
 }
 
-// CloudAPI holds the address of the platform API that lists the upstreams, and its limits.
+// CloudAPI holds the address of the platform API that lists the upstreams, the rate at which it
+// may be called, and how old its list may be.
 type CloudAPI struct {
 	Address  string  `toml:"address"`
 	RatePerS float64 `toml:"ratePerS"`
@@ -176,9 +177,9 @@
 }
 
 // KeyLease is how long a gateway may keep using API keys after it last had them confirmed;
-// 0: revocation is not bounded, keys need no lease. A lease may be longer than revokeS by the
-// time for which the acknowledgement of a revocation is held back, less a margin: it ends less
-// than revokeS after the acknowledgement.
+// 0: keys need no lease. It may be longer than revokeS, since the acknowledgement of a revocation
+// is held back for HoldRevocation: every lease still ends within revokeS of the acknowledgement,
+// with a margin of a tenth of revokeS.
 func (s *Settings) KeyLease() time.Duration {
 	if !s.BoundsRevocation() {
 		return 0
@@ -226,7 +227,7 @@
 }
 
 // fullSeedCount is the number of seed nodes in the settings if at least that many machines run
-// control nodes. Where there are fewer seeds, no other machines run any.
+// control nodes. If there are fewer seeds, they are all the machines that run control nodes.
 const fullSeedCount = 3
 
 // Warnings returns one line for each setting that is valid but probably not intended. Of the
@@ -298,7 +299,7 @@
 	}
 	for _, address := range append([]string{s.Bind.Front, s.Bind.Readiness, s.Bind.Control, s.Bind.Directory}, s.SeedNodes...) {
 		if _, port, err := net.SplitHostPort(address); address != "" {
-			if n, _ := strconv.Atoi(port); err != nil || n < 1 || n > math.MaxUint16 {
+			if number, _ := strconv.Atoi(port); err != nil || number < 1 || number > math.MaxUint16 {
 				return nil, Check{fmt.Sprintf("address %q: no valid port", address)}
 			}
 		}
@@ -324,11 +325,11 @@
 // Validate checks a JSON document against a schema. Its error is a Check that names the location
 // of each violation.
 func Validate(schema *jsonschema.Schema, text []byte) error {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return Check{"not JSON: " + err.Error()}
 	}
-	err = schema.Validate(doc)
+	err = schema.Validate(document)
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
@@ -336,16 +337,16 @@
 	var check Check
 	var collect func(*jsonschema.ValidationError)
 	printer := message.NewPrinter(language.English)
-	collect = func(cause *jsonschema.ValidationError) {
-		if len(cause.Causes) == 0 {
-			location := strings.Join(cause.InstanceLocation, ".")
+	collect = func(violation *jsonschema.ValidationError) {
+		if len(violation.Causes) == 0 {
+			location := strings.Join(violation.InstanceLocation, ".")
 			if location == "" {
 				location = "top"
 			}
-			check = append(check, location+": "+cause.ErrorKind.LocalizedString(printer))
+			check = append(check, location+": "+violation.ErrorKind.LocalizedString(printer))
 		}
-		for _, c := range cause.Causes {
-			collect(c)
+		for _, cause := range violation.Causes {
+			collect(cause)
 		}
 	}
 	collect(invalid)
--- a/tools/days/main.go
+++ b/tools/days/main.go
@@ -1,6 +1,6 @@
-// Command days generates random test scenarios ("days") for a deployment ("site") of the program
-// fleetbench. The seed determines a day. Its events, faults and planned operations, are drawn from
-// the kinds of events that the bench lists for the site and from the examples in the site file.
+// Command days generates random test scenarios ("days") for the program fleetbench and one of its
+// deployments ("sites"). A day has events: faults and planned operations. The seed determines them.
+// They are drawn from the kinds that the bench lists for the site and the examples in the site file.
 package main
 
 import (
